--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -23,12 +23,12 @@
 from unittest import mock
 
 from bench.window import route
+from leadrudder.control_simulation.world import World
 from leadrudder.emulation.fleet import Fleet, Plan
-from leadrudder.rehearsal.world import World
+from leadrudder.protocol.mesh_pb2 import Item
 from leadrudder.simulation.loop import VirtualLoop
 from leadrudder.simulation.network import Untapped, VirtualTransport
 from leadrudder.simulation.scheduler import Step
-from leadrudder.waybill.waybill_pb2 import Item
 
 PAGE = Path(__file__).resolve().parent.parent / "docs/CAPACITY.md"
 BEGIN_MARK, END_MARK = "<!-- bench.capacity -->", "<!-- end -->"
--- a/bench/change_cost.py
+++ b/bench/change_cost.py
@@ -19,12 +19,12 @@
 from statistics import median
 from typing import Any
 
+from leadrudder.bootstrap.settings import read
+from leadrudder.data_plane.admission_control import Gate
+from leadrudder.data_plane.mesh_state import MeshState
 from leadrudder.observability.invariants import Invariants
-from leadrudder.rulebook.settings import read
-from leadrudder.station.gate import Gate
-from leadrudder.station.mesh_state import MeshState
-from leadrudder.waybill import waybill_pb2 as wire
-from leadrudder.waybill.waybill_pb2 import Item, Node
+from leadrudder.protocol import mesh_pb2 as wire
+from leadrudder.protocol.mesh_pb2 import Item, Node
 
 SIZES = (30, 100, 300, 1000, 3000)
 SERVICES = 4
--- a/bench/control.py
+++ b/bench/control.py
@@ -1,9 +1,9 @@
 """What is known of the control state, measured: python -m bench.control [--seconds S] [--jobs N].
 
 Small worlds: every scene gone through in breadth for so many seconds, and walks. Large: courses of 3, 5 and
-9 machines, one with 300 stations. Planted: every fault of tests/mesh/plants.py looked for by both. Times of
-acknowledgement and of finding another owner are virtual ones, of the interlockings that run, with syncs of
-8 to 30 ms and links of 0.5 to 4 ms; repair is what one processor hands over here, without its bound.
+9 machines, one with 300 stations. Planted: every fault of tests/mesh/planted_faults.py looked for by both.
+Times of acknowledgement and of finding another owner are virtual ones, of the interlockings that run, with
+syncs of 8 to 30 ms and links of 0.5 to 4 ms; repair is what one processor hands over here, without its bound.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 from dataclasses import replace
 from random import Random
 
-from leadrudder.interlocking import repair
-from leadrudder.interlocking.machine import Interlocking
-from leadrudder.interlocking.outputs import SECTIONS, Answer, Code, Output, Send, Write, section_of
-from leadrudder.proving.scenes import SCENES, WALKED
-from leadrudder.proving.search import Found, Search
-from leadrudder.proving.state import ALL
-from leadrudder.proving.state import Broken as SmallBroken
-from leadrudder.rehearsal.course import FAULTS, RESIZING, Course
-from leadrudder.rehearsal.world import Broken, Machine, World
-from leadrudder.timetable.items import CORE
-from leadrudder.waybill.waybill_pb2 import Item
-from tests.mesh.plants import COURSES, PLANTS, SHOWN_BY, SHOWN_IN, UNSHOWN
+from leadrudder.configuration.items import CORE
+from leadrudder.consensus import anti_entropy
+from leadrudder.consensus.outputs import SECTIONS, Answer, Code, Output, Send, Write, section_of
+from leadrudder.consensus.state_machine import Interlocking
+from leadrudder.control_simulation.scenario import FAULTS, RESIZING, Course
+from leadrudder.control_simulation.world import Broken, Machine, World
+from leadrudder.model_checker.scenarios import SCENES, WALKED
+from leadrudder.model_checker.search import Found, Search
+from leadrudder.model_checker.state import ALL
+from leadrudder.model_checker.state import Broken as SmallBroken
+from leadrudder.protocol.mesh_pb2 import Item
+from tests.mesh.planted_faults import COURSES, PLANTS, SHOWN_BY, SHOWN_IN, UNSHOWN
 
 WALKS, PLANT_WALKS = 12, 2
 LARGE = ((3, 200, 0), (5, 80, 0), (9, 12, 300))  # machines, seeds, stations
@@ -212,7 +212,7 @@
         for i, has in enumerate((kept, {}))
     )
     ends = {a.address: a, b.address: b}
-    bound, repair.BYTES_S = repair.BYTES_S, float("inf")
+    bound, anti_entropy.BYTES_S = anti_entropy.BYTES_S, float("inf")
     began = time.process_time()
     try:
         _deliver(
@@ -220,7 +220,7 @@
         )
         _deliver(ends, [(m, o) for m in (a, b) for o in m.tick(1.0)])
     finally:
-        repair.BYTES_S = bound
+        anti_entropy.BYTES_S = bound
     assert a.book.digest == b.book.digest
     return sum(item.ByteSize() for item in book) / 1e6 / (time.process_time() - began)
 
--- a/bench/worst.py
+++ b/bench/incidents.py
@@ -1,4 +1,4 @@
-"""The users' worst days, measured: python -m bench.worst [--seeds N] [--changes N] [--jobs N].
+"""The users' worst days, measured: python -m bench.incidents [--seeds N] [--changes N] [--jobs N].
 
 Control machines are the interlockings that run, in virtual time; calls are whole programs in virtual time.
 Times in the table are virtual seconds, the longest of all seeds; the longest step is real processor time.
@@ -14,10 +14,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from leadrudder.emulation.fleet import Bookings
-from leadrudder.rehearsal.course import FAULTS, STANDSTILL, Course
-from leadrudder.rehearsal.world import Broken
-from leadrudder.rehearsal.worst_days import (
+from leadrudder.control_simulation.incidents import (
     CatchUp,
     CutOff,
     Fault,
@@ -27,7 +24,10 @@
     many_changes,
     two_losses,
 )
-from tests.mesh.plants import PLANTS, UNSHOWN
+from leadrudder.control_simulation.scenario import FAULTS, STANDSTILL, Course
+from leadrudder.control_simulation.world import Broken
+from leadrudder.emulation.fleet import Bookings
+from tests.mesh.planted_faults import PLANTS, UNSHOWN
 from tests.mesh.test_emulation import PLAN
 
 SECOND_LOSS_STEP_S = 0.05
@@ -70,7 +70,7 @@
 
 def main(argv: Sequence[str] | None = None) -> int:
     """The exit code is 1 if any play broke a rule."""
-    parser = argparse.ArgumentParser(prog="python -m bench.worst", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m bench.incidents", description=__doc__)
     parser.add_argument("--seeds", type=int, default=20, help="of each way of being out of reach")
     parser.add_argument("--course-seeds", type=int, default=200)
     parser.add_argument("--call-seeds", type=int, default=100)
--- a/bench/mesh.py
+++ b/bench/mesh.py
@@ -18,12 +18,12 @@
 from pathlib import Path
 from random import Random
 
-from leadrudder.interlocking.outputs import Answer
+from leadrudder.consensus.outputs import Answer
+from leadrudder.control_simulation.world import Machine, World
 from leadrudder.mesh.demo import Fleet, free_port
-from leadrudder.rehearsal.world import Machine, World
-from leadrudder.telegraph.http import WholeMessage, WholeReader, rendered
-from leadrudder.telegraph.link import packed
-from leadrudder.waybill.waybill_pb2 import Frame, Item, News
+from leadrudder.protocol.mesh_pb2 import Frame, Item, News
+from leadrudder.transport.http import WholeMessage, WholeReader, rendered
+from leadrudder.transport.link import packed
 
 ROUNDS, REQUESTS, CLIENTS = 5, 600, 8
 BARE_TIMES = 10  # as many requests to the relay
--- a/bench/soak/__main__.py
+++ b/bench/soak/__main__.py
@@ -19,8 +19,8 @@
 from random import Random
 
 from bench.soak.checks import judge
+from bench.soak.faults import Troublemaker, overlapping, plan
 from bench.soak.operators import Operators
-from bench.soak.troubles import Troublemaker, overlapping, plan
 from bench.soak.world import InvariantError, World
 
 READY_S = 20.0
@@ -134,7 +134,7 @@
     parser.add_argument("--cores", type=int, default=3, help="control machines")
     parser.add_argument("--sides", type=int, default=4, help="stations, with a server beside each")
     parser.add_argument("--keep", default="", help="where to keep outputs of seeds that broke an invariant")
-    parser.add_argument("--plant", default="", help="a fault of bench.soak.plants that is put in")
+    parser.add_argument("--plant", default="", help="a fault of bench.soak.planted_faults that is put in")
     given = parser.parse_args(arguments)
     first, _, last = given.seeds.partition(":")
     seeds = range(int(first), int(last or int(first) + 1))
--- a/bench/soak/checks.py
+++ b/bench/soak/checks.py
@@ -9,8 +9,8 @@
 from bench.soak.clients import PROMISES, KeptRequest
 from bench.soak.operators import Held, Operators
 from bench.soak.world import InvariantError, Machine, World
+from leadrudder.control_plane.feeds import UNSENT_MOST
 from leadrudder.emulation.standins import Asked, call, request
-from leadrudder.signalbox.feeds import UNSENT_MOST
 
 READ_TRIES = 100
 UNSENT_BOUND = UNSENT_MOST + 1024 * 1024  # a whole book may be written beside what waits
--- a/bench/soak/operators.py
+++ b/bench/soak/operators.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from bench.soak.world import IDLE_ROUTES, SERVICES, WISHES, InvariantError, Machine, World
-from leadrudder.telegraph.http import WholeMessage
+from leadrudder.transport.http import WholeMessage
 
 EACH_S = 0.15  # between changes
 TRIES = 400
--- a/bench/soak/plants.py
+++ b/bench/soak/planted_faults.py
@@ -8,8 +8,8 @@
 from typing import Any
 from unittest import mock
 
-from leadrudder.telegraph.link import Link
-from tests.mesh import plants
+from leadrudder.transport.link import Link
+from tests.mesh import planted_faults
 
 
 @contextmanager
@@ -29,7 +29,7 @@
         return True
 
     with (
-        mock.patch("leadrudder.telegraph.link.connect", connect),
+        mock.patch("leadrudder.transport.link.connect", connect),
         mock.patch.object(Link, "send_packed", send_packed),
     ):
         yield
@@ -39,9 +39,9 @@
     plant.__name__: plant
     for plant in (
         dead_links,
-        plants.read_by_one,
-        plants.one_copy_is_enough,
-        plants.drop_forgotten,
-        plants.lower_is_done_at_once,
+        planted_faults.read_by_one,
+        planted_faults.one_copy_is_enough,
+        planted_faults.drop_forgotten,
+        planted_faults.lower_is_done_at_once,
     )
 }
--- a/bench/soak/process.py
+++ b/bench/soak/process.py
@@ -23,9 +23,9 @@
 import uvloop  # noqa: E402
 from absl import logging  # noqa: E402
 
-from leadrudder.rulebook.settings import load  # noqa: E402
-from leadrudder.signalbox.program import Signalbox  # noqa: E402
-from leadrudder.station.program import Station  # noqa: E402
+from leadrudder.bootstrap.settings import load  # noqa: E402
+from leadrudder.control_plane.program import Signalbox  # noqa: E402
+from leadrudder.data_plane.program import Station  # noqa: E402
 
 RELAY_VARIABLE = "LEADRUDDER_SOAK_RELAY"  # IP:PORT
 HOST_VARIABLE = "LEADRUDDER_SOAK_HOST"  # the machine's own address
@@ -60,14 +60,14 @@
 
 
 def planted(name: str) -> AbstractContextManager[Any]:
-    from bench.soak.plants import PLANTS  # what they need is no part of a program in service
+    from bench.soak.planted_faults import PLANTS  # what they need is no part of a program in service
 
     context: AbstractContextManager[Any] = PLANTS[name]()
     return context
 
 
 async def serve(role: str, plant: str) -> None:
-    """plant: a fault of bench.soak.plants that is put in, to see that the soak finds it."""
+    """plant: a fault of bench.soak.planted_faults that is put in, to see that the soak finds it."""
     settings = load().unwrap()
     with planted(plant) if plant else nullcontext():
         program = Station(settings) if role == "station" else Signalbox(settings)
--- a/bench/soak/world.py
+++ b/bench/soak/world.py
@@ -24,7 +24,7 @@
 from bench.soak.relay import Relay
 from leadrudder.emulation.standins import Asked, Clients, Server, Wish, call, request
 from leadrudder.mesh.demo import free_port
-from leadrudder.telegraph.http import WholeMessage
+from leadrudder.transport.http import WholeMessage
 
 SERVICES = ("kal", "var")
 WISHES = (
--- a/bench/window.py
+++ b/bench/window.py
@@ -16,11 +16,11 @@
 from dataclasses import dataclass
 from typing import Any
 
+from leadrudder.configuration.items import read_route
+from leadrudder.consensus.lease import POSSESSION
 from leadrudder.emulation.fleet import Bookings, Fleet, Machine, Plan
 from leadrudder.emulation.standins import Wish
-from leadrudder.interlocking.lease import POSSESSION
 from leadrudder.simulation.world import EPOCH_S
-from leadrudder.timetable.items import read_route
 
 SLOTS, WORK_S, LOAD = 6, 0.1, 0.7
 SERVICES = {"kal": 8, "var": 4}
--- a/leadrudder/breakdown/snapshot.py
+++ b/leadrudder/backup/snapshot.py
@@ -17,11 +17,11 @@
 from google.protobuf.message import DecodeError
 from returns.result import Failure, Result, Success
 
-from leadrudder.depot.store import DiskError, DumbStore, Spoilt, sealed, unsealed
-from leadrudder.interlocking.machine import ITEM_RECORD, PROMISED_RECORD, SEATS_RECORD
-from leadrudder.interlocking.outputs import SECTIONS
-from leadrudder.timetable.book import Book
-from leadrudder.waybill.waybill_pb2 import Item
+from leadrudder.configuration.item_store import Book
+from leadrudder.consensus.outputs import SECTIONS
+from leadrudder.consensus.state_machine import ITEM_RECORD, PROMISED_RECORD, SEATS_RECORD
+from leadrudder.protocol.mesh_pb2 import Item
+from leadrudder.storage.store import DiskError, DumbStore, Spoilt, sealed, unsealed
 
 META = "meta"
 _NAME = re.compile(r"[0-9]{8}T[0-9]{6}Z-[0-9]{4}\.snapshot")
--- a/leadrudder/rulebook/start.py
+++ b/leadrudder/bootstrap/start.py
@@ -13,7 +13,7 @@
 from absl import flags, logging
 from returns.result import Failure
 
-from leadrudder.rulebook.settings import FILE_VARIABLE, Settings, load
+from leadrudder.bootstrap.settings import FILE_VARIABLE, Settings, load
 
 
 def start(
--- a/leadrudder/compiled.py
+++ b/leadrudder/compiled.py
@@ -16,7 +16,7 @@
 
 MODULES = (
     "interface",
-    "looks",
+    "selection_context",
     "policy.admission",
     "policy.attempts",
     "policy.automaton",
@@ -29,14 +29,14 @@
     "state.estimators",
     "state.backoff",
     "state.list_calls",
-    "state.listed",
+    "state.server_table",
     "state.records",
     "state.reports",
-    "state.rings",
-    "state.spread",
+    "state.subsetting",
+    "state.least_loaded",
     "state.timers",
     "state.weights",
-    "state.worth",
+    "state.request_value",
 )
 PACKAGE = Path(__file__).parent
 PURE = "LEADRUDDER_PURE"
--- a/leadrudder/timetable/book.py
+++ b/leadrudder/configuration/item_store.py
@@ -15,8 +15,8 @@
 
 from sortedcontainers import SortedDict
 
-from leadrudder.timetable.items import EVACUATION, LIMITS, ROUTE, SERVICE
-from leadrudder.waybill.waybill_pb2 import Item
+from leadrudder.configuration.items import EVACUATION, LIMITS, ROUTE, SERVICE
+from leadrudder.protocol.mesh_pb2 import Item
 
 
 def newer(new: Item, old: Item | None) -> bool:
--- a/leadrudder/timetable/items.py
+++ b/leadrudder/configuration/items.py
@@ -11,8 +11,8 @@
 
 from marshmallow import EXCLUDE, Schema, ValidationError, fields, validate
 
-from leadrudder.rulebook.settings import Duration
-from leadrudder.waybill.waybill_pb2 import Item
+from leadrudder.bootstrap.settings import Duration
+from leadrudder.protocol.mesh_pb2 import Item
 
 GIVE_UP_MOST_MS = 600_000.0
 _VERSION = re.compile(r"[0-9a-fA-F]{1,16}")
--- a/leadrudder/timetable/routing_table.py
+++ b/leadrudder/configuration/routing_table.py
@@ -14,10 +14,10 @@
 
 from marshmallow import ValidationError
 
-from leadrudder.timetable import items
-from leadrudder.timetable.book import Book, kind_of
-from leadrudder.timetable.items import LIMITS, ROUTE, SERVICE, Limits, Route, Service
-from leadrudder.waybill.waybill_pb2 import Item
+from leadrudder.configuration import items
+from leadrudder.configuration.item_store import Book, kind_of
+from leadrudder.configuration.items import LIMITS, ROUTE, SERVICE, Limits, Route, Service
+from leadrudder.protocol.mesh_pb2 import Item
 
 
 @dataclass(slots=True)
--- a/leadrudder/timetable/check.py
+++ b/leadrudder/configuration/validation.py
@@ -14,8 +14,8 @@
 from marshmallow import ValidationError
 from returns.result import Failure, Result, Success
 
-from leadrudder.timetable import items
-from leadrudder.timetable.items import LIMITS, ROUTE, SERVICE
+from leadrudder.configuration import items
+from leadrudder.configuration.items import LIMITS, ROUTE, SERVICE
 
 
 @dataclass(frozen=True, slots=True)
--- a/leadrudder/interlocking/repair.py
+++ b/leadrudder/consensus/anti_entropy.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from leadrudder.waybill import waybill_pb2 as wire
-from leadrudder.waybill.waybill_pb2 import Frame, Item
+from leadrudder.protocol import mesh_pb2 as wire
+from leadrudder.protocol.mesh_pb2 import Frame, Item
 
 if TYPE_CHECKING:
-    from leadrudder.interlocking.machine import Interlocking
+    from leadrudder.consensus.state_machine import Interlocking
 
 EACH_S = 0.5
 BYTES_S = 1_000_000.0  # handed over by one machine, at most, in the mean over a second
--- a/leadrudder/interlocking/lease.py
+++ b/leadrudder/consensus/lease.py
@@ -12,12 +12,12 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from leadrudder.interlocking.quorum import Quorum
-from leadrudder.waybill import waybill_pb2 as wire
-from leadrudder.waybill.waybill_pb2 import Frame
+from leadrudder.consensus.quorum import Quorum
+from leadrudder.protocol import mesh_pb2 as wire
+from leadrudder.protocol.mesh_pb2 import Frame
 
 if TYPE_CHECKING:
-    from leadrudder.interlocking.machine import Interlocking
+    from leadrudder.consensus.state_machine import Interlocking
 
 SPAN_S = 2.0
 DRIFT = 0.1  # part by which two clocks may run apart over a lease
--- a/leadrudder/interlocking/outputs.py
+++ b/leadrudder/consensus/outputs.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from leadrudder.waybill.waybill_pb2 import Frame, Item
+from leadrudder.protocol.mesh_pb2 import Frame, Item
 
 SECTIONS = 8  # parts of the keys, each with an owner of its own
 
--- a/leadrudder/interlocking/owner.py
+++ b/leadrudder/consensus/ownership.py
@@ -6,15 +6,15 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from leadrudder.interlocking.outputs import Code
-from leadrudder.interlocking.quorum import Quorum
-from leadrudder.timetable.book import newer
-from leadrudder.timetable.items import ORDERS
-from leadrudder.waybill import waybill_pb2 as wire
-from leadrudder.waybill.waybill_pb2 import Frame, Item
+from leadrudder.configuration.item_store import newer
+from leadrudder.configuration.items import ORDERS
+from leadrudder.consensus.outputs import Code
+from leadrudder.consensus.quorum import Quorum
+from leadrudder.protocol import mesh_pb2 as wire
+from leadrudder.protocol.mesh_pb2 import Frame, Item
 
 if TYPE_CHECKING:
-    from leadrudder.interlocking.machine import Interlocking
+    from leadrudder.consensus.state_machine import Interlocking
 
 CLAIM_S = 0.8  # for a majority to promise, and to have the copies of what was found
 AGAIN_S = 0.25  # pause after a claim that failed, and up to as much again
--- a/leadrudder/interlocking/quorum.py
+++ b/leadrudder/consensus/quorum.py
@@ -16,7 +16,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from leadrudder.waybill.waybill_pb2 import Mark, Seat
+from leadrudder.protocol.mesh_pb2 import Mark, Seat
 
 OPEN, HALF_CLOSED, SETTLED = 0, 1, 2
 
--- a/leadrudder/interlocking/contact.py
+++ b/leadrudder/consensus/quorum_check.py
@@ -11,12 +11,12 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from leadrudder.interlocking.quorum import Quorum
-from leadrudder.waybill import waybill_pb2 as wire
-from leadrudder.waybill.waybill_pb2 import Frame
+from leadrudder.consensus.quorum import Quorum
+from leadrudder.protocol import mesh_pb2 as wire
+from leadrudder.protocol.mesh_pb2 import Frame
 
 if TYPE_CHECKING:
-    from leadrudder.interlocking.machine import Interlocking
+    from leadrudder.consensus.state_machine import Interlocking
 
 ASK_EACH_S = 0.3  # while contact is fresh; at each tick otherwise
 OPEN_MOST = 8  # questions whose answers still count
--- a/leadrudder/interlocking/seating.py
+++ b/leadrudder/consensus/reconfiguration.py
@@ -17,14 +17,14 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from leadrudder.interlocking.outputs import Send
-from leadrudder.interlocking.quorum import Quorum
-from leadrudder.interlocking.seats import LOST_S
-from leadrudder.waybill import waybill_pb2 as wire
-from leadrudder.waybill.waybill_pb2 import Frame, Seat
+from leadrudder.consensus.outputs import Send
+from leadrudder.consensus.quorum import Quorum
+from leadrudder.consensus.voters import LOST_S
+from leadrudder.protocol import mesh_pb2 as wire
+from leadrudder.protocol.mesh_pb2 import Frame, Seat
 
 if TYPE_CHECKING:
-    from leadrudder.interlocking.machine import Interlocking
+    from leadrudder.consensus.state_machine import Interlocking
 
 FOUND_LATEST_S = 4.0  # the first seed founds with those that are there, if some do not come
 CLAIM_EACH_S = 0.4
--- a/leadrudder/interlocking/requests.py
+++ b/leadrudder/consensus/requests.py
@@ -8,14 +8,14 @@
 from enum import IntEnum, auto
 from typing import TYPE_CHECKING
 
-from leadrudder.interlocking.outputs import Code
-from leadrudder.interlocking.quorum import Quorum
-from leadrudder.timetable.book import Book
-from leadrudder.waybill import waybill_pb2 as wire
-from leadrudder.waybill.waybill_pb2 import Frame, Item
+from leadrudder.configuration.item_store import Book
+from leadrudder.consensus.outputs import Code
+from leadrudder.consensus.quorum import Quorum
+from leadrudder.protocol import mesh_pb2 as wire
+from leadrudder.protocol.mesh_pb2 import Frame, Item
 
 if TYPE_CHECKING:
-    from leadrudder.interlocking.machine import Interlocking
+    from leadrudder.consensus.state_machine import Interlocking
 
 CHANGE_S = 0.9  # an operator waits a second
 ASK_AGAIN_S = 0.1  # an owner that could not answer is asked again after so long
--- a/leadrudder/interlocking/machine.py
+++ b/leadrudder/consensus/state_machine.py
@@ -13,9 +13,11 @@
 from random import Random
 from typing import Any
 
-from leadrudder.interlocking.contact import Contact
-from leadrudder.interlocking.lease import DUTIES, Leases
-from leadrudder.interlocking.outputs import (
+from leadrudder.configuration.item_store import Book, newer
+from leadrudder.configuration.items import CORE, read_core
+from leadrudder.consensus.anti_entropy import Repair
+from leadrudder.consensus.lease import DUTIES, Leases
+from leadrudder.consensus.outputs import (
     SECTIONS,
     Answer,
     Code,
@@ -27,16 +29,14 @@
     Write,
     section_of,
 )
-from leadrudder.interlocking.owner import Owner
-from leadrudder.interlocking.quorum import mark
-from leadrudder.interlocking.repair import Repair
-from leadrudder.interlocking.requests import Requests
-from leadrudder.interlocking.seating import Seating
-from leadrudder.interlocking.seats import SEATS_RECORD, Peer, Seats
-from leadrudder.timetable.book import Book, newer
-from leadrudder.timetable.items import CORE, read_core
-from leadrudder.waybill import waybill_pb2 as wire
-from leadrudder.waybill.waybill_pb2 import Frame, Item, Seat
+from leadrudder.consensus.ownership import Owner
+from leadrudder.consensus.quorum import mark
+from leadrudder.consensus.quorum_check import Contact
+from leadrudder.consensus.reconfiguration import Seating
+from leadrudder.consensus.requests import Requests
+from leadrudder.consensus.voters import SEATS_RECORD, Peer, Seats
+from leadrudder.protocol import mesh_pb2 as wire
+from leadrudder.protocol.mesh_pb2 import Frame, Item, Seat
 
 PROMISED_RECORD, ITEM_RECORD = "promised/", "item/"
 __all__ = ["ITEM_RECORD", "PROMISED_RECORD", "SEATS_RECORD", "Interlocking"]
--- a/leadrudder/interlocking/seats.py
+++ b/leadrudder/consensus/voters.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field
 from typing import ClassVar
 
-from leadrudder.interlocking import quorum
-from leadrudder.waybill.waybill_pb2 import Seat
+from leadrudder.consensus import quorum
+from leadrudder.protocol.mesh_pb2 import Seat
 
 SEATS_RECORD = "seats"
 LOST_S = 1.5  # a holder that is not connected for so long may be replaced by a newcomer
--- /dev/null
+++ b/leadrudder/control_plane/__main__.py
@@ -0,0 +1,23 @@
+"""python -m leadrudder.control_plane: the control plane's program, told by its settings file."""
+
+from __future__ import annotations
+
+import argparse
+import signal
+import sys
+
+# Until it is handled, a SIGHUP would end the process: what is imported below takes most of its start.
+signal.signal(signal.SIGHUP, signal.SIG_IGN)
+
+from leadrudder.bootstrap.settings import Settings  # noqa: E402
+from leadrudder.bootstrap.start import start  # noqa: E402
+from leadrudder.control_plane.program import Signalbox  # noqa: E402
+from leadrudder.storage.store import DiskError  # noqa: E402
+
+
+async def _serve(settings: Settings, told: argparse.Namespace) -> None:
+    await Signalbox(settings, possession=told.possession).run()
+
+
+if __name__ == "__main__":
+    sys.exit(start("leadrudder.control_plane", "control plane", _serve, (OSError, DiskError)))
--- a/leadrudder/signalbox/feeds.py
+++ b/leadrudder/control_plane/feeds.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
+from leadrudder.membership import zone_relays
 from leadrudder.observability.invariants import Invariants
-from leadrudder.register import homes
-from leadrudder.telegraph.link import Link, packed
-from leadrudder.waybill import waybill_pb2 as wire
-from leadrudder.waybill.waybill_pb2 import Frame, Item, Node
+from leadrudder.protocol import mesh_pb2 as wire
+from leadrudder.protocol.mesh_pb2 import Frame, Item, Node
+from leadrudder.transport.link import Link, packed
 
 UNSENT_MOST = 256 * 1024  # bytes that wait for a station to read, beyond which it counts as behind
 
@@ -102,7 +102,7 @@
         if feed is None:
             return
         feed.wanted = services
-        if served := homes.of_services(known, services):
+        if served := zone_relays.of_services(known, services):
             self._send(link, packed(Frame(news=wire.News(served=served))))
 
     # ------------------------------------------------------------ news
@@ -119,7 +119,7 @@
 
     def tell_members(self, nodes: list[Node], but: Link | None = None) -> None:
         """Members that have come, gone or changed; but: the session that they were heard on."""
-        data = packed(Frame(news=wire.News(nodes=map(homes.bare, nodes))))
+        data = packed(Frame(news=wire.News(nodes=map(zone_relays.bare, nodes))))
         for feed in list(self._feeds.values()):
             if feed.link is but:
                 continue
@@ -141,7 +141,7 @@
                 continue
             data = data_by_wanted.get(feed.wanted)
             if data is None:
-                served = homes.of_services(nodes, feed.wanted)
+                served = zone_relays.of_services(nodes, feed.wanted)
                 data = packed(Frame(news=wire.News(served=served))) if served else b""
                 data_by_wanted[feed.wanted] = data
             if data:
@@ -166,6 +166,6 @@
         servers = [node for name in feed.servers if (node := self._node(name)) is not None]
         return wire.News(
             items=items,
-            nodes=map(homes.bare, members),
-            served=homes.of_services(servers, feed.wanted or frozenset()),
+            nodes=map(zone_relays.bare, members),
+            served=zone_relays.of_services(servers, feed.wanted or frozenset()),
         )
--- a/leadrudder/signalbox/possessions.py
+++ b/leadrudder/control_plane/maintenance.py
@@ -1,6 +1,6 @@
 """Maintenance at a signalbox: what operators call, and the duty that carries windows out.
 
-All that is decided is decided in `leadrudder.possession`; this brings it what is known, and has its steps
+All that is decided is decided in `leadrudder.maintenance`; this brings it what is known, and has its steps
 stand as items of the control state.
 """
 
@@ -15,19 +15,19 @@
 from marshmallow import EXCLUDE, Schema, ValidationError, fields, validate
 from returns.result import Failure
 
-from leadrudder.interlocking.outputs import Answer, Code
-from leadrudder.possession import contract, keeper, ledger, planner, window
-from leadrudder.possession.contract import Span
-from leadrudder.possession.keeper import Keeper
-from leadrudder.possession.planner import Machine, Order, Situation, hour_of_week
-from leadrudder.possession.window import LENT, WINDOW, Window
-from leadrudder.rulebook.ring import Ring
-from leadrudder.telegraph.http import Call, Told
-from leadrudder.timetable.book import Book
-from leadrudder.timetable.check import Finding
-from leadrudder.timetable.items import CONTRACT, USED
-from leadrudder.timetable.routing_table import RoutingTable
-from leadrudder.waybill.waybill_pb2 import Item, Node
+from leadrudder.bootstrap.log_buffer import Ring
+from leadrudder.configuration.item_store import Book
+from leadrudder.configuration.items import CONTRACT, USED
+from leadrudder.configuration.routing_table import RoutingTable
+from leadrudder.configuration.validation import Finding
+from leadrudder.consensus.outputs import Answer, Code
+from leadrudder.maintenance import contract, controller, ledger, planner, window
+from leadrudder.maintenance.contract import Span
+from leadrudder.maintenance.controller import Keeper
+from leadrudder.maintenance.planner import Machine, Order, Situation, hour_of_week
+from leadrudder.maintenance.window import LENT, WINDOW, Window
+from leadrudder.protocol.mesh_pb2 import Item, Node
+from leadrudder.transport.http import Call, Told
 
 KEPT = 50  # windows that are over
 OUT_MOST = 64  # steps that are being taken
@@ -224,9 +224,9 @@
             case "POST", ("maintenance", name, "plan"):
                 return await self._start(name, call.body, keep=False)
             case "DELETE", ("maintenance", name):
-                return await self._alter(name, lambda w: keeper.stopped(w, "an operator stopped it"))
+                return await self._alter(name, lambda w: controller.stopped(w, "an operator stopped it"))
             case "POST", ("maintenance", name, "done", machine):
-                return await self._alter(name, lambda w: keeper.done_early(w, machine, self._wall()))
+                return await self._alter(name, lambda w: controller.done_early(w, machine, self._wall()))
             case _, ("contracts" | "maintenance", *_):
                 return Told(405)
         return None
@@ -275,7 +275,7 @@
         return _json(told(made))
 
     async def _forget(self) -> None:
-        for name in keeper.finished(dict(self.situation().windows), KEPT):
+        for name in controller.finished(dict(self.situation().windows), KEPT):
             known = self._book().items[WINDOW + name]
             await self._change([Item(key=known.key, version=known.version + 1, dropped=True)])
 
--- a/leadrudder/signalbox/operator.py
+++ b/leadrudder/control_plane/operator_api.py
@@ -10,14 +10,14 @@
 
 from returns.result import Failure, Success
 
-from leadrudder.interlocking.outputs import Answer, Code
-from leadrudder.interlocking.repair import Owed
-from leadrudder.rulebook.ring import Ring
-from leadrudder.telegraph.http import PLAIN_TEXT, Call, Told
-from leadrudder.timetable import check
-from leadrudder.timetable.book import Book
-from leadrudder.timetable.items import CORE, EVACUATION, SEATS_MOST, SERVICE
-from leadrudder.waybill.waybill_pb2 import Item
+from leadrudder.bootstrap.log_buffer import Ring
+from leadrudder.configuration import validation
+from leadrudder.configuration.item_store import Book
+from leadrudder.configuration.items import CORE, EVACUATION, SEATS_MOST, SERVICE
+from leadrudder.consensus.anti_entropy import Owed
+from leadrudder.consensus.outputs import Answer, Code
+from leadrudder.protocol.mesh_pb2 import Item
+from leadrudder.transport.http import PLAIN_TEXT, Call, Told
 
 CALL_S = 0.95  # operators wait a second, then go to another node
 _JSON = b"Content-Type: application/json\r\n"
@@ -94,12 +94,12 @@
             return Told(503, b"no majority answered in time\n", _COME_BACK)
 
     async def _patch(self, body: bytes) -> Told:
-        parsed = check.parse(body)
+        parsed = validation.parse(body)
         if isinstance(parsed, Failure):
             return self._refuse(parsed.failure())
         assert isinstance(parsed, Success)
         call = parsed.unwrap()
-        findings = check.against(call, self._known().standing(SERVICE))
+        findings = validation.against(call, self._known().standing(SERVICE))
         if findings:
             # What this process knows may be old: a majority knows whether there is such a service.
             answer = await self._read()
@@ -107,7 +107,7 @@
                 return Told(503, b"no majority answered in time\n", _COME_BACK)
             book = Book()
             book.take(answer.items)
-            findings = check.against(call, book.standing(SERVICE))
+            findings = validation.against(call, book.standing(SERVICE))
             if findings:
                 return self._refuse(findings)
         changed = [
@@ -122,7 +122,7 @@
             return Told(409, b"an item's version has another value already\n")
         return Told(503, b"no majority answered in time\n", _COME_BACK)
 
-    def _refuse(self, findings: list[check.Finding]) -> Told:
+    def _refuse(self, findings: list[validation.Finding]) -> Told:
         self._ring.note(f"400: {findings[0]}")
         return Told(400, "".join(f"{finding}\n" for finding in findings[:20]).encode())
 
--- a/leadrudder/signalbox/program.py
+++ b/leadrudder/control_plane/program.py
@@ -11,29 +11,29 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from leadrudder.breakdown import snapshot
-from leadrudder.depot.store import DiskError, DumbStore, MemoryStore, Store
-from leadrudder.depot.writer import Writer, Writes
-from leadrudder.interlocking.lease import DUTIES, POSSESSION, SWEEP
-from leadrudder.interlocking.machine import Interlocking
-from leadrudder.interlocking.outputs import Answer, Note, Output, Send, Stands, Write
+from leadrudder.backup import snapshot
+from leadrudder.bootstrap.log_buffer import Ring
+from leadrudder.bootstrap.settings import Settings
+from leadrudder.configuration.item_store import Book
+from leadrudder.consensus.lease import DUTIES, POSSESSION, SWEEP
+from leadrudder.consensus.outputs import Answer, Note, Output, Send, Stands, Write
+from leadrudder.consensus.state_machine import Interlocking
+from leadrudder.control_plane.feeds import Feeds
+from leadrudder.control_plane.operator_api import Operator
+from leadrudder.membership import zone_relays
+from leadrudder.membership.registry import Register
 from leadrudder.observability.invariants import Invariants
 from leadrudder.observability.loop_lag import LoopLag
 from leadrudder.observability.metrics import Metrics
-from leadrudder.register import homes
-from leadrudder.register.register import Register
-from leadrudder.rulebook.ring import Ring
-from leadrudder.rulebook.settings import Settings
-from leadrudder.signalbox.feeds import Feeds
-from leadrudder.signalbox.operator import Operator
-from leadrudder.telegraph.http import ControlServer
-from leadrudder.telegraph.link import Link, dial
-from leadrudder.timetable.book import Book
-from leadrudder.waybill import waybill_pb2 as wire
-from leadrudder.waybill.waybill_pb2 import Frame, Item, Node
+from leadrudder.protocol import mesh_pb2 as wire
+from leadrudder.protocol.mesh_pb2 import Frame, Item, Node
+from leadrudder.storage.store import DiskError, DumbStore, MemoryStore, Store
+from leadrudder.storage.writer import Writer, Writes
+from leadrudder.transport.http import ControlServer
+from leadrudder.transport.link import Link, dial
 
 if TYPE_CHECKING:
-    from leadrudder.signalbox.possessions import Possessions
+    from leadrudder.control_plane.maintenance import Possessions
 
 TICK_S = 0.1
 OPEN_TRIES = 50  # of a disk that refuses, before the program ends
@@ -103,7 +103,7 @@
             duties=(*DUTIES, POSSESSION) if self._possession else DUTIES,
         )
         if self._possession:
-            from leadrudder.signalbox.possessions import Possessions
+            from leadrudder.control_plane.maintenance import Possessions
 
             self._possessions = Possessions(
                 self._known, self._register.members, self._change, self.ring, self._wall, self._loop.time
@@ -304,7 +304,7 @@
             settled = self._loop.time() >= self._settled_at
             news = wire.News(
                 items=self.interlocking.standing.items.values(),
-                nodes=map(homes.bare, self._register.members()),
+                nodes=map(zone_relays.bare, self._register.members()),
                 whole=settled,
                 signalboxes=self._signalboxes(),
             )
--- a/leadrudder/rehearsal/worst_days.py
+++ b/leadrudder/control_simulation/incidents.py
@@ -12,12 +12,12 @@
 from enum import StrEnum
 from random import Random
 
+from leadrudder.consensus.outputs import Answer, Code
+from leadrudder.control_simulation.nodes import Stations
+from leadrudder.control_simulation.world import Broken, World
+from leadrudder.control_simulation.world import Machine as CoreMachine
 from leadrudder.emulation.fleet import Bookings, Fleet, Machine, Plan
-from leadrudder.interlocking.outputs import Answer, Code
-from leadrudder.rehearsal.stations import Stations
-from leadrudder.rehearsal.world import Broken, World
-from leadrudder.rehearsal.world import Machine as CoreMachine
-from leadrudder.waybill.waybill_pb2 import Item
+from leadrudder.protocol.mesh_pb2 import Item
 
 KEYS = tuple(f"routes/r{i}" for i in range(8))
 BEGIN_S = 5.0  # the first order; by then every section has an owner
--- a/leadrudder/rehearsal/stations.py
+++ b/leadrudder/control_simulation/nodes.py
@@ -9,10 +9,10 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from leadrudder.interlocking.contact import FRESH_S
-from leadrudder.rehearsal.world import DELAY_S, Machine, World
-from leadrudder.timetable.book import Book
-from leadrudder.waybill.waybill_pb2 import Item
+from leadrudder.configuration.item_store import Book
+from leadrudder.consensus.quorum_check import FRESH_S
+from leadrudder.control_simulation.world import DELAY_S, Machine, World
+from leadrudder.protocol.mesh_pb2 import Item
 
 LOOK_S = 0.25  # how often a station without a session looks for one
 LATE_S = 2.5  # in calm all that was acknowledged is with every station after so much
--- a/leadrudder/rehearsal/course.py
+++ b/leadrudder/control_simulation/scenario.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from leadrudder.interlocking.outputs import Answer, Code
-from leadrudder.rehearsal.stations import Stations
-from leadrudder.rehearsal.world import Broken, Machine, World
+from leadrudder.configuration.items import CORE
+from leadrudder.consensus.outputs import Answer, Code
+from leadrudder.control_simulation.nodes import Stations
+from leadrudder.control_simulation.world import Broken, Machine, World
+from leadrudder.protocol.mesh_pb2 import Item
 from leadrudder.simulation.shrink import ddmin
-from leadrudder.timetable.items import CORE
-from leadrudder.waybill.waybill_pb2 import Item
 
 KEYS = [f"routes/r{i}" for i in range(6)] + ["services/s", "limits"]
 SETTLE_S = 4.0  # a machine that is back counts as lost for so long
--- a/leadrudder/rehearsal/world.py
+++ b/leadrudder/control_simulation/world.py
@@ -16,13 +16,13 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from leadrudder.interlocking.lease import SWEEP
-from leadrudder.interlocking.machine import Interlocking
-from leadrudder.interlocking.outputs import Answer, Code, Output, Send, Stands, Write
-from leadrudder.rehearsal.history import Operation, Outcome, Register, wrong_keys
-from leadrudder.timetable.book import Book
-from leadrudder.timetable.items import ORDERS
-from leadrudder.waybill.waybill_pb2 import Frame, Item
+from leadrudder.configuration.item_store import Book
+from leadrudder.configuration.items import ORDERS
+from leadrudder.consensus.lease import SWEEP
+from leadrudder.consensus.outputs import Answer, Code, Output, Send, Stands, Write
+from leadrudder.consensus.state_machine import Interlocking
+from leadrudder.control_simulation.linearizability import Operation, Outcome, Register, wrong_keys
+from leadrudder.protocol.mesh_pb2 import Frame, Item
 
 TICK_S = 0.1
 DIAL_S = 0.25
--- a/leadrudder/station/__main__.py
+++ b/leadrudder/data_plane/__main__.py
@@ -1,4 +1,4 @@
-"""python -m leadrudder.station: the data plane's program, told by its settings file."""
+"""python -m leadrudder.data_plane: the data plane's program, told by its settings file."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 # Until it is handled, a SIGHUP would end the process: what is imported below takes most of its start.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
-from leadrudder.rulebook.settings import Settings  # noqa: E402
-from leadrudder.rulebook.start import start  # noqa: E402
-from leadrudder.station.program import Station  # noqa: E402
+from leadrudder.bootstrap.settings import Settings  # noqa: E402
+from leadrudder.bootstrap.start import start  # noqa: E402
+from leadrudder.data_plane.program import Station  # noqa: E402
 
 
 async def _serve(settings: Settings, told: argparse.Namespace) -> None:
@@ -19,4 +19,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(start("leadrudder.station", "data plane", _serve))
+    sys.exit(start("leadrudder.data_plane", "data plane", _serve))
--- a/leadrudder/station/gate.py
+++ b/leadrudder/data_plane/admission_control.py
@@ -11,11 +11,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from leadrudder.rulebook.settings import Bounds
-from leadrudder.station.admission_queue import AdmissionQueue, QueuedCall, Rank
-from leadrudder.station.service_times import ArrivalRate, ServiceTimes
-from leadrudder.waybill.verdict import Ran, Verdict
-from leadrudder.waybill.waybill_pb2 import Waybill
+from leadrudder.bootstrap.settings import Bounds
+from leadrudder.data_plane.admission_queue import AdmissionQueue, QueuedCall, Rank
+from leadrudder.data_plane.service_times import ArrivalRate, ServiceTimes
+from leadrudder.protocol.mesh_pb2 import Waybill
+from leadrudder.protocol.outcome import Ran, Verdict
 
 SEEN_MOST = 50_000  # ids of unsafe requests that are remembered
 QUEUE_TIMES = 1.5  # calls that may wait at the gate for each slot
--- a/leadrudder/station/admission_queue.py
+++ b/leadrudder/data_plane/admission_queue.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from leadrudder.waybill.verdict import Verdict
-from leadrudder.waybill.waybill_pb2 import Waybill
+from leadrudder.protocol.mesh_pb2 import Waybill
+from leadrudder.protocol.outcome import Verdict
 
 
 class Rank(NamedTuple):
--- a/leadrudder/station/newsstand.py
+++ b/leadrudder/data_plane/endpoint_discovery.py
@@ -7,12 +7,12 @@
 import asyncio
 from collections.abc import Callable
 
-from leadrudder.register import homes
-from leadrudder.register.homes import Homes
-from leadrudder.register.register import rank
-from leadrudder.telegraph.link import Link, dial
-from leadrudder.waybill import waybill_pb2 as wire
-from leadrudder.waybill.waybill_pb2 import Frame, Node
+from leadrudder.membership import zone_relays
+from leadrudder.membership.registry import rank
+from leadrudder.membership.zone_relays import Homes
+from leadrudder.protocol import mesh_pb2 as wire
+from leadrudder.protocol.mesh_pb2 import Frame, Node
+from leadrudder.transport.link import Link, dial
 
 SILENCE_S = 0.9  # a home that gives no sign of life for so long is passed over
 PING_S = 0.3
@@ -58,7 +58,7 @@
         if not new:
             return
         for link, services in list(self._subscribers.items()):
-            if told := homes.of_services(new, services):
+            if told := zone_relays.of_services(new, services):
                 link.send(Frame(news=wire.News(served=told)))
         self._heard([node.name for node in new])
 
@@ -141,7 +141,7 @@
             return
         self._subscribers[link] = services
         self._count()
-        if told := homes.of_services(self.served.values(), services):
+        if told := zone_relays.of_services(self.served.values(), services):
             link.send(Frame(news=wire.News(served=told)))
         self._sources_changed()
 
--- a/leadrudder/station/endpoints.py
+++ b/leadrudder/data_plane/endpoints.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from leadrudder.waybill.waybill_pb2 import Node
+from leadrudder.protocol.mesh_pb2 import Node
 
 
 @dataclass(frozen=True, slots=True)
--- a/leadrudder/station/inbound.py
+++ b/leadrudder/data_plane/inbound.py
@@ -5,13 +5,13 @@
 import asyncio
 from collections.abc import Callable
 
+from leadrudder.data_plane.admission_control import Gate
+from leadrudder.data_plane.server_connections import NOT_RUN, SEAL, Going, OwnServer
 from leadrudder.interface import Outcome
 from leadrudder.node.servers import Call
-from leadrudder.station.gate import Gate
-from leadrudder.station.server import NOT_RUN, SEAL, Going, OwnServer
-from leadrudder.telegraph.http import WholeMessage
-from leadrudder.waybill.verdict import Ran, Verdict
-from leadrudder.waybill.waybill_pb2 import Delivery, Waybill
+from leadrudder.protocol.mesh_pb2 import Delivery, Waybill
+from leadrudder.protocol.outcome import Ran, Verdict
+from leadrudder.transport.http import WholeMessage
 
 OVER_S = 0.1  # a server ends at the time it is given, and says so: that answer is waited for
 HOP_BY_HOP = frozenset(
--- a/leadrudder/station/points.py
+++ b/leadrudder/data_plane/load_balancer.py
@@ -13,14 +13,14 @@
 from random import Random
 
 from leadrudder import interface as api
+from leadrudder.configuration.items import Route
+from leadrudder.data_plane.candidates import Candidates, Distance
+from leadrudder.data_plane.retry_budget import Purse
 from leadrudder.interface import Effect, Outcome, ServerId
 from leadrudder.policy.decide import Balancer
+from leadrudder.protocol.mesh_pb2 import Delivery
+from leadrudder.protocol.outcome import Ran, Reply, Verdict, worst
 from leadrudder.recovery.strain import Strain
-from leadrudder.station.candidates import Candidates, Distance
-from leadrudder.station.purse import Purse
-from leadrudder.timetable.items import Route
-from leadrudder.waybill.verdict import Ran, Reply, Verdict, worst
-from leadrudder.waybill.waybill_pb2 import Delivery
 
 ATTEMPTS_MOST = 3  # draws for one request, those that gates refuse included
 DRAWS_FREE = 2  # after so many refusals a call may wait at a gate though it will be late
--- a/leadrudder/station/lent.py
+++ b/leadrudder/data_plane/machine_drains.py
@@ -8,10 +8,10 @@
 
 from collections.abc import Callable
 
-from leadrudder.possession import window
-from leadrudder.possession.window import WINDOW, Loans
-from leadrudder.timetable.book import Book
-from leadrudder.timetable.items import CONTRACT, Route
+from leadrudder.configuration.item_store import Book
+from leadrudder.configuration.items import CONTRACT, Route
+from leadrudder.maintenance import window
+from leadrudder.maintenance.window import WINDOW, Loans
 
 
 class Lent:
--- a/leadrudder/station/mesh_state.py
+++ b/leadrudder/data_plane/mesh_state.py
@@ -10,23 +10,23 @@
 from collections.abc import Callable, Iterable
 from random import Random
 
+from leadrudder.bootstrap.settings import Settings
+from leadrudder.configuration.item_store import Book, kind_of
+from leadrudder.configuration.items import CONTRACT, EVACUATION, WINDOW, Route
+from leadrudder.configuration.routing_table import RoutingTable
+from leadrudder.data_plane.admission_control import Gate
+from leadrudder.data_plane.candidates import Candidates, Distance
+from leadrudder.data_plane.change_queue import ChangeQueue, PendingChanges
+from leadrudder.data_plane.endpoint_discovery import Newsstand
+from leadrudder.data_plane.endpoints import Endpoint, EndpointTable, endpoints_of
+from leadrudder.data_plane.load_balancer import Carry
+from leadrudder.data_plane.machine_drains import Lent
+from leadrudder.data_plane.upstreams import Upstreams
+from leadrudder.membership.registry import Register
 from leadrudder.observability.invariants import Invariants
 from leadrudder.observability.metrics import Metrics
-from leadrudder.register.register import Register
-from leadrudder.rulebook.settings import Settings
-from leadrudder.station.candidates import Candidates, Distance
-from leadrudder.station.changes import ChangeQueue, PendingChanges
-from leadrudder.station.endpoints import Endpoint, EndpointTable, endpoints_of
-from leadrudder.station.gate import Gate
-from leadrudder.station.lent import Lent
-from leadrudder.station.newsstand import Newsstand
-from leadrudder.station.points import Carry
-from leadrudder.station.upstreams import Upstreams
-from leadrudder.timetable.book import Book, kind_of
-from leadrudder.timetable.items import CONTRACT, EVACUATION, WINDOW, Route
-from leadrudder.timetable.routing_table import RoutingTable
-from leadrudder.waybill import waybill_pb2 as wire
-from leadrudder.waybill.waybill_pb2 import Item, Node
+from leadrudder.protocol import mesh_pb2 as wire
+from leadrudder.protocol.mesh_pb2 import Item, Node
 
 
 class MeshState:
--- a/leadrudder/station/outbound.py
+++ b/leadrudder/data_plane/outbound.py
@@ -11,14 +11,14 @@
 from dataclasses import dataclass
 from typing import cast
 
+from leadrudder.configuration.items import Limits, Route
+from leadrudder.data_plane.client_patience import ClientPatience
+from leadrudder.data_plane.inbound import passed_on
+from leadrudder.data_plane.load_balancer import RETRY_LEAST_MS, Errand
 from leadrudder.node.http import Message, MessageError
 from leadrudder.observability.loop_lag import BEHIND_S
-from leadrudder.station.client_patience import ClientPatience
-from leadrudder.station.inbound import passed_on
-from leadrudder.station.points import RETRY_LEAST_MS, Errand
-from leadrudder.telegraph.http import WholeMessage, WholeReader, rendered
-from leadrudder.timetable.items import Limits, Route
-from leadrudder.waybill.verdict import Reply, Verdict
+from leadrudder.protocol.outcome import Reply, Verdict
+from leadrudder.transport.http import WholeMessage, WholeReader, rendered
 
 PIPELINED_MOST = 64  # requests open on one connection, beyond which it is not read
 UNREAD_S = 10.0  # for a client to read its answer
--- a/leadrudder/station/gates.py
+++ b/leadrudder/data_plane/peer_links.py
@@ -5,10 +5,10 @@
 import asyncio
 from collections.abc import Callable
 
-from leadrudder.station.inbound import Withdraw
-from leadrudder.telegraph.link import IDLE_DIALLED_S, Link, dial
-from leadrudder.waybill.verdict import Ran
-from leadrudder.waybill.waybill_pb2 import Delivery, Frame, Waybill, Withdrawal
+from leadrudder.data_plane.inbound import Withdraw
+from leadrudder.protocol.mesh_pb2 import Delivery, Frame, Waybill, Withdrawal
+from leadrudder.protocol.outcome import Ran
+from leadrudder.transport.link import IDLE_DIALLED_S, Link, dial
 
 SILENCE_S = 1.5  # a gate that gives no sign of life for so long while calls are out is not waited for
 PING_S = 0.4
--- a/leadrudder/station/program.py
+++ b/leadrudder/data_plane/program.py
@@ -14,31 +14,31 @@
 
 from returns.result import Success
 
+from leadrudder.bootstrap.log_buffer import Ring
+from leadrudder.bootstrap.settings import Settings, load
+from leadrudder.configuration.items import Route
+from leadrudder.data_plane.admission_control import Gate, Life
+from leadrudder.data_plane.inbound import Inbound, Withdraw, nothing_to_withdraw
+from leadrudder.data_plane.load_balancer import Errand
+from leadrudder.data_plane.mesh_state import MeshState
+from leadrudder.data_plane.outbound import Outbound
+from leadrudder.data_plane.peer_links import Gates
+from leadrudder.data_plane.request_accounting import RequestAccounting
+from leadrudder.data_plane.server_api import Beat, Beats
+from leadrudder.data_plane.server_connections import OwnServer
+from leadrudder.data_plane.session import Session
+from leadrudder.maintenance.ledger import Ledger
+from leadrudder.membership import zone_relays
 from leadrudder.node.platform import SYSTEM, Platform
 from leadrudder.observability.invariants import Invariants
 from leadrudder.observability.loop_lag import BEHIND_S, LoopLag
 from leadrudder.observability.metrics import Metrics
 from leadrudder.observability.traffic import Traffic
-from leadrudder.possession.ledger import Ledger
-from leadrudder.register import homes
-from leadrudder.rulebook.ring import Ring
-from leadrudder.rulebook.settings import Settings, load
-from leadrudder.station.beats import Beat, Beats
-from leadrudder.station.gate import Gate, Life
-from leadrudder.station.gates import Gates
-from leadrudder.station.inbound import Inbound, Withdraw, nothing_to_withdraw
-from leadrudder.station.mesh_state import MeshState
-from leadrudder.station.outbound import Outbound
-from leadrudder.station.points import Errand
-from leadrudder.station.request_accounting import RequestAccounting
-from leadrudder.station.server import OwnServer
-from leadrudder.station.session import Session
-from leadrudder.telegraph.http import ControlServer
-from leadrudder.telegraph.link import IDLE_TAKEN_S, PING_S, Link
-from leadrudder.timetable.items import Route
-from leadrudder.waybill import waybill_pb2 as wire
-from leadrudder.waybill.verdict import Ran
-from leadrudder.waybill.waybill_pb2 import Delivery, Frame, Waybill
+from leadrudder.protocol import mesh_pb2 as wire
+from leadrudder.protocol.mesh_pb2 import Delivery, Frame, Waybill
+from leadrudder.protocol.outcome import Ran
+from leadrudder.transport.http import ControlServer
+from leadrudder.transport.link import IDLE_TAKEN_S, PING_S, Link
 
 SWEEP_S = 0.25
 SILENT_BEATS = 3.5  # beats that a server may miss before it counts as crashed
@@ -339,7 +339,7 @@
     def _hello(self) -> wire.Node:
         self._number += 1
         node = self._node()
-        self.state.take_own(homes.bare(node), node)
+        self.state.take_own(zone_relays.bare(node), node)
         return node
 
     def _report(self) -> None:
--- a/leadrudder/station/request_accounting.py
+++ b/leadrudder/data_plane/request_accounting.py
@@ -4,12 +4,12 @@
 
 from collections.abc import Callable
 
+from leadrudder.configuration.items import Route
+from leadrudder.data_plane.load_balancer import Errand
+from leadrudder.maintenance.ledger import Ledger, epoch_of
 from leadrudder.observability.invariants import Invariants
 from leadrudder.observability.traffic import Answered, Traffic
-from leadrudder.possession.ledger import Ledger, epoch_of
-from leadrudder.station.points import Errand
-from leadrudder.timetable.items import Route
-from leadrudder.waybill.verdict import Ran, Reply, Verdict
+from leadrudder.protocol.outcome import Ran, Reply, Verdict
 
 ANSWERED_LATE_S = 0.5  # after its deadline, by which a request is answered in any case
 
--- a/leadrudder/station/beats.py
+++ b/leadrudder/data_plane/server_api.py
@@ -12,8 +12,8 @@
 
 from marshmallow import EXCLUDE, Schema, ValidationError, fields
 
-from leadrudder.rulebook.settings import Duration
-from leadrudder.telegraph.http import PLAIN_TEXT, Call, Told
+from leadrudder.bootstrap.settings import Duration
+from leadrudder.transport.http import PLAIN_TEXT, Call, Told
 
 BEAT_MOST = 4096  # bytes
 _JSON = b"Content-Type: application/json\r\n"
--- a/leadrudder/station/server.py
+++ b/leadrudder/data_plane/server_connections.py
@@ -15,7 +15,7 @@
 from leadrudder.node.lists import Address, Listing
 from leadrudder.node.platform import SYSTEM, Platform
 from leadrudder.node.servers import Call, Connection, Peer, Servers
-from leadrudder.telegraph.http import WholeMessage, WholeReader
+from leadrudder.transport.http import WholeMessage, WholeReader
 
 ATTEMPT_ID = b"attempt-id"
 SEAL = b"server-seal"
--- a/leadrudder/station/session.py
+++ b/leadrudder/data_plane/session.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from random import Random
 
-from leadrudder.telegraph.link import Link, dial
-from leadrudder.waybill import waybill_pb2 as wire
-from leadrudder.waybill.waybill_pb2 import Frame
+from leadrudder.protocol import mesh_pb2 as wire
+from leadrudder.protocol.mesh_pb2 import Frame
+from leadrudder.transport.link import Link, dial
 
 PAUSE_S = 0.1  # before another signalbox is tried, up to twice as long: no herd comes at once
 PAUSE_MOST_S = 0.8
--- a/leadrudder/station/upstreams.py
+++ b/leadrudder/data_plane/upstreams.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable, Iterable
 from random import Random
 
-from leadrudder.rulebook.settings import Bounds
-from leadrudder.station.candidates import Candidates
-from leadrudder.station.points import Carry, Points
-from leadrudder.station.purse import Purse
-from leadrudder.timetable.items import Route
+from leadrudder.bootstrap.settings import Bounds
+from leadrudder.configuration.items import Route
+from leadrudder.data_plane.candidates import Candidates
+from leadrudder.data_plane.load_balancer import Carry, Points
+from leadrudder.data_plane.retry_budget import Purse
 
 BALANCERS_MOST = 2000  # vectors that are kept
 
--- a/leadrudder/emulation/fleet.py
+++ b/leadrudder/emulation/fleet.py
@@ -13,15 +13,15 @@
 from random import Random
 from typing import Any
 
-from leadrudder.depot.store import MemoryStore, Store
+from leadrudder.bootstrap.settings import Settings, read
+from leadrudder.control_plane.program import Signalbox
+from leadrudder.data_plane.program import Station
 from leadrudder.emulation.standins import Asked, Clients, Server, Wish, Work, call, request
-from leadrudder.rulebook.settings import Settings, read
-from leadrudder.signalbox.program import Signalbox
 from leadrudder.simulation.loop import VirtualLoop
 from leadrudder.simulation.network import Network, Untapped
 from leadrudder.simulation.scheduler import MICROSECONDS, Scheduler
 from leadrudder.simulation.world import EPOCH_S, NodePlatform
-from leadrudder.station.program import Station
+from leadrudder.storage.store import MemoryStore, Store
 
 CONTROL, OUT, READY, LINKS, APP = 7000, 7001, 7002, 7100, 8000
 SYNC_S = (0.006, 0.02)
--- a/leadrudder/emulation/standins.py
+++ b/leadrudder/emulation/standins.py
@@ -13,7 +13,7 @@
 from random import Random
 from typing import cast
 
-from leadrudder.telegraph.http import WholeMessage, WholeReader, rendered
+from leadrudder.transport.http import WholeMessage, WholeReader, rendered
 
 BEAT_S = 1.5
 QUEUE = 4  # requests that a server takes beside those it runs
--- a/leadrudder/experiment/revisions.py
+++ b/leadrudder/experiment/revisions.py
@@ -15,7 +15,8 @@
 
 PACKAGE = Path(__file__).parent.parent
 ROOT = PACKAGE.parent
-DECISIONS = ("interface.py", "looks.py", "policy", "recovery", "state")  # what the module is made of
+# What the module is made of; older revisions have looks.py for selection_context.py.
+DECISIONS = ("interface.py", "looks.py", "selection_context.py", "policy", "recovery", "state")
 MODEL = tuple(
     f"experiment/{name}.py"
     for name in (
--- a/leadrudder/possession/contract.py
+++ b/leadrudder/maintenance/contract.py
@@ -15,12 +15,12 @@
 from marshmallow import EXCLUDE, Schema, ValidationError, fields, validate
 from returns.result import Failure, Result, Success
 
-from leadrudder.possession.hours import Hours, Rule
-from leadrudder.rulebook.settings import milliseconds
-from leadrudder.timetable import items
-from leadrudder.timetable.check import Change, Finding
-from leadrudder.timetable.items import CONTRACT, Route
-from leadrudder.waybill.waybill_pb2 import Item
+from leadrudder.bootstrap.settings import milliseconds
+from leadrudder.configuration import items
+from leadrudder.configuration.items import CONTRACT, Route
+from leadrudder.configuration.validation import Change, Finding
+from leadrudder.maintenance.hours import Hours, Rule
+from leadrudder.protocol.mesh_pb2 import Item
 
 DAYS = ("mon", "tue", "wed", "thu", "fri", "sat", "sun")
 _CLOCK = re.compile(r"([01][0-9]|2[0-4]):([0-5][0-9])")
--- a/leadrudder/possession/keeper.py
+++ b/leadrudder/maintenance/controller.py
@@ -12,9 +12,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
 
-from leadrudder.possession.hours import Span
-from leadrudder.possession.planner import Situation, approved, too_much
-from leadrudder.possession.window import CLOCKS_APART_S, LENT, Stage, Step, Window
+from leadrudder.maintenance.hours import Span
+from leadrudder.maintenance.planner import Situation, approved, too_much
+from leadrudder.maintenance.window import CLOCKS_APART_S, LENT, Stage, Step, Window
 
 JUMP_S = 0.5  # by which wall and steady clock may part between two looks
 SLEPT_S = 3.0  # between two looks: who was away so long does not know what has become of its duty
--- a/leadrudder/possession/ledger.py
+++ b/leadrudder/maintenance/ledger.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from leadrudder.waybill.verdict import Ran, Reply, Verdict
-from leadrudder.waybill.waybill_pb2 import Tally
+from leadrudder.protocol.mesh_pb2 import Tally
+from leadrudder.protocol.outcome import Ran, Reply, Verdict
 
 EPOCH_S = 8.0
 LAG = 3  # epochs after which one is closed: routes that hold requests for longer are counted late
--- a/leadrudder/possession/planner.py
+++ b/leadrudder/maintenance/planner.py
@@ -15,11 +15,11 @@
 from datetime import datetime
 from zoneinfo import ZoneInfo
 
-from leadrudder.possession.contract import Contract
-from leadrudder.possession.hours import Span, common, merged, narrowed
-from leadrudder.possession.window import CLOCKS_APART_S, OVER, Step, Window
-from leadrudder.timetable.check import Finding
-from leadrudder.timetable.items import Route
+from leadrudder.configuration.items import Route
+from leadrudder.configuration.validation import Finding
+from leadrudder.maintenance.contract import Contract
+from leadrudder.maintenance.hours import Span, common, merged, narrowed
+from leadrudder.maintenance.window import CLOCKS_APART_S, OVER, Step, Window
 
 LOOK_AHEAD_S = 14 * 86400.0  # for a time at which a refused window would be possible
 LOAD_PART = 0.8  # of the slots that are left may be in use at the busiest of that hour, as it was before
--- a/leadrudder/possession/window.py
+++ b/leadrudder/maintenance/window.py
@@ -14,9 +14,9 @@
 from enum import StrEnum
 from typing import Any
 
-from leadrudder.possession.ledger import Counts
-from leadrudder.timetable.items import WINDOW
-from leadrudder.waybill.waybill_pb2 import Item
+from leadrudder.configuration.items import WINDOW
+from leadrudder.maintenance.ledger import Counts
+from leadrudder.protocol.mesh_pb2 import Item
 
 CLOCKS_APART_S = 2.0  # that machines' clocks are apart at most; both edges of all hours are narrowed by it
 
--- a/leadrudder/register/register.py
+++ b/leadrudder/membership/registry.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from leadrudder.timetable.book import sealed
-from leadrudder.waybill.waybill_pb2 import Node
+from leadrudder.configuration.item_store import sealed
+from leadrudder.protocol.mesh_pb2 import Node
 
 MOVE_S = 0.8  # for a station that lost its signalbox to find another
 ORPHAN_S = 3.0  # the same where the signalbox itself is gone
--- a/leadrudder/register/homes.py
+++ b/leadrudder/membership/zone_relays.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from leadrudder.waybill.waybill_pb2 import Node
+from leadrudder.protocol.mesh_pb2 import Node
 
 BAD_S = 3.0  # one that could not be reached, or told that it knows nothing, is passed over so long
 
--- a/leadrudder/mesh/__main__.py
+++ b/leadrudder/mesh/__main__.py
@@ -10,15 +10,15 @@
 
 from returns.result import Failure
 
+from leadrudder.configuration import validation
+from leadrudder.configuration.items import CONTRACT
+from leadrudder.control_simulation.scenario import FAULTS, RESIZING, Course, cut
+from leadrudder.control_simulation.world import Broken
+from leadrudder.maintenance import contract
 from leadrudder.mesh import snapshots, windows
-from leadrudder.possession import contract
-from leadrudder.proving.scenes import SCENES, WALKED
-from leadrudder.proving.search import Found, Search
-from leadrudder.proving.windows import Windows
-from leadrudder.rehearsal.course import FAULTS, RESIZING, Course, cut
-from leadrudder.rehearsal.world import Broken
-from leadrudder.timetable import check
-from leadrudder.timetable.items import CONTRACT
+from leadrudder.model_checker.maintenance import Windows
+from leadrudder.model_checker.scenarios import SCENES, WALKED
+from leadrudder.model_checker.search import Found, Search
 
 WINDOWS = "windows"  # a small world of its own: who carries a maintenance window out
 
@@ -51,14 +51,14 @@
                 print(f"{path}: {finding}")
             wrong += len(findings)
             continue
-        parsed = check.parse(body)
+        parsed = validation.parse(body)
         if isinstance(parsed, Failure):
             findings = parsed.failure()
         else:
             call = parsed.unwrap()
-            findings = check.against(call, services)
+            findings = validation.against(call, services)
             services |= call.services
-            for warning in check.warnings(call):
+            for warning in validation.warnings(call):
                 print(f"{path}: warning: {warning}")
         for finding in findings:
             print(f"{path}: {finding}")
@@ -76,10 +76,10 @@
         return False
 
 
-def _check_contracts(path: str, body: bytes) -> list[check.Finding]:
+def _check_contracts(path: str, body: bytes) -> list[validation.Finding]:
     parsed = contract.parse(body)
     if isinstance(parsed, Failure):
-        findings: list[check.Finding] = parsed.failure()
+        findings: list[validation.Finding] = parsed.failure()
         return findings
     for change in parsed.unwrap():
         if change.value is not None:
--- a/leadrudder/mesh/demo.py
+++ b/leadrudder/mesh/demo.py
@@ -16,11 +16,11 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from leadrudder.breakdown import snapshot
+from leadrudder.backup import snapshot
 from leadrudder.emulation.standins import call, request
+from leadrudder.maintenance.contract import DAYS
 from leadrudder.mesh import snapshots
-from leadrudder.possession.contract import DAYS
-from leadrudder.telegraph.http import WholeMessage, WholeReader, rendered
+from leadrudder.transport.http import WholeMessage, WholeReader, rendered
 
 CORES, SIDES = 3, 2
 WHOLE_S = 20.0  # in which all must be served
@@ -165,7 +165,7 @@
             self.processes[ip] = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                "leadrudder.station" if side else "leadrudder.signalbox",
+                "leadrudder.data_plane" if side else "leadrudder.control_plane",
                 *(["--possession"] if self.possession else []),
                 env={**os.environ, "LEADRUDDER_NODE_FILE": str(path)},
                 stderr=asyncio.subprocess.DEVNULL,
--- a/leadrudder/mesh/snapshots.py
+++ b/leadrudder/mesh/snapshots.py
@@ -10,9 +10,9 @@
 
 from returns.result import Failure, Result, Success
 
-from leadrudder.breakdown import snapshot
-from leadrudder.breakdown.snapshot import Snapshot
-from leadrudder.depot.store import DiskError, DumbStore
+from leadrudder.backup import snapshot
+from leadrudder.backup.snapshot import Snapshot
+from leadrudder.storage.store import DiskError, DumbStore
 
 CALL_S = 5.0
 
--- a/leadrudder/mesh/windows.py
+++ b/leadrudder/mesh/windows.py
@@ -11,8 +11,8 @@
 
 from returns.result import Failure, Result
 
+from leadrudder.maintenance.ledger import longest
 from leadrudder.mesh.snapshots import fetch
-from leadrudder.possession.ledger import longest
 
 WATCH_EACH_S = 2.0
 OVER = ("done", "stopped", "expired")
--- a/leadrudder/proving/rules.py
+++ b/leadrudder/model_checker/invariants.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, field
 
-from leadrudder.proving.local import CLOSED, DiskView, Fact, Locals
-from leadrudder.proving.state import SYNC, Broken, Scene, State
+from leadrudder.model_checker.machine_states import CLOSED, DiskView, Fact, Locals
+from leadrudder.model_checker.state import SYNC, Broken, Scene, State
 
 
 def told(facts: frozenset[Fact]) -> str:
--- a/leadrudder/proving/local.py
+++ b/leadrudder/model_checker/machine_states.py
@@ -16,13 +16,13 @@
 
 from google.protobuf.message import Message
 
-from leadrudder.interlocking.lease import DUTIES
-from leadrudder.interlocking.machine import ITEM_RECORD, PROMISED_RECORD, SEATS_RECORD, Interlocking
-from leadrudder.interlocking.outputs import Answer, Output, Send, Stands, Write
-from leadrudder.interlocking.seats import Seats
-from leadrudder.timetable.book import Book
-from leadrudder.waybill import waybill_pb2
-from leadrudder.waybill.waybill_pb2 import Frame, Item
+from leadrudder.configuration.item_store import Book
+from leadrudder.consensus.lease import DUTIES
+from leadrudder.consensus.outputs import Answer, Output, Send, Stands, Write
+from leadrudder.consensus.state_machine import ITEM_RECORD, PROMISED_RECORD, SEATS_RECORD, Interlocking
+from leadrudder.consensus.voters import Seats
+from leadrudder.protocol import mesh_pb2
+from leadrudder.protocol.mesh_pb2 import Frame, Item
 
 Input = tuple[Any, ...]  # its kind, what it holds, and the machine's time last
 Fact = tuple[str, int, bool, bytes]  # of an item: key, version, dropped, value
@@ -111,7 +111,7 @@
 
 
 def _message(name: str, data: bytes) -> Message:
-    return cast(Message, getattr(waybill_pb2, name).FromString(data))
+    return cast(Message, getattr(mesh_pb2, name).FromString(data))
 
 
 def _frozen(obj: Any) -> Any:
--- a/leadrudder/proving/windows.py
+++ b/leadrudder/model_checker/maintenance.py
@@ -13,13 +13,13 @@
 from typing import NamedTuple
 from zoneinfo import ZoneInfo
 
-from leadrudder.possession import planner
-from leadrudder.possession.contract import Contract
-from leadrudder.possession.hours import Hours, Rule, Span
-from leadrudder.possession.keeper import Keeper
-from leadrudder.possession.planner import Machine, Order, Situation
-from leadrudder.possession.window import CLOCKS_APART_S, LENT, OVER, Loans, Stage, Window, unpacked
-from leadrudder.timetable.items import Route
+from leadrudder.configuration.items import Route
+from leadrudder.maintenance import planner
+from leadrudder.maintenance.contract import Contract
+from leadrudder.maintenance.controller import Keeper
+from leadrudder.maintenance.hours import Hours, Rule, Span
+from leadrudder.maintenance.planner import Machine, Order, Situation
+from leadrudder.maintenance.window import CLOCKS_APART_S, LENT, OVER, Loans, Stage, Window, unpacked
 
 DAY_S = 86400.0
 BEGIN = 20_000 * DAY_S + 22 * 3600.0  # 22:00, when the approved hour begins
--- a/leadrudder/proving/scenes.py
+++ b/leadrudder/model_checker/scenarios.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from leadrudder.proving.local import Fact
-from leadrudder.proving.state import REST, Call, Left, Move, Scene
-from leadrudder.timetable.items import CORE
+from leadrudder.configuration.items import CORE
+from leadrudder.model_checker.machine_states import Fact
+from leadrudder.model_checker.state import REST, Call, Left, Move, Scene
 
 ONE, TWO = "routes/r4", "routes/r1"  # in sections 0 and 1 of two
 
--- a/leadrudder/proving/search.py
+++ b/leadrudder/model_checker/search.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from leadrudder.proving.folding import swapped
-from leadrudder.proving.state import FREE, Broken, Move, Scene, State
-from leadrudder.proving.world import World
+from leadrudder.model_checker.state import FREE, Broken, Move, Scene, State
+from leadrudder.model_checker.symmetry import swapped
+from leadrudder.model_checker.world import World
 from leadrudder.simulation.shrink import ddmin
 
 
--- a/leadrudder/proving/state.py
+++ b/leadrudder/model_checker/state.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from leadrudder.proving.local import Fact, ToWrite
+from leadrudder.model_checker.machine_states import Fact, ToWrite
 
 STEP = 5  # tenths of a second that pass at once, where the scene says nothing else
 READS = 3  # of an operator's in calm, one of which must be answered
--- a/leadrudder/proving/folding.py
+++ b/leadrudder/model_checker/symmetry.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from leadrudder.proving.local import Fact, Locals, ToSend, ToWrite
-from leadrudder.proving.state import State
+from leadrudder.model_checker.machine_states import Fact, Locals, ToSend, ToWrite
+from leadrudder.model_checker.state import State
 
 
 def swapped(locals_: Locals, state: State, swap: Callable[[bytes], bytes]) -> State:
--- a/leadrudder/proving/story.py
+++ b/leadrudder/model_checker/trace.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass
 
-from leadrudder.proving.rules import Rules, told
-from leadrudder.proving.state import Move, State
-from leadrudder.waybill.waybill_pb2 import Frame
+from leadrudder.model_checker.invariants import Rules, told
+from leadrudder.model_checker.state import Move, State
+from leadrudder.protocol.mesh_pb2 import Frame
 
 
 @dataclass(slots=True)
--- a/leadrudder/proving/world.py
+++ b/leadrudder/model_checker/world.py
@@ -12,11 +12,22 @@
 from itertools import combinations
 from typing import Any
 
-from leadrudder.interlocking.contact import Contact
-from leadrudder.interlocking.machine import Interlocking
-from leadrudder.interlocking.outputs import Code
-from leadrudder.proving.local import Answered, Effect, Fact, Input, Locals, Still, Stood, ToSend, ToWrite
-from leadrudder.proving.state import (
+from leadrudder.configuration.items import ORDERS
+from leadrudder.consensus.outputs import Code
+from leadrudder.consensus.quorum_check import Contact
+from leadrudder.consensus.state_machine import Interlocking
+from leadrudder.model_checker.machine_states import (
+    Answered,
+    Effect,
+    Fact,
+    Input,
+    Locals,
+    Still,
+    Stood,
+    ToSend,
+    ToWrite,
+)
+from leadrudder.model_checker.state import (
     ALL,
     CALM_STEP,
     FREE,
@@ -30,15 +41,14 @@
     State,
     Wire,
 )
-from leadrudder.proving.story import Story
-from leadrudder.timetable.items import ORDERS
-from leadrudder.waybill.waybill_pb2 import Item
+from leadrudder.model_checker.trace import Story
+from leadrudder.protocol.mesh_pb2 import Item
 
 
 class Unasked(Contact):
     """Asks nobody: it decides nothing here, and its numbers would make every state a new one.
 
-    What rests on it, telling stations, is played in rehearsals (tests/mesh/test_orders.py).
+    What rests on it, telling stations, is played in rehearsals (tests/mesh/test_concurrent_operators.py).
     """
 
     def tick(self) -> None:
--- a/leadrudder/policy/attempts.py
+++ b/leadrudder/policy/attempts.py
@@ -7,7 +7,7 @@
 
 from leadrudder import interface as api
 from leadrudder.state.records import Server
-from leadrudder.state.worth import Appraisal
+from leadrudder.state.request_value import Appraisal
 
 
 @dataclass(slots=True)
--- a/leadrudder/policy/decide.py
+++ b/leadrudder/policy/decide.py
@@ -15,17 +15,17 @@
 
 from leadrudder import interface as api
 from leadrudder.interface import Outcome
-from leadrudder.looks import Look
 from leadrudder.policy.admission import Admission
 from leadrudder.policy.attempts import Attempt, Request, may_go_on, permitted
 from leadrudder.policy.health import Health
 from leadrudder.policy.placement import Placement
 from leadrudder.recovery.limit import Limit
+from leadrudder.selection_context import Look
 from leadrudder.state.estimators import Patience
 from leadrudder.state.list_calls import ListCalls
 from leadrudder.state.records import Server, Turn
+from leadrudder.state.request_value import Worth
 from leadrudder.state.timers import Timers
-from leadrudder.state.worth import Worth
 
 FULL_PAUSE = 0.02  # a server that was full rests for this part of the aim, twice as long each time until it
 FULL_DOUBLINGS = 5  # answers again: one that drains turns calls away for seconds before the list tells
--- a/leadrudder/policy/placement.py
+++ b/leadrudder/policy/placement.py
@@ -11,15 +11,15 @@
 from collections.abc import Callable, Sequence
 
 from leadrudder.interface import UNTOLD, Effect, ServerId, ServerList, Settings
-from leadrudder.looks import Look
 from leadrudder.policy.attempts import permitted
 from leadrudder.policy.automaton import Automaton
+from leadrudder.selection_context import Look
 from leadrudder.state.capacity import Capacity, can_spare
-from leadrudder.state.listed import Listed
+from leadrudder.state.least_loaded import least_held
 from leadrudder.state.records import Server, Turn
 from leadrudder.state.reports import Reports
-from leadrudder.state.rings import Rings
-from leadrudder.state.spread import least_held
+from leadrudder.state.server_table import Listed
+from leadrudder.state.subsetting import Rings
 
 PANIC = 0.5  # with more than this part unhealthy, health is ignored: the cause is not the servers
 
--- a/leadrudder/depot/store.py
+++ b/leadrudder/storage/store.py
@@ -23,7 +23,7 @@
 
 from google.protobuf.message import DecodeError
 
-from leadrudder.waybill.waybill_pb2 import Batch
+from leadrudder.protocol.mesh_pb2 import Batch
 
 _HEAD = struct.Struct(">I")  # the seal of what follows
 _LINE = re.compile(rb"'[0-9]{12}', \([0-9]+, [0-9]+\)")
--- a/leadrudder/depot/writer.py
+++ b/leadrudder/storage/writer.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from leadrudder.depot.store import DiskError, Store
+from leadrudder.storage.store import DiskError, Store
 
 Done = Callable[[], None]
 RETRY_S = 0.2
--- a/leadrudder/telegraph/link.py
+++ b/leadrudder/transport/link.py
@@ -15,7 +15,7 @@
 from google.protobuf.message import DecodeError
 
 from leadrudder.node.dialling import connect
-from leadrudder.waybill.waybill_pb2 import Frame
+from leadrudder.protocol.mesh_pb2 import Frame
 
 FRAME_MOST = 80 * 1024 * 1024  # bytes; more is no frame of ours
 UNSENT_MOST = FRAME_MOST + 16 * 1024 * 1024  # bytes that a peer does not read before the link is cut
--- a/tests/experiment/test_results.py
+++ b/tests/experiment/test_results.py
@@ -245,7 +245,7 @@
 ) -> None:
     tree = tmp_path / "tree"
     shutil.copytree(PACKAGE, tree / "leadrudder", ignore=shutil.ignore_patterns("__pycache__"))
-    place = tree / "leadrudder" / "state" / "spread.py"
+    place = tree / "leadrudder" / "state" / "least_loaded.py"
     place.write_text(place.read_text().replace("calls == least", "True"))
     other = Decisions("another", tree)
     made = values(length_s=2, runs__seeds=1, load__of_capacity=0.9)
--- a/tests/mesh/plants.py
+++ b/tests/mesh/planted_faults.py
@@ -10,20 +10,20 @@
 from typing import Any
 from unittest import mock
 
-from leadrudder.interlocking import lease, machine, owner, quorum
-from leadrudder.interlocking.contact import Contact
-from leadrudder.interlocking.lease import Leases
-from leadrudder.interlocking.machine import Interlocking
-from leadrudder.interlocking.outputs import Code, Output, Send
-from leadrudder.interlocking.owner import Owner
-from leadrudder.interlocking.quorum import Quorum
-from leadrudder.interlocking.requests import Change, Phase, Requests
-from leadrudder.interlocking.seating import Seating
-from leadrudder.interlocking.seats import Seats
-from leadrudder.proving.state import Move
-from leadrudder.rehearsal.course import FAULTS, RESIZING, Course
-from leadrudder.waybill import waybill_pb2 as wire
-from leadrudder.waybill.waybill_pb2 import Frame, Item, Seat
+from leadrudder.consensus import lease, ownership, quorum, state_machine
+from leadrudder.consensus.lease import Leases
+from leadrudder.consensus.outputs import Code, Output, Send
+from leadrudder.consensus.ownership import Owner
+from leadrudder.consensus.quorum import Quorum
+from leadrudder.consensus.quorum_check import Contact
+from leadrudder.consensus.reconfiguration import Seating
+from leadrudder.consensus.requests import Change, Phase, Requests
+from leadrudder.consensus.state_machine import Interlocking
+from leadrudder.consensus.voters import Seats
+from leadrudder.control_simulation.scenario import FAULTS, RESIZING, Course
+from leadrudder.model_checker.state import Move
+from leadrudder.protocol import mesh_pb2 as wire
+from leadrudder.protocol.mesh_pb2 import Frame, Item, Seat
 
 
 @contextmanager
@@ -39,7 +39,7 @@
 
 
 def one_copy_is_enough() -> Any:
-    return mock.patch("leadrudder.interlocking.quorum.majority", lambda seats: 1)
+    return mock.patch("leadrudder.consensus.quorum.majority", lambda seats: 1)
 
 
 def promise_without_items() -> Any:
@@ -117,7 +117,7 @@
 
 def older_overwrites_newer() -> Any:
     """What comes last is kept, be it old."""
-    return mock.patch("leadrudder.timetable.book.newer", lambda new, old: True)
+    return mock.patch("leadrudder.configuration.item_store.newer", lambda new, old: True)
 
 
 def promise_not_written() -> Any:
@@ -125,7 +125,9 @@
 
     def write(self: Interlocking, records: dict[str, bytes], then: Iterable[Send] = ()) -> None:
         kept = {
-            name: value for name, value in records.items() if not name.startswith(machine.PROMISED_RECORD)
+            name: value
+            for name, value in records.items()
+            if not name.startswith(state_machine.PROMISED_RECORD)
         }
         whole(self, kept, then)
 
@@ -195,7 +197,7 @@
 def old_epoch_kept() -> Any:
     """What was taken under an earlier owner is copied on under that one's epoch."""
 
-    def send_copies(self: Owner, number: int, copying: owner.Copying, to: Iterable[str]) -> None:
+    def send_copies(self: Owner, number: int, copying: ownership.Copying, to: Iterable[str]) -> None:
         for item in copying.items:
             held = self._machine.book.items.get(item.key)
             if held is not None and held.version == item.version and held.value == item.value:
@@ -545,7 +547,7 @@
     "granted_anew_after_a_restart": ("duty", 50_000),
     "found_is_not_copied": ("handed", 120_000),
 }
-# Shown by a course of its own in tests/mesh/test_orders.py or test_rehearsal.py.
+# Shown by a course of its own in tests/mesh/test_concurrent_operators.py or test_control_simulation.py.
 DIRECTED = ("reserved_in_no_order", "links_believed", "new_seat_by_one")
 AT_ONCE = ("older_overwrites_newer",)  # frames go round before the first trouble
 
--- a/tests/mesh/test_gate.py
+++ b/tests/mesh/test_admission_control.py
@@ -4,12 +4,12 @@
 
 import unittest
 
-from leadrudder.rulebook.settings import Bounds
-from leadrudder.station.gate import Gate, Life
-from leadrudder.station.purse import Purse
-from leadrudder.station.service_times import KINDS_MOST, ServiceTimes
-from leadrudder.waybill.verdict import Ran, Verdict, worst
-from leadrudder.waybill.waybill_pb2 import Waybill
+from leadrudder.bootstrap.settings import Bounds
+from leadrudder.data_plane.admission_control import Gate, Life
+from leadrudder.data_plane.retry_budget import Purse
+from leadrudder.data_plane.service_times import KINDS_MOST, ServiceTimes
+from leadrudder.protocol.mesh_pb2 import Waybill
+from leadrudder.protocol.outcome import Ran, Verdict, worst
 
 
 class TheGate(unittest.TestCase):
--- a/tests/mesh/test_repair.py
+++ b/tests/mesh/test_anti_entropy.py
@@ -6,13 +6,13 @@
 import unittest
 from random import Random
 
-from leadrudder.interlocking import repair
-from leadrudder.interlocking.machine import Interlocking
-from leadrudder.interlocking.outputs import Output, Send, Write
-from leadrudder.interlocking.quorum import Quorum
-from leadrudder.timetable.book import digest, range_of
-from leadrudder.waybill import waybill_pb2 as wire
-from leadrudder.waybill.waybill_pb2 import Frame, Item, Mark
+from leadrudder.configuration.item_store import digest, range_of
+from leadrudder.consensus import anti_entropy
+from leadrudder.consensus.outputs import Output, Send, Write
+from leadrudder.consensus.quorum import Quorum
+from leadrudder.consensus.state_machine import Interlocking
+from leadrudder.protocol import mesh_pb2 as wire
+from leadrudder.protocol.mesh_pb2 import Frame, Item, Mark
 
 NAMES = ("10.0.0.1:1", "10.1.0.1:1", "10.2.0.1:1")
 
@@ -83,11 +83,11 @@
         pair = Pair(machine(0, *many), machine(1))
         pair.tick(1.0)
         first = pair.ends[0].repair.handed
-        self.assertLessEqual(first, repair.BYTES_S + many[-1].ByteSize())
+        self.assertLessEqual(first, anti_entropy.BYTES_S + many[-1].ByteSize())
         for step in range(2, 12):
             pair.tick(0.5 * step)
         self.assertEqual(pair.ends[0].book.digest, pair.ends[1].book.digest)
-        self.assertLessEqual(pair.ends[0].repair.handed, (1 + 5.5) * repair.BYTES_S)
+        self.assertLessEqual(pair.ends[0].repair.handed, (1 + 5.5) * anti_entropy.BYTES_S)
 
     def test_what_is_owed_can_be_seen(self) -> None:
         a = machine(0, *items(5))
--- a/tests/mesh/test_breakdown.py
+++ b/tests/mesh/test_backup.py
@@ -15,14 +15,14 @@
 
 from returns.result import Failure, Success
 
-from leadrudder.breakdown.snapshot import Snapshot, keep, load, pack, restored, unpack
-from leadrudder.depot import store as depot
-from leadrudder.depot.store import DiskError, DumbStore
-from leadrudder.interlocking.outputs import Answer, Code
+from leadrudder.backup.snapshot import Snapshot, keep, load, pack, restored, unpack
+from leadrudder.configuration.item_store import Book
+from leadrudder.consensus.outputs import Answer, Code
+from leadrudder.control_simulation.world import World
 from leadrudder.mesh.__main__ import main
-from leadrudder.rehearsal.world import World
-from leadrudder.timetable.book import Book
-from leadrudder.waybill.waybill_pb2 import Batch, Item
+from leadrudder.protocol.mesh_pb2 import Batch, Item
+from leadrudder.storage import store as store_module
+from leadrudder.storage.store import DiskError, DumbStore
 
 SEATS = [(i, f"10.{i}.0.1:1", 1) for i in range(3)]
 
@@ -64,7 +64,7 @@
             ("promised/x", b"1"),
             ("seats", b'{"seats": [[1]]}'),
         ):
-            data = depot.sealed({name: value, "meta": b'{"taken_s": 1}'})
+            data = store_module.sealed({name: value, "meta": b'{"taken_s": 1}'})
             found = unpack(data)
             assert isinstance(found, Failure)
             self.assertIn(name, found.failure())
@@ -148,7 +148,7 @@
 class Formats(unittest.TestCase):
     def test_an_older_disk_is_read_and_written_anew(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            with mock.patch.object(depot, "sealed", old_sealed):
+            with mock.patch.object(store_module, "sealed", old_sealed):
                 store = DumbStore(folder)
                 store.open()
                 store.commit({"a": b"1"})
@@ -156,7 +156,7 @@
                 store.close()
             self.assertEqual(DumbStore(folder).open(), {"a": b"1", "b": b"\xff\0"})
             with mock.patch(
-                "leadrudder.depot.store.json.loads", side_effect=AssertionError("nothing old is left")
+                "leadrudder.storage.store.json.loads", side_effect=AssertionError("nothing old is left")
             ):
                 self.assertEqual(DumbStore(folder).open(), {"a": b"1", "b": b"\xff\0"})
 
@@ -164,7 +164,7 @@
         body = Batch(format=3, records={"a": b"1"}).SerializeToString()
         data = struct.pack(">I", zlib.crc32(body)) + body
         with tempfile.TemporaryDirectory() as folder:
-            with mock.patch.object(depot, "sealed", lambda records: data):
+            with mock.patch.object(store_module, "sealed", lambda records: data):
                 store = DumbStore(folder)
                 store.open()
                 store.close()
--- a/tests/mesh/test_change_cost.py
+++ b/tests/mesh/test_change_cost.py
@@ -9,9 +9,9 @@
 from unittest import mock
 
 from bench.window import route
+from leadrudder.configuration import items
 from leadrudder.emulation.fleet import Fleet, Plan
 from leadrudder.emulation.standins import Wish
-from leadrudder.timetable import items
 
 IDLE_ROUTES = 60
 CHANGES = 12
--- a/tests/mesh/test_orders.py
+++ b/tests/mesh/test_concurrent_operators.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable
 from unittest import mock
 
-from leadrudder.interlocking.outputs import Answer, Code
-from leadrudder.interlocking.requests import Change, Phase, Requests
-from leadrudder.rehearsal.course import FAULTS, STANDSTILL, Course
-from leadrudder.rehearsal.stations import Stations
-from leadrudder.rehearsal.world import Broken, Machine, World
-from leadrudder.waybill.waybill_pb2 import Item
-from tests.mesh.plants import PLANTS
+from leadrudder.consensus.outputs import Answer, Code
+from leadrudder.consensus.requests import Change, Phase, Requests
+from leadrudder.control_simulation.nodes import Stations
+from leadrudder.control_simulation.scenario import FAULTS, STANDSTILL, Course
+from leadrudder.control_simulation.world import Broken, Machine, World
+from leadrudder.protocol.mesh_pb2 import Item
+from tests.mesh.planted_faults import PLANTS
 
 # Two operators' calls shared several versions, and each held one that the other waited for, without end.
 ENTANGLED_SEEDS = (7, 20, 183)
@@ -96,7 +96,7 @@
         self.assertEqual(again, [Code.BUSY], "a part of it stands")
 
     def test_nor_once_a_higher_version_has_overtaken_that_part(self) -> None:
-        # Course 10 of bench.worst: the part's version was 7, and 10 when the call was refused.
+        # Course 10 of bench.incidents: the part's version was 7, and 10 when the call was refused.
         asked = self._lose_the_second_owner_after_the_first_part()
         higher = [Item(key=self.call[0][0], version=9, value=b"later")]
         for items in (higher, [Item(key=key, version=7, value=value) for key, value in self.rival]):
--- a/tests/mesh/test_control.py
+++ b/tests/mesh/test_control.py
@@ -14,16 +14,16 @@
 
 from returns.result import Failure, Success
 
-from leadrudder.interlocking.outputs import Answer, Code
-from leadrudder.register.register import MOVE_S, ORPHAN_S, Register
-from leadrudder.rulebook.ring import LINES, Ring
-from leadrudder.rulebook.settings import read
-from leadrudder.rulebook.start import start
-from leadrudder.signalbox.operator import Operator
-from leadrudder.station.beats import Beat, Beats
-from leadrudder.telegraph.http import Call, Told
-from leadrudder.timetable.book import Book
-from leadrudder.waybill.waybill_pb2 import Item, Node
+from leadrudder.bootstrap.log_buffer import LINES, Ring
+from leadrudder.bootstrap.settings import read
+from leadrudder.bootstrap.start import start
+from leadrudder.configuration.item_store import Book
+from leadrudder.consensus.outputs import Answer, Code
+from leadrudder.control_plane.operator_api import Operator
+from leadrudder.data_plane.server_api import Beat, Beats
+from leadrudder.membership.registry import MOVE_S, ORPHAN_S, Register
+from leadrudder.protocol.mesh_pb2 import Item, Node
+from leadrudder.transport.http import Call, Told
 
 FILE: dict[str, Any] = {
     "nodeName": "n",
--- a/tests/mesh/test_rehearsal.py
+++ b/tests/mesh/test_control_simulation.py
@@ -4,11 +4,11 @@
 
 import unittest
 
-from leadrudder.rehearsal.course import FAULTS, RESIZING, Course, cut, rule
-from leadrudder.rehearsal.world import Broken, World
-from leadrudder.timetable.items import CORE
-from leadrudder.waybill.waybill_pb2 import Item
-from tests.mesh.plants import PLANTS, RESIZED, SHOWN_BY
+from leadrudder.configuration.items import CORE
+from leadrudder.control_simulation.scenario import FAULTS, RESIZING, Course, cut, rule
+from leadrudder.control_simulation.world import Broken, World
+from leadrudder.protocol.mesh_pb2 import Item
+from tests.mesh.planted_faults import PLANTS, RESIZED, SHOWN_BY
 
 # Planted faults that one seed shows: seed, machines. All of them: docs/design/control-state.md.
 FOUND = {
--- a/tests/mesh/test_emulation.py
+++ b/tests/mesh/test_emulation.py
@@ -7,13 +7,13 @@
 from typing import Any
 
 from bench.window import LOOKUPS, contracts, route
+from leadrudder.consensus.lease import POSSESSION
 from leadrudder.emulation.fleet import COLD_PER_S, Bookings, Fleet, Machine, Plan
 from leadrudder.emulation.standins import Wish
-from leadrudder.interlocking.lease import POSSESSION
+from leadrudder.maintenance.ledger import EPOCH_S, LAG, Ledger, Totals, report
 from leadrudder.mesh import windows
-from leadrudder.possession.ledger import EPOCH_S, LAG, Ledger, Totals, report
+from leadrudder.protocol.outcome import Reply
 from leadrudder.simulation import world
-from leadrudder.waybill.verdict import Reply
 
 PLAN = Plan(
     {"kal": 3, "var": 2},
--- a/tests/mesh/test_feeds.py
+++ b/tests/mesh/test_feeds.py
@@ -5,10 +5,10 @@
 import unittest
 from typing import Any, cast
 
+from leadrudder.control_plane.feeds import UNSENT_MOST, Feeds
 from leadrudder.observability.invariants import Invariants
-from leadrudder.signalbox.feeds import UNSENT_MOST, Feeds
-from leadrudder.telegraph.link import Link
-from leadrudder.waybill.waybill_pb2 import Frame, Item, Node
+from leadrudder.protocol.mesh_pb2 import Frame, Item, Node
+from leadrudder.transport.link import Link
 
 
 class Reader:
--- a/tests/mesh/test_leaving.py
+++ b/tests/mesh/test_graceful_shutdown.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 from unittest import mock
 
-from leadrudder.depot.store import MemoryStore
+from leadrudder.configuration.items import Limits, Route
+from leadrudder.consensus.state_machine import Interlocking
+from leadrudder.data_plane.load_balancer import Errand
 from leadrudder.emulation.fleet import Fleet, Machine
-from leadrudder.interlocking.machine import Interlocking
-from leadrudder.station.points import Errand
-from leadrudder.timetable.items import Limits, Route
+from leadrudder.storage.store import MemoryStore
 from tests.mesh.test_emulation import PLAN
 from tests.mesh.test_outbound import ROUTE, Loop, Transport, request
 
@@ -99,7 +99,7 @@
         patched = mock.patch("asyncio.get_running_loop", return_value=self.clock)
         patched.start()
         self.addCleanup(patched.stop)
-        from leadrudder.station.outbound import Client, Outbound
+        from leadrudder.data_plane.outbound import Client, Outbound
 
         self.taken: list[object] = []
         self.outbound = Outbound("mine", lambda h, p: ROUTE, self._begin, Limits, lambda: True, 300_000)
--- a/tests/mesh/test_worst_days.py
+++ b/tests/mesh/test_incidents.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from leadrudder.rehearsal.worst_days import Fault, Loss, calls, cut_off, many_changes, two_losses
+from leadrudder.control_simulation.incidents import Fault, Loss, calls, cut_off, many_changes, two_losses
 from tests.mesh.test_emulation import PLAN
 
 ACK_S, APPLY_S = 5.0, 2.5  # the users' bounds
--- a/tests/mesh/test_late_dial.py
+++ b/tests/mesh/test_late_dial.py
@@ -10,9 +10,9 @@
 
 import uvloop
 
-from leadrudder.telegraph import link as links
-from leadrudder.telegraph.link import Link, dial
-from leadrudder.waybill.waybill_pb2 import Frame
+from leadrudder.protocol.mesh_pb2 import Frame
+from leadrudder.transport import link as link_module
+from leadrudder.transport.link import Link, dial
 
 CONNECT_S = 0.05  # for a dial, here
 STILL_S = 0.08  # the process does nothing else for so long: more than a dial may take
@@ -38,11 +38,11 @@
 
 class LateDial(unittest.TestCase):
     def setUp(self) -> None:
-        self._connect_s = links.CONNECT_S
-        links.CONNECT_S = CONNECT_S
+        self._connect_s = link_module.CONNECT_S
+        link_module.CONNECT_S = CONNECT_S
 
     def tearDown(self) -> None:
-        links.CONNECT_S = self._connect_s
+        link_module.CONNECT_S = self._connect_s
 
     def loops(self) -> list[Callable[[], asyncio.AbstractEventLoop]]:
         return [uvloop.new_event_loop, asyncio.SelectorEventLoop]
--- a/tests/mesh/test_history.py
+++ b/tests/mesh/test_linearizability.py
@@ -6,12 +6,12 @@
 import unittest
 from unittest import mock
 
-from leadrudder.rehearsal import history
-from leadrudder.rehearsal.course import Course
-from leadrudder.rehearsal.history import Operation, Outcome, Register, linearizable
-from leadrudder.rehearsal.world import Broken, World
-from leadrudder.waybill.waybill_pb2 import Item
-from tests.mesh.plants import PLANTS
+from leadrudder.control_simulation import linearizability
+from leadrudder.control_simulation.linearizability import Operation, Outcome, Register, linearizable
+from leadrudder.control_simulation.scenario import Course
+from leadrudder.control_simulation.world import Broken, World
+from leadrudder.protocol.mesh_pb2 import Item
+from tests.mesh.planted_faults import PLANTS
 
 CONFIRMED, REFUSED, READ, UNKNOWN = Outcome.CONFIRMED, Outcome.REFUSED, Outcome.READ, Outcome.UNKNOWN
 
@@ -60,7 +60,10 @@
         self.assertTrue(linearizable([*orders, operation(READ, 40, b"39", 11.0, 12.0)]))
         few = [*orders[:10], operation(READ, 10, b"none", 11.0, 12.0)]
         self.assertFalse(linearizable(few))
-        with mock.patch.object(history, "STATES_MOST", 50), self.assertRaises(history.SearchTooLong):
+        with (
+            mock.patch.object(linearizability, "STATES_MOST", 50),
+            self.assertRaises(linearizability.SearchTooLong),
+        ):
             linearizable(few)
 
     def test_courses_are_explained_and_a_fault_that_only_their_answers_show_is_found(self) -> None:
--- a/tests/mesh/test_link.py
+++ b/tests/mesh/test_link.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, cast
 
-from leadrudder.telegraph import link as telegraph
-from leadrudder.telegraph.link import Link, dial
-from leadrudder.waybill.waybill_pb2 import Frame, Item, Read, Standing
+from leadrudder.protocol.mesh_pb2 import Frame, Item, Read, Standing
+from leadrudder.transport import link as link_module
+from leadrudder.transport.link import Link, dial
 
 PATIENCE_S = 10.0
 
@@ -124,7 +124,10 @@
         self.play(main)
 
     def test_what_is_no_frame_ends_it_and_reaches_nobody(self) -> None:
-        for garbage in (struct.pack(">I", telegraph.FRAME_MOST + 1), struct.pack(">I", 3) + b"\xff\xff\xff"):
+        for garbage in (
+            struct.pack(">I", link_module.FRAME_MOST + 1),
+            struct.pack(">I", 3) + b"\xff\xff\xff",
+        ):
 
             async def main(a: End, b: End, link: Link, garbage: bytes = garbage) -> None:
                 link.send(Frame(read=Read(number=1)))
@@ -137,13 +140,13 @@
 
     def test_a_peer_that_does_not_read_is_cut_off(self) -> None:
         async def main(a: End, b: End, link: Link) -> None:
-            most, telegraph.UNSENT_MOST = telegraph.UNSENT_MOST, 100_000
+            most, link_module.UNSENT_MOST = link_module.UNSENT_MOST, 100_000
             try:
                 one = Frame(standing=Standing(items=[Item(key="k", value=bytes(1_000_000))]))
                 while link.up:
                     link.send(one)
             finally:
-                telegraph.UNSENT_MOST = most
+                link_module.UNSENT_MOST = most
             assert a.downs == 1
 
         self.play(main)
--- a/tests/mesh/test_points.py
+++ b/tests/mesh/test_load_balancer.py
@@ -7,12 +7,12 @@
 from typing import Any
 from unittest import mock
 
-from leadrudder.station.candidates import Distance
-from leadrudder.station.points import FLOOR_SHARE, Errand, Points
-from leadrudder.station.purse import Purse
-from leadrudder.timetable.items import Route
-from leadrudder.waybill.verdict import Ran, Reply, Verdict
-from leadrudder.waybill.waybill_pb2 import Delivery
+from leadrudder.configuration.items import Route
+from leadrudder.data_plane.candidates import Distance
+from leadrudder.data_plane.load_balancer import FLOOR_SHARE, Errand, Points
+from leadrudder.data_plane.retry_budget import Purse
+from leadrudder.protocol.mesh_pb2 import Delivery
+from leadrudder.protocol.outcome import Ran, Reply, Verdict
 
 
 class Clock:
--- a/tests/mesh/test_possession.py
+++ b/tests/mesh/test_maintenance.py
@@ -12,16 +12,16 @@
 
 from returns.result import Failure, Success
 
-from leadrudder.possession import contract, planner, window
-from leadrudder.possession.contract import Contract
-from leadrudder.possession.hours import Hours, Rule, Span
-from leadrudder.possession.keeper import WATCH_S, Keeper, done_early, stopped
-from leadrudder.possession.planner import Machine, Order, Situation, hour_of_week
-from leadrudder.possession.window import CLOCKS_APART_S, LENT, Loans, Stage, Window
-from leadrudder.station.lent import Lent
-from leadrudder.timetable.book import Book
-from leadrudder.timetable.items import Route
-from leadrudder.waybill.waybill_pb2 import Item
+from leadrudder.configuration.item_store import Book
+from leadrudder.configuration.items import Route
+from leadrudder.data_plane.machine_drains import Lent
+from leadrudder.maintenance import contract, planner, window
+from leadrudder.maintenance.contract import Contract
+from leadrudder.maintenance.controller import WATCH_S, Keeper, done_early, stopped
+from leadrudder.maintenance.hours import Hours, Rule, Span
+from leadrudder.maintenance.planner import Machine, Order, Situation, hour_of_week
+from leadrudder.maintenance.window import CLOCKS_APART_S, LENT, Loans, Stage, Window
+from leadrudder.protocol.mesh_pb2 import Item
 
 EVERY_DAY = frozenset(range(7))
 NIGHT = Hours(ZoneInfo("Europe/Helsinki"), (Rule(22 * 60, 5 * 60, EVERY_DAY),))
--- a/tests/mesh/test_metrics.py
+++ b/tests/mesh/test_metrics.py
@@ -6,13 +6,13 @@
 import unittest
 from unittest import mock
 
+from leadrudder.data_plane.request_accounting import how_answered
+from leadrudder.data_plane.server_api import Beats
 from leadrudder.observability.loop_lag import BEHIND_S, CHECK_S, LoopLag
 from leadrudder.observability.metrics import Metrics
 from leadrudder.observability.traffic import Answered, Traffic
-from leadrudder.station.beats import Beats
-from leadrudder.station.request_accounting import how_answered
-from leadrudder.telegraph.http import Call
-from leadrudder.waybill.verdict import Ran, Reply, Verdict
+from leadrudder.protocol.outcome import Ran, Reply, Verdict
+from leadrudder.transport.http import Call
 
 
 class Figures(unittest.TestCase):
--- a/tests/mesh/test_proving.py
+++ b/tests/mesh/test_model_checker.py
@@ -6,11 +6,11 @@
 from dataclasses import replace
 from unittest import mock
 
-from leadrudder.proving.scenes import SCENES, WALKED
-from leadrudder.proving.search import Search
-from leadrudder.proving.state import ALL
-from leadrudder.proving.windows import State, Windows
-from tests.mesh.plants import AT_ONCE, COURSES, DIRECTED, PLANTS, SHOWN_BY, SHOWN_IN, UNSHOWN
+from leadrudder.model_checker.maintenance import State, Windows
+from leadrudder.model_checker.scenarios import SCENES, WALKED
+from leadrudder.model_checker.search import Search
+from leadrudder.model_checker.state import ALL
+from tests.mesh.planted_faults import AT_ONCE, COURSES, DIRECTED, PLANTS, SHOWN_BY, SHOWN_IN, UNSHOWN
 
 QUICK = 10_000  # states; faults that take more are looked for by `python -m bench.control`
 
@@ -62,9 +62,9 @@
             self.assertIn("not a step", Windows().run(40_000).rule)
 
     def test_a_clock_that_jumps_unnoticed_and_edges_without_room_are_found(self) -> None:
-        with mock.patch("leadrudder.possession.keeper.agreed", lambda wall, others: True):
+        with mock.patch("leadrudder.maintenance.controller.agreed", lambda wall, others: True):
             self.assertIn("outside its hours", Windows().run(12_000).rule)
-        with mock.patch("leadrudder.possession.planner.CLOCKS_APART_S", 0.0):
+        with mock.patch("leadrudder.maintenance.planner.CLOCKS_APART_S", 0.0):
             self.assertIn("outside its hours", Windows().run(40_000).rule)
 
     def test_every_planted_fault_has_a_place_where_it_is_found(self) -> None:
--- a/tests/mesh/test_outbound.py
+++ b/tests/mesh/test_outbound.py
@@ -7,14 +7,14 @@
 from typing import Any, cast
 from unittest import mock
 
+from leadrudder.configuration.items import Limits, Route
+from leadrudder.data_plane.client_patience import SPAN_S, ClientPatience
+from leadrudder.data_plane.load_balancer import Errand
+from leadrudder.data_plane.outbound import Client, Outbound
+from leadrudder.data_plane.server_connections import Going, OwnConnection
 from leadrudder.interface import Outcome
 from leadrudder.observability.loop_lag import BEHIND_S
-from leadrudder.station.client_patience import SPAN_S, ClientPatience
-from leadrudder.station.outbound import Client, Outbound
-from leadrudder.station.points import Errand
-from leadrudder.station.server import Going, OwnConnection
-from leadrudder.timetable.items import Limits, Route
-from leadrudder.waybill.verdict import Ran, Reply, Verdict
+from leadrudder.protocol.outcome import Ran, Reply, Verdict
 
 ROUTE = Route("r", "h", "/a/", False, 1000.0, 250.0, 1, (("s", 1.0),), 2, 1)
 
--- a/tests/mesh/test_routing_table.py
+++ b/tests/mesh/test_routing_table.py
@@ -8,13 +8,13 @@
 from typing import Any
 from unittest import mock
 
-from leadrudder.station.changes import DELAY_MOST_S, ChangeQueue, PendingChanges
-from leadrudder.station.endpoints import EndpointTable, endpoints_of
-from leadrudder.timetable import items
-from leadrudder.timetable.book import RANGES, Book, range_of
-from leadrudder.timetable.items import ROUTE
-from leadrudder.timetable.routing_table import RoutingTable
-from leadrudder.waybill.waybill_pb2 import Item, Node, Server
+from leadrudder.configuration import items
+from leadrudder.configuration.item_store import RANGES, Book, range_of
+from leadrudder.configuration.items import ROUTE
+from leadrudder.configuration.routing_table import RoutingTable
+from leadrudder.data_plane.change_queue import DELAY_MOST_S, ChangeQueue, PendingChanges
+from leadrudder.data_plane.endpoints import EndpointTable, endpoints_of
+from leadrudder.protocol.mesh_pb2 import Item, Node, Server
 
 HOSTS = ("a.example", "b.example")
 STARTS = ("/", "/x/", "/x/y/", "/x/op")
--- a/tests/mesh/test_shedding.py
+++ b/tests/mesh/test_shedding.py
@@ -8,8 +8,8 @@
 
 from leadrudder.emulation.fleet import Fleet
 from leadrudder.observability.loop_lag import BEHIND_S, LoopLag
-from leadrudder.waybill.verdict import Ran
-from leadrudder.waybill.waybill_pb2 import Frame, Waybill
+from leadrudder.protocol.mesh_pb2 import Frame, Waybill
+from leadrudder.protocol.outcome import Ran
 from tests.mesh.test_emulation import PLAN
 
 LATE_AT, LATE_FOR = 8.0, 1.5
--- a/tests/mesh/test_start_and_end.py
+++ b/tests/mesh/test_start_and_end.py
@@ -17,7 +17,7 @@
 
 class HangUp:
     def find_spec(self, name, path=None, target=None):
-        if name == "leadrudder.rulebook.settings":
+        if name == "leadrudder.bootstrap.settings":
             os.kill(os.getpid(), signal.SIGHUP)
         return None
 
@@ -29,7 +29,7 @@
 
 class Start(unittest.TestCase):
     def test_a_hang_up_while_the_program_is_imported_does_not_end_it(self) -> None:
-        for program in ("leadrudder.station", "leadrudder.signalbox"):
+        for program in ("leadrudder.data_plane", "leadrudder.control_plane"):
             with self.subTest(program):
                 code = HANG_UP_WHILE_IMPORTING.format(program=program)
                 done = subprocess.run(
--- a/tests/mesh/test_store.py
+++ b/tests/mesh/test_store.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 from unittest import mock
 
-from leadrudder.depot import store as depot
-from leadrudder.depot.store import DumbStore, MemoryStore, Store
+from leadrudder.storage import store as store_module
+from leadrudder.storage.store import DumbStore, MemoryStore, Store
 
 
 class Contract:
@@ -85,7 +85,7 @@
         self.assertEqual(len(self._files(".dat")), 1)
 
     def test_a_new_generation_holds_all(self) -> None:
-        most, depot.GENERATION_MOST = depot.GENERATION_MOST, 3
+        most, store_module.GENERATION_MOST = store_module.GENERATION_MOST, 3
         try:
             store = self.again()
             store.open()
@@ -93,7 +93,7 @@
                 store.commit({f"k{i}": b"v"})
             store.close()
         finally:
-            depot.GENERATION_MOST = most
+            store_module.GENERATION_MOST = most
         self.assertEqual(len(self.again().open()), 10)
         self.assertEqual(len(self._files(".dat")), 1)
 
@@ -114,7 +114,7 @@
                 try:
                     found = DumbStore(str(self.folder)).look()
                     self.assertIn(found, (whole, without), f"byte {at} of {file.name}")
-                except depot.Spoilt as why:
+                except store_module.Spoilt as why:
                     told += 1
                     self.assertRegex(str(why), r"g00000001\.(dat|dir): record [0-9]+ cannot be read")
             file.write_bytes(raw)
--- a/tests/mesh/test_check.py
+++ b/tests/mesh/test_validation.py
@@ -11,11 +11,11 @@
 
 from returns.result import Failure, Success
 
+from leadrudder.configuration import validation
+from leadrudder.configuration.item_store import Book
+from leadrudder.configuration.routing_table import RoutingTable
 from leadrudder.mesh.__main__ import main
-from leadrudder.timetable import check
-from leadrudder.timetable.book import Book
-from leadrudder.timetable.routing_table import RoutingTable
-from leadrudder.waybill.waybill_pb2 import Item
+from leadrudder.protocol.mesh_pb2 import Item
 
 
 def call(**changed: Any) -> dict[str, Any]:
@@ -39,15 +39,15 @@
 
 
 def codes(body: bytes) -> list[str]:
-    parsed = check.parse(body)
+    parsed = validation.parse(body)
     if isinstance(parsed, Failure):
         return [finding.code for finding in parsed.failure()]
-    return [finding.code for finding in check.against(parsed.unwrap(), ())]
+    return [finding.code for finding in validation.against(parsed.unwrap(), ())]
 
 
 class Check(unittest.TestCase):
     def test_a_proper_call_is_taken(self) -> None:
-        parsed = check.parse(json.dumps(call()).encode())
+        parsed = validation.parse(json.dumps(call()).encode())
         assert isinstance(parsed, Success)
         self.assertEqual(
             sorted((c.key, c.version, c.value is None) for c in parsed.unwrap().changes),
@@ -86,7 +86,7 @@
     def test_one_call_may_drop_and_set_an_item(self) -> None:
         body = call()
         body["remove"]["routes"] = [{"name": "r", "version": "00000005"}]
-        parsed = check.parse(json.dumps(body).encode()).unwrap()
+        parsed = validation.parse(json.dumps(body).encode()).unwrap()
         self.assertEqual(
             [(c.version, c.value is None) for c in parsed.changes if c.key == "routes/r"], [(7, False)]
         )
--- a/tests/mesh/test_homes.py
+++ b/tests/mesh/test_zone_relays.py
@@ -4,8 +4,8 @@
 
 import unittest
 
-from leadrudder.register.homes import BAD_S, Homes, bare, of_services, order
-from leadrudder.waybill.waybill_pb2 import Node, Server
+from leadrudder.membership.zone_relays import BAD_S, Homes, bare, of_services, order
+from leadrudder.protocol.mesh_pb2 import Node, Server
 
 
 def member(name: str, zone: str = "z", service: str = "s") -> Node:
--- a/tests/course.py
+++ b/tests/random_events.py
@@ -1,4 +1,5 @@
-"""python -m tests.course: rough events through the module; prints whether it was interpreted, and a digest.
+"""python -m tests.random_events: rough events through the module; prints whether it was interpreted, and a
+digest.
 
 Arrivals of three classes, lists that come and go, every outcome, in the order that a seed gives.  All actions
 go into the digest with their figures in full, and the shares at the end: no bit of a decision may differ.
--- a/tests/simulation/test_command.py
+++ b/tests/simulation/test_command.py
@@ -13,7 +13,7 @@
 
 from leadrudder.cli import main
 from leadrudder.simulation import play as play_module
-from tests.simulation.plants import reset_taken_for_never_ran
+from tests.simulation.planted_faults import reset_taken_for_never_ran
 
 LAST = re.compile(r"seed=(\S+) steps=(\d+) digest=([0-9a-f]{32}) violations=(\d+) steps_per_s=\d+")
 
--- a/tests/simulation/test_hard_cases.py
+++ b/tests/simulation/test_hard_cases.py
@@ -7,7 +7,7 @@
 from leadrudder.simulation.faults import Fault
 from leadrudder.simulation.play import Result, Setup, play
 from leadrudder.simulation.world import World
-from tests.simulation.plants import terms_without_end
+from tests.simulation.planted_faults import terms_without_end
 
 SEEDS = range(1, 5)
 
--- a/tests/simulation/test_plants.py
+++ b/tests/simulation/test_planted_faults.py
@@ -5,7 +5,7 @@
 import pytest
 
 from leadrudder.simulation.play import Setup, play
-from tests.simulation.plants import PLANTS, Planted
+from tests.simulation.planted_faults import PLANTS, Planted
 
 STEPS = 12_000
 
--- a/tests/simulation/test_regressions.py
+++ b/tests/simulation/test_regressions.py
@@ -1,6 +1,6 @@
 """Seeds on which the simulation found faults of the node, as it and the model were then.
 
-The faults themselves are kept as plants (plants.py) and in the module's own tests.
+The faults themselves are kept as plants (planted_faults.py) and in the module's own tests.
 """
 
 from __future__ import annotations
--- a/tests/simulation/test_shrink.py
+++ b/tests/simulation/test_shrink.py
@@ -9,7 +9,7 @@
 from leadrudder.simulation.faults import Fault, draw
 from leadrudder.simulation.play import Setup
 from leadrudder.simulation.shrink import ddmin, shrink
-from tests.simulation.plants import fault_swallowed, reset_taken_for_never_ran
+from tests.simulation.planted_faults import fault_swallowed, reset_taken_for_never_ran
 
 
 @pytest.mark.parametrize("needed", [(), (0,), (39,), (3, 17), (0, 20, 39), (5, 6, 7, 8)])
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -12,9 +12,9 @@
 
 from bench.soak.checks import judge_kept, judge_requests
 from bench.soak.clients import KeptRequest, read_answer
+from bench.soak.faults import CORE_KINDS, SETTLE_S, Kind, overlapping, plan
 from bench.soak.operators import Held, Operators, idle_name, route
 from bench.soak.relay import Relay
-from bench.soak.troubles import CORE_KINDS, SETTLE_S, Kind, overlapping, plan
 from bench.soak.world import InvariantError
 from leadrudder.emulation.standins import Asked
 
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -20,7 +20,7 @@
     """Whether the sources were interpreted, and the digest of the course."""
     kept = {name: value for name, value in os.environ.items() if name != compiled.PURE}
     done = subprocess.run(
-        [sys.executable, "-m", "tests.course"],
+        [sys.executable, "-m", "tests.random_events"],
         cwd=ROOT,
         env={**kept, **environment},
         capture_output=True,
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -23,7 +23,7 @@
 from leadrudder.node.lists import ListError, Naming
 from leadrudder.node.node import Clock
 from leadrudder.policy.attempts import Attempt, Request, permitted
-from leadrudder.state.worth import Appraisal
+from leadrudder.state.request_value import Appraisal
 from tests.stubs import listing, row, settings
 
 
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -27,9 +27,9 @@
     ServerList,
     Settings,
 )
-from leadrudder.looks import Look
 from leadrudder.policy.automaton import FLOOR_SHARE, KINDS_MOST, Automaton
 from leadrudder.policy.placement import SCAN_EACH, SCAN_MOST, TRIES, Placement
+from leadrudder.selection_context import Look
 from leadrudder.state.capacity import WARMTH_STEPS
 from leadrudder.state.timers import SHED_LEAST
 from tests.checker import Surrounding
--- a/tests/test_spread.py
+++ b/tests/test_least_loaded.py
@@ -8,8 +8,8 @@
 
 from leadrudder import Balancer
 from leadrudder.interface import Arrival, ListKind, RequestClass, Send, ServerEntry, ServerList, Settings
+from leadrudder.state.least_loaded import SLOW_TIMES, least_held
 from leadrudder.state.records import ClassHealth, Server
-from leadrudder.state.spread import SLOW_TIMES, least_held
 
 SERVERS = [bytes([i]) for i in range(9)]
 
--- a/tests/test_worth.py
+++ b/tests/test_request_value.py
@@ -29,7 +29,7 @@
 from leadrudder.policy.attempts import Request
 from leadrudder.state.records import Turn
 from leadrudder.state.reports import Reports
-from leadrudder.state.worth import KNOWN, Appraisal, Line, Worth
+from leadrudder.state.request_value import KNOWN, Appraisal, Line, Worth
 
 LIGHT = RequestClass("view", 600.0, 1500.0, worth=1.0)
 HEAVY = RequestClass("close", 1000.0, 3000.0, worth=2.0)
