--- a/leadrudder/__main__.py
+++ b/leadrudder/__main__.py
@@ -19,10 +19,10 @@
     """rpc: the path of the operator's file for MessagePack-RPC; empty: off, and nothing of it is imported."""
     if rpc:
         from leadrudder.rpc import attach
-        from leadrudder.rpc.config import RpcConfigError, read
+        from leadrudder.rpc.config import RpcConfigError, read_rpc_config
 
         try:
-            node = await attach.start(config, read(rpc, config.settings))
+            node = await attach.start_node(config, read_rpc_config(rpc, config.settings))
         except RpcConfigError as error:
             raise ConfigError(f"NODE_RPC: {error}") from None
     else:
--- a/leadrudder/rpc/__init__.py
+++ b/leadrudder/rpc/__init__.py
@@ -1,1 +1,1 @@
-"""MessagePack-RPC: a front for callers and an upstream to servers, on the node's one core; off by default."""
+"""MessagePack-RPC: listener for callers and connections to servers, on the node core; off by default."""
--- a/leadrudder/rpc/attach.py
+++ b/leadrudder/rpc/attach.py
@@ -1,4 +1,4 @@
-"""Puts MessagePack-RPC on a node: its front, and its servers' side where they speak it.  The only way in."""
+"""Starts a node with MessagePack-RPC: the entry point of this package for the node process."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 from leadrudder.node.servers import Servers
 from leadrudder.rpc.config import RpcConfig, RpcConfigError
 from leadrudder.rpc.front import RpcFront
-from leadrudder.rpc.mapping import Calls
-from leadrudder.rpc.upstream import RpcServers
+from leadrudder.rpc.mapping import CallMapper
+from leadrudder.rpc.upstream import RpcUpstream
 
 log = logging.getLogger(__name__)
 
 
-def fresh_ids(config: Config) -> Callable[[], bytes]:
-    """Ids for calls that bring none: no other node, and no other start of this one, gives the same."""
-    start, numbers = secrets.token_hex(6).encode(), itertools.count(1)
-    return lambda: b"%s-%x-%x" % (start, config.seed, next(numbers))
+def request_id_generator(config: Config) -> Callable[[], bytes]:
+    """Request ids for calls without one, unique across nodes and across restarts of this node."""
+    start_token, counter = secrets.token_hex(6).encode(), itertools.count(1)
+    return lambda: b"%s-%x-%x" % (start_token, config.seed, next(counter))
 
 
-class HttpForCalls(Servers):
-    """HTTP servers for a node whose callers may speak MessagePack-RPC."""
+class HttpUpstreamForRpc(Servers):
+    """HTTP connections to servers, for a node with MessagePack-RPC callers."""
 
-    calls: Calls
+    call_mapper: CallMapper
 
     def attempt(self, server: bytes, ask: Ask, timeout_s: float, done: Done) -> HttpAttempt:
-        call: HttpCall = self.calls.as_http(ask)
-        as_http = Ask(
+        call: HttpCall = self.call_mapper.to_http(ask)
+        http_ask = Ask(
             ask.id,
             ask.class_index,
             ask.tenant,
@@ -43,30 +43,39 @@
             ask.is_repeat,
             call,
         )
-        return super().attempt(server, as_http, timeout_s, done)
+        return super().attempt(server, http_ask, timeout_s, done)
 
 
-async def start(config: Config, rpc: RpcConfig) -> Node:
-    """A node that has been started, with its callers' side; the caller waits for it as for any other."""
-    calls = Calls(config.settings, rpc.methods, rpc.meta, rpc.defaults, fresh_ids(config), rpc.bounds.limits)
-    if rpc.terms is not None:
-        node = Node(config, upstream=RpcServers(rpc.terms, calls.as_rpc, calls.body))
+async def start_node(config: Config, rpc: RpcConfig) -> Node:
+    """Start a node with its MessagePack-RPC listeners; the caller waits for it as for any other node."""
+    call_mapper = CallMapper(
+        config.settings,
+        rpc.methods,
+        rpc.metadata,
+        rpc.defaults,
+        request_id_generator(config),
+        rpc.front_limits.message,
+    )
+    if rpc.upstream is not None:
+        node = Node(config, upstream=RpcUpstream(rpc.upstream, call_mapper.to_rpc, call_mapper.http_body))
     else:
-        servers = http_servers(config, kind=HttpForCalls)
-        assert isinstance(servers, HttpForCalls)
-        servers.calls = calls
+        servers = http_servers(config, kind=HttpUpstreamForRpc)
+        assert isinstance(servers, HttpUpstreamForRpc)
+        servers.call_mapper = call_mapper
         node = Node(config, upstream=servers)
-    front = RpcFront(calls, node.take, rpc.bounds)
+    front = RpcFront(call_mapper, node.take, rpc.front_limits)
     node.add_front(front)
     await node.start()
     for address in rpc.listen:
         try:
             bound = await front.listen(address)
         except OSError as error:
-            raise RpcConfigError(f"front.listen: {_shown(address)} cannot be used: {error}") from None
-        log.info("rpc listens on %s", _shown(bound))
+            raise RpcConfigError(
+                f"front.listen: {_format_address(address)} cannot be used: {error}"
+            ) from None
+        log.info("rpc listens on %s", _format_address(bound))
     return node
 
 
-def _shown(address: tuple[str, int] | str) -> str:
+def _format_address(address: tuple[str, int] | str) -> str:
     return address if isinstance(address, str) else f"{address[0]}:{address[1]}"
--- a/leadrudder/rpc/front.py
+++ b/leadrudder/rpc/front.py
@@ -1,7 +1,7 @@
-"""The side towards MessagePack-RPC callers: many calls open on a connection, each answered as it ends.
+"""MessagePack-RPC listener: concurrent calls per connection, each answered as soon as it completes.
 
-Every call goes to the core, which alone decides; what is not taken is answered at once with one of our
-errors.
+The node core makes every decision about a call; calls that cannot be accepted are answered at once with a
+reserved error.
 """
 
 from __future__ import annotations
@@ -18,232 +18,250 @@
     NIL,
     NOTIFICATION,
     REQUEST,
-    Limits,
     Message,
+    MessageLimits,
+    MessageReader,
     Notification,
-    Reader,
     Request,
-    response,
+    encode_response,
 )
-from leadrudder.rpc.mapping import Calls, Turned
+from leadrudder.rpc.mapping import CallMapper, CallRejected
 
 log = logging.getLogger(__name__)
 
-PIECE = 4096  # bytes that are read at a time, so that a full connection holds bytes and not calls
-UNREAD_S = 10.0  # for a caller to read its answers
-PART_S = 10.0  # for a call to come in whole
-IDLE_S = 300.0  # without a call
-SWEEP_S = 0.25
-FULL_RETRY_MS = 500.0
+READ_CHUNK_BYTES = 4096  # parsed at a time: a connection at capacity holds bytes, not parsed calls
+WRITE_STALL_TIMEOUT_S = 10.0  # for a caller to read its responses
+PARTIAL_MESSAGE_TIMEOUT_S = 10.0  # for a message to arrive completely
+IDLE_TIMEOUT_S = 300.0  # without an open call
+TIMEOUT_CHECK_INTERVAL_S = 0.25
+OVERLOAD_RETRY_AFTER_MS = 500.0
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
-    """What the callers together may hold."""
+class FrontLimits:
+    """Resource limits for all callers together."""
 
     connections: int = 128
-    open_each: int = 64  # calls on one connection; with as many open it is read no further
-    open_all: int = 1024  # calls in all; one more is refused
-    held_bytes: int = 16_000_000  # of the parameters of open calls
-    limits: Limits = field(default_factory=Limits)
+    open_each: int = 64  # concurrent calls per connection; reading from the connection pauses at this number
+    open_all: int = 1024  # concurrent calls in total; any further call is refused
+    held_bytes: int = 16_000_000  # parameter bytes of all open calls
+    message: MessageLimits = field(default_factory=MessageLimits)
 
 
 class RpcExchange:
-    """One call and the place of its one response; a notification has no such place, and ends all the same."""
+    """One open call and its single response; a notification ends the same way, without a response."""
 
-    __slots__ = ("_connection", "_msgid", "gone", "on_gone", "size")
+    __slots__ = ("_connection", "_msgid", "ended", "on_gone", "size")
 
     def __init__(self, connection: CallerConnection, msgid: int | None, size: int) -> None:
         self._connection = connection
         self._msgid = msgid
         self.size = size
-        self.gone = False  # it has had its response, or nobody waits for one
+        self.ended = False  # the response was sent, or the caller left
         self.on_gone: Callable[[], None] | None = None
 
     def _respond(self, error: bytes, result: bytes = NIL) -> None:
-        if self.gone:
+        if self.ended:
             return
-        self.gone = True
+        self.ended = True
         self._connection.respond(self, self._msgid, error, result)
 
     def served(self, answer: Answer) -> None:
-        self._respond(NIL, self._connection.front.calls.result(answer))
+        self._respond(NIL, self._connection.front.call_mapper.rpc_result(answer))
 
     def refused(self, retry_after_ms: float) -> None:
-        self._respond(errors.error(errors.REFUSED, "not served; may be tried again", retry_after_ms))
+        self._respond(errors.encode_error(errors.REFUSED, "not served; safe to retry", retry_after_ms))
 
     def failed(self) -> None:
-        self._respond(errors.error(errors.FAILED, "not served; it may have run"))
+        self._respond(errors.encode_error(errors.FAILED, "not served; the call may have run"))
 
     def fault(self) -> None:
-        self._respond(errors.error(errors.FAULT, "the node could not deal with it"))
+        self._respond(errors.encode_error(errors.FAULT, "internal error in the node"))
 
-    def leave(self) -> None:
-        """The caller has gone: nobody waits."""
-        if not self.gone:
-            self.gone = True
+    def caller_left(self) -> None:
+        """The caller left before its response; tell the core."""
+        if not self.ended:
+            self.ended = True
             if self.on_gone is not None:
                 self.on_gone()
 
 
 class CallerConnection(asyncio.Protocol):
-    """One connection of a caller's."""
+    """A connection from a caller."""
 
     def __init__(self, front: RpcFront) -> None:
         self.front = front
-        self.open: dict[int, RpcExchange] = {}
-        self.notes = 0  # notifications that are open
-        self.since = 0.0  # when a call last came whole or ended, or it stopped reading
-        self._unread = b""  # bytes that have come and wait for places
-        self._reader = Reader(front.bounds.limits, frozenset({REQUEST, NOTIFICATION}))
-        self._choked = False
-        self._over = False  # nothing more is read
+        self.open_calls: dict[int, RpcExchange] = {}
+        self.open_notifications = 0
+        self.last_progress_s = 0.0  # loop time of the last message, response, or change of write flow
+        self._pending_input = b""  # received bytes that wait for capacity
+        self._reader = MessageReader(front.limits.message, frozenset({REQUEST, NOTIFICATION}))
+        self._write_paused = False
+        self._input_closed = False
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass
-        self.since = self.front.now()
-        self.front.opened(self)
+        self._transport = cast(
+            asyncio.Transport, transport
+        )  # uvloop's transports do not subclass asyncio.Transport
+        self.last_progress_s = self.front.now()
+        self.front.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        if not self._over:
-            self._unread += data
-            self._read()
-
-    def _full(self) -> bool:
-        return self._choked or len(self.open) + self.notes >= self.front.bounds.open_each
-
-    def _read(self) -> None:
-        """Take what has come, as long as there is room for it."""
-        while self._unread and not self._over and not self._full():
-            piece, self._unread = self._unread[:PIECE], self._unread[PIECE:]
-            for message in self._reader.feed(piece):
-                self._take(message)
+        if not self._input_closed:
+            self._pending_input += data
+            self._process_input()
+
+    def _is_at_capacity(self) -> bool:
+        return (
+            self._write_paused
+            or len(self.open_calls) + self.open_notifications >= self.front.limits.open_each
+        )
+
+    def _process_input(self) -> None:
+        """Process received bytes while the connection has capacity."""
+        while self._pending_input and not self._input_closed and not self._is_at_capacity():
+            chunk, self._pending_input = (
+                self._pending_input[:READ_CHUNK_BYTES],
+                self._pending_input[READ_CHUNK_BYTES:],
+            )
+            for message in self._reader.feed(chunk):
+                self._handle_message(message)
             if self._reader.failure is not None:
-                self._refuse_all(self._reader.failure.msgid, str(self._reader.failure))
-        self._pace()
+                self._fail_connection(self._reader.failure.msgid, str(self._reader.failure))
+        self._update_read_flow()
 
-    def _take(self, message: Message) -> None:
-        self.since = self.front.now()
-        if self._over:
+    def _handle_message(self, message: Message) -> None:
+        self.last_progress_s = self.front.now()
+        if self._input_closed:
             return
         if isinstance(message, Notification):
-            self.front.take(message, RpcExchange(self, None, len(message.params)))
+            self.front.handle_call(message, RpcExchange(self, None, len(message.params)))
         elif isinstance(message, Request):
             exchange = RpcExchange(self, message.msgid, len(message.params))
-            if message.msgid in self.open:
-                # The first call keeps its msgid and its response; this one is told apart by its error.
-                self._write(response(message.msgid, errors.error(errors.DUPLICATE, "msgid is open"), NIL))
+            if message.msgid in self.open_calls:
+                # The first call with this msgid stays open; the error response marks the rejected one.
+                self._write(
+                    encode_response(
+                        message.msgid,
+                        errors.encode_error(errors.DUPLICATE, "msgid is already in use on this connection"),
+                        NIL,
+                    )
+                )
                 return
-            self.open[message.msgid] = exchange
-            self.front.take(message, exchange)
+            self.open_calls[message.msgid] = exchange
+            self.front.handle_call(message, exchange)
 
     def respond(self, exchange: RpcExchange, msgid: int | None, error: bytes, result: bytes) -> None:
-        """The one response of a call, which is over."""
-        self.front.release(exchange)
-        self.since = self.front.now()
+        """Send the single response of a call and release it."""
+        self.front.release_call(exchange)
+        self.last_progress_s = self.front.now()
         if msgid is None:
-            self.notes = max(0, self.notes - 1)
+            self.open_notifications = max(0, self.open_notifications - 1)
         else:
-            self.open.pop(msgid, None)
-            self._write(response(msgid, error, result))
-        if self.front.closing and not self.open:
+            self.open_calls.pop(msgid, None)
+            self._write(encode_response(msgid, error, result))
+        if self.front.closing and not self.open_calls:
             self.close()
-        elif self._unread and not self.front.reading:
-            # Not from within the reading of another call: the core is between two decisions.
-            asyncio.get_running_loop().call_soon(self._read)
+        elif self._pending_input and not self.front.dispatching:
+            # Deferred: the core must not be re-entered while it handles another call.
+            asyncio.get_running_loop().call_soon(self._process_input)
         else:
-            self._pace()
+            self._update_read_flow()
 
     def _write(self, data: bytes) -> None:
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(data)
 
-    def _refuse_all(self, msgid: int | None, text: str) -> None:
-        """What came cannot be read: say so where it is known to whom, settle what is open, and close."""
-        if msgid is not None and msgid not in self.open:
-            self._write(response(msgid, errors.error(errors.BAD_REQUEST, text), NIL))
-        log.info("rpc: a connection is ended: %s", text)
+    def _fail_connection(self, msgid: int | None, text: str) -> None:
+        """Answer the unreadable request if its msgid is known, cancel the open calls, and close."""
+        if msgid is not None and msgid not in self.open_calls:
+            self._write(encode_response(msgid, errors.encode_error(errors.BAD_REQUEST, text), NIL))
+        log.info("rpc: closing caller connection: %s", text)
         self.close()
 
     def close(self) -> None:
-        """Close when what was written has been sent; nobody waits for what is open."""
-        self._over, self._unread = True, b""
-        self._settle()
+        """Cancel the open calls, and close once written data has been sent."""
+        self._input_closed, self._pending_input = True, b""
+        self._cancel_open_calls()
         if self._transport is not None:
             self._transport.close()
 
-    def drop(self) -> None:
-        self._over, self._unread = True, b""
+    def abort(self) -> None:
+        self._input_closed, self._pending_input = True, b""
         if self._transport is not None:
             self._transport.abort()
 
-    def _settle(self) -> None:
-        exchanges, self.open = list(self.open.values()), {}
+    def _cancel_open_calls(self) -> None:
+        exchanges, self.open_calls = list(self.open_calls.values()), {}
         for exchange in exchanges:
-            self.front.release(exchange)
-            exchange.leave()
+            self.front.release_call(exchange)
+            exchange.caller_left()
 
     def eof_received(self) -> bool:
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The calls are cancelled; notifications, for which nobody ever waited, go on."""
+        """Cancel the open calls; notifications continue, as no caller waits for them."""
         self._transport = None
-        self._over, self._unread = True, b""
-        self.front.closed(self)
-        self._settle()
+        self._input_closed, self._pending_input = True, b""
+        self.front.connection_closed(self)
+        self._cancel_open_calls()
 
     def pause_writing(self) -> None:
-        self._choked = True
-        self.since = self.front.now()
-        self._pace()
+        self._write_paused = True
+        self.last_progress_s = self.front.now()
+        self._update_read_flow()
 
     def resume_writing(self) -> None:
-        self._choked = False
-        self.since = self.front.now()
-        self._read()
+        self._write_paused = False
+        self.last_progress_s = self.front.now()
+        self._process_input()
 
-    def _pace(self) -> None:
-        """Read only while there are places: bounds what one caller can make us hold."""
+    def _update_read_flow(self) -> None:
+        """Read from the socket only below capacity, which bounds the memory that one caller can use."""
         if self._transport is None or self._transport.is_closing():
             return
-        if self._full() or self._unread:
+        if self._is_at_capacity() or self._pending_input:
             self._transport.pause_reading()
         elif not self._transport.is_reading():
             self._transport.resume_reading()
 
-    def check(self, now: float) -> None:
-        """End what has been waited for long enough."""
-        waited = now - self.since
+    def check_timeouts(self, now: float) -> None:
+        """Abort a connection whose caller does not read; close one that is idle or stuck in a message."""
+        waited = now - self.last_progress_s
         unsent = self._transport is not None and self._transport.get_write_buffer_size() > 0
-        if unsent and (self._choked or self._over):
-            if waited > UNREAD_S:
-                self.drop()
-        elif not self.open and waited > (PART_S if self._reader.held() else IDLE_S):
+        if unsent and (self._write_paused or self._input_closed):
+            if waited > WRITE_STALL_TIMEOUT_S:
+                self.abort()
+        elif not self.open_calls and waited > (
+            PARTIAL_MESSAGE_TIMEOUT_S if self._reader.buffered_bytes() else IDLE_TIMEOUT_S
+        ):
             self.close()
 
 
 class RpcFront:
-    """The listening sockets and all connections of callers."""
+    """The listening sockets and all caller connections."""
 
-    def __init__(self, calls: Calls, take: Callable[[Ask, Exchange], None], bounds: Bounds) -> None:
-        self.calls = calls
-        self.bounds = bounds
+    def __init__(
+        self, call_mapper: CallMapper, submit: Callable[[Ask, Exchange], None], limits: FrontLimits
+    ) -> None:
+        self.call_mapper = call_mapper
+        self.limits = limits
         self.closing = False
-        self.reading = False  # a call is being handed to the core
+        self.dispatching = False  # a call is being passed to the core
         self.last_heard = 0.0
-        self._take = take
+        self._submit = submit
         self._loop = asyncio.get_running_loop()
         self.now = self._loop.time
-        self._open: dict[CallerConnection, None] = {}
-        self._calls = 0
-        self._bytes = 0
+        self._connections: dict[CallerConnection, None] = {}
+        self._open_calls = 0
+        self._held_bytes = 0
         self._servers: list[asyncio.Server] = []
-        self._sweeper = self._loop.call_later(SWEEP_S, self._sweep)
+        self._timeout_timer = self._loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self._check_timeouts)
 
     async def listen(self, address: tuple[str, int] | str) -> tuple[str, int] | str:
-        """Listen at a host and port, or at a UNIX socket's path; returns what was bound."""
+        """Listen on a host and port or on a Unix socket path; returns the bound address."""
         if isinstance(address, str):
             self._servers.append(await self._loop.create_unix_server(lambda: CallerConnection(self), address))
             return address
@@ -255,73 +273,76 @@
         bound: tuple[str, int] = tuple(server.sockets[0].getsockname()[:2])
         return bound
 
-    def opened(self, connection: CallerConnection) -> None:
+    def connection_opened(self, connection: CallerConnection) -> None:
         self.last_heard = self.now()
-        self._open[connection] = None
-        if len(self._open) > self.bounds.connections:
-            connection.drop()  # descriptors must not run out
+        self._connections[connection] = None
+        if len(self._connections) > self.limits.connections:
+            connection.abort()  # file descriptors are limited
 
-    def closed(self, connection: CallerConnection) -> None:
-        self._open.pop(connection, None)
+    def connection_closed(self, connection: CallerConnection) -> None:
+        self._connections.pop(connection, None)
 
     # Calls.
 
-    def take(self, message: Request | Notification, exchange: RpcExchange) -> None:
-        """Hand one call to the core, or answer it at once."""
+    def handle_call(self, message: Request | Notification, exchange: RpcExchange) -> None:
+        """Pass one call to the core, or answer it at once with an error."""
         self.last_heard = self.now()
         connection = exchange._connection
-        full = self._calls >= self.bounds.open_all or self._bytes + exchange.size > self.bounds.held_bytes
-        self._calls += 1
-        self._bytes += exchange.size
-        connection.notes += isinstance(message, Notification)
+        full = (
+            self._open_calls >= self.limits.open_all
+            or self._held_bytes + exchange.size > self.limits.held_bytes
+        )
+        self._open_calls += 1
+        self._held_bytes += exchange.size
+        connection.open_notifications += isinstance(message, Notification)
         if full or self.closing:
-            exchange.refused(FULL_RETRY_MS)
+            exchange.refused(OVERLOAD_RETRY_AFTER_MS)
             return
-        was, self.reading = self.reading, True
+        was_dispatching, self.dispatching = self.dispatching, True
         try:
-            self._take(self.calls.ask(message), exchange)
-        except Turned as turned:
-            exchange._respond(errors.error(turned.code, str(turned)))
+            self._submit(self.call_mapper.parse_call(message), exchange)
+        except CallRejected as rejection:
+            exchange._respond(errors.encode_error(rejection.code, str(rejection)))
         except DuplicateId as error:
-            exchange._respond(errors.error(errors.DUPLICATE, str(error)))
+            exchange._respond(errors.encode_error(errors.DUPLICATE, str(error)))
         except Exception:
-            # A fault in one call must cost that call alone, and still be answered.
-            log.exception("fault in a call")
+            # An internal error must affect only this call, which still gets a response.
+            log.exception("internal error while dispatching a call")
             exchange.fault()
         finally:
-            self.reading = was
+            self.dispatching = was_dispatching
 
-    def release(self, exchange: RpcExchange) -> None:
-        """A call is over: its parameters no longer count."""
+    def release_call(self, exchange: RpcExchange) -> None:
+        """Stop counting a finished call against the limits."""
         if exchange.size >= 0:
-            self._calls -= 1
-            self._bytes -= exchange.size
+            self._open_calls -= 1
+            self._held_bytes -= exchange.size
             exchange.size = -1
 
-    # The end.
+    # Timeouts and shutdown.
 
-    def _sweep(self) -> None:
-        self._sweeper = self._loop.call_later(SWEEP_S, self._sweep)
+    def _check_timeouts(self) -> None:
+        self._timeout_timer = self._loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self._check_timeouts)
         now = self.now()
-        for connection in list(self._open):
-            connection.check(now)
+        for connection in list(self._connections):
+            connection.check_timeouts(now)
 
     def wind_down(self) -> None:
-        """From now on calls are refused, and a connection closes when none is open on it."""
+        """Stop listening, refuse new calls, and close each connection once it has no open call."""
         self.closing = True
         for server in self._servers:
             server.close()
-        for connection in [c for c in self._open if not c.open]:
+        for connection in [c for c in self._connections if not c.open_calls]:
             connection.close()
 
     def busy(self) -> bool:
-        """Whether a caller is still owed something."""
-        return self._calls > 0
+        """Whether any call is still open."""
+        return self._open_calls > 0
 
     def close(self) -> None:
-        """Leave nothing open."""
-        self._sweeper.cancel()
+        """Close the listening sockets and abort all connections."""
+        self._timeout_timer.cancel()
         for server in self._servers:
             server.close()
-        for connection in list(self._open):
-            connection.drop()
+        for connection in list(self._connections):
+            connection.abort()
--- a/leadrudder/rpc/mapping.py
+++ b/leadrudder/rpc/mapping.py
@@ -1,7 +1,7 @@
-"""Which class a call is of, what it says of itself, and how it reads in the other protocol. No I/O.
+"""Maps MessagePack-RPC calls to request classes and converts calls between the two protocols. No I/O.
 
-A method that the operator's file does not map is refused, never guessed; so is a call whose key does not fit
-its class, since what may be repeated rests on it.
+A call of a method that the operator's file does not map is refused rather than given a guessed class. A call
+whose key does not fit its class is refused as well, because the key decides whether the call may be repeated.
 """
 
 from __future__ import annotations
@@ -17,17 +17,26 @@
 from leadrudder.node.http import TOKEN
 from leadrudder.rpc.errors import BAD_REQUEST, UNKNOWN_METHOD
 from leadrudder.rpc.framing import REQUEST as REQUEST_KIND
-from leadrudder.rpc.framing import FramingError, Limits, Notification, Pairs, Reader, Request, pack, unpack
-
-MSGPACK = b"application/x-msgpack"
-LONGEST_DEADLINE_S = 3600.0
-HINT_MOST_US = 1e9
+from leadrudder.rpc.framing import (
+    FramingError,
+    MapPairs,
+    MessageLimits,
+    MessageReader,
+    Notification,
+    Request,
+    pack,
+    unpack,
+)
+
+MSGPACK_CONTENT_TYPE = b"application/x-msgpack"
+MAX_DEADLINE_S = 3600.0
+MAX_COST_HINT_US = 1e9
 FIRST, LAST, POSITIONS, NOWHERE = "first", "last", "positions", "nowhere"
-FIELDS = ("id", "tenant", "key", "deadline", "cost_hint")
+METADATA_FIELDS = ("id", "tenant", "key", "deadline", "cost_hint")
 
 
-class Turned(Exception):  # noqa: N818 - a call that is turned down, not an error of the program's
-    """A call that is not taken: the code of our error, and a text for people."""
+class CallRejected(Exception):  # noqa: N818 - a rejected call is not a program error
+    """A call that is rejected; code: the code of the reserved error. The text is for people."""
 
     def __init__(self, code: str, text: str) -> None:
         super().__init__(text)
@@ -36,129 +45,132 @@
 
 @dataclass(frozen=True, slots=True)
 class Method:
-    """A method of the operator's file."""
+    """A method mapped in the operator's file."""
 
     name: str
     class_index: int
-    target: bytes = b""  # where HTTP servers take it; empty: /api/ and its name
+    target: bytes = b""  # path on HTTP servers; empty: /api/ and the method name
 
 
 @dataclass(frozen=True, slots=True)
-class Meta:
-    """Where a call tells of itself: in a map that is its first or last parameter, or at fixed positions.
+class MetadataLayout:
+    """Where a call carries its metadata: in a map that is its first or last parameter, or at fixed positions.
 
-    names: of each field the key in that map, or its position; a field that is left out is never told.
+    names: for each metadata field, its key in that map or its position; a field without an entry is never
+    read.
     """
 
-    where: str = LAST
-    names: Mapping[str, str | int] = field(default_factory=lambda: {name: name for name in FIELDS})
+    location: str = LAST
+    names: Mapping[str, str | int] = field(default_factory=lambda: {name: name for name in METADATA_FIELDS})
 
 
 @dataclass(frozen=True, slots=True)
 class Defaults:
-    """For what a call does not tell; None: it must."""
+    """Values for metadata that a call omits; None: the call must provide it."""
 
     tenant: str | None = None
     deadline_s: float | None = None
 
 
-class Calls:
-    """The operator's mapping, against the settings."""
+class CallMapper:
+    """Converts calls and answers by the operator's mapping and the settings."""
 
     def __init__(
         self,
         settings: Settings,
         methods: tuple[Method, ...],
-        meta: Meta,
+        layout: MetadataLayout,
         defaults: Defaults,
-        fresh_id: Callable[[], bytes],
-        limits: Limits,
+        generate_id: Callable[[], bytes],
+        limits: MessageLimits,
     ) -> None:
         self._settings = settings
         self._methods = {method.name: method for method in methods}
-        self._of_class = {method.class_index: method for method in reversed(methods)}
+        self._method_by_class = {method.class_index: method for method in reversed(methods)}
         self._tenants = {tenant.name: i for i, tenant in enumerate(settings.tenants)}
-        self._meta = meta
+        self._layout = layout
         self._defaults = defaults
-        self._fresh_id = fresh_id
+        self._generate_id = generate_id
         self._limits = limits
 
-    # From a caller.
+    # Calls from a caller.
 
-    def ask(self, call: Request | Notification) -> Ask:
-        """A call in the terms of the settings; Turned if it is none that a node serves."""
+    def parse_call(self, call: Request | Notification) -> Ask:
+        """Parse a call from an RPC caller; CallRejected if it is not acceptable."""
         method = self._methods.get(call.method)
         if method is None:
-            raise Turned(UNKNOWN_METHOD, "no such method is mapped here")
-        told = self._told(call)
+            raise CallRejected(UNKNOWN_METHOD, "method is not mapped on this node")
+        metadata = self._read_metadata(call)
         effect = self._settings.classes[method.class_index].effect
-        if ("key" in told) != (effect is Effect.KEYED):
-            raise Turned(BAD_REQUEST, "a key is told where, and only where, the class asks for one")
-        if "key" in told:
-            _token(told["key"], "key")
+        if ("key" in metadata) != (effect is Effect.KEYED):
+            raise CallRejected(
+                BAD_REQUEST, "a key is required for a keyed class and not allowed for any other"
+            )
+        if "key" in metadata:
+            _parse_token(metadata["key"], "key")
         return Ask(
-            id=_token(told["id"], "id") if "id" in told else self._fresh_id(),
+            id=_parse_token(metadata["id"], "id") if "id" in metadata else self._generate_id(),
             class_index=method.class_index,
-            tenant=self._tenant(told.get("tenant", self._defaults.tenant)),
+            tenant=self._tenant(metadata.get("tenant", self._defaults.tenant)),
             key=0,
-            budget_ms=1000.0 * self._deadline_s(told.get("deadline", self._defaults.deadline_s)),
-            cost_hint_ms=_hint_ms(told.get("cost_hint")),
+            budget_ms=1000.0 * self._deadline_s(metadata.get("deadline", self._defaults.deadline_s)),
+            cost_hint_ms=_cost_hint_ms(metadata.get("cost_hint")),
             is_repeat=False,
             call=RpcCall(
                 call.method,
                 call.params,
                 isinstance(call, Notification),
-                _text(told["key"]) if "key" in told else None,
+                _text_or_empty(metadata["key"]) if "key" in metadata else None,
             ),
         )
 
-    def _told(self, call: Request | Notification) -> dict[str, Any]:
-        """What the call says of itself, by field; only that is decoded."""
-        where, names, items = self._meta.where, self._meta.names, call.items
-        if where == POSITIONS:
-            at = {name: i for name, i in names.items() if isinstance(i, int) and i < len(items)}
-            told = {name: _decoded(call.params, items[i]) for name, i in at.items()}
-        elif where == NOWHERE or not items:
+    def _read_metadata(self, call: Request | Notification) -> dict[str, Any]:
+        """The metadata of a call by field; only the metadata is decoded."""
+        location, names, items = self._layout.location, self._layout.names, call.items
+        if location == POSITIONS:
+            positions = {name: i for name, i in names.items() if isinstance(i, int) and i < len(items)}
+            metadata = {name: _decode_item(call.params, items[i]) for name, i in positions.items()}
+        elif location == NOWHERE or not items:
             return {}
         else:
-            found = _decoded(call.params, items[0 if where == FIRST else -1])
-            if not isinstance(found, Pairs):
-                return {}  # a call that tells nothing: the defaults hold
-            told = {name: found.get(str(key)) for name, key in names.items()}
-        return {name: value for name, value in told.items() if value is not None}
+            value_map = _decode_item(call.params, items[0 if location == FIRST else -1])
+            if not isinstance(value_map, MapPairs):
+                return {}  # no metadata: the defaults apply
+            metadata = {name: value_map.get(str(key)) for name, key in names.items()}
+        return {name: value for name, value in metadata.items() if value is not None}
 
     def _tenant(self, name: Any) -> int:
         if not self._tenants:
             return 0
         index = self._tenants.get(name) if isinstance(name, str) else None
         if index is None:
-            raise Turned(BAD_REQUEST, "the tenant is unknown or not told")
+            raise CallRejected(BAD_REQUEST, "tenant is unknown or missing")
         return index
 
     @staticmethod
     def _deadline_s(value: Any) -> float:
-        number = _number(value)
-        if number is None or not 0.0 < number <= LONGEST_DEADLINE_S:
-            raise Turned(BAD_REQUEST, "the deadline is no number of seconds, or not told")
+        number = _finite_number(value)
+        if number is None or not 0.0 < number <= MAX_DEADLINE_S:
+            raise CallRejected(BAD_REQUEST, "deadline is missing or not a valid number of seconds")
         return number
 
-    # To a server.
+    # Calls to a server.
 
-    def as_rpc(self, ask: Ask) -> RpcCall:
-        """For an RPC server: a call as it came; an HTTP request as [target, body, map of what it tells]."""
+    def to_rpc(self, ask: Ask) -> RpcCall:
+        """For an RPC server: an RPC call unchanged, an HTTP request as [target, body, metadata map]."""
         if isinstance(ask.call, RpcCall):
             return ask.call
-        method = self._of_class.get(ask.class_index)
+        method = self._method_by_class.get(ask.class_index)
         if method is None:
-            raise Turned(UNKNOWN_METHOD, "no method is mapped for this class")
+            raise CallRejected(UNKNOWN_METHOD, "no method is mapped to this class")
         call = ask.call
-        told: dict[str, Any] = {"id": ask.id.decode("ascii"), "deadline": ask.budget_ms / 1000.0}
+        metadata: dict[str, Any] = {"id": ask.id.decode("ascii"), "deadline": ask.budget_ms / 1000.0}
         if call.key is not None:
-            told["key"] = call.key.decode("ascii")
-        return RpcCall(method.name, pack([call.target.decode("latin-1"), call.body, told]))
+            metadata["key"] = call.key.decode("ascii")
+        return RpcCall(method.name, pack([call.target.decode("latin-1"), call.body, metadata]))
 
-    def as_http(self, ask: Ask) -> HttpCall:
-        """For an HTTP server: the parameters are the body, or in the query where there may be no body."""
+    def to_http(self, ask: Ask) -> HttpCall:
+        """For an HTTP server: params as the request body, or in the query of a GET, which has no body."""
         if isinstance(ask.call, HttpCall):
             return ask.call
         call = ask.call
@@ -166,61 +178,61 @@
         if self._settings.classes[ask.class_index].effect is Effect.SAFE:
             return HttpCall(b"GET", target + b"?params=" + urlsafe_b64encode(call.params).rstrip(b"="))
         key = None if call.key is None else call.key.encode()
-        return HttpCall(b"POST", target, key, MSGPACK, call.params)
+        return HttpCall(b"POST", target, key, MSGPACK_CONTENT_TYPE, call.params)
 
     # Answers.
 
-    def result(self, answer: Answer) -> bytes:
-        """The result of an RPC response: an RPC server's as it came, an HTTP server's body as it is typed."""
-        if answer.packed or (answer.content_type == MSGPACK and self._is_value(answer.body)):
+    def rpc_result(self, answer: Answer) -> bytes:
+        """The result of an RPC response: an RPC result unchanged, an HTTP body by its content type."""
+        if answer.packed or (answer.content_type == MSGPACK_CONTENT_TYPE and self._is_value(answer.body)):
             return answer.body
         return pack(answer.body)
 
     def _is_value(self, raw: bytes) -> bool:
-        """Whether these bytes are one value, whole and within the limits."""
-        reader = Reader(self._limits, frozenset({REQUEST_KIND}))
-        told = reader.feed(b"\x94\x00\x00\xa0\x91" + raw)
-        return len(told) == 1 and reader.failure is None and not reader.held()
+        """Whether the bytes are exactly one value within the limits."""
+        reader = MessageReader(self._limits, frozenset({REQUEST_KIND}))
+        messages = reader.feed(b"\x94\x00\x00\xa0\x91" + raw)
+        return len(messages) == 1 and reader.failure is None and not reader.buffered_bytes()
 
     @staticmethod
-    def body(answer: Answer) -> Answer:
-        """The body of an HTTP answer: a binary result is the body, any other is passed on as MessagePack."""
+    def http_body(answer: Answer) -> Answer:
+        """The body of an HTTP answer: the content of a binary result, any other result as MessagePack."""
         if not answer.packed:
             return answer
         if answer.body[:1] in (b"\xc4", b"\xc5", b"\xc6"):
             return Answer(unpack(answer.body))
-        return Answer(answer.body, MSGPACK)
+        return Answer(answer.body, MSGPACK_CONTENT_TYPE)
 
 
-def _decoded(params: bytes, item: tuple[int, int]) -> Any:
+def _decode_item(params: bytes, item: tuple[int, int]) -> Any:
     try:
         return unpack(params[item[0] : item[1]])
     except (ValueError, FramingError):
-        raise Turned(BAD_REQUEST, "what the call tells of itself cannot be read") from None
+        raise CallRejected(BAD_REQUEST, "call metadata cannot be decoded") from None
 
 
-def _text(value: Any) -> str:
+def _text_or_empty(value: Any) -> str:
     return value if isinstance(value, str) else ""
 
 
-def _token(value: Any, what: str) -> bytes:
-    """An id or a key, as plain characters; Turned for anything else."""
+def _parse_token(value: Any, field_name: str) -> bytes:
+    """Validate a request id or a key; CallRejected unless it is a token."""
     try:
         text = value.encode("ascii") if isinstance(value, str) else b""
     except UnicodeEncodeError:
         text = b""
     if not TOKEN.fullmatch(text):
-        raise Turned(BAD_REQUEST, f"the {what} is no string of plain characters")
+        raise CallRejected(BAD_REQUEST, f"{field_name} is not a valid token")
     return text
 
 
-def _number(value: Any) -> float | None:
+def _finite_number(value: Any) -> float | None:
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
         return None
     return float(value)
 
 
-def _hint_ms(value: Any) -> float | None:
-    """A hint is a guess: one that cannot be read is none."""
-    number = _number(value)
-    return number / 1000.0 if number is not None and 0.0 < number <= HINT_MOST_US else None
+def _cost_hint_ms(value: Any) -> float | None:
+    """The cost hint in milliseconds; an invalid hint is ignored, as it is only an estimate."""
+    number = _finite_number(value)
+    return number / 1000.0 if number is not None and 0.0 < number <= MAX_COST_HINT_US else None
--- a/leadrudder/rpc/upstream.py
+++ b/leadrudder/rpc/upstream.py
@@ -1,8 +1,8 @@
-"""The side towards MessagePack-RPC servers: a few connections to each, many calls on each of them.
+"""MessagePack-RPC connections to servers: a few per server, each with many concurrent calls.
 
-A call is one of three: waiting for a connection with room in its window, queued on a connection whose buffer
-has not emptied, or written. Only what is written may have run: a frame is handed to the socket when the one
-before has left it. Nothing is ever sent twice here.
+A call is in one of three states: waiting for a connection with a free slot in its window, queued on a
+connection whose write buffer is not empty, or written. Only a written call may have run: a frame is passed
+to the socket once the previous one has left the buffer. This module never sends a call twice.
 """
 
 from __future__ import annotations
@@ -20,73 +20,73 @@
 from leadrudder.node.lists import Address, Listing
 from leadrudder.node.peers import PeerTable
 from leadrudder.node.reports import Report
-from leadrudder.rpc.errors import Form, outcome
+from leadrudder.rpc.errors import ErrorFormat, outcome_of_error
 from leadrudder.rpc.framing import (
-    MSGID_MOST,
+    MAX_MSGID,
     RESPONSE,
-    Limits,
-    Reader,
+    MessageLimits,
+    MessageReader,
     Response,
-    notification,
-    request,
+    encode_notification,
+    encode_request,
 )
 
 log = logging.getLogger(__name__)
 
-LATE_TIMES = 4  # windows of given-up calls whose answers are out: after that a connection takes no new call
-WAITING_TIMES = 2  # windows of all connections that may wait for room at one server
-SWEEP_S = 0.25
+MAX_LATE_WINDOWS = 4  # a connection with so many windows of unanswered abandoned calls takes no new call
+MAX_WAITING_WINDOWS = 2  # calls that may wait for one server, in windows of all its connections
+TIMEOUT_CHECK_INTERVAL_S = 0.25
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """How servers are spoken to."""
+class UpstreamConfig:
+    """Settings of the connections to servers."""
 
     connections: int = 2  # to each server
-    window: int = 32  # calls out on each
-    silence_s: float = 10.0  # without a byte, while calls are out: the connection is dead
-    idle_s: float = 15.0  # without a call: closed
+    window: int = 32  # concurrent calls per connection
+    silence_s: float = 10.0  # a connection with open calls that receives nothing for this long is dead
+    idle_s: float = 15.0  # a connection without calls is closed after this time
     connect_s: float = 0.25
-    most_open: int = 256  # connections in all
-    probe: str = ""  # a method that says whether a server is well; empty: that it takes a connection
-    limits: Limits = field(default_factory=Limits)
-    form: Form = field(default_factory=Form)
+    most_open: int = 256  # open connections to all servers together
+    probe: str = ""  # health check method; empty: a successful connect is enough
+    limits: MessageLimits = field(default_factory=MessageLimits)
+    error_format: ErrorFormat = field(default_factory=ErrorFormat)
 
 
-class Call:
-    """One call to a server; ends once."""
+class UpstreamCall:
+    """One call to a server; finishes exactly once."""
 
-    __slots__ = ("_done", "_timer", "connection", "ended", "frame", "msgid", "peer", "written")
+    __slots__ = ("_on_done", "_timer", "connection", "finished", "make_frame", "msgid", "peer", "written")
 
     def __init__(
-        self, peer: Peer | None, frame: Callable[[int], bytes], timeout_s: float, done: Done
+        self, peer: Peer | None, make_frame: Callable[[int], bytes], timeout_s: float, done: Done
     ) -> None:
         self.peer = peer
-        self.frame = frame  # its bytes by its msgid
-        self.connection: Connection | None = None
+        self.make_frame = make_frame  # encodes the call for a msgid
+        self.connection: UpstreamConnection | None = None
         self.msgid = -1
         self.written = False
-        self.ended = False
-        self._done = done
+        self.finished = False
+        self._on_done = done
         self._timer = asyncio.get_running_loop().call_later(timeout_s, self._time_out)
 
-    def end(self, how: Outcome, answer: Answer | None = None) -> None:
-        """The one outcome; later ones are nobody's."""
-        if self.ended:
+    def finish(self, outcome: Outcome, answer: Answer | None = None) -> None:
+        """Report the outcome; only the first one counts."""
+        if self.finished:
             return
-        self.ended = True
+        self.finished = True
         self._timer.cancel()
-        self._done(how, answer)
+        self._on_done(outcome, answer)
 
-    def give_up(self, how: Outcome) -> None:
-        """Stop waiting.  The connection lives on: a late answer is dropped, its msgid not used until then."""
-        if self.ended:
+    def give_up(self, outcome: Outcome) -> None:
+        """Abandon the call, not its connection: a late answer is dropped, its msgid reserved until then."""
+        if self.finished:
             return
         if self.connection is not None:
-            self.connection.forget(self)
+            self.connection.abandon_call(self)
         elif self.peer is not None:
             self.peer.waiting.remove(self)
-        self.end(how)
+        self.finish(outcome)
 
     def _time_out(self) -> None:
         self.give_up(Outcome.TIMEOUT if self.written else Outcome.CONNECT_FAILED)
@@ -94,353 +94,387 @@
 
 @dataclass(slots=True, eq=False)
 class Peer:
-    """A server process as it is listed, and the connections to it."""
+    """A listed server process and the connections to it."""
 
     name: str
     address: Address
     started_ms: float
     current: bool = True
-    connections: list[Connection] = field(default_factory=list)
-    opening: int = 0
-    waiting: deque[Call] = field(default_factory=deque)
+    connections: list[UpstreamConnection] = field(default_factory=list)
+    connecting: int = 0
+    waiting: deque[UpstreamCall] = field(default_factory=deque)
 
 
-class Connection(asyncio.Protocol):
-    """One connection: calls out by msgid, answers in any order."""
+class UpstreamConnection(asyncio.Protocol):
+    """One connection: open calls by msgid, answered in any order."""
 
-    def __init__(self, peer: Peer, servers: RpcServers) -> None:
+    def __init__(self, peer: Peer, servers: RpcUpstream) -> None:
         self.peer = peer
-        self.calls: dict[int, Call] = {}
-        self.late: set[int] = set()  # msgids of calls that were given up after they were written
-        self.heard = 0.0  # when it last brought a byte, or a call was written on it while none was out
-        self.used = 0.0  # when a call last began or ended on it
+        self.calls: dict[int, UpstreamCall] = {}
+        self.late_msgids: set[int] = set()  # msgids of written calls that were abandoned before their answer
+        self.last_received_s = 0.0  # loop time of the last byte, or of a call sent while none was open
+        self.last_used_s = 0.0  # loop time at which a call last started or finished
         self._servers = servers
         self._loop = asyncio.get_running_loop()
-        self._reader = Reader(servers.terms.limits, frozenset({RESPONSE}))
-        self._queue: deque[Call] = deque()
-        self._choked = False
-        self._last = 0
+        self._reader = MessageReader(servers.config.limits, frozenset({RESPONSE}))
+        self._queue: deque[UpstreamCall] = deque()
+        self._write_paused = False
+        self._last_msgid = 0
         self._transport: asyncio.Transport | None = None
-        self._given_up = False
+        self._dial_abandoned = False
 
     def give_up_dial(self) -> None:
-        """The time to come up is over: it is not counted as open, and if it still comes up it is closed."""
-        self._given_up = True
-        self.break_off(Outcome.CONNECT_FAILED)
+        """The connect timeout expired: close the connection, also if it is established later."""
+        self._dial_abandoned = True
+        self.fail(Outcome.CONNECT_FAILED)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass
-        if self._given_up:
+        self._transport = cast(
+            asyncio.Transport, transport
+        )  # uvloop's transports do not subclass asyncio.Transport
+        if self._dial_abandoned:
             self._transport.abort()
             return
-        self._transport.set_write_buffer_limits(high=0)  # a frame is handed over when the one before has left
-        self.heard = self.used = self._loop.time()
-        self._servers.opened(self)
+        self._transport.set_write_buffer_limits(high=0)  # pauses until the previous frame has left the buffer
+        self.last_received_s = self.last_used_s = self._loop.time()
+        self._servers.connection_opened(self)
 
     def usable(self) -> bool:
         return self._transport is not None and not self._transport.is_closing()
 
-    def room(self) -> int:
-        """How many more calls it may take; one whose server owes many late answers takes none."""
-        terms = self._servers.terms
-        if not self.usable() or len(self.late) >= LATE_TIMES * terms.window:
+    def free_slots(self) -> int:
+        """How many more calls fit into the window; 0 while too many abandoned calls are unanswered."""
+        config = self._servers.config
+        if not self.usable() or len(self.late_msgids) >= MAX_LATE_WINDOWS * config.window:
             return 0
-        return terms.window - len(self.calls)
-
-    def carry(self, call: Call) -> None:
-        """Give a call a msgid of this connection's, and write it as soon as the socket takes it."""
-        self._last = self._last % MSGID_MOST + 1
-        while self._last in self.calls or self._last in self.late:
-            self._last = self._last % MSGID_MOST + 1
-        call.connection, call.msgid = self, self._last
+        return config.window - len(self.calls)
+
+    def send_call(self, call: UpstreamCall) -> None:
+        """Assign an unused msgid to a call, and write it as soon as the socket accepts data."""
+        self._last_msgid = self._last_msgid % MAX_MSGID + 1
+        while self._last_msgid in self.calls or self._last_msgid in self.late_msgids:
+            self._last_msgid = self._last_msgid % MAX_MSGID + 1
+        call.connection, call.msgid = self, self._last_msgid
         if not self.calls:
-            self.heard = self._loop.time()
+            self.last_received_s = self._loop.time()
         self.calls[call.msgid] = call
-        self.used = self._loop.time()
+        self.last_used_s = self._loop.time()
         self._queue.append(call)
         self._flush()
 
     def _flush(self) -> None:
-        while self._queue and not self._choked and self.usable():
+        while self._queue and not self._write_paused and self.usable():
             call = self._queue.popleft()
             assert self._transport is not None
             call.written = True
-            self._transport.write(call.frame(call.msgid))
+            self._transport.write(call.make_frame(call.msgid))
 
     def pause_writing(self) -> None:
-        self._choked = True
+        self._write_paused = True
 
     def resume_writing(self) -> None:
-        self._choked = False
+        self._write_paused = False
         self._flush()
 
-    def forget(self, call: Call) -> None:
-        """Nobody waits for this call any more."""
+    def abandon_call(self, call: UpstreamCall) -> None:
+        """Drop a call whose caller no longer waits."""
         del self.calls[call.msgid]
         if call.written:
-            self.late.add(call.msgid)
+            self.late_msgids.add(call.msgid)
         else:
             self._queue.remove(call)
-        self._after()
+        self._call_finished()
 
     def data_received(self, data: bytes) -> None:
-        self.heard = self._loop.time()
+        self.last_received_s = self._loop.time()
         for message in self._reader.feed(data):
             assert isinstance(message, Response)
-            if not self._answered(message):
+            if not self._handle_response(message):
                 return
         if self._reader.failure is not None:
-            log.warning("server %s: %s", self.peer.name, self._reader.failure)
-            self.break_off(Outcome.SPOILT)
-
-    def _answered(self, message: Response) -> bool:
-        """One answer; False where it breaks the connection: what was never asked, or asked once and answered
-        twice, leaves nothing on it to be trusted."""
-        if message.msgid in self.late:
-            self.late.discard(message.msgid)
-            self._after()
+            log.warning(
+                "server %s sent an invalid message; closing the connection: %s",
+                self.peer.name,
+                self._reader.failure,
+            )
+            self.fail(Outcome.SPOILT)
+
+    def _handle_response(self, message: Response) -> bool:
+        """Handle one response; False if it failed the connection.
+
+        After a response to an unknown msgid, or a second one to the same call, no msgid on the connection
+        can be trusted.
+        """
+        if message.msgid in self.late_msgids:
+            self.late_msgids.discard(message.msgid)
+            self._call_finished()
             return True
         call = self.calls.get(message.msgid)
         if call is None or not call.written:
-            log.warning("server %s answers msgid %d, which is not out", self.peer.name, message.msgid)
-            self.break_off(Outcome.SPOILT)
+            log.warning(
+                "server %s answered msgid %d, which is not open; closing the connection",
+                self.peer.name,
+                message.msgid,
+            )
+            self.fail(Outcome.SPOILT)
             return False
         del self.calls[message.msgid]
-        how = outcome(message.error, self._servers.terms.form)
-        answer = Answer(message.result, packed=True) if how is Outcome.OK else None
-        self._after()
-        call.end(how, answer)
+        outcome = outcome_of_error(message.error, self._servers.config.error_format)
+        answer = Answer(message.result, packed=True) if outcome is Outcome.OK else None
+        self._call_finished()
+        call.finish(outcome, answer)
         return True
 
-    def _after(self) -> None:
-        """A place in the window may be free, or the last call of a server that has gone has ended."""
-        self.used = self._loop.time()
+    def _call_finished(self) -> None:
+        """Use the free window slot, or close the connection after the last call of a removed server."""
+        self.last_used_s = self._loop.time()
         if self.peer.current:
-            self._servers.pump(self.peer)
+            self._servers.dispatch_waiting(self.peer)
         elif not self.calls:
-            self.abandon()
+            self.abort()
 
-    def leave(self) -> None:
-        """The server drains or has gone: nothing new is written; what is out may end."""
+    def drain(self) -> None:
+        """The server is draining or removed: write no new call, and let open ones finish."""
         queued, self._queue = list(self._queue), deque()
         for call in queued:
             self.calls.pop(call.msgid, None)
-            call.end(Outcome.MOOT)
+            call.finish(Outcome.MOOT)
         if not self.calls:
-            self.abandon()
+            self.abort()
 
-    def break_off(self, how: Outcome) -> None:
-        """End it, and every call on it by what is known: what was not written whole never ran."""
+    def fail(self, outcome: Outcome) -> None:
+        """Abort the connection and finish its calls: a call that was not written never ran."""
         calls, self.calls = list(self.calls.values()), {}
         self._queue.clear()
-        self.abandon()
+        self.abort()
         for call in calls:
-            call.end(how if call.written else Outcome.CONNECT_FAILED)
+            call.finish(outcome if call.written else Outcome.CONNECT_FAILED)
 
-    def abandon(self) -> None:
+    def abort(self) -> None:
         if self._transport is not None:
             self._transport.abort()
-        self._servers.closed(self)
+        self._servers.connection_closed(self)
 
     def eof_received(self) -> bool:
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
-        self.break_off(Outcome.RESET)
+        self.fail(Outcome.RESET)
 
-    def check(self, now: float) -> None:
-        """Dead if nothing at all has come for too long while calls are out; closed if long unused."""
-        terms = self._servers.terms
+    def check_timeouts(self, now: float) -> None:
+        """Fail the connection if it is silent with open calls; close it if it has been idle for too long."""
+        config = self._servers.config
         if self.calls:
-            if now - self.heard > terms.silence_s:
-                log.warning("server %s: nothing came for %.1f s", self.peer.name, terms.silence_s)
-                self.break_off(Outcome.TIMEOUT)
-        elif now - self.used > terms.idle_s:
-            self.abandon()
+            if now - self.last_received_s > config.silence_s:
+                log.warning(
+                    "server %s: nothing received for %.1f s; closing the connection",
+                    self.peer.name,
+                    config.silence_s,
+                )
+                self.fail(Outcome.TIMEOUT)
+        elif now - self.last_used_s > config.idle_s:
+            self.abort()
 
 
-class RpcServers:
-    """All servers that the list has named, and every connection to them."""
+class RpcUpstream:
+    """All listed servers and the connections to them."""
 
     def __init__(
-        self, terms: Terms, as_rpc: Callable[[Ask], RpcCall], as_body: Callable[[Answer], Answer]
+        self,
+        config: UpstreamConfig,
+        to_rpc: Callable[[Ask], RpcCall],
+        to_http_body: Callable[[Answer], Answer],
     ) -> None:
-        """as_rpc: how a request reads to these servers; as_body: how their answers read to an HTTP caller."""
-        self.terms = terms
-        self._as_rpc = as_rpc
-        self._as_body = as_body
+        """to_rpc converts a request for these servers, to_http_body their answers for HTTP callers."""
+        self.config = config
+        self._to_rpc = to_rpc
+        self._to_http_body = to_http_body
         self._loop = asyncio.get_running_loop()
-        self._table: PeerTable[Peer] = PeerTable(Peer, self._dropped)
-        self._open: dict[Connection, None] = {}
-        self._opening: dict[asyncio.Task[None], None] = {}
-        self._sweeper = self._loop.call_later(SWEEP_S, self._sweep)
+        self._table: PeerTable[Peer] = PeerTable(Peer, self._peer_removed)
+        self._connections: dict[UpstreamConnection, None] = {}
+        self._connect_tasks: dict[asyncio.Task[None], None] = {}
+        self._timeout_timer = self._loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self._check_timeouts)
 
-    # What the list says.
+    # Server list.
 
     def update(self, listing: Listing) -> list[ServerId]:
-        """Follow the list; returns the servers whose address is another's now."""
+        """Apply a server list; returns the servers whose address now belongs to another server."""
         return self._table.update(listing)
 
-    def _dropped(self, _: ServerId, peer: Peer) -> None:
+    def _peer_removed(self, _: ServerId, peer: Peer) -> None:
         waiting, peer.waiting = list(peer.waiting), deque()
         for call in waiting:
-            call.end(Outcome.MOOT)
+            call.finish(Outcome.MOOT)
         for connection in list(peer.connections):
-            connection.leave()
+            connection.drain()
 
     def any_listed(self) -> bool:
         return bool(self._table.peers)
 
     def open_connections(self) -> int:
-        return len(self._open)
+        return len(self._connections)
 
     # Calls.
 
-    def attempt(self, server: ServerId, ask: Ask, timeout_s: float, done: Done) -> Call:
-        """One attempt of a request, as the contract has it.  A notification is served once it is written."""
-        call = self._as_rpc(ask)
+    def attempt(self, server: ServerId, ask: Ask, timeout_s: float, done: Done) -> UpstreamCall:
+        """Start one attempt of a request. A notification counts as served once it is written."""
+        call = self._to_rpc(ask)
         if isinstance(ask.call, HttpCall):
-            told = done
+            on_done = done
 
-            def done(how: Outcome, answer: Answer | None, report: Report = (), /) -> None:
-                told(how, None if answer is None else self._as_body(answer))
+            def done(outcome: Outcome, answer: Answer | None, report: Report = (), /) -> None:
+                on_done(outcome, None if answer is None else self._to_http_body(answer))
 
         if call.notification:
-            return self._notify(server, call, timeout_s, done)
-        return self._begin(server, lambda msgid: request(msgid, call.method, call.params), timeout_s, done)
+            return self._send_notification(server, call, timeout_s, done)
+        return self._start_call(
+            server, lambda msgid: encode_request(msgid, call.method, call.params), timeout_s, done
+        )
 
-    def _notify(self, server: ServerId, call: RpcCall, timeout_s: float, done: Done) -> Call:
-        """It gets no response: it ends when its bytes have been handed to the socket."""
+    def _send_notification(
+        self, server: ServerId, call: RpcCall, timeout_s: float, done: Done
+    ) -> UpstreamCall:
+        """Send a notification, which has no response: it finishes once its bytes are passed to the socket."""
 
-        def frame(msgid: int) -> bytes:
-            self._loop.call_soon(self._noted, begun)
-            return notification(call.method, call.params)
+        def make_frame(msgid: int) -> bytes:
+            self._loop.call_soon(self._notification_sent, started)
+            return encode_notification(call.method, call.params)
 
-        begun = self._begin(server, frame, timeout_s, done)
-        return begun  # noqa: RET504 - the frame refers to it
+        started = self._start_call(server, make_frame, timeout_s, done)
+        return started  # noqa: RET504 - make_frame refers to it
 
     @staticmethod
-    def _noted(call: Call) -> None:
-        if not call.ended and call.connection is not None:
+    def _notification_sent(call: UpstreamCall) -> None:
+        if not call.finished and call.connection is not None:
             call.connection.calls.pop(call.msgid, None)
-            call.end(Outcome.OK, Answer(b"\xc0", packed=True))
-
-    def probe(self, server: ServerId, timeout_s: float, done: Done) -> Call:
-        """Ask for a sign of life: by the method that the operator named, else by a new connection."""
-        if self.terms.probe:
-            method = self.terms.probe
-            return self._begin(server, lambda msgid: request(msgid, method, b"\x90"), timeout_s, done)
+            call.finish(Outcome.OK, Answer(b"\xc0", packed=True))
+
+    def probe(self, server: ServerId, timeout_s: float, done: Done) -> UpstreamCall:
+        """Check the health of a server: by the configured method, otherwise by opening a connection."""
+        if self.config.probe:
+            method = self.config.probe
+            return self._start_call(
+                server, lambda msgid: encode_request(msgid, method, b"\x90"), timeout_s, done
+            )
         peer = self._table.peers.get(server)
-        call = Call(None, lambda _: b"", timeout_s, done)
+        call = UpstreamCall(None, lambda _: b"", timeout_s, done)
         if peer is None:
-            self._loop.call_soon(call.end, Outcome.CONNECT_FAILED)
+            self._loop.call_soon(call.finish, Outcome.CONNECT_FAILED)
         else:
-            self._open_one(peer, call)
+            self._open_connection(peer, call)
         return call
 
-    def _begin(self, server: ServerId, frame: Callable[[int], bytes], timeout_s: float, done: Done) -> Call:
+    def _start_call(
+        self, server: ServerId, make_frame: Callable[[int], bytes], timeout_s: float, done: Done
+    ) -> UpstreamCall:
         peer = self._table.peers.get(server)
-        call = Call(peer, frame, timeout_s, done)
-        most = WAITING_TIMES * self.terms.window * self.terms.connections
-        if peer is None or len(peer.waiting) >= most:
+        call = UpstreamCall(peer, make_frame, timeout_s, done)
+        max_waiting = MAX_WAITING_WINDOWS * self.config.window * self.config.connections
+        if peer is None or len(peer.waiting) >= max_waiting:
             call.peer = None
-            self._loop.call_soon(call.end, Outcome.CONNECT_FAILED)
+            self._loop.call_soon(call.finish, Outcome.CONNECT_FAILED)
             return call
         peer.waiting.append(call)
-        # At the earliest after this returns, as the contract has it: a write may fail at once.
-        self._loop.call_soon(self.pump, peer)
+        # Deferred: the outcome must not be reported before this returns, and a write may fail at once.
+        self._loop.call_soon(self.dispatch_waiting, peer)
         return call
 
-    def pump(self, peer: Peer) -> None:
-        """Put what waits on connections with room; open another where the rest would have to wait."""
+    def dispatch_waiting(self, peer: Peer) -> None:
+        """Assign waiting calls to free slots, and open another connection if some would still wait."""
         while peer.waiting:
-            best = max(peer.connections, key=Connection.room, default=None)
-            if best is None or best.room() <= 0:
+            best = max(peer.connections, key=UpstreamConnection.free_slots, default=None)
+            if best is None or best.free_slots() <= 0:
                 break
-            best.carry(peer.waiting.popleft())
-        places = peer.opening * self.terms.window
-        if len(peer.waiting) > places and len(peer.connections) + peer.opening < self.terms.connections:
-            self._open_one(peer, None)
-
-    def _open_one(self, peer: Peer, probe: Call | None) -> None:
-        if len(self._open) + len(self._opening) >= self.terms.most_open and not self._shed():
-            log.warning("no descriptor left for a connection to %s", peer.name)
-            self._failed(peer, probe)
+            best.send_call(peer.waiting.popleft())
+        expected_slots = peer.connecting * self.config.window
+        if (
+            len(peer.waiting) > expected_slots
+            and len(peer.connections) + peer.connecting < self.config.connections
+        ):
+            self._open_connection(peer, None)
+
+    def _open_connection(self, peer: Peer, probe: UpstreamCall | None) -> None:
+        if (
+            len(self._connections) + len(self._connect_tasks) >= self.config.most_open
+            and not self._close_longest_idle()
+        ):
+            log.warning("connection limit reached; cannot connect to server %s", peer.name)
+            self._connect_failed(peer, probe)
             return
-        peer.opening += 1
+        peer.connecting += 1
         task = self._loop.create_task(self._connect(peer, probe))
-        self._opening[task] = None
-        task.add_done_callback(lambda done: self._opening.pop(done, None))
+        self._connect_tasks[task] = None
+        task.add_done_callback(lambda done: self._connect_tasks.pop(done, None))
 
-    async def _connect(self, peer: Peer, probe: Call | None) -> None:
+    async def _connect(self, peer: Peer, probe: UpstreamCall | None) -> None:
         host, port = peer.address
         try:
-            await connect(lambda: Connection(peer, self), host, port, self.terms.connect_s)
+            await connect(lambda: UpstreamConnection(peer, self), host, port, self.config.connect_s)
         except (OSError, TimeoutError):
-            peer.opening -= 1
-            self._failed(peer, probe)
+            peer.connecting -= 1
+            self._connect_failed(peer, probe)
             return
-        peer.opening -= 1
+        peer.connecting -= 1
         if probe is not None:
-            probe.end(Outcome.OK)
+            probe.finish(Outcome.OK)
         if peer.current:
-            self.pump(peer)
+            self.dispatch_waiting(peer)
 
-    def _failed(self, peer: Peer, probe: Call | None) -> None:
-        """No connection came up: where there is no other, nothing that waits for one was ever sent."""
+    def _connect_failed(self, peer: Peer, probe: UpstreamCall | None) -> None:
+        """A connect failed; if no other connection is open or in progress, waiting calls fail unsent."""
         if probe is not None:
-            probe.end(Outcome.CONNECT_FAILED)
-        elif not any(c.usable() for c in peer.connections) and not peer.opening:
+            probe.finish(Outcome.CONNECT_FAILED)
+        elif not any(c.usable() for c in peer.connections) and not peer.connecting:
             waiting, peer.waiting = list(peer.waiting), deque()
             for call in waiting:
-                call.end(Outcome.CONNECT_FAILED)
+                call.finish(Outcome.CONNECT_FAILED)
 
     # Connections.
 
-    def opened(self, connection: Connection) -> None:
-        self._open[connection] = None
+    def connection_opened(self, connection: UpstreamConnection) -> None:
+        self._connections[connection] = None
         connection.peer.connections.append(connection)
         if not connection.peer.current:
-            connection.abandon()
+            connection.abort()
 
-    def closed(self, connection: Connection) -> None:
-        """It takes no calls any more; what waits may need another."""
-        self._open.pop(connection, None)
+    def connection_closed(self, connection: UpstreamConnection) -> None:
+        """Unregister a connection; waiting calls may need another one."""
+        self._connections.pop(connection, None)
         peer = connection.peer
         if connection in peer.connections:
             peer.connections.remove(connection)
             if peer.current and peer.waiting:
-                self._loop.call_soon(self.pump, peer)
+                self._loop.call_soon(self.dispatch_waiting, peer)
 
     def close_idle(self, server: ServerId) -> None:
         peer = self._table.peers.get(server)
         for connection in list(peer.connections) if peer is not None else ():
             if not connection.calls:
-                connection.abandon()
+                connection.abort()
 
-    def _shed(self) -> bool:
-        """Close the connection that has been without a call for the longest."""
-        idle = [c for c in self._open if not c.calls]
+    def _close_longest_idle(self) -> bool:
+        """Close the connection that has been idle for the longest time; False if none is idle."""
+        idle = [c for c in self._connections if not c.calls]
         if not idle:
             return False
-        min(idle, key=lambda c: c.used).abandon()
+        min(idle, key=lambda c: c.last_used_s).abort()
         return True
 
-    def _sweep(self) -> None:
-        self._sweeper = self._loop.call_later(SWEEP_S, self._sweep)
+    def _check_timeouts(self) -> None:
+        self._timeout_timer = self._loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self._check_timeouts)
         now = self._loop.time()
-        for connection in list(self._open):
-            connection.check(now)
+        for connection in list(self._connections):
+            connection.check_timeouts(now)
 
     def close(self) -> None:
-        """Leave nothing open."""
-        self._sweeper.cancel()
-        for task in list(self._opening):
+        """Finish all calls and close all connections."""
+        self._timeout_timer.cancel()
+        for task in list(self._connect_tasks):
             task.cancel()
         for peer in self._table.peers.values():
             waiting, peer.waiting = list(peer.waiting), deque()
             for call in waiting:
-                call.end(Outcome.CONNECT_FAILED)
-        for connection in list(self._open):
-            connection.break_off(Outcome.RESET)
+                call.finish(Outcome.CONNECT_FAILED)
+        for connection in list(self._connections):
+            connection.fail(Outcome.RESET)
--- a/tests/rpc/mixed.py
+++ b/tests/rpc/mixed.py
@@ -152,7 +152,7 @@
         callers += [_http_caller(w, names[half + i :: 24], tally) for i in range(24)]
         await asyncio.gather(*callers)
         restarting.cancel()
-        assert not w.node._requests and w.front._calls == 0 and w.front._bytes == 0
+        assert not w.node._requests and w.front._open_calls == 0 and w.front._held_bytes == 0
     for server in servers:
         await server.stop()
     return tally, set(names)
--- a/tests/rpc/stubs.py
+++ b/tests/rpc/stubs.py
@@ -15,7 +15,7 @@
 from leadrudder.node.lists import Naming
 from leadrudder.node.node import Node
 from leadrudder.rpc import attach
-from leadrudder.rpc.config import parse
+from leadrudder.rpc.config import parse_rpc_config
 from leadrudder.rpc.front import RpcFront
 from leadrudder.settings import read_settings
 from tests.stubs import HOST, PATIENCE_S, StubDiscovery, listing, settings
@@ -191,7 +191,7 @@
             conn_idle_ms=30_000.0,
         )
         file = {**FILE, **({} if http else {"upstream": upstream or {}}), **changes}
-        node = await attach.start(config, parse(file, config.settings))
+        node = await attach.start_node(config, parse_rpc_config(file, config.settings))
         serving = asyncio.create_task(node.wait())
         front = node._fronts[0]
         assert isinstance(front, RpcFront)
--- a/tests/rpc/test_config.py
+++ b/tests/rpc/test_config.py
@@ -16,7 +16,7 @@
 
 from leadrudder.cli import main
 from leadrudder.interface import Effect, RequestClass, Settings, Tenant
-from leadrudder.rpc.config import RpcConfigError, parse, read
+from leadrudder.rpc.config import RpcConfigError, parse_rpc_config, read_rpc_config
 
 ROOT = Path(__file__).parent.parent.parent
 SETTINGS = Settings(
@@ -31,15 +31,15 @@
 
 
 def test_the_example_that_is_kept_is_good_and_says_all_there_is() -> None:
-    config = read(str(ROOT / "deploy" / "rpc.toml"), SETTINGS)
-    assert config.terms is not None and len(config.listen) == 2 and len(config.methods) == 3
+    config = read_rpc_config(str(ROOT / "deploy" / "rpc.toml"), SETTINGS)
+    assert config.upstream is not None and len(config.listen) == 2 and len(config.methods) == 3
     raw = tomllib.loads((ROOT / "deploy" / "rpc.toml").read_text())
     assert set(raw) == {"front", "method", "meta", "defaults", "upstream", "limits", "errors"}
 
 
 def test_without_an_upstream_servers_speak_http() -> None:
-    config = parse(GOOD, SETTINGS)
-    assert config.terms is None and config.listen == () and config.meta.where == "last"
+    config = parse_rpc_config(GOOD, SETTINGS)
+    assert config.upstream is None and config.listen == () and config.metadata.location == "last"
 
 
 @pytest.mark.parametrize(
@@ -47,40 +47,40 @@
     [
         ({"method": []}, "method: at least one"),
         ({"method": {}}, "method: at least one"),
-        ({"method": [1]}, "method.0 is no table"),
+        ({"method": [1]}, "method.0 is not a table"),
         ({"method": [{"class": "varaus"}]}, "method.0.name is missing"),
-        ({"method": [{"name": "a", "class": "varaukset"}]}, "method.0.class is no class"),
+        ({"method": [{"name": "a", "class": "varaukset"}]}, "method.0.class is not a class"),
         ({"method": [{"name": "a", "class": "haku"}] * 2}, "method.1.name is mapped twice"),
         ({"method": [{"name": "a", "class": "haku", "retry": True}]}, "method.0.retry is unknown"),
-        ({"method": [{"name": "a", "class": "haku", "target": "/other"}]}, "method.0.target is no path"),
-        ({"method": [{"name": "a", "class": "haku", "target": "/api/a b"}]}, "method.0.target is no path"),
-        ({"front": 1}, "front is no table"),
-        ({"front": {"listen": "x:1"}}, "front.listen is no list"),
+        ({"method": [{"name": "a", "class": "haku", "target": "/other"}]}, "method.0.target is not a path"),
+        ({"method": [{"name": "a", "class": "haku", "target": "/api/a b"}]}, "method.0.target is not a path"),
+        ({"front": 1}, "front is not a table"),
+        ({"front": {"listen": "x:1"}}, "front.listen is not a list"),
         ({"front": {"listen": ["x"]}}, "front.listen.0 is neither"),
         ({"front": {"listen": ["x:99999"]}}, "front.listen.0 is neither"),
         ({"front": {"listen": ["unix:"]}}, "front.listen.0 is neither"),
-        ({"front": {"open_each": 0}}, "front.open_each is no whole number"),
-        ({"front": {"open_each": True}}, "front.open_each is no whole number"),
+        ({"front": {"open_each": 0}}, "front.open_each is not an integer"),
+        ({"front": {"open_each": True}}, "front.open_each is not an integer"),
         ({"front": {"opn_each": 1}}, "front.opn_each is unknown"),
-        ({"meta": {"where": "middle"}}, "meta.where is none of"),
-        ({"meta": {"where": "positions", "id": -1}}, "meta.id is no whole number"),
+        ({"meta": {"where": "middle"}}, "meta.where is not one of"),
+        ({"meta": {"where": "positions", "id": -1}}, "meta.id is not an integer"),
         ({"meta": {"where": "positions", "id": 1, "key": 1}}, "meta: two fields"),
-        ({"meta": {"id": 1}}, "meta.id is no text"),
-        ({"defaults": {"tenant": "other"}}, "defaults.tenant is no tenant"),
-        ({"defaults": {"deadline_s": -1}}, "defaults.deadline_s is no number"),
+        ({"meta": {"id": 1}}, "meta.id is not a string"),
+        ({"defaults": {"tenant": "other"}}, "defaults.tenant is not a tenant"),
+        ({"defaults": {"deadline_s": -1}}, "defaults.deadline_s is not a number"),
         ({"defaults": {"deadline_s": 4000}}, "defaults.deadline_s is more than"),
-        ({"upstream": {"window": 0}}, "upstream.window is no whole number"),
+        ({"upstream": {"window": 0}}, "upstream.window is not an integer"),
         ({"upstream": {"silence_s": 0}}, "upstream.silence_s is not above 0"),
-        ({"upstream": {"silence_s": float("inf")}}, "upstream.silence_s is no number"),
-        ({"upstream": {}, "errors": {"not_run": "x"}}, "errors.not_run is no list"),
-        ({"limits": {"size": 10}}, "limits.size is no whole number"),
-        ({"limits": {"depth": 1}}, "limits.depth is no whole number"),
+        ({"upstream": {"silence_s": float("inf")}}, "upstream.silence_s is not a number"),
+        ({"upstream": {}, "errors": {"not_run": "x"}}, "errors.not_run is not a list"),
+        ({"limits": {"size": 10}}, "limits.size is not an integer"),
+        ({"limits": {"depth": 1}}, "limits.depth is not an integer"),
         ({"upstreams": {}}, "upstreams is unknown"),
     ],
 )
 def test_a_file_that_cannot_be_meant_is_told_by_its_field(change: dict[str, Any], text: str) -> None:
     with pytest.raises(RpcConfigError) as caught:
-        parse({**GOOD, **change}, SETTINGS)
+        parse_rpc_config({**GOOD, **change}, SETTINGS)
     assert str(caught.value).startswith(text) and "\n" not in str(caught.value)
 
 
@@ -113,14 +113,14 @@
 def test_whatever_the_file_holds_it_is_taken_or_told(raw: Any) -> None:
     if isinstance(raw, dict):
         try:
-            parse({**GOOD, **raw}, SETTINGS)
+            parse_rpc_config({**GOOD, **raw}, SETTINGS)
         except RpcConfigError as error:
             assert str(error)
 
 
 def test_a_file_that_is_none_is_told() -> None:
     with pytest.raises(RpcConfigError, match="cannot be read"):
-        read(str(ROOT / "README.md"), SETTINGS)
+        read_rpc_config(str(ROOT / "README.md"), SETTINGS)
 
 
 def test_where_it_is_off_nothing_of_it_is_imported() -> None:
@@ -169,7 +169,7 @@
     told = capsys.readouterr().err
     assert expected in told and told.count("\n") == 1
     assert main(["rpc", str(file), "--config", str(file)]) == 2
-    assert "no settings of a node" in capsys.readouterr().err
+    assert "not a valid node configuration" in capsys.readouterr().err
 
 
 def test_a_node_that_is_started_with_a_bad_file_ends_with_one_line(tmp_path: Path) -> None:
@@ -188,5 +188,5 @@
         text=True,
     )
     assert done.returncode == 2
-    assert done.stderr.strip().endswith("method.0.class is no class of the settings: 'no'")
+    assert done.stderr.strip().endswith("method.0.class is not a class of the settings: 'no'")
     assert done.stderr.startswith("leadrudder: NODE_RPC: ")
--- a/tests/rpc/test_differential.py
+++ b/tests/rpc/test_differential.py
@@ -12,9 +12,9 @@
 from leadrudder.node.lists import Listing, Naming
 from leadrudder.node.node import Node
 from leadrudder.node.platform import SYSTEM
-from leadrudder.rpc.config import parse
+from leadrudder.rpc.config import parse_rpc_config
 from leadrudder.rpc.front import RpcFront
-from leadrudder.rpc.mapping import Calls
+from leadrudder.rpc.mapping import CallMapper
 from leadrudder.settings import read_settings
 from tests.rpc.stubs import FILE, RpcCaller
 from tests.stubs import HOST, Caller, listing, row, run, settings
@@ -145,9 +145,11 @@
         return actions
 
     node._balancer.handle = noted  # type: ignore[method-assign]
-    file = parse(FILE, made)
-    calls = Calls(made, file.methods, file.meta, file.defaults, lambda: b"none", file.bounds.limits)
-    front = RpcFront(calls, node.take, file.bounds)
+    file = parse_rpc_config(FILE, made)
+    call_mapper = CallMapper(
+        made, file.methods, file.metadata, file.defaults, lambda: b"none", file.front_limits.message
+    )
+    front = RpcFront(call_mapper, node.take, file.front_limits)
     node.add_front(front)
     serving = asyncio.create_task(node.wait())
     http_address = await node.start()
--- a/tests/rpc/test_framing.py
+++ b/tests/rpc/test_framing.py
@@ -1,4 +1,4 @@
-"""MessagePack-RPC framing: held against the msgpack library, in pieces of any size, within its limits."""
+"""MessagePack-RPC framing, compared with the msgpack library: input in pieces of any size, and limits."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
     NOTIFICATION,
     REQUEST,
     RESPONSE,
-    Limits,
+    MapPairs,
     Message,
+    MessageLimits,
+    MessageReader,
     Notification,
-    Pairs,
-    Reader,
     Request,
     Response,
-    notification,
+    encode_notification,
+    encode_request,
+    encode_response,
     pack,
-    request,
-    response,
     unpack,
 )
 
@@ -52,8 +52,11 @@
 )
 
 
-def reader(limits: Limits = Limits(), kinds: frozenset[int] = ALL) -> Reader:  # noqa: B008 - it is frozen
-    return Reader(limits, kinds)
+def reader(
+    limits: MessageLimits = MessageLimits(),  # noqa: B008 - it is frozen
+    kinds: frozenset[int] = ALL,
+) -> MessageReader:
+    return MessageReader(limits, kinds)
 
 
 def cut(data: bytes, cuts: list[int]) -> list[bytes]:
@@ -89,7 +92,7 @@
     it, told = reader(), []
     for piece in cut(b"".join(msgpack.packb(m) for m in messages), cuts):
         told += it.feed(piece)
-    assert it.failure is None and it.held() == 0
+    assert it.failure is None and it.buffered_bytes() == 0
     assert [as_told(message) for message in told] == messages
 
 
@@ -98,11 +101,11 @@
     raw = msgpack.packb(message)
     (told,) = reader().feed(raw)
     if isinstance(told, Request):
-        again = request(told.msgid, told.method, told.params)
+        again = encode_request(told.msgid, told.method, told.params)
     elif isinstance(told, Response):
-        again = response(told.msgid, told.error, told.result)
+        again = encode_response(told.msgid, told.error, told.result)
     else:
-        again = notification(told.method, told.params)
+        again = encode_notification(told.method, told.params)
     assert again == raw
 
 
@@ -147,7 +150,7 @@
         (b"\x94\x00\x07\xc4\x01m", "method", 7),
         (b"\x94\x00\x07\xa1m\x80", "array", 7),
         (b"\x94\x00\x07\xa1m\xc0", "array", 7),
-        (b"\x94\x00\x07\xa1m\x91\xc1", "no value", 7),
+        (b"\x94\x00\x07\xa1m\x91\xc1", "invalid first byte", 7),
         (b"\x94\x00\x07\xa1m\x91\xc6\xff\xff\xff\xff", "too large", 7),
         (b"\x94\x00\x07\xa1m\x91\xdb\xff\xff\xff\xff", "too large", 7),
         (b"\x94\x00\x07\xa1m\x91\xdd\xff\xff\xff\xff", "too large", 7),
@@ -161,8 +164,8 @@
     whole = reader()
     assert whole.feed(data) == []
     assert whole.failure is not None and text in str(whole.failure) and whole.failure.msgid == msgid
-    assert whole.held() == 0
-    assert whole.feed(request(1, "m", b"\x90")) == []
+    assert whole.buffered_bytes() == 0
+    assert whole.feed(encode_request(1, "m", b"\x90")) == []
     parts = reader()
     assert [message for byte in data for message in parts.feed(bytes([byte]))] == []
     assert str(parts.failure) == str(whole.failure)
@@ -170,50 +173,50 @@
 
 def test_messages_before_a_bad_one_are_told() -> None:
     it = reader()
-    assert len(it.feed(request(1, "m", b"\x90") + b"\xc1")) == 1
+    assert len(it.feed(encode_request(1, "m", b"\x90") + b"\xc1")) == 1
     assert it.failure is not None and it.failure.msgid is None
 
 
 def test_only_the_kinds_that_may_come_are_taken() -> None:
     it = reader(kinds=frozenset({RESPONSE}))
-    it.feed(request(1, "m", b"\x90"))
+    it.feed(encode_request(1, "m", b"\x90"))
     assert it.failure is not None
 
 
 @pytest.mark.parametrize("size", [100, 1000])
 def test_a_message_is_held_to_its_size_to_the_byte(size: int) -> None:
-    head = len(request(1, "m", b"\x91")) + 3  # of a binary of up to 64 KB
-    fits = request(1, "m", b"\x91\xc5" + (size - head).to_bytes(2, "big") + b"x" * (size - head))
+    head = len(encode_request(1, "m", b"\x91")) + 3  # of a binary of up to 64 KB
+    fits = encode_request(1, "m", b"\x91\xc5" + (size - head).to_bytes(2, "big") + b"x" * (size - head))
     assert len(fits) == size
-    assert len(reader(Limits(size=size)).feed(fits)) == 1
-    over = reader(Limits(size=size - 1))
+    assert len(reader(MessageLimits(size=size)).feed(fits)) == 1
+    over = reader(MessageLimits(size=size - 1))
     assert over.feed(fits) == [] and over.failure is not None
 
 
 def test_a_message_of_a_byte_at_a_time_costs_what_it_holds() -> None:
     """Read from its beginning at each byte, 64 KB cost two thousand million steps."""
-    data = request(1, "m", b"\xdc\x27\x10" + b"\x01" * 10_000)
+    data = encode_request(1, "m", b"\xdc\x27\x10" + b"\x01" * 10_000)
     it, looks = reader(), 0
     for byte in data:
-        walk = it._walk
-        before = walk.at
+        scanner = it._scanner
+        before = scanner.position
         it.feed(bytes([byte]))
-        looks += max(0, it._walk.at - before) if it._walk is walk else 1
-    assert looks <= 2 * len(data) and it.held() == 0
+        looks += max(0, it._scanner.position - before) if it._scanner is scanner else 1
+    assert looks <= 2 * len(data) and it.buffered_bytes() == 0
 
 
 def test_what_a_peer_announces_sets_nothing_aside() -> None:
     """The library's unpacker makes room for what a header announces, at every depth anew."""
     it = reader()
     it.feed(b"\x94\x00\x01\xa1m\x91" + b"\xdc\x40\x00" * 3)
-    assert it.failure is None and it.held() < 20
-    assert sum(len(walk.marks) for walk in [*it._walks, it._walk]) == 0
+    assert it.failure is None and it.buffered_bytes() < 20
+    assert sum(len(scanner.item_ends) for scanner in [*it._scanned, it._scanner]) == 0
 
 
 def test_a_map_is_read_with_keys_of_any_type_and_the_last_of_two_counts() -> None:
     raw = b"\x84\xa2id\x01\x90\x02\xa2id\x03\xc0\x04"
     pairs = unpack(raw)
-    assert isinstance(pairs, Pairs) and pairs.get("id") == 3 and pairs.get("key") is None
+    assert isinstance(pairs, MapPairs) and pairs.get("id") == 3 and pairs.get("key") is None
     assert unpack(NIL) is None and pack(None) == NIL
 
 
--- a/tests/rpc/test_front.py
+++ b/tests/rpc/test_front.py
@@ -125,9 +125,9 @@
                 await asyncio.sleep(0)
             server.release.set()
             assert (await other.answer())[1] is None
-            while w.front._calls:
+            while w.front._open_calls:
                 await asyncio.sleep(0)
-            assert w.front._bytes == 0 and not w.node._held
+            assert w.front._held_bytes == 0 and not w.node._held
 
     run(main())
 
@@ -140,7 +140,7 @@
             caller.ask("look")
             assert (await caller.answer())[0] == 1
             await server.seen(2)
-            while w.front._calls:
+            while w.front._open_calls:
                 await asyncio.sleep(0)
             assert server.runs["note"] == 1
 
@@ -165,7 +165,7 @@
                 await liar.read()
             server.release.set()
             assert (await other.answer())[1] is None
-            assert len(w.front._open) == 1
+            assert len(w.front._connections) == 1
 
     run(main())
 
@@ -183,7 +183,9 @@
 
 
 async def _stalled(w: RpcWorld) -> None:
-    while not any(c._unread or not c._transport.is_reading() for c in w.front._open if c._transport):
+    while not any(
+        c._pending_input or not c._transport.is_reading() for c in w.front._connections if c._transport
+    ):
         await asyncio.sleep(0)
 
 
@@ -198,9 +200,9 @@
                 caller.ask("look")
             await _stalled(w)
             await server.seen(4)
-            (connection,) = w.front._open
+            (connection,) = w.front._connections
             # One piece of input may bring some more than there are places; no further piece is read.
-            assert len(connection.open) <= 4 + 4096 // 20
+            assert len(connection.open_calls) <= 4 + 4096 // 20
             server.release.set()
             answers = [await caller.answer() for _ in range(50)]
             assert {msgid for msgid, _, _ in answers} == set(range(1, 51))
@@ -229,7 +231,7 @@
 
 def test_a_caller_that_never_reads_is_read_no_further_and_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
-        monkeypatch.setattr("leadrudder.rpc.front.UNREAD_S", 0.3)
+        monkeypatch.setattr("leadrudder.rpc.front.WRITE_STALL_TIMEOUT_S", 0.3)
         async with RpcServer() as server, rpc_world(row("a", server.address)) as w:
             caller = await w.caller()
             caller.reader._transport.pause_reading()  # type: ignore[attr-defined]
@@ -239,8 +241,8 @@
                 if caller.writer.transport.get_write_buffer_size() < 1_000_000:
                     caller.ask("look", big)
                 await asyncio.sleep(0.001)
-                dropped = not w.front._open
-            assert w.front._bytes <= 64 * 40_000
+                dropped = not w.front._connections
+            assert w.front._held_bytes <= 64 * 40_000
             assert (await _fine(w)) is None
 
     run(main())
--- a/tests/rpc/test_upstream.py
+++ b/tests/rpc/test_upstream.py
@@ -1,4 +1,4 @@
-"""The RPC upstream over loopback: windows, late answers, lies, drops in every place, drains, silence."""
+"""The RPC upstream over loopback: windows, late and false answers, lost connections, drains, silence."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from leadrudder.node.lists import Naming
 from leadrudder.node.reports import Report
 from leadrudder.rpc.framing import pack
-from leadrudder.rpc.upstream import RpcServers, Terms
+from leadrudder.rpc.upstream import RpcUpstream, UpstreamConfig
 from tests.rpc.stubs import RpcPeer, RpcServer, rpc_world, serve
 from tests.stubs import PATIENCE_S, StubServer, listing, reply, row, run
 
@@ -29,8 +29,8 @@
 class Side:
     """An upstream by itself, and how its calls ended."""
 
-    def __init__(self, *servers: RpcServer, **terms: Any) -> None:
-        self.upstream = RpcServers(Terms(**terms), lambda ask: _rpc(ask), lambda answer: answer)
+    def __init__(self, *servers: RpcServer, **config: Any) -> None:
+        self.upstream = RpcUpstream(UpstreamConfig(**config), lambda ask: _rpc(ask), lambda answer: answer)
         self.rows = [row(f"s{i}", server.address) for i, server in enumerate(servers)]
         self.upstream.update(NAMING.read(listing(1, *self.rows)))
         self.ended: dict[int, tuple[Outcome, Answer | None]] = {}
@@ -123,15 +123,15 @@
             await server.seen(1)
             side.calls[0].give_up(Outcome.CANCELLED)
             (connection,) = side.connections()
-            assert connection.late == {1}
-            connection._last = 0  # as after four thousand million calls
+            assert connection.late_msgids == {1}
+            connection._last_msgid = 0  # as after four thousand million calls
             side.call()
             await server.seen(2)
             assert server.calls[1][1] == 2, "the msgid of a call whose answer is out"
             server.peers[0].send(1, 1, None, "late")
             server.peers[0].send(1, 2, None, "in time")
             assert await side.all() == [Outcome.CANCELLED, Outcome.OK]
-            assert side.connections() == [connection] and not connection.late
+            assert side.connections() == [connection] and not connection.late_msgids
             side.upstream.close()
 
     run(main())
@@ -146,7 +146,7 @@
                 await server.seen(i + 1)
                 side.calls[i].give_up(Outcome.CANCELLED)
             (full,) = side.connections()
-            assert len(full.late) == 4 and full.room() == 0
+            assert len(full.late_msgids) == 4 and full.free_slots() == 0
             side.call()
             await server.seen(5)
             assert len(server.peers) == 2
@@ -177,7 +177,7 @@
             for _ in range(3):
                 side.call()
             assert await side.all() == [Outcome.OK, Outcome.SPOILT, Outcome.SPOILT]
-            assert not side.connections() and not side.upstream._open
+            assert not side.connections() and not side.upstream._connections
             side.upstream.close()
 
     run(main())
@@ -221,14 +221,16 @@
             await server.seen(1)
             server.peers[0].reader._transport.pause_reading()  # type: ignore[attr-defined]
             (connection,) = side.connections()
-            while not connection._choked:
+            while not connection._write_paused:
                 side.call(size=60_000)
                 await asyncio.sleep(0)
                 if len(side.calls) - len(side.ended) >= 15:
                     # The kernel's buffers took them all: as many again.
                     break
-            queued = [side.call(size=60_000) for _ in range(3)] if connection._choked else []
-            await side.until(lambda: not side.upstream._table.peers[b"s0"].waiting or not connection._choked)
+            queued = [side.call(size=60_000) for _ in range(3)] if connection._write_paused else []
+            await side.until(
+                lambda: not side.upstream._table.peers[b"s0"].waiting or not connection._write_paused
+            )
             written = [call.written for call in side.calls]
             server.peers[0].close()
             await server.stop()
@@ -291,7 +293,7 @@
             outcomes = await side.all()
             assert outcomes[:100] == [Outcome.OK] * 100
             assert len(server.calls) == 100
-            await side.until(lambda: not side.upstream._open)
+            await side.until(lambda: not side.upstream._connections)
             side.upstream.close()
 
     run(main())
@@ -308,12 +310,12 @@
             side.call()
             await server.seen(1)
             (connection,) = side.connections()
-            connection.heard -= 30.0  # as if that call had been out for half a minute
+            connection.last_received_s -= 30.0  # as if that call had been out for half a minute
             side.call()
             await side.until(lambda: 1 in side.ended)  # another one is answered meanwhile
-            connection.check(connection.heard + 19.0)
+            connection.check_timeouts(connection.last_received_s + 19.0)
             assert 0 not in side.ended, "one long call ended its connection"
-            connection.check(connection.heard + 21.0)
+            connection.check_timeouts(connection.last_received_s + 21.0)
             assert side.ended[0][0] is Outcome.TIMEOUT
             side.upstream.close()
 
@@ -329,7 +331,7 @@
             assert await side.all() == [Outcome.TIMEOUT, Outcome.CONNECT_FAILED]
             assert len(server.calls) == 1
             (connection,) = side.connections()
-            assert connection.usable() and connection.late == {1}
+            assert connection.usable() and connection.late_msgids == {1}
             side.upstream.close()
 
     run(main())
@@ -374,7 +376,7 @@
             before = len(asyncio.all_tasks())
             side.upstream.close()
             assert len(await side.all()) == 5
-            await side.until(lambda: not side.upstream._open and not side.upstream._opening)
+            await side.until(lambda: not side.upstream._connections and not side.upstream._connect_tasks)
             assert len(asyncio.all_tasks()) <= before
 
     run(main())
