--- a/leadrudder/demo/__init__.py
+++ b/leadrudder/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A real node between stand-ins on loopback, for ten seconds: what the product does, seen on any machine."""
+"""A real node between stand-in servers, discovery and callers on loopback: shows what the product does."""
--- a/leadrudder/demo/command.py
+++ b/leadrudder/demo/command.py
@@ -1,4 +1,4 @@
-"""leadrudder demo."""
+"""The `demo` command of the tool."""
 
 from __future__ import annotations
 
@@ -13,35 +13,35 @@
 
 import click
 
-from leadrudder.demo.parts import HOST, Discovery, Server, call
+from leadrudder.demo.parts import HOST, StandInDiscovery, StandInServer, run_caller
 from leadrudder.demo.record import Record
 from leadrudder.tool.check import Checked, check_sources
 from leadrudder.tool.render import Rendered, render
 from leadrudder.tool.source import parse
 from leadrudder.tool.template import template
 
-SERVERS = 5
-CALLERS = 24
-KILL_AT, DRAIN_AT, GONE_AT = 0.3, 0.5, 0.7  # parts of the whole time
-LAST_S = 4.0  # for what is on its way at the end
+SERVER_COUNT = 5
+CALLER_COUNT = 24
+KILL_AT_FRACTION, DRAIN_AT_FRACTION, REMOVE_AT_FRACTION = 0.3, 0.5, 0.7  # of the run time
+COMPLETION_GRACE_S = 4.0  # for requests still in progress at the end
 
 
-def _rendered(port: int, discovery: str) -> Rendered:
-    """The node of the file that `leadrudder init` writes."""
-    done = Checked()
+def _render_node(port: int, discovery: str) -> Rendered:
+    """The node described by the file that `leadrudder init` writes."""
+    checked = Checked()
     check_sources(
-        [parse("demo.toml", template("demo.toml", "demo", "palvelu", f"{HOST}:{port}", discovery))], done
+        [parse("demo.toml", template("demo.toml", "demo", "palvelu", f"{HOST}:{port}", discovery))], checked
     )
-    return render(done.files[0])[0]
+    return render(checked.files[0])[0]
 
 
 def _free_port() -> int:
-    with socket.socket() as one:
-        one.bind((HOST, 0))
-        return int(one.getsockname()[1])
+    with socket.socket() as probe_socket:
+        probe_socket.bind((HOST, 0))
+        return int(probe_socket.getsockname()[1])
 
 
-async def _ready(port: int, process: asyncio.subprocess.Process) -> None:
+async def _wait_until_ready(port: int, process: asyncio.subprocess.Process) -> None:
     while process.returncode is None:
         with contextlib.suppress(OSError):
             reader, writer = await asyncio.open_connection(HOST, port)
@@ -54,51 +54,51 @@
     raise click.ClickException("the node ended before it was ready")
 
 
-async def _events(servers: list[Server], discovery: Discovery, seconds: float) -> None:
-    """One server is killed, another drains and goes."""
+async def _run_events(servers: list[StandInServer], discovery: StandInDiscovery, seconds: float) -> None:
+    """Kill one server; drain another one and remove it."""
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    started_s = loop.time()
 
-    async def at(part: float) -> None:
-        await asyncio.sleep(max(0.0, began + part * seconds - loop.time()))
+    async def wait_until(fraction: float) -> None:
+        await asyncio.sleep(max(0.0, started_s + fraction * seconds - loop.time()))
 
-    await at(KILL_AT)
-    print(f"{KILL_AT * seconds:5.1f} s  server {servers[0].name} is killed", flush=True)
+    await wait_until(KILL_AT_FRACTION)
+    print(f"{KILL_AT_FRACTION * seconds:5.1f} s  server {servers[0].name} is killed", flush=True)
     servers[0].kill()
-    await at(DRAIN_AT)
-    print(f"{DRAIN_AT * seconds:5.1f} s  server {servers[1].name} drains", flush=True)
-    discovery.change(servers[0].row("DELETED"))
-    discovery.change(servers[1].row("DRAINING"))
-    await at(GONE_AT)
+    await wait_until(DRAIN_AT_FRACTION)
+    print(f"{DRAIN_AT_FRACTION * seconds:5.1f} s  server {servers[1].name} drains", flush=True)
+    discovery.publish(servers[0].instance("DELETED"))
+    discovery.publish(servers[1].instance("DRAINING"))
+    await wait_until(REMOVE_AT_FRACTION)
     servers[1].draining = True
-    discovery.change(servers[1].row("DELETED"))
+    discovery.publish(servers[1].instance("DELETED"))
 
 
 async def _progress(record: Record, seconds: float) -> None:
     for second in range(1, int(seconds) + 1):
         await asyncio.sleep(1.0)
-        print(f"{second:5.1f} s  {record.line()}", flush=True)
+        print(f"{second:5.1f} s  {record.progress_line()}", flush=True)
 
 
-async def _play(seconds: float) -> Record:
-    record, keys = Record(), set[str]()
-    servers = [Server(f"palvelin-{i + 1}", record, keys) for i in range(SERVERS)]
+async def _run_demo(seconds: float) -> Record:
+    record, executed_keys = Record(), set[str]()
+    servers = [StandInServer(f"palvelin-{i + 1}", record, executed_keys) for i in range(SERVER_COUNT)]
     for server in servers:
         await server.start()
-    rows = [server.row() for server in servers]
+    instances = [server.instance() for server in servers]
     by_name = {server.name: server for server in servers}
 
-    def told(name: str) -> None:
+    def drain_announced(name: str) -> None:
         server = by_name[name]
-        server.told_s = server.told_s or asyncio.get_running_loop().time()
+        server.drain_announced_s = server.drain_announced_s or asyncio.get_running_loop().time()
 
-    discovery = Discovery(rows, told)
+    discovery = StandInDiscovery(instances, drain_announced)
     await discovery.start()
     port = _free_port()
-    node = _rendered(port, discovery.address)
-    with tempfile.TemporaryDirectory(prefix="leadrudder-") as folder:
-        path = Path(folder) / "config.json"
-        path.write_text(json.dumps({**node.config, "known": discovery.listing(rows, whole=True)}))
+    node = _render_node(port, discovery.address)
+    with tempfile.TemporaryDirectory(prefix="leadrudder-") as directory:
+        path = Path(directory) / "config.json"
+        path.write_text(json.dumps({**node.config, "known": discovery.listing(instances, reset=True)}))
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -107,13 +107,15 @@
             stderr=asyncio.subprocess.DEVNULL,
         )
         try:
-            await _ready(port, process)
-            await discovery.watched.wait()  # what changes from here on is told to the node
-            until = asyncio.get_running_loop().time() + seconds
-            callers = [call(port, record, number, until) for number in range(CALLERS)]
+            await _wait_until_ready(port, process)
+            await discovery.watched.wait()  # from here on the node receives every update
+            until_s = asyncio.get_running_loop().time() + seconds
+            callers = [run_caller(port, record, number, until_s) for number in range(CALLER_COUNT)]
             await asyncio.wait_for(
-                asyncio.gather(*callers, _events(servers, discovery, seconds), _progress(record, seconds)),
-                seconds + LAST_S,
+                asyncio.gather(
+                    *callers, _run_events(servers, discovery, seconds), _progress(record, seconds)
+                ),
+                seconds + COMPLETION_GRACE_S,
             )
         finally:
             if process.returncode is None:
@@ -130,11 +132,11 @@
 def demo(seconds: float) -> int:
     """Run a real node between stand-in servers, discovery and callers on loopback, and check the rules.
 
-    A server is killed and one drains meanwhile. Exit code 0 only if no request was lost, no effect happened
-    twice, and the drain was kept.
+    A server is killed and another drains meanwhile. Exit code 0 only if no request was lost, no effect
+    happened twice, and the drain was kept.
     """
-    record = asyncio.run(_play(seconds))
+    record = asyncio.run(_run_demo(seconds))
     print(record.table())
-    broken = record.broken()
-    print("the rules held" if not broken else f"broken: {'; '.join(broken)}")
-    return 1 if broken else 0
+    violations = record.violations()
+    print("the rules held" if not violations else f"broken: {'; '.join(violations)}")
+    return 1 if violations else 0
--- a/leadrudder/demo/record.py
+++ b/leadrudder/demo/record.py
@@ -1,85 +1,92 @@
-"""What came of the demonstration's requests, and whether the rules held. No I/O."""
+"""Results of the demo requests, and the checks of the rules. No I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-DRAIN_S = 0.3  # the grace of 250 ms and the protocol's tolerance
+DRAIN_DEADLINE_S = 0.3  # drain grace of 250 ms, plus a tolerance for the protocol
 
 
 @dataclass
 class Operation:
-    """One request of a caller's, which is made once."""
+    """One request, which its caller sends once."""
 
     name: str
-    outcome: str = "lost"  # until an answer is there
+    outcome: str = "lost"  # until an answer arrives
     latency_s: float = 0.0
-    ran: int = 0  # effects on the servers
+    executions: int = 0  # how many times servers executed it
 
 
 @dataclass
 class Record:
-    """All operations, and what servers saw too late."""
+    """All operations, and the requests that arrived too long after an announced drain."""
 
     operations: dict[str, Operation] = field(default_factory=dict)
-    after_drain: int = 0
+    requests_after_drain: int = 0
 
-    def begin(self, identity: str, name: str) -> Operation:
-        operation = self.operations[identity] = Operation(name)
+    def add_operation(self, request_id: str, name: str) -> Operation:
+        operation = self.operations[request_id] = Operation(name)
         return operation
 
-    def ran(self, identity: str) -> None:
-        """A server begins an effect."""
-        if identity in self.operations:
-            self.operations[identity].ran += 1
+    def count_execution(self, request_id: str) -> None:
+        """A server starts to execute a request."""
+        if request_id in self.operations:
+            self.operations[request_id].executions += 1
 
-    def arrived(self, told_s: float | None, now_s: float) -> None:
-        """A request comes to a server; told_s: when its node was told that it drains."""
-        if told_s is not None and now_s - told_s > DRAIN_S:
-            self.after_drain += 1
+    def count_arrival(self, drain_announced_s: float | None, now_s: float) -> None:
+        """A request arrives at a server; drain_announced_s: when the node was told that the server drains."""
+        if drain_announced_s is not None and now_s - drain_announced_s > DRAIN_DEADLINE_S:
+            self.requests_after_drain += 1
 
-    def broken(self) -> list[str]:
-        """The rules that did not hold, in words."""
+    def violations(self) -> list[str]:
+        """Descriptions of the violated rules."""
         operations = self.operations.values()
         lost = sum(o.outcome == "lost" for o in operations)
-        doubled = sum(o.ran > 1 for o in operations)
-        refused = sum(o.outcome == "refused" and o.name == "varaus" and o.ran > 0 for o in operations)
-        untrue = sum(o.outcome == "served" and not o.ran for o in operations)
-        found = [
+        repeated = sum(o.executions > 1 for o in operations)
+        refused_executed = sum(
+            o.outcome == "refused" and o.name == "varaus" and o.executions > 0 for o in operations
+        )
+        served_unexecuted = sum(o.outcome == "served" and not o.executions for o in operations)
+        checks = [
             (lost, "requests without an answer"),
-            (doubled, "effects that happened twice"),
-            (refused, "bookings that were refused and had run"),
-            (untrue, "requests served that no server ran"),
-            (self.after_drain, "requests to a server that was told to drain"),
+            (repeated, "effects that happened twice"),
+            (refused_executed, "bookings that were refused and had run"),
+            (served_unexecuted, "requests served that no server ran"),
+            (self.requests_after_drain, "requests to a server that was told to drain"),
         ]
-        return [f"{count} {what}" for count, what in found if count]
+        return [f"{count} {text}" for count, text in checks if count]
 
     def table(self) -> str:
-        """A line for each class."""
+        """A table of the results by request class."""
         head = f"{'class':8} {'served':>7} {'refused':>8} {'failed':>7} {'doubled':>8} {'lost':>5}"
         lines = [f"{head}  p50 ms  p99 ms"]
         for name in sorted({o.name for o in self.operations.values()}):
-            mine = [o for o in self.operations.values() if o.name == name]
-            served = sorted(o.latency_s for o in mine if o.outcome == "served")
-            count = {
-                kind: sum(o.outcome == kind for o in mine) for kind in ("served", "refused", "failed", "lost")
+            of_class = [o for o in self.operations.values() if o.name == name]
+            served = sorted(o.latency_s for o in of_class if o.outcome == "served")
+            counts = {
+                outcome: sum(o.outcome == outcome for o in of_class)
+                for outcome in ("served", "refused", "failed", "lost")
             }
-            doubled = sum(o.ran > 1 for o in mine)
+            doubled = sum(o.executions > 1 for o in of_class)
             lines.append(
-                f"{name:8} {count['served']:7} {count['refused']:8} {count['failed']:7} {doubled:8}"
-                f" {count['lost']:5} {_part(served, 0.5):7.0f} {_part(served, 0.99):7.0f}"
+                f"{name:8} {counts['served']:7} {counts['refused']:8} {counts['failed']:7} {doubled:8}"
+                f" {counts['lost']:5} {_percentile_ms(served, 0.5):7.0f} {_percentile_ms(served, 0.99):7.0f}"
             )
         return "\n".join(lines)
 
-    def line(self) -> str:
-        """What is known so far, in one line."""
+    def progress_line(self) -> str:
+        """The results so far in one line."""
         operations = self.operations.values()
         served, refused, failed = (
-            sum(o.outcome == kind for o in operations) for kind in ("served", "refused", "failed")
+            sum(o.outcome == outcome for o in operations) for outcome in ("served", "refused", "failed")
         )
         return f"{served} served, {refused} refused, {failed} failed"
 
 
-def _part(latencies: list[float], part: float) -> float:
-    """Milliseconds that this part of the sorted latencies stays within."""
-    return 1000.0 * latencies[min(len(latencies) - 1, int(part * len(latencies)))] if latencies else 0.0
+def _percentile_ms(sorted_latencies_s: list[float], fraction: float) -> float:
+    """A percentile of the sorted latencies, in milliseconds."""
+    return (
+        1000.0 * sorted_latencies_s[min(len(sorted_latencies_s) - 1, int(fraction * len(sorted_latencies_s)))]
+        if sorted_latencies_s
+        else 0.0
+    )
