--- a/bench/rpc.py
+++ b/bench/rpc.py
@@ -239,14 +239,14 @@
     tally, names = uvloop.run(play(chosen.calls))
     print(f"mixed: {len(names)} calls, {tally.restarts} restarts", file=sys.stderr)
     cost = uvloop.run(_measure(chosen.requests, chosen.rounds))
-    ends = " ".join(f"{how}={tally.count(how)}" for how in ("served", "refused", "failed"))
-    lost, doubled = tally.lost(names), tally.doubled()
+    ends = " ".join(f"{how}={tally.count_ended(how)}" for how in ("served", "refused", "failed"))
+    lost, doubled = tally.unanswered(names), tally.bookings_executed_twice()
     figures = " ".join(f"{name}={value:.2f}" for name, value in cost.items())
     print(
-        f"calls={len(names)} {ends} lost={lost} doubled={doubled} twice={tally.twice()}"
-        f" served_unrun={tally.served_unrun()} restarts={tally.restarts} {figures}"
+        f"calls={len(names)} {ends} lost={lost} doubled={doubled} twice={tally.ended_repeatedly()}"
+        f" served_unrun={tally.served_unexecuted()} restarts={tally.restarts} {figures}"
     )
-    return 1 if lost or doubled or tally.twice() or tally.served_unrun() else 0
+    return 1 if lost or doubled or tally.ended_repeatedly() or tally.served_unexecuted() else 0
 
 
 if __name__ == "__main__":
--- a/tests/rpc/stubs.py
+++ b/tests/rpc/stubs.py
@@ -1,4 +1,4 @@
-"""Stand-ins that speak MessagePack-RPC on loopback, from the specification, on the msgpack library alone."""
+"""Stand-in callers and servers for MessagePack-RPC on loopback, built on the msgpack library alone."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
     {"name": "move", "class": "move"},
     {"name": "book", "class": "book"},
 ]
-FILE: dict[str, Any] = {
+OPERATOR_FILE: dict[str, Any] = {
     "front": {"listen": [f"{HOST}:0"]},
     "method": METHODS,
     "defaults": {"tenant": "acme", "deadline_s": 3.0},
 }
 
 
-class RpcPeer:
-    """One end of a connection: messages out, messages in."""
+class RpcStream:
+    """One end of a connection: sends and receives whole messages."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -44,66 +44,66 @@
             self.writer.write(msgpack.packb(message))
 
     async def read(self) -> list[Any]:
-        """The next message; ConnectionError at the end."""
+        """Read the next message; ConnectionError at the end of the stream."""
         while True:
             for message in self._unpacker:
                 return list(message)
             data = await asyncio.wait_for(self.reader.read(65536), PATIENCE_S)
             if not data:
-                raise ConnectionError("ended")
+                raise ConnectionError("the connection was closed")
             self._unpacker.feed(data)
 
     def close(self) -> None:
         self.writer.transport.abort()
 
 
-Behaviour = Callable[["RpcServer", RpcPeer, list[Any]], Awaitable[None]]
+CallHandler = Callable[["RpcServer", RpcStream, list[Any]], Awaitable[None]]
 
 
-async def serve(server: RpcServer, peer: RpcPeer, message: list[Any]) -> None:
-    """Run it, and answer with what it was given."""
+async def serve(server: RpcServer, peer: RpcStream, message: list[Any]) -> None:
+    """Execute a call, and answer a request with its own parameters."""
     if message[0] == 0:
-        server.run(message[3])
+        server.execute(message[3])
         peer.send(1, message[1], None, {"by": server.name, "params": message[3]})
     else:
-        server.run(message[2])
+        server.execute(message[2])
 
 
 class RpcServer:
-    """Takes calls on every connection; what it does with each is its behaviour's."""
+    """Accepts calls on every connection and passes each one to handle_call."""
 
-    def __init__(self, behave: Behaviour = serve, name: str = "a") -> None:
-        self.behave = behave
+    def __init__(self, handle_call: CallHandler = serve, name: str = "a") -> None:
+        self.handle_call = handle_call
         self.name = name
-        self.runs: Counter[str] = Counter()  # by the id that the call told
+        self.executions: Counter[str] = Counter()  # executions by request id
         self.calls: list[list[Any]] = []
-        self.came = asyncio.Condition()
+        self.calls_changed = asyncio.Condition()
         self.release = asyncio.Event()
-        self.peers: list[RpcPeer] = []
+        self.peers: list[RpcStream] = []
         self.address = ""
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
 
-    def run(self, params: list[Any]) -> None:
-        """A call has an effect here."""
-        told = params[-1] if params and isinstance(params[-1], dict) else {}
-        self.runs[str(told.get("id"))] += 1
+    def execute(self, params: list[Any]) -> None:
+        """Count the execution of a call."""
+        metadata = params[-1] if params and isinstance(params[-1], dict) else {}
+        self.executions[str(metadata.get("id"))] += 1
 
-    async def seen(self, calls: int) -> None:
-        """Wait until so many calls have come."""
-        async with self.came:
-            await asyncio.wait_for(self.came.wait_for(lambda: len(self.calls) >= calls), PATIENCE_S)
+    async def wait_for_calls(self, count: int) -> None:
+        """Wait until this many calls have arrived."""
+        async with self.calls_changed:
+            await asyncio.wait_for(self.calls_changed.wait_for(lambda: len(self.calls) >= count), PATIENCE_S)
 
     async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        peer = RpcPeer(reader, writer)
+        peer = RpcStream(reader, writer)
         self.peers.append(peer)
         with contextlib.suppress(ConnectionError, asyncio.TimeoutError):
             while True:
                 message = await peer.read()
                 self.calls.append(message)
-                async with self.came:
-                    self.came.notify_all()
-                task = asyncio.ensure_future(self.behave(self, peer, message))
+                async with self.calls_changed:
+                    self.calls_changed.notify_all()
+                task = asyncio.ensure_future(self.handle_call(self, peer, message))
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
 
@@ -128,14 +128,14 @@
         await self.stop()
 
 
-class RpcCaller(RpcPeer):
-    """A caller with its own msgids."""
+class RpcCaller(RpcStream):
+    """A caller that numbers its calls."""
 
-    _ids = itertools.count(1)
+    _numbers = itertools.count(1)
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         super().__init__(reader, writer)
-        self.next = 0
+        self.last_msgid = 0
 
     @classmethod
     async def connect(cls, address: tuple[str, int] | str) -> RpcCaller:
@@ -143,13 +143,15 @@
             return cls(*await asyncio.open_unix_connection(address))
         return cls(*await asyncio.open_connection(*address))
 
-    def ask(self, method: str = "look", *params: Any, name: str = "", **told: Any) -> int:
+    def ask(self, method: str = "look", *params: Any, name: str = "", **metadata: Any) -> int:
         """Send one call; returns its msgid."""
-        self.next += 1
+        self.last_msgid += 1
         if method == "move":
-            told.setdefault("key", f"k{next(self._ids)}")
-        self.send(0, self.next, method, [*params, {"id": name or f"r{next(self._ids)}", **told}])
-        return self.next
+            metadata.setdefault("key", f"k{next(self._numbers)}")
+        self.send(
+            0, self.last_msgid, method, [*params, {"id": name or f"r{next(self._numbers)}", **metadata}]
+        )
+        return self.last_msgid
 
     async def answer(self) -> tuple[int, Any, Any]:
         kind, msgid, error, result = await self.read()
@@ -157,8 +159,8 @@
         return msgid, error, result
 
 
-class RpcWorld:
-    """A node with the RPC front, and what surrounds it."""
+class RpcEnvironment:
+    """A node with an RPC front, the stand-in discovery, and the address of the front."""
 
     def __init__(self, node: Node, discovery: StubDiscovery, address: tuple[str, int] | str) -> None:
         self.node, self.discovery, self.address = node, discovery, address
@@ -171,10 +173,10 @@
 
 
 @contextlib.asynccontextmanager
-async def rpc_world(
+async def rpc_environment(
     *rows: dict[str, Any], upstream: dict[str, Any] | None = None, http: bool = False, **changes: Any
-) -> AsyncIterator[RpcWorld]:
-    """A node that knows these servers; http: they speak HTTP; changes go into the operator's file."""
+) -> AsyncIterator[RpcEnvironment]:
+    """A node that knows these servers; http: they speak HTTP; changes: tables of the operator's file."""
     naming = Naming(("hall",), ("std",))
     async with StubDiscovery() as discovery:
         host, _, port = discovery.address.rpartition(":")
@@ -190,14 +192,14 @@
             known=naming.read(listing(1, *rows)),
             conn_idle_ms=30_000.0,
         )
-        file = {**FILE, **({} if http else {"upstream": upstream or {}}), **changes}
-        node = await attach.start_node(config, parse_rpc_config(file, config.settings))
+        operator_file = {**OPERATOR_FILE, **({} if http else {"upstream": upstream or {}}), **changes}
+        node = await attach.start_node(config, parse_rpc_config(operator_file, config.settings))
         serving = asyncio.create_task(node.wait())
         front = node._fronts[0]
         assert isinstance(front, RpcFront)
         bound = front._servers[0].sockets[0].getsockname()
         try:
-            yield RpcWorld(node, discovery, bound if isinstance(bound, str) else bound[:2])
+            yield RpcEnvironment(node, discovery, bound if isinstance(bound, str) else bound[:2])
         finally:
             node.stop()
             await asyncio.wait_for(serving, PATIENCE_S)
--- a/tests/rpc/test_config.py
+++ b/tests/rpc/test_config.py
@@ -1,4 +1,4 @@
-"""The operator's file for MessagePack-RPC: what is wrong with it is told in one line that names the field."""
+"""The operator's file for MessagePack-RPC: each error is reported in one line that names the field."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
     ),
     tenants=(Tenant("kampaamo", 1.0, 10.0),),
 )
-GOOD: dict[str, Any] = {"method": [{"name": "varaa", "class": "varaus"}]}
+VALID_FILE: dict[str, Any] = {"method": [{"name": "varaa", "class": "varaus"}]}
 
 
-def test_the_example_that_is_kept_is_good_and_says_all_there_is() -> None:
+def test_example_file_is_valid_and_contains_every_table() -> None:
     config = read_rpc_config(str(ROOT / "deploy" / "rpc.toml"), SETTINGS)
     assert config.upstream is not None and len(config.listen) == 2 and len(config.methods) == 3
     raw = tomllib.loads((ROOT / "deploy" / "rpc.toml").read_text())
     assert set(raw) == {"front", "method", "meta", "defaults", "upstream", "limits", "errors"}
 
 
-def test_without_an_upstream_servers_speak_http() -> None:
-    config = parse_rpc_config(GOOD, SETTINGS)
+def test_servers_speak_http_without_an_upstream_table() -> None:
+    config = parse_rpc_config(VALID_FILE, SETTINGS)
     assert config.upstream is None and config.listen == () and config.metadata.location == "last"
 
 
@@ -78,9 +78,9 @@
         ({"upstreams": {}}, "upstreams is unknown"),
     ],
 )
-def test_a_file_that_cannot_be_meant_is_told_by_its_field(change: dict[str, Any], text: str) -> None:
+def test_invalid_file_is_rejected_by_field(change: dict[str, Any], text: str) -> None:
     with pytest.raises(RpcConfigError) as caught:
-        parse_rpc_config({**GOOD, **change}, SETTINGS)
+        parse_rpc_config({**VALID_FILE, **change}, SETTINGS)
     assert str(caught.value).startswith(text) and "\n" not in str(caught.value)
 
 
@@ -110,24 +110,24 @@
         max_leaves=25,
     )
 )
-def test_whatever_the_file_holds_it_is_taken_or_told(raw: Any) -> None:
+def test_any_content_is_accepted_or_rejected_with_a_message(raw: Any) -> None:
     if isinstance(raw, dict):
         try:
-            parse_rpc_config({**GOOD, **raw}, SETTINGS)
+            parse_rpc_config({**VALID_FILE, **raw}, SETTINGS)
         except RpcConfigError as error:
             assert str(error)
 
 
-def test_a_file_that_is_none_is_told() -> None:
+def test_unreadable_file_is_reported() -> None:
     with pytest.raises(RpcConfigError, match="cannot be read"):
         read_rpc_config(str(ROOT / "README.md"), SETTINGS)
 
 
-def test_where_it_is_off_nothing_of_it_is_imported() -> None:
+def test_nothing_is_imported_while_rpc_is_off() -> None:
     code = "import sys, leadrudder.__main__; print([m for m in sys.modules if 'rpc' in m or 'msgpack' in m])"
-    kept = {name: value for name, value in os.environ.items() if name != "NODE_RPC"}
+    environment = {name: value for name, value in os.environ.items() if name != "NODE_RPC"}
     done = subprocess.run(
-        [sys.executable, "-c", code], cwd=ROOT, env=kept, capture_output=True, text=True, check=True
+        [sys.executable, "-c", code], cwd=ROOT, env=environment, capture_output=True, text=True, check=True
     )
     assert done.stdout.strip() == "[]"
 
@@ -144,12 +144,12 @@
     return path
 
 
-def test_the_command_tells_what_a_file_means(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_command_summarises_the_file(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     example = str(ROOT / "deploy" / "rpc.toml")
     assert main(["rpc", example, "--config", str(_node_config(tmp_path))]) == 0
-    told = capsys.readouterr().out.splitlines()
-    assert "varaus.luo: class varaus, never repeated once it may have run" in told
-    assert "servers speak MessagePack-RPC, 64 calls out to each at the most" in told
+    summary = capsys.readouterr().out.splitlines()
+    assert "varaus.luo: class varaus, never repeated once it may have run" in summary
+    assert "servers speak MessagePack-RPC, 64 calls out to each at the most" in summary
 
 
 @pytest.mark.parametrize(
@@ -160,30 +160,30 @@
         ("[[method]]\nname='a'", "method.0.class"),
     ],
 )
-def test_the_command_turns_down_in_one_line_what_cannot_be_used(
+def test_command_rejects_an_invalid_file_in_one_line(
     text: str, expected: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     file = tmp_path / "rpc.toml"
     file.write_text(text)
     assert main(["rpc", str(file), "--config", str(_node_config(tmp_path))]) == 2
-    told = capsys.readouterr().err
-    assert expected in told and told.count("\n") == 1
+    stderr = capsys.readouterr().err
+    assert expected in stderr and stderr.count("\n") == 1
     assert main(["rpc", str(file), "--config", str(file)]) == 2
     assert "not a valid node configuration" in capsys.readouterr().err
 
 
-def test_a_node_that_is_started_with_a_bad_file_ends_with_one_line(tmp_path: Path) -> None:
+def test_node_with_an_invalid_file_exits_with_one_line(tmp_path: Path) -> None:
     raw = json.loads(_node_config(tmp_path).read_text())
     raw.update(name="n", listen="127.0.0.1:0", discovery="127.0.0.1:9", seed="1")
     raw["limits"] = {"cores": 1.0, "memory_mb": 64, "sockets": 256}
     (tmp_path / "node.json").write_text(json.dumps(raw))
     file = tmp_path / "rpc.toml"
     file.write_text("[[method]]\nname = 'a'\nclass = 'no'\n")
-    told = {"NODE_CONFIG": str(tmp_path / "node.json"), "NODE_RPC": str(file)}
+    environment = {"NODE_CONFIG": str(tmp_path / "node.json"), "NODE_RPC": str(file)}
     done = subprocess.run(
         [sys.executable, "-m", "leadrudder"],
         cwd=ROOT,
-        env={**os.environ, **told},
+        env={**os.environ, **environment},
         capture_output=True,
         text=True,
     )
--- a/tests/rpc/test_differential.py
+++ b/tests/rpc/test_differential.py
@@ -1,4 +1,4 @@
-"""Both fronts on the same course of events: the module is told the same, and decides the same."""
+"""The same calls over HTTP and over RPC give the decision module the same events, and the same decisions."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from leadrudder.rpc.front import RpcFront
 from leadrudder.rpc.mapping import CallMapper
 from leadrudder.settings import read_settings
-from tests.rpc.stubs import FILE, RpcCaller
+from tests.rpc.stubs import OPERATOR_FILE, RpcCaller
 from tests.stubs import HOST, Caller, listing, row, run, settings
 
-CALLS = 400
+CALL_COUNT = 400
 
 
-class Still:
-    """A machine whose time moves only when the course says so."""
+class ManualClock:
+    """A platform whose clock moves only when the test sets it."""
 
     def __init__(self) -> None:
         self.seconds = 1000.0
@@ -38,42 +38,42 @@
     read_text = staticmethod(SYSTEM.read_text)
 
 
-class Out:
-    """An attempt that has ended by the time anybody could give it up."""
+class FinishedAttempt:
+    """An attempt that finishes before it could be given up."""
 
     def give_up(self, outcome: Outcome) -> None:
         pass
 
 
-class Scripted:
-    """An upstream whose attempts take and end as a seed says, by their order alone."""
+class ScriptedUpstream:
+    """An upstream whose attempts get a duration and an outcome from the seed, in their order."""
 
-    def __init__(self, clock: Still, seed: int) -> None:
+    def __init__(self, clock: ManualClock, seed: int) -> None:
         self._clock = clock
         self._rng = random.Random(seed)
-        self.asked: list[tuple[ServerId, bytes, int]] = []
-        self.out = 0
+        self.attempts: list[tuple[ServerId, bytes, int]] = []
+        self.open_attempts = 0
 
-    def attempt(self, server: ServerId, ask: Ask, timeout_s: float, done: Done) -> Out:
-        self.asked.append((server, ask.id, ask.class_index))
-        took = self._rng.uniform(0.005, 0.05) * (3.0 if server == b"s1" else 1.0)
-        ends = [Outcome.OK] * 12 + [Outcome.ERROR, Outcome.RESET, Outcome.FULL, Outcome.SPOILT]
-        self._later(self._rng.choice(ends), took, done)
-        return Out()
+    def attempt(self, server: ServerId, ask: Ask, timeout_s: float, done: Done) -> FinishedAttempt:
+        self.attempts.append((server, ask.id, ask.class_index))
+        duration_s = self._rng.uniform(0.005, 0.05) * (3.0 if server == b"s1" else 1.0)
+        possible_outcomes = [Outcome.OK] * 12 + [Outcome.ERROR, Outcome.RESET, Outcome.FULL, Outcome.SPOILT]
+        self._finish_later(self._rng.choice(possible_outcomes), duration_s, done)
+        return FinishedAttempt()
 
-    def _later(self, how: Outcome, took: float, done: Done) -> None:
-        self.out += 1
+    def _finish_later(self, outcome: Outcome, duration_s: float, done: Done) -> None:
+        self.open_attempts += 1
 
         def end() -> None:
-            self.out -= 1
-            self._clock.seconds += took
-            done(how, Answer(b"\xc0", packed=True) if how is Outcome.OK else None)
+            self.open_attempts -= 1
+            self._clock.seconds += duration_s
+            done(outcome, Answer(b"\xc0", packed=True) if outcome is Outcome.OK else None)
 
         asyncio.get_running_loop().call_soon(end)
 
-    def probe(self, server: ServerId, timeout_s: float, done: Done) -> Out:
-        self._later(Outcome.OK, 0.001, done)
-        return Out()
+    def probe(self, server: ServerId, timeout_s: float, done: Done) -> FinishedAttempt:
+        self._finish_later(Outcome.OK, 0.001, done)
+        return FinishedAttempt()
 
     def update(self, listing: Listing) -> list[ServerId]:
         return []
@@ -91,37 +91,39 @@
         pass
 
 
-class Timers:
-    """The module's timers by the course's time: none fires because a loop or a socket was slow."""
+class ManualTimers:
+    """The decision module's timers on the manual clock, so that a slow event loop or socket fires none."""
 
-    def __init__(self, node: Node, clock: Still, upstream: Scripted) -> None:
+    def __init__(self, node: Node, clock: ManualClock, upstream: ScriptedUpstream) -> None:
         self._node, self._clock, self._upstream = node, clock, upstream
-        self._set: list[tuple[float, int]] = []
-        node._on[SetTimer] = lambda action: self._set.append((action.at_ms, action.token))
-
-    def fire(self, until_ms: float) -> None:
-        """All that is due by then, in order."""
-        while self._set and min(self._set)[0] <= until_ms:
-            at_ms, token = min(self._set)
-            self._set.remove((at_ms, token))
+        self._pending: list[tuple[float, int]] = []
+        node._on[SetTimer] = lambda action: self._pending.append((action.at_ms, action.token))
+
+    def fire_until(self, until_ms: float) -> None:
+        """Fire all timers that are due by then, in order."""
+        while self._pending and min(self._pending)[0] <= until_ms:
+            at_ms, token = min(self._pending)
+            self._pending.remove((at_ms, token))
             self._clock.seconds = max(self._clock.seconds, at_ms / 1000.0)
             self._node._post(TimerFired(token))
 
     async def answered(self, answer: asyncio.Task[Any]) -> Any:
-        """Wait for an answer; time goes on to the next timer where the module itself waits."""
+        """Wait for an answer; while the module itself waits, advance the clock to the next timer."""
         while not answer.done():
-            if self._node._requests and not self._upstream.out and self._set:
-                self.fire(min(self._set)[0])
+            if self._node._requests and not self._upstream.open_attempts and self._pending:
+                self.fire_until(min(self._pending)[0])
             await asyncio.sleep(0)
         return answer.result()
 
 
-async def play(seed: int, *, rpc: bool) -> tuple[list[str], list[str], list[tuple[ServerId, bytes, int]]]:
-    """One call after another: what the module was told and decided, how each call ended, who was asked."""
-    clock, course = Still(), random.Random(seed)
-    upstream = Scripted(clock, seed)
+async def run_sequence(
+    seed: int, *, rpc: bool
+) -> tuple[list[str], list[str], list[tuple[ServerId, bytes, int]]]:
+    """Make one call after another; returns the events with decisions, the outcomes, and the attempts."""
+    clock, rng = ManualClock(), random.Random(seed)
+    upstream = ScriptedUpstream(clock, seed)
     naming = Naming(("hall",), ("std",))
-    made = read_settings(dict(flat(settings(guarantees={"mustAskInMs": 60_000.0}))))
+    node_settings = read_settings(dict(flat(settings(guarantees={"mustAskInMs": 60_000.0}))))
     rows = [row(f"s{i}", f"{HOST}:{i + 1}") for i in range(4)]
     config = Config(
         path="",
@@ -130,60 +132,69 @@
         discovery=(HOST, 1),
         seed=seed,
         limits=Limits(192, 1024),
-        settings=made,
+        settings=node_settings,
         naming=naming,
         known=naming.read(listing(1, *rows)),
         conn_idle_ms=30_000.0,
     )
     node = Node(config, clock, upstream=upstream)
-    seen: list[str] = []
+    decisions: list[str] = []
     handle = node._balancer.handle
 
-    def noted(event: Event, now: float) -> list[Action]:
+    def recorded_handle(event: Event, now: float) -> list[Action]:
         actions = handle(event, now)
-        seen.append(f"{now:.3f} {event!r} -> {[repr(a) for a in actions if not isinstance(a, SetTimer)]}")
+        decisions.append(
+            f"{now:.3f} {event!r} -> {[repr(a) for a in actions if not isinstance(a, SetTimer)]}"
+        )
         return actions
 
-    node._balancer.handle = noted  # type: ignore[method-assign]
-    file = parse_rpc_config(FILE, made)
+    node._balancer.handle = recorded_handle  # type: ignore[method-assign]
+    rpc_config = parse_rpc_config(OPERATOR_FILE, node_settings)
     call_mapper = CallMapper(
-        made, file.methods, file.metadata, file.defaults, lambda: b"none", file.front_limits.message
+        node_settings,
+        rpc_config.methods,
+        rpc_config.metadata,
+        rpc_config.defaults,
+        lambda: b"none",
+        rpc_config.front_limits.message,
     )
-    front = RpcFront(call_mapper, node.take, file.front_limits)
+    front = RpcFront(call_mapper, node.take, rpc_config.front_limits)
     node.add_front(front)
     serving = asyncio.create_task(node.wait())
     http_address = await node.start()
     rpc_address = await front.listen((HOST, 0))
-    ends: list[str] = []
-    timers = Timers(node, clock, upstream)
+    results: list[str] = []
+    timers = ManualTimers(node, clock, upstream)
     caller: Any = await (RpcCaller.connect(rpc_address) if rpc else Caller.connect(http_address))
-    for i in range(CALLS):
-        clock.seconds += course.uniform(0.0, 0.03)
-        timers.fire(1000.0 * clock.seconds)
-        while upstream.out:
-            await asyncio.sleep(0)  # a probe
-        kind, name = course.choice(("look", "move", "book")), f"c{i}"
+    for i in range(CALL_COUNT):
+        clock.seconds += rng.uniform(0.0, 0.03)
+        timers.fire_until(1000.0 * clock.seconds)
+        while upstream.open_attempts:
+            await asyncio.sleep(0)  # a probe is in progress
+        method, name = rng.choice(("look", "move", "book")), f"c{i}"
         if rpc:
-            caller.ask(kind, name=name, deadline=3.0, **({"key": f"k{i}"} if kind == "move" else {}))
+            caller.ask(method, name=name, deadline=3.0, **({"key": f"k{i}"} if method == "move" else {}))
             _, error, _ = await timers.answered(asyncio.ensure_future(caller.answer()))
-            ends.append("served" if error is None else error["code"])
+            results.append("served" if error is None else error["code"])
         else:
-            answer = await timers.answered(asyncio.ensure_future(caller.ask(kind, name=name, target="/api")))
-            ends.append({200: "served", 503: "refused", 502: "failed"}[answer.status])
+            answer = await timers.answered(
+                asyncio.ensure_future(caller.ask(method, name=name, target="/api"))
+            )
+            results.append({200: "served", 503: "refused", 502: "failed"}[answer.status])
     caller.close()
     node.stop()
     await serving
-    return seen, ends, upstream.asked
+    return decisions, results, upstream.attempts
 
 
-def test_a_course_over_rpc_is_decided_as_it_is_over_http() -> None:
+def test_calls_over_rpc_and_http_lead_to_the_same_decisions() -> None:
     async def main() -> None:
         for seed in (1, 2, 3):
-            by_http = await play(seed, rpc=False)
-            by_rpc = await play(seed, rpc=True)
-            assert by_http[1] == by_rpc[1], "callers were told otherwise"
-            assert by_http[2] == by_rpc[2], "other servers were asked"
-            assert by_http[0] == by_rpc[0], "the module was told otherwise"
-            assert {"served", "failed"} <= set(by_http[1]) and len(by_http[2]) > CALLS
+            by_http = await run_sequence(seed, rpc=False)
+            by_rpc = await run_sequence(seed, rpc=True)
+            assert by_http[1] == by_rpc[1], "callers got different outcomes"
+            assert by_http[2] == by_rpc[2], "different servers were used"
+            assert by_http[0] == by_rpc[0], "the decision module got different events or decided differently"
+            assert {"served", "failed"} <= set(by_http[1]) and len(by_http[2]) > CALL_COUNT
 
     run(main())
--- a/tests/rpc/test_framing.py
+++ b/tests/rpc/test_framing.py
@@ -28,7 +28,7 @@
     unpack,
 )
 
-ALL = frozenset({REQUEST, RESPONSE, NOTIFICATION})
+ALL_KINDS = frozenset({REQUEST, RESPONSE, NOTIFICATION})
 
 SCALARS = (
     st.none()
@@ -52,82 +52,82 @@
 )
 
 
-def reader(
-    limits: MessageLimits = MessageLimits(),  # noqa: B008 - it is frozen
-    kinds: frozenset[int] = ALL,
+def make_reader(
+    limits: MessageLimits = MessageLimits(),  # noqa: B008 - immutable
+    kinds: frozenset[int] = ALL_KINDS,
 ) -> MessageReader:
     return MessageReader(limits, kinds)
 
 
-def cut(data: bytes, cuts: list[int]) -> list[bytes]:
-    """The bytes in pieces of these sizes, over and over."""
+def split(data: bytes, sizes: list[int]) -> list[bytes]:
+    """Split the bytes into pieces of these sizes, repeated as needed."""
     pieces, at, i = [], 0, 0
     while at < len(data):
-        size = cuts[i % len(cuts)]
+        size = sizes[i % len(sizes)]
         pieces.append(data[at : at + size])
         at, i = at + size, i + 1
     return pieces
 
 
-def as_told(message: Message) -> tuple[Any, ...]:
-    """A message's fields, as the library reads them."""
+def decoded_fields(message: Message) -> tuple[Any, ...]:
+    """The fields of a message, decoded by the library."""
 
-    def read(raw: bytes) -> Any:
+    def decode(raw: bytes) -> Any:
         return msgpack.unpackb(raw, strict_map_key=False)
 
     if isinstance(message, Request):
-        items = [read(message.params[a:b]) for a, b in message.items]
-        assert items == read(message.params)
+        items = [decode(message.params[a:b]) for a, b in message.items]
+        assert items == decode(message.params)
         return (REQUEST, message.msgid, message.method, items)
     if isinstance(message, Notification):
-        assert [read(message.params[a:b]) for a, b in message.items] == read(message.params)
-        return (NOTIFICATION, message.method, read(message.params))
-    return (RESPONSE, message.msgid, read(message.error), read(message.result))
+        assert [decode(message.params[a:b]) for a, b in message.items] == decode(message.params)
+        return (NOTIFICATION, message.method, decode(message.params))
+    return (RESPONSE, message.msgid, decode(message.error), decode(message.result))
 
 
 @given(st.lists(MESSAGES, max_size=4), st.lists(st.integers(1, 70), min_size=1, max_size=4))
-def test_what_the_library_writes_is_read_in_pieces_of_any_size(
-    messages: list[tuple[Any, ...]], cuts: list[int]
+def test_library_output_is_parsed_in_pieces_of_any_size(
+    messages: list[tuple[Any, ...]], sizes: list[int]
 ) -> None:
-    it, told = reader(), []
-    for piece in cut(b"".join(msgpack.packb(m) for m in messages), cuts):
-        told += it.feed(piece)
-    assert it.failure is None and it.buffered_bytes() == 0
-    assert [as_told(message) for message in told] == messages
+    message_reader, parsed = make_reader(), []
+    for piece in split(b"".join(msgpack.packb(m) for m in messages), sizes):
+        parsed += message_reader.feed(piece)
+    assert message_reader.failure is None and message_reader.buffered_bytes() == 0
+    assert [decoded_fields(message) for message in parsed] == messages
 
 
 @given(MESSAGES)
-def test_what_is_passed_on_is_byte_for_byte_what_came(message: tuple[Any, ...]) -> None:
+def test_forwarded_message_is_byte_for_byte_identical(message: tuple[Any, ...]) -> None:
     raw = msgpack.packb(message)
-    (told,) = reader().feed(raw)
-    if isinstance(told, Request):
-        again = encode_request(told.msgid, told.method, told.params)
-    elif isinstance(told, Response):
-        again = encode_response(told.msgid, told.error, told.result)
+    (parsed,) = make_reader().feed(raw)
+    if isinstance(parsed, Request):
+        encoded = encode_request(parsed.msgid, parsed.method, parsed.params)
+    elif isinstance(parsed, Response):
+        encoded = encode_response(parsed.msgid, parsed.error, parsed.result)
     else:
-        again = encode_notification(told.method, told.params)
-    assert again == raw
+        encoded = encode_notification(parsed.method, parsed.params)
+    assert encoded == raw
 
 
 @given(st.binary(max_size=120), st.integers(1, 50))
-def test_any_bytes_are_read_or_refused_alike_in_one_piece_and_in_many(data: bytes, size: int) -> None:
-    """And what is read of them is what the library reads there."""
-    whole, parts = reader(), reader()
-    at_once = whole.feed(data)
-    in_parts = [message for piece in cut(data, [size]) for message in parts.feed(piece)]
-    assert at_once == in_parts
-    assert str(whole.failure) == str(parts.failure)
+def test_any_bytes_give_the_same_result_in_one_piece_and_in_many(data: bytes, size: int) -> None:
+    """The library finds messages of the same length in these bytes."""
+    whole_reader, piece_reader = make_reader(), make_reader()
+    from_whole = whole_reader.feed(data)
+    from_pieces = [message for piece in split(data, [size]) for message in piece_reader.feed(piece)]
+    assert from_whole == from_pieces
+    assert str(whole_reader.failure) == str(piece_reader.failure)
     library = msgpack.Unpacker(raw=True, strict_map_key=False, object_pairs_hook=list, timestamp=0)
     library.feed(data)
-    for message in at_once:
+    for message in from_whole:
         try:
-            told = next(library)
+            fields = next(library)
         except ValueError:
-            return  # a timestamp that is none, in a value that is passed on unread
-        assert len(told) == (3 if isinstance(message, Notification) else 4)
+            return  # an invalid timestamp, in a value that is forwarded without decoding
+        assert len(fields) == (3 if isinstance(message, Notification) else 4)
 
 
-WIDE = b"\xdd\x00\x00\x00\x02\x02\xa1m\x90"  # an array of two, by its widest header
+WIDE_HEADER = b"\xdd\x00\x00\x00\x02\x02\xa1m\x90"  # an array of two with a 32-bit length
 
 
 @pytest.mark.parametrize(
@@ -136,7 +136,7 @@
         (b"\x01", "array", None),
         (b"\x80", "array", None),
         (b"\x92\x00\x01", "three or four", None),
-        (WIDE, "three or four", None),
+        (WIDE_HEADER, "three or four", None),
         (b"\xdd\xff\xff\xff\xff", "three or four", None),
         (b"\x94\xc3", "type", None),
         (b"\x94\x02", "type", None),
@@ -159,61 +159,67 @@
         (b"\x94\x00\x07\xa1m" + b"\x91" * 40, "too deep", 7),
     ],
 )
-def test_what_cannot_be_a_message_is_refused_by_its_header(data: bytes, text: str, msgid: int | None) -> None:
-    """A length of four gigabytes by its header; nothing after the failure is taken."""
-    whole = reader()
-    assert whole.feed(data) == []
-    assert whole.failure is not None and text in str(whole.failure) and whole.failure.msgid == msgid
-    assert whole.buffered_bytes() == 0
-    assert whole.feed(encode_request(1, "m", b"\x90")) == []
-    parts = reader()
-    assert [message for byte in data for message in parts.feed(bytes([byte]))] == []
-    assert str(parts.failure) == str(whole.failure)
-
-
-def test_messages_before_a_bad_one_are_told() -> None:
-    it = reader()
-    assert len(it.feed(encode_request(1, "m", b"\x90") + b"\xc1")) == 1
-    assert it.failure is not None and it.failure.msgid is None
-
-
-def test_only_the_kinds_that_may_come_are_taken() -> None:
-    it = reader(kinds=frozenset({RESPONSE}))
-    it.feed(encode_request(1, "m", b"\x90"))
-    assert it.failure is not None
+def test_invalid_message_is_refused_by_its_header(data: bytes, text: str, msgid: int | None) -> None:
+    """A length of four gigabytes is refused by its header, and no input is accepted after the failure."""
+    whole_reader = make_reader()
+    assert whole_reader.feed(data) == []
+    assert (
+        whole_reader.failure is not None
+        and text in str(whole_reader.failure)
+        and whole_reader.failure.msgid == msgid
+    )
+    assert whole_reader.buffered_bytes() == 0
+    assert whole_reader.feed(encode_request(1, "m", b"\x90")) == []
+    piece_reader = make_reader()
+    assert [message for byte in data for message in piece_reader.feed(bytes([byte]))] == []
+    assert str(piece_reader.failure) == str(whole_reader.failure)
+
+
+def test_messages_before_an_invalid_one_are_returned() -> None:
+    message_reader = make_reader()
+    assert len(message_reader.feed(encode_request(1, "m", b"\x90") + b"\xc1")) == 1
+    assert message_reader.failure is not None and message_reader.failure.msgid is None
+
+
+def test_only_accepted_message_types_are_parsed() -> None:
+    message_reader = make_reader(kinds=frozenset({RESPONSE}))
+    message_reader.feed(encode_request(1, "m", b"\x90"))
+    assert message_reader.failure is not None
 
 
 @pytest.mark.parametrize("size", [100, 1000])
-def test_a_message_is_held_to_its_size_to_the_byte(size: int) -> None:
-    head = len(encode_request(1, "m", b"\x91")) + 3  # of a binary of up to 64 KB
+def test_size_limit_is_exact_to_the_byte(size: int) -> None:
+    head = len(encode_request(1, "m", b"\x91")) + 3  # header of a binary of up to 64 KB
     fits = encode_request(1, "m", b"\x91\xc5" + (size - head).to_bytes(2, "big") + b"x" * (size - head))
     assert len(fits) == size
-    assert len(reader(MessageLimits(size=size)).feed(fits)) == 1
-    over = reader(MessageLimits(size=size - 1))
+    assert len(make_reader(MessageLimits(size=size)).feed(fits)) == 1
+    over = make_reader(MessageLimits(size=size - 1))
     assert over.feed(fits) == [] and over.failure is not None
 
 
-def test_a_message_of_a_byte_at_a_time_costs_what_it_holds() -> None:
-    """Read from its beginning at each byte, 64 KB cost two thousand million steps."""
+def test_parsing_one_byte_at_a_time_takes_linear_time() -> None:
+    """Scanning again from the start at each byte would take two billion steps for 64 KB."""
     data = encode_request(1, "m", b"\xdc\x27\x10" + b"\x01" * 10_000)
-    it, looks = reader(), 0
+    message_reader, steps = make_reader(), 0
     for byte in data:
-        scanner = it._scanner
+        scanner = message_reader._scanner
         before = scanner.position
-        it.feed(bytes([byte]))
-        looks += max(0, it._scanner.position - before) if it._scanner is scanner else 1
-    assert looks <= 2 * len(data) and it.buffered_bytes() == 0
+        message_reader.feed(bytes([byte]))
+        steps += (
+            max(0, message_reader._scanner.position - before) if message_reader._scanner is scanner else 1
+        )
+    assert steps <= 2 * len(data) and message_reader.buffered_bytes() == 0
 
 
-def test_what_a_peer_announces_sets_nothing_aside() -> None:
-    """The library's unpacker makes room for what a header announces, at every depth anew."""
-    it = reader()
-    it.feed(b"\x94\x00\x01\xa1m\x91" + b"\xdc\x40\x00" * 3)
-    assert it.failure is None and it.buffered_bytes() < 20
-    assert sum(len(scanner.item_ends) for scanner in [*it._scanned, it._scanner]) == 0
+def test_announced_length_allocates_nothing() -> None:
+    """The library's unpacker allocates what a header announces, again at every depth."""
+    message_reader = make_reader()
+    message_reader.feed(b"\x94\x00\x01\xa1m\x91" + b"\xdc\x40\x00" * 3)
+    assert message_reader.failure is None and message_reader.buffered_bytes() < 20
+    assert sum(len(scanner.item_ends) for scanner in [*message_reader._scanned, message_reader._scanner]) == 0
 
 
-def test_a_map_is_read_with_keys_of_any_type_and_the_last_of_two_counts() -> None:
+def test_map_keys_may_have_any_type_and_the_last_duplicate_wins() -> None:
     raw = b"\x84\xa2id\x01\x90\x02\xa2id\x03\xc0\x04"
     pairs = unpack(raw)
     assert isinstance(pairs, MapPairs) and pairs.get("id") == 3 and pairs.get("key") is None
@@ -221,7 +227,7 @@
 
 
 @given(st.binary(max_size=30))
-def test_bytes_that_are_no_value_are_an_error_of_their_own(raw: bytes) -> None:
+def test_invalid_value_raises_value_error_only(raw: bytes) -> None:
     try:
         unpack(raw)
     except ValueError:
--- a/tests/rpc/test_front.py
+++ b/tests/rpc/test_front.py
@@ -1,4 +1,4 @@
-"""The RPC front over loopback: one response for each call, as they end, within its bounds."""
+"""The RPC front over loopback: one response per call, in order of completion, within the limits."""
 
 from __future__ import annotations
 
@@ -9,62 +9,65 @@
 import msgpack
 import pytest
 
-from tests.rpc.stubs import METHODS, RpcCaller, RpcPeer, RpcServer, RpcWorld, rpc_world, serve
+from tests.rpc.stubs import METHODS, RpcCaller, RpcEnvironment, RpcServer, RpcStream, rpc_environment, serve
 from tests.stubs import HOST, Caller, StubServer, reply, row, run
 
 
-async def held(server: RpcServer, peer: RpcPeer, message: list[Any]) -> None:
-    """Serve it once the server's release is set."""
+async def serve_on_release(server: RpcServer, peer: RpcStream, message: list[Any]) -> None:
+    """Serve the call once the server's release event is set."""
     await server.release.wait()
     await serve(server, peer, message)
 
 
-async def by_order(server: RpcServer, peer: RpcPeer, message: list[Any]) -> None:
-    """The first call waits until the second one has been answered."""
+async def serve_first_call_last(server: RpcServer, peer: RpcStream, message: list[Any]) -> None:
+    """Serve the first call only after the second one has been answered."""
     if message[3][0] == "first":
         await server.release.wait()
     await serve(server, peer, message)
     server.release.set()
 
 
-def test_a_call_is_served_with_the_servers_own_bytes() -> None:
+def test_server_result_is_forwarded_unchanged() -> None:
     async def main() -> None:
-        odd = {"list": [1, 2.5, None, b"\x00\xff"], "deep": {"a": [[]]}}
-        async with RpcServer() as server, rpc_world(row("a", server.address)) as w:
-            caller = await w.caller()
-            msgid = caller.ask("book", "kampaus", odd, name="r-own")
+        nested_value = {"list": [1, 2.5, None, b"\x00\xff"], "deep": {"a": [[]]}}
+        async with RpcServer() as server, rpc_environment(row("a", server.address)) as env:
+            caller = await env.caller()
+            msgid = caller.ask("book", "kampaus", nested_value, name="r-own")
             assert await caller.answer() == (
                 msgid,
                 None,
-                {"by": "a", "params": ["kampaus", odd, {"id": "r-own"}]},
+                {"by": "a", "params": ["kampaus", nested_value, {"id": "r-own"}]},
             )
-            assert server.runs == {"r-own": 1}
+            assert server.executions == {"r-own": 1}
 
     run(main())
 
 
-def test_answers_come_in_the_order_in_which_calls_end() -> None:
+def test_responses_are_sent_in_order_of_completion() -> None:
     async def main() -> None:
-        async with RpcServer(by_order) as server, rpc_world(row("a", server.address)) as w:
-            caller = await w.caller()
+        async with (
+            RpcServer(serve_first_call_last) as server,
+            rpc_environment(row("a", server.address)) as env,
+        ):
+            caller = await env.caller()
             first, second = caller.ask("look", "first"), caller.ask("look", "second")
             assert [(await caller.answer())[0] for _ in range(2)] == [second, first]
 
     run(main())
 
 
-def test_a_msgid_that_is_open_is_refused_and_the_first_call_untouched() -> None:
+def test_duplicate_msgid_is_refused_without_affecting_the_first_call() -> None:
     async def main() -> None:
-        async with RpcServer(held) as server, rpc_world(row("a", server.address)) as w:
-            caller = await w.caller()
+        async with RpcServer(serve_on_release) as server, rpc_environment(row("a", server.address)) as env:
+            caller = await env.caller()
             caller.send(0, 9, "look", [{"id": "one"}])
-            await server.seen(1)
+            await server.wait_for_calls(1)
             caller.send(0, 9, "look", [{"id": "two"}])
             msgid, error, _ = await caller.answer()
             assert msgid == 9 and error["code"] == "duplicate"
             server.release.set()
             assert (await caller.answer())[1] is None
-            assert server.runs == {"one": 1}
+            assert server.executions == {"one": 1}
 
     run(main())
 
@@ -83,97 +86,95 @@
         ("look", [{"tenant": "nobody"}], "bad_request"),
     ],
 )
-def test_a_call_that_is_not_taken_is_told_why_and_reaches_nobody(
-    method: str, params: list[Any], code: str
-) -> None:
+def test_rejected_call_gets_a_reason_and_reaches_no_server(method: str, params: list[Any], code: str) -> None:
     async def main() -> None:
-        async with RpcServer() as server, rpc_world(row("a", server.address)) as w:
-            caller = await w.caller()
+        async with RpcServer() as server, rpc_environment(row("a", server.address)) as env:
+            caller = await env.caller()
             caller.send(0, 1, method, params)
             msgid, error, result = await caller.answer()
             assert (msgid, error["code"], result) == (1, code, None)
             caller.ask("look")
-            assert (await caller.answer())[1] is None, "the connection goes on"
+            assert (await caller.answer())[1] is None, "the connection stays usable"
             assert len(server.calls) == 1
 
     run(main())
 
 
-def test_an_id_that_is_open_on_another_connection_is_refused() -> None:
+def test_request_id_open_on_another_connection_is_refused() -> None:
     async def main() -> None:
-        async with RpcServer(held) as server, rpc_world(row("a", server.address)) as w:
-            one, two = await w.caller(), await w.caller()
-            one.ask("look", name="same")
-            await server.seen(1)
-            two.ask("look", name="same")
-            assert (await two.answer())[1]["code"] == "duplicate"
+        async with RpcServer(serve_on_release) as server, rpc_environment(row("a", server.address)) as env:
+            first_caller, second_caller = await env.caller(), await env.caller()
+            first_caller.ask("look", name="same")
+            await server.wait_for_calls(1)
+            second_caller.ask("look", name="same")
+            assert (await second_caller.answer())[1]["code"] == "duplicate"
             server.release.set()
-            assert (await one.answer())[1] is None
+            assert (await first_caller.answer())[1] is None
 
     run(main())
 
 
-def test_a_caller_that_leaves_cancels_its_calls_and_no_others() -> None:
+def test_disconnect_cancels_only_the_calls_of_that_caller() -> None:
     async def main() -> None:
-        async with RpcServer(held) as server, rpc_world(row("a", server.address)) as w:
-            leaver, other = await w.caller(), await w.caller()
-            leaver.ask("look")
+        async with RpcServer(serve_on_release) as server, rpc_environment(row("a", server.address)) as env:
+            leaving_caller, other = await env.caller(), await env.caller()
+            leaving_caller.ask("look")
             other.ask("look")
-            await server.seen(2)
-            leaver.close()
-            while len(w.node._requests) > 1:
+            await server.wait_for_calls(2)
+            leaving_caller.close()
+            while len(env.node._requests) > 1:
                 await asyncio.sleep(0)
             server.release.set()
             assert (await other.answer())[1] is None
-            while w.front._open_calls:
+            while env.front._open_calls:
                 await asyncio.sleep(0)
-            assert w.front._held_bytes == 0 and not w.node._held
+            assert env.front._held_bytes == 0 and not env.node._held
 
     run(main())
 
 
-def test_a_notification_runs_once_and_gets_no_response() -> None:
+def test_notification_is_executed_once_without_response() -> None:
     async def main() -> None:
-        async with RpcServer() as server, rpc_world(row("a", server.address)) as w:
-            caller = await w.caller()
+        async with RpcServer() as server, rpc_environment(row("a", server.address)) as env:
+            caller = await env.caller()
             caller.send(2, "book", [{"id": "note"}])
             caller.ask("look")
             assert (await caller.answer())[0] == 1
-            await server.seen(2)
-            while w.front._open_calls:
+            await server.wait_for_calls(2)
+            while env.front._open_calls:
                 await asyncio.sleep(0)
-            assert server.runs["note"] == 1
+            assert server.executions["note"] == 1
 
     run(main())
 
 
 @pytest.mark.parametrize(
-    "bad", [b"\xc1", b"\x94\x00\x07\xa1m\xc0", b"\x94\x00\x07\xa1m\x91\xc6\xff\xff\xff\xff"]
+    "invalid", [b"\xc1", b"\x94\x00\x07\xa1m\xc0", b"\x94\x00\x07\xa1m\x91\xc6\xff\xff\xff\xff"]
 )
-def test_what_cannot_be_read_ends_its_connection_alone(bad: bytes) -> None:
+def test_invalid_input_closes_only_its_own_connection(invalid: bytes) -> None:
     async def main() -> None:
-        async with RpcServer(held) as server, rpc_world(row("a", server.address)) as w:
-            liar, other = await w.caller(), await w.caller()
-            liar.ask("look")
+        async with RpcServer(serve_on_release) as server, rpc_environment(row("a", server.address)) as env:
+            faulty_caller, other = await env.caller(), await env.caller()
+            faulty_caller.ask("look")
             other.ask("look")
-            await server.seen(2)
-            liar.writer.write(bad)
-            if len(bad) > 1:
-                msgid, error, _ = await liar.answer()
+            await server.wait_for_calls(2)
+            faulty_caller.writer.write(invalid)
+            if len(invalid) > 1:
+                msgid, error, _ = await faulty_caller.answer()
                 assert (msgid, error["code"]) == (7, "bad_request")
             with pytest.raises(ConnectionError):
-                await liar.read()
+                await faulty_caller.read()
             server.release.set()
             assert (await other.answer())[1] is None
-            assert len(w.front._connections) == 1
+            assert len(env.front._connections) == 1
 
     run(main())
 
 
-def test_a_frame_of_a_byte_at_a_time_is_a_call_as_any_other() -> None:
+def test_call_sent_one_byte_at_a_time_is_served() -> None:
     async def main() -> None:
-        async with RpcServer() as server, rpc_world(row("a", server.address)) as w:
-            caller = await w.caller()
+        async with RpcServer() as server, rpc_environment(row("a", server.address)) as env:
+            caller = await env.caller()
             for byte in msgpack.packb([0, 5, "look", ["x" * 50, {}]]):
                 caller.writer.write(bytes([byte]))
                 await asyncio.sleep(0)
@@ -182,26 +183,26 @@
     run(main())
 
 
-async def _stalled(w: RpcWorld) -> None:
+async def _wait_until_reading_stops(env: RpcEnvironment) -> None:
     while not any(
-        c._pending_input or not c._transport.is_reading() for c in w.front._connections if c._transport
+        c._pending_input or not c._transport.is_reading() for c in env.front._connections if c._transport
     ):
         await asyncio.sleep(0)
 
 
-def test_one_connection_holds_so_many_calls_and_the_rest_wait_in_the_network() -> None:
+def test_reading_pauses_at_the_call_limit_of_a_connection() -> None:
     async def main() -> None:
         async with (
-            RpcServer(held) as server,
-            rpc_world(row("a", server.address), front={"listen": [f"{HOST}:0"], "open_each": 4}) as w,
+            RpcServer(serve_on_release) as server,
+            rpc_environment(row("a", server.address), front={"listen": [f"{HOST}:0"], "open_each": 4}) as env,
         ):
-            caller = await w.caller()
+            caller = await env.caller()
             for _ in range(50):
                 caller.ask("look")
-            await _stalled(w)
-            await server.seen(4)
-            (connection,) = w.front._connections
-            # One piece of input may bring some more than there are places; no further piece is read.
+            await _wait_until_reading_stops(env)
+            await server.wait_for_calls(4)
+            (connection,) = env.front._connections
+            # One chunk of input may hold more calls than the limit; no further chunk is read.
             assert len(connection.open_calls) <= 4 + 4096 // 20
             server.release.set()
             answers = [await caller.answer() for _ in range(50)]
@@ -210,30 +211,30 @@
     run(main())
 
 
-def test_more_calls_than_all_may_hold_are_refused_at_once_with_a_time() -> None:
+def test_calls_beyond_the_total_limit_are_refused_with_retry_after() -> None:
     async def main() -> None:
         async with (
-            RpcServer(held) as server,
-            rpc_world(row("a", server.address), front={"listen": [f"{HOST}:0"], "open_all": 3}) as w,
+            RpcServer(serve_on_release) as server,
+            rpc_environment(row("a", server.address), front={"listen": [f"{HOST}:0"], "open_all": 3}) as env,
         ):
-            one, two = await w.caller(), await w.caller()
+            first_caller, second_caller = await env.caller(), await env.caller()
             for _ in range(3):
-                one.ask("look")
-            await server.seen(3)
-            two.ask("look")
-            _, error, _ = await two.answer()
+                first_caller.ask("look")
+            await server.wait_for_calls(3)
+            second_caller.ask("look")
+            _, error, _ = await second_caller.answer()
             assert error["code"] == "refused" and error["retry_after"] == 0.5
             server.release.set()
-            assert [(await one.answer())[1] for _ in range(3)] == [None] * 3
+            assert [(await first_caller.answer())[1] for _ in range(3)] == [None] * 3
 
     run(main())
 
 
-def test_a_caller_that_never_reads_is_read_no_further_and_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_caller_that_never_reads_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         monkeypatch.setattr("leadrudder.rpc.front.WRITE_STALL_TIMEOUT_S", 0.3)
-        async with RpcServer() as server, rpc_world(row("a", server.address)) as w:
-            caller = await w.caller()
+        async with RpcServer() as server, rpc_environment(row("a", server.address)) as env:
+            caller = await env.caller()
             caller.reader._transport.pause_reading()  # type: ignore[attr-defined]
             big = "x" * 30_000
             dropped = False
@@ -241,26 +242,26 @@
                 if caller.writer.transport.get_write_buffer_size() < 1_000_000:
                     caller.ask("look", big)
                 await asyncio.sleep(0.001)
-                dropped = not w.front._connections
-            assert w.front._held_bytes <= 64 * 40_000
-            assert (await _fine(w)) is None
+                dropped = not env.front._connections
+            assert env.front._held_bytes <= 64 * 40_000
+            assert (await _call_on_new_connection(env)) is None
 
     run(main())
 
 
-async def _fine(w: RpcWorld) -> Any:
-    caller = await w.caller()
+async def _call_on_new_connection(env: RpcEnvironment) -> Any:
+    caller = await env.caller()
     caller.ask("look")
     return (await caller.answer())[1]
 
 
-def test_at_sigterm_open_calls_are_answered_and_new_ones_refused() -> None:
+def test_after_sigterm_open_calls_are_answered_and_new_ones_refused() -> None:
     async def main() -> None:
-        async with RpcServer(held) as server, rpc_world(row("a", server.address)) as w:
-            caller, idle = await w.caller(), await w.caller()
+        async with RpcServer(serve_on_release) as server, rpc_environment(row("a", server.address)) as env:
+            caller, idle = await env.caller(), await env.caller()
             caller.ask("book")
-            await server.seen(1)
-            w.node.terminate()
+            await server.wait_for_calls(1)
+            env.node.terminate()
             with pytest.raises(ConnectionError):
                 await idle.read()
             caller.ask("book")
@@ -269,22 +270,22 @@
             assert (await caller.answer())[1] is None
             with pytest.raises(ConnectionError):
                 await caller.read()
-            await asyncio.wait_for(w.node._done.wait(), 10.0)
+            await asyncio.wait_for(env.node._done.wait(), 10.0)
 
     run(main())
 
 
-def test_a_unix_socket_is_a_listener_as_any_other(tmp_path: Path) -> None:
+def test_unix_socket_listener_serves_calls(tmp_path: Path) -> None:
     async def main() -> None:
         path = str(tmp_path / "rpc.sock")
         async with (
             RpcServer() as server,
-            rpc_world(row("a", server.address), front={"listen": [f"unix:{path}"]}) as w,
+            rpc_environment(row("a", server.address), front={"listen": [f"unix:{path}"]}) as env,
         ):
             caller = await RpcCaller.connect(path)
             caller.ask("look")
             assert (await caller.answer())[1] is None
-            assert w.address == path
+            assert env.address == path
 
     run(main())
 
@@ -297,13 +298,16 @@
         ({"where": "positions", "id": 1, "key": 0}, ["k", "own", "x"]),
     ],
 )
-def test_what_a_call_tells_of_itself_stands_where_the_operator_says(meta: Any, params: list[Any]) -> None:
+def test_metadata_is_read_from_the_configured_location(meta: Any, params: list[Any]) -> None:
     async def main() -> None:
-        async with RpcServer(held) as server, rpc_world(row("a", server.address), meta=meta) as w:
-            caller = await w.caller()
+        async with (
+            RpcServer(serve_on_release) as server,
+            rpc_environment(row("a", server.address), meta=meta) as env,
+        ):
+            caller = await env.caller()
             caller.send(0, 1, "move", params)
-            await server.seen(1)
-            assert list(w.node._held) == [b"own"]
+            await server.wait_for_calls(1)
+            assert list(env.node._held) == [b"own"]
             assert server.calls[0][3] == params
             server.release.set()
             assert (await caller.answer())[1] is None
@@ -311,24 +315,24 @@
     run(main())
 
 
-def test_http_callers_are_served_by_rpc_servers_and_rpc_callers_by_http_servers() -> None:
+def test_http_and_rpc_callers_and_servers_can_be_combined() -> None:
     async def main() -> None:
-        async def bins(server: RpcServer, peer: RpcPeer, message: list[Any]) -> None:
+        async def answer_binary(server: RpcServer, peer: RpcStream, message: list[Any]) -> None:
             peer.send(1, message[1], None, b"plain")
 
-        async with RpcServer(bins) as server, rpc_world(row("a", server.address)) as w:
-            assert w.node._callers._server is not None
-            http = await Caller.connect(w.node._callers._server.sockets[0].getsockname()[:2])
+        async with RpcServer(answer_binary) as server, rpc_environment(row("a", server.address)) as env:
+            assert env.node._callers._server is not None
+            http = await Caller.connect(env.node._callers._server.sockets[0].getsockname()[:2])
             answer = await http.ask("book", body=b"hello", name="h1")
             assert (answer.status, answer.body) == (200, b"plain")
-            target, body, told = server.calls[0][3]
-            assert (target, body, told["id"]) == ("/api/7f3a9c21e0b4d655", b"hello", "h1")
+            target, body, metadata = server.calls[0][3]
+            assert (target, body, metadata["id"]) == ("/api/7f3a9c21e0b4d655", b"hello", "h1")
         methods = [{**METHODS[0]}, {"name": "book", "class": "book", "target": "/api/varaus"}]
         async with (
             StubServer([reply("200 OK", b"from http")]) as http_server,
-            rpc_world(row("a", http_server.address), http=True, method=methods) as w,
+            rpc_environment(row("a", http_server.address), http=True, method=methods) as env,
         ):
-            caller = await w.caller()
+            caller = await env.caller()
             caller.ask("book", "kampaus")
             assert (await caller.answer())[1:] == (None, b"from http")
             caller.ask("look", "x")
