--- a/leadrudder/rpc/framing.py
+++ b/leadrudder/rpc/framing.py
@@ -235,7 +235,7 @@
         self._kind = -1
         self._msgid: int | None = None
 
-    def buffered_bytes(self) -> int:
+    def held(self) -> int:
         """Number of buffered bytes of an incomplete message."""
         return len(self._buffer)
 
--- a/leadrudder/rpc/front.py
+++ b/leadrudder/rpc/front.py
@@ -101,9 +101,7 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(
-            asyncio.Transport, transport
-        )  # uvloop's transports do not subclass asyncio.Transport
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
         self.last_progress_s = self.front.now()
         self.front.connection_opened(self)
 
@@ -235,7 +233,7 @@
             if waited > WRITE_STALL_TIMEOUT_S:
                 self.abort()
         elif not self.open_calls and waited > (
-            PARTIAL_MESSAGE_TIMEOUT_S if self._reader.buffered_bytes() else IDLE_TIMEOUT_S
+            PARTIAL_MESSAGE_TIMEOUT_S if self._reader.held() else IDLE_TIMEOUT_S
         ):
             self.close()
 
--- a/leadrudder/rpc/mapping.py
+++ b/leadrudder/rpc/mapping.py
@@ -192,7 +192,7 @@
         """Whether the bytes are exactly one value within the limits."""
         reader = MessageReader(self._limits, frozenset({REQUEST_KIND}))
         messages = reader.feed(b"\x94\x00\x00\xa0\x91" + raw)
-        return len(messages) == 1 and reader.failure is None and not reader.buffered_bytes()
+        return len(messages) == 1 and reader.failure is None and not reader.held()
 
     @staticmethod
     def http_body(answer: Answer) -> Answer:
--- a/leadrudder/rpc/upstream.py
+++ b/leadrudder/rpc/upstream.py
@@ -124,14 +124,12 @@
         self._dial_abandoned = False
 
     def give_up_dial(self) -> None:
-        """The connect timeout expired: close the connection, also if it is established later."""
+        """The connect timeout expired: unregister the connection, and close it if it is established later."""
         self._dial_abandoned = True
         self.fail(Outcome.CONNECT_FAILED)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(
-            asyncio.Transport, transport
-        )  # uvloop's transports do not subclass asyncio.Transport
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
         if self._dial_abandoned:
             self._transport.abort()
             return
