--- a/leadrudder/demo/command.py
+++ b/leadrudder/demo/command.py
@@ -74,7 +74,7 @@
     discovery.publish(servers[1].instance("DELETED"))
 
 
-async def _progress(record: Record, seconds: float) -> None:
+async def _print_progress(record: Record, seconds: float) -> None:
     for second in range(1, int(seconds) + 1):
         await asyncio.sleep(1.0)
         print(f"{second:5.1f} s  {record.progress_line()}", flush=True)
@@ -113,7 +113,7 @@
             callers = [run_caller(port, record, number, until_s) for number in range(CALLER_COUNT)]
             await asyncio.wait_for(
                 asyncio.gather(
-                    *callers, _run_events(servers, discovery, seconds), _progress(record, seconds)
+                    *callers, _run_events(servers, discovery, seconds), _print_progress(record, seconds)
                 ),
                 seconds + COMPLETION_GRACE_S,
             )
--- a/leadrudder/rpc/config.py
+++ b/leadrudder/rpc/config.py
@@ -64,7 +64,7 @@
         message=limits,
     )
     return RpcConfig(
-        tuple(_address(text, f"front.listen.{i}") for i, text in enumerate(listen)),
+        tuple(_parse_address(text, f"front.listen.{i}") for i, text in enumerate(listen)),
         front_limits,
         _methods(raw.get("method", []), settings),
         _metadata(_table(raw, "meta")),
@@ -163,12 +163,12 @@
     )
 
 
-def _address(text: Any, prefix: str) -> ListenAddress:
+def _parse_address(text: Any, field_name: str) -> ListenAddress:
     if isinstance(text, str) and text.startswith(UNIX_PREFIX) and len(text) > len(UNIX_PREFIX):
         return text.removeprefix(UNIX_PREFIX)
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not port.isdecimal() or int(port) > 65535:
-        raise RpcConfigError(f"{prefix} is neither host:port nor unix:path: {text!r}")
+        raise RpcConfigError(f"{field_name} is neither host:port nor unix:path: {text!r}")
     return host, int(port)
 
 
--- a/leadrudder/rpc/mapping.py
+++ b/leadrudder/rpc/mapping.py
@@ -111,7 +111,7 @@
         return Ask(
             id=_parse_token(metadata["id"], "id") if "id" in metadata else self._generate_id(),
             class_index=method.class_index,
-            tenant=self._tenant(metadata.get("tenant", self._defaults.tenant)),
+            tenant=self._tenant_index(metadata.get("tenant", self._defaults.tenant)),
             key=0,
             budget_ms=1000.0 * self._deadline_s(metadata.get("deadline", self._defaults.deadline_s)),
             cost_hint_ms=_cost_hint_ms(metadata.get("cost_hint")),
@@ -139,7 +139,7 @@
             metadata = {name: value_map.get(str(key)) for name, key in names.items()}
         return {name: value for name, value in metadata.items() if value is not None}
 
-    def _tenant(self, name: Any) -> int:
+    def _tenant_index(self, name: Any) -> int:
         if not self._tenants:
             return 0
         index = self._tenants.get(name) if isinstance(name, str) else None
