--- a/tests/rpc/test_framing.py
+++ b/tests/rpc/test_framing.py
@@ -1,4 +1,4 @@
-"""MessagePack-RPC framing: held against the msgpack library, in pieces of any size, within its limits."""
+"""MessagePack-RPC framing, compared with the msgpack library: input in pieces of any size, and limits."""
 
 from __future__ import annotations
 
@@ -14,21 +14,23 @@
     NOTIFICATION,
     REQUEST,
     RESPONSE,
-    Limits,
+    MapPairs,
     Message,
+    MessageLimits,
+    MessageReader,
     Notification,
-    Pairs,
-    Reader,
     Request,
     Response,
-    notification,
     pack,
-    request,
-    response,
     unpack,
 )
 
-ALL = frozenset({REQUEST, RESPONSE, NOTIFICATION})
+# Hypothesis derives its draws from the source text of a property test: the names used there stay as they are.
+from leadrudder.rpc.framing import encode_notification as notification
+from leadrudder.rpc.framing import encode_request as request
+from leadrudder.rpc.framing import encode_response as response
+
+ALL_KINDS = frozenset({REQUEST, RESPONSE, NOTIFICATION})
 
 SCALARS = (
     st.none()
@@ -52,34 +54,37 @@
 )
 
 
-def reader(limits: Limits = Limits(), kinds: frozenset[int] = ALL) -> Reader:  # noqa: B008 - it is frozen
-    return Reader(limits, kinds)
+def reader(
+    limits: MessageLimits = MessageLimits(),  # noqa: B008 - immutable
+    kinds: frozenset[int] = ALL_KINDS,
+) -> MessageReader:
+    return MessageReader(limits, kinds)
 
 
-def cut(data: bytes, cuts: list[int]) -> list[bytes]:
-    """The bytes in pieces of these sizes, over and over."""
+def cut(data: bytes, sizes: list[int]) -> list[bytes]:
+    """Split the bytes into pieces of these sizes, repeated as needed."""
     pieces, at, i = [], 0, 0
     while at < len(data):
-        size = cuts[i % len(cuts)]
+        size = sizes[i % len(sizes)]
         pieces.append(data[at : at + size])
         at, i = at + size, i + 1
     return pieces
 
 
 def as_told(message: Message) -> tuple[Any, ...]:
-    """A message's fields, as the library reads them."""
+    """The fields of a message, decoded by the library."""
 
-    def read(raw: bytes) -> Any:
+    def decode(raw: bytes) -> Any:
         return msgpack.unpackb(raw, strict_map_key=False)
 
     if isinstance(message, Request):
-        items = [read(message.params[a:b]) for a, b in message.items]
-        assert items == read(message.params)
+        items = [decode(message.params[a:b]) for a, b in message.items]
+        assert items == decode(message.params)
         return (REQUEST, message.msgid, message.method, items)
     if isinstance(message, Notification):
-        assert [read(message.params[a:b]) for a, b in message.items] == read(message.params)
-        return (NOTIFICATION, message.method, read(message.params))
-    return (RESPONSE, message.msgid, read(message.error), read(message.result))
+        assert [decode(message.params[a:b]) for a, b in message.items] == decode(message.params)
+        return (NOTIFICATION, message.method, decode(message.params))
+    return (RESPONSE, message.msgid, decode(message.error), decode(message.result))
 
 
 @given(st.lists(MESSAGES, max_size=4), st.lists(st.integers(1, 70), min_size=1, max_size=4))
@@ -120,11 +125,11 @@
         try:
             told = next(library)
         except ValueError:
-            return  # a timestamp that is none, in a value that is passed on unread
+            return  # an invalid timestamp, in a value that is forwarded without decoding
         assert len(told) == (3 if isinstance(message, Notification) else 4)
 
 
-WIDE = b"\xdd\x00\x00\x00\x02\x02\xa1m\x90"  # an array of two, by its widest header
+WIDE_HEADER = b"\xdd\x00\x00\x00\x02\x02\xa1m\x90"  # an array of two with a 32-bit length
 
 
 @pytest.mark.parametrize(
@@ -133,7 +138,7 @@
         (b"\x01", "array", None),
         (b"\x80", "array", None),
         (b"\x92\x00\x01", "three or four", None),
-        (WIDE, "three or four", None),
+        (WIDE_HEADER, "three or four", None),
         (b"\xdd\xff\xff\xff\xff", "three or four", None),
         (b"\x94\xc3", "type", None),
         (b"\x94\x02", "type", None),
@@ -147,7 +152,7 @@
         (b"\x94\x00\x07\xc4\x01m", "method", 7),
         (b"\x94\x00\x07\xa1m\x80", "array", 7),
         (b"\x94\x00\x07\xa1m\xc0", "array", 7),
-        (b"\x94\x00\x07\xa1m\x91\xc1", "no value", 7),
+        (b"\x94\x00\x07\xa1m\x91\xc1", "invalid first byte", 7),
         (b"\x94\x00\x07\xa1m\x91\xc6\xff\xff\xff\xff", "too large", 7),
         (b"\x94\x00\x07\xa1m\x91\xdb\xff\xff\xff\xff", "too large", 7),
         (b"\x94\x00\x07\xa1m\x91\xdd\xff\xff\xff\xff", "too large", 7),
@@ -156,64 +161,70 @@
         (b"\x94\x00\x07\xa1m" + b"\x91" * 40, "too deep", 7),
     ],
 )
-def test_what_cannot_be_a_message_is_refused_by_its_header(data: bytes, text: str, msgid: int | None) -> None:
-    """A length of four gigabytes by its header; nothing after the failure is taken."""
-    whole = reader()
-    assert whole.feed(data) == []
-    assert whole.failure is not None and text in str(whole.failure) and whole.failure.msgid == msgid
-    assert whole.held() == 0
-    assert whole.feed(request(1, "m", b"\x90")) == []
-    parts = reader()
-    assert [message for byte in data for message in parts.feed(bytes([byte]))] == []
-    assert str(parts.failure) == str(whole.failure)
-
-
-def test_messages_before_a_bad_one_are_told() -> None:
-    it = reader()
-    assert len(it.feed(request(1, "m", b"\x90") + b"\xc1")) == 1
-    assert it.failure is not None and it.failure.msgid is None
-
-
-def test_only_the_kinds_that_may_come_are_taken() -> None:
-    it = reader(kinds=frozenset({RESPONSE}))
-    it.feed(request(1, "m", b"\x90"))
-    assert it.failure is not None
+def test_invalid_message_is_refused_by_its_header(data: bytes, text: str, msgid: int | None) -> None:
+    """A length of four gigabytes is refused by its header, and no input is accepted after the failure."""
+    whole_reader = reader()
+    assert whole_reader.feed(data) == []
+    assert (
+        whole_reader.failure is not None
+        and text in str(whole_reader.failure)
+        and whole_reader.failure.msgid == msgid
+    )
+    assert whole_reader.held() == 0
+    assert whole_reader.feed(request(1, "m", b"\x90")) == []
+    piece_reader = reader()
+    assert [message for byte in data for message in piece_reader.feed(bytes([byte]))] == []
+    assert str(piece_reader.failure) == str(whole_reader.failure)
+
+
+def test_messages_before_an_invalid_one_are_returned() -> None:
+    message_reader = reader()
+    assert len(message_reader.feed(request(1, "m", b"\x90") + b"\xc1")) == 1
+    assert message_reader.failure is not None and message_reader.failure.msgid is None
+
+
+def test_only_accepted_message_types_are_parsed() -> None:
+    message_reader = reader(kinds=frozenset({RESPONSE}))
+    message_reader.feed(request(1, "m", b"\x90"))
+    assert message_reader.failure is not None
 
 
 @pytest.mark.parametrize("size", [100, 1000])
-def test_a_message_is_held_to_its_size_to_the_byte(size: int) -> None:
-    head = len(request(1, "m", b"\x91")) + 3  # of a binary of up to 64 KB
+def test_size_limit_is_exact_to_the_byte(size: int) -> None:
+    head = len(request(1, "m", b"\x91")) + 3  # header of a binary of up to 64 KB
     fits = request(1, "m", b"\x91\xc5" + (size - head).to_bytes(2, "big") + b"x" * (size - head))
     assert len(fits) == size
-    assert len(reader(Limits(size=size)).feed(fits)) == 1
-    over = reader(Limits(size=size - 1))
+    assert len(reader(MessageLimits(size=size)).feed(fits)) == 1
+    over = reader(MessageLimits(size=size - 1))
     assert over.feed(fits) == [] and over.failure is not None
 
 
-def test_a_message_of_a_byte_at_a_time_costs_what_it_holds() -> None:
-    """Read from its beginning at each byte, 64 KB cost two thousand million steps."""
+def test_parsing_one_byte_at_a_time_takes_linear_time() -> None:
+    """Scanning again from the start at each byte would take two billion steps for 64 KB."""
     data = request(1, "m", b"\xdc\x27\x10" + b"\x01" * 10_000)
-    it, looks = reader(), 0
+    message_reader, steps = reader(), 0
     for byte in data:
-        walk = it._walk
-        before = walk.at
-        it.feed(bytes([byte]))
-        looks += max(0, it._walk.at - before) if it._walk is walk else 1
-    assert looks <= 2 * len(data) and it.held() == 0
+        scanner = message_reader._scanner
+        before = scanner.position
+        message_reader.feed(bytes([byte]))
+        steps += (
+            max(0, message_reader._scanner.position - before) if message_reader._scanner is scanner else 1
+        )
+    assert steps <= 2 * len(data) and message_reader.held() == 0
 
 
-def test_what_a_peer_announces_sets_nothing_aside() -> None:
-    """The library's unpacker makes room for what a header announces, at every depth anew."""
-    it = reader()
-    it.feed(b"\x94\x00\x01\xa1m\x91" + b"\xdc\x40\x00" * 3)
-    assert it.failure is None and it.held() < 20
-    assert sum(len(walk.marks) for walk in [*it._walks, it._walk]) == 0
+def test_announced_length_allocates_nothing() -> None:
+    """The library's unpacker allocates what a header announces, again at every depth."""
+    message_reader = reader()
+    message_reader.feed(b"\x94\x00\x01\xa1m\x91" + b"\xdc\x40\x00" * 3)
+    assert message_reader.failure is None and message_reader.held() < 20
+    assert sum(len(scanner.item_ends) for scanner in [*message_reader._scanned, message_reader._scanner]) == 0
 
 
-def test_a_map_is_read_with_keys_of_any_type_and_the_last_of_two_counts() -> None:
+def test_map_keys_may_have_any_type_and_the_last_duplicate_wins() -> None:
     raw = b"\x84\xa2id\x01\x90\x02\xa2id\x03\xc0\x04"
     pairs = unpack(raw)
-    assert isinstance(pairs, Pairs) and pairs.get("id") == 3 and pairs.get("key") is None
+    assert isinstance(pairs, MapPairs) and pairs.get("id") == 3 and pairs.get("key") is None
     assert unpack(NIL) is None and pack(None) == NIL
 
 
