--- a/leadrudder/policy/admission.py
+++ b/leadrudder/policy/admission.py
@@ -6,7 +6,7 @@
 from leadrudder.policy.attempts import Request
 from leadrudder.recovery.limit import Knee, Limit
 from leadrudder.recovery.strain import Strain
-from leadrudder.state.records import Turn
+from leadrudder.state.records import EventContext
 from leadrudder.state.reports import Reports
 
 KEPT = 0.2  # of the limit, the more the less a request is worth: for what is worth most, under strain
@@ -17,7 +17,9 @@
 class Admission:
     """Calls out against their limit, which leadrudder/recovery/ sets by what it knows of the strain."""
 
-    def __init__(self, settings: Settings, turn: Turn, reports: Reports, limit: Limit | None = None) -> None:
+    def __init__(
+        self, settings: Settings, turn: EventContext, reports: Reports, limit: Limit | None = None
+    ) -> None:
         self._top = max(c.worth for c in settings.classes) or 1.0
         self._settings = settings
         self._turn = turn
--- a/leadrudder/policy/decide.py
+++ b/leadrudder/policy/decide.py
@@ -23,7 +23,7 @@
 from leadrudder.recovery.limit import Limit
 from leadrudder.state.estimators import Patience
 from leadrudder.state.list_calls import ListCalls
-from leadrudder.state.records import Server, Turn
+from leadrudder.state.records import EventContext, Server
 from leadrudder.state.timers import Timers
 from leadrudder.state.worth import Worth
 
@@ -49,7 +49,7 @@
 
     def __init__(self, settings: api.Settings, seed: int, limit: Limit | None = None) -> None:
         self.settings = settings
-        self._turn = Turn(random.Random(seed))
+        self._turn = EventContext(random.Random(seed))
         self._timers = Timers(lambda kind, of: kind == HEDGE and of not in self._requests)
         self._calls = ListCalls(settings, self._turn.rng)
         self._fleet = Placement(settings, self._turn)
@@ -196,11 +196,11 @@
         self._leave_queue(request)
         number = len(request.attempts)
         attempt = Attempt(server.entry, now, request.value.units, request.class_index)
-        server.engage()
-        server.classes[request.class_index].out += 1
+        server.allocate_call_state()
+        server.class_health[request.class_index].outstanding += 1
         request.attempts.append(attempt)
         request.out += 1
-        server.out[request.id, number] = now
+        server.outstanding[request.id, number] = now
         self._attempts[request.id, number] = (server, attempt)
         self._fleet.sent(server, request.value.units)
         self._admission.strain.sent()
@@ -218,7 +218,7 @@
         A new connection that does not come up proves that nothing ran.  It could hurt where handshakes cost
         as much as the work: not while latencies are past their part of the aim (overload 0.87 -> 0.72).
         """
-        unheard = self._turn.now - server.heard > self._patience.mean
+        unheard = self._turn.now - server.last_heard_at > self._patience.mean
         return unheard and self._admission.strain.pressure < 1.0 and not request.repeatable()
 
     def _watch(self, request: Request) -> None:
@@ -281,8 +281,8 @@
             raise api.UnexpectedEvent(f"attempt {event.attempt} of request {event.request} was not out")
         server, attempt = found
         attempt.ended = event.outcome
-        del server.out[key]
-        server.classes[attempt.class_index].out -= 1
+        del server.outstanding[key]
+        server.class_health[attempt.class_index].outstanding -= 1
         self._fleet.reports.take(server, event.load)
         self._health.count(server, -1)
         self._judge(server, attempt, event)
@@ -321,15 +321,15 @@
         """What an outcome says of its server, its class and the load."""
         outcome, elapsed = event.outcome, event.elapsed_ms
         request = self._requests.get(event.request)
-        if elapsed > self._patience.late() and self._turn.now - server.heard >= elapsed:
+        if elapsed > self._patience.late() and self._turn.now - server.last_heard_at >= elapsed:
             # All that is known of it is this one late outcome: where calls are few, an average of
             # seven spans most of a minute, and what crowded or stopped the server is still there.
             self._fleet.rest(server, LATE_REST * elapsed)
         current = attempt.entry.started_ms == server.entry.started_ms
         if outcome is Outcome.OK:
-            server.heard = self._turn.now
-            server.turned_away = 0
-            server.ceiling += CEILING_UP / server.ceiling
+            server.last_heard_at = self._turn.now
+            server.consecutive_refusals = 0
+            server.max_outstanding += CEILING_UP / server.max_outstanding
             self._patience.observe(elapsed)
             aim = self._aim
             if request is not None:
@@ -339,33 +339,38 @@
             usual = elapsed / (0.5 + 0.5 * attempt.units)  # half of what the cost hint foretold is taken out
             self._admission.strain.answered(usual)
             self._feel(elapsed / aim)
-            self.automaton.learn(server.at, usual)
-            self._health.succeeded(server, server.classes[attempt.class_index])
+            self.automaton.learn(server.position, usual)
+            self._health.succeeded(server, server.class_health[attempt.class_index])
         elif outcome is Outcome.FULL or (
-            outcome is Outcome.CONNECT_FAILED and self._turn.now - server.heard < self._patience.late()
+            outcome is Outcome.CONNECT_FAILED
+            and self._turn.now - server.last_heard_at < self._patience.late()
         ):
             # A server that answers others but takes no further call, or no further connection, is full, not
             # dead.  Without a ceiling thousands of calls a second bounced off such servers.
-            server.ceiling = max(1.0, CEILING_DOWN * min(server.ceiling, len(server.out)))
-            pause = FULL_PAUSE * 2.0 ** min(server.turned_away, FULL_DOUBLINGS)
+            server.max_outstanding = max(
+                1.0, CEILING_DOWN * min(server.max_outstanding, len(server.outstanding))
+            )
+            pause = FULL_PAUSE * 2.0 ** min(server.consecutive_refusals, FULL_DOUBLINGS)
             self._fleet.rest_until(server, self._turn.now + pause * self._aim)
-            server.turned_away += 1
-            self.automaton.charge(server.at, elapsed)
+            server.consecutive_refusals += 1
+            self.automaton.charge(server.position, elapsed)
             # The fleet is strained only when more turn calls away than could be left out: servers that
             # drain in turn were taken for strain.
             if self._health.many_turn_away(server):
                 self._feel(1.0)
         elif outcome in (Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.SPOILT):
             if outcome in (Outcome.ERROR, Outcome.SPOILT):
-                server.heard = self._turn.now
-            self.automaton.charge(server.at, elapsed)
+                server.last_heard_at = self._turn.now
+            self.automaton.charge(server.position, elapsed)
             self._health.failed(server, attempt.class_index, outcome, current)
         elif outcome is Outcome.MOOT and event.rest_ms:
             # Refused beside its server, which is full: a miss, and the next draws are for others meanwhile.
-            self.automaton.charge(server.at, elapsed)
+            self.automaton.charge(server.position, elapsed)
             self._fleet.rest_until(server, self._turn.now + event.rest_ms)
         elif outcome is Outcome.REJECTED:
-            server.heard = self._turn.now  # the request is at fault, and neither the server nor the load
+            server.last_heard_at = (
+                self._turn.now
+            )  # the request is at fault, and neither the server nor the load
         elif outcome in (Outcome.TIMEOUT, Outcome.CANCELLED):
             if request is None:
                 return  # withdrawn because another copy was quicker
@@ -374,7 +379,7 @@
             self._class_patience[request.class_index].observe(elapsed)
             self._worth.learn(request.class_index, request.value.cost, elapsed)
             self._feel(elapsed / request.kind.aim_ms)
-            self.automaton.charge(server.at, elapsed)
+            self.automaton.charge(server.position, elapsed)
             if current and elapsed >= self._patience.late():
                 self._health.eject(server, outcome)
 
@@ -382,7 +387,7 @@
         found = self._attempts.get((event.request, event.attempt))
         if found is None:
             raise api.UnexpectedEvent(f"attempt {event.attempt} of request {event.request} was not out")
-        found[0].heard = self._turn.now
+        found[0].last_heard_at = self._turn.now
         request = self._requests.get(event.request)
         if request is not None:
             request.started = True
--- a/leadrudder/policy/placement.py
+++ b/leadrudder/policy/placement.py
@@ -16,7 +16,7 @@
 from leadrudder.policy.automaton import Automaton
 from leadrudder.state.capacity import Capacity, can_spare
 from leadrudder.state.listed import Listed
-from leadrudder.state.records import Server, Turn
+from leadrudder.state.records import EventContext, Server
 from leadrudder.state.reports import Reports
 from leadrudder.state.rings import Rings
 from leadrudder.state.spread import least_held
@@ -47,7 +47,7 @@
 class Placement:
     """The listed servers and the draw among them."""
 
-    def __init__(self, settings: Settings, turn: Turn) -> None:
+    def __init__(self, settings: Settings, turn: EventContext) -> None:
         self._settings = settings
         self._turn = turn
         self.automaton = Automaton(settings.balancers, settings.floor_share)
@@ -78,7 +78,7 @@
         for server in change.fresh:
             self.count(server, -1)
             self.reports.forget(server)
-            server.start_anew(self._turn.now, self._turn.rng.random())
+            server.reset_after_restart(self._turn.now, self._turn.rng.random())
             self.count(server, 1)
         many = max(len(change.joined), len(change.left)) * PIECEWISE > len(self.arms)
         # A list that comes in pieces is a long one: each is followed server by server.
@@ -107,9 +107,9 @@
         self.special.pop(server.entry.server, None)
         self.capacity.left(server)
         self.reports.forget(server)
-        server.special = False
+        server.needs_check = False
         if not whole:
-            self.automaton.leave(server.at)
+            self.automaton.leave(server.position)
             self.list.leave(server)
             self._move(server, -1)
 
@@ -146,26 +146,26 @@
         What hangs on time alone is looked at again when it is due; what hangs on the state of all (a share of
         the calls out, what is silent) concerns servers with calls out only, and those are special.
         """
-        i, now, out = server.at, self._turn.now, len(server.out)
+        i, now, out = server.position, self._turn.now, len(server.outstanding)
         if i < 0:
             return
         # One that turns calls away bears none: those that drain do so for seconds before the list tells.
-        turns_away = server.turned_away > 0 and not self.reports.on
+        turns_away = server.consecutive_refusals > 0 and not self.reports.on
         in_use = not (server.ejected or turns_away)
         if (look := self.capacity.note(server, in_use)) is not None:
             self.look_again(server, look)
-        special = bool(out) or server.ejected or server.trial or server.due > now
-        if special != server.special:
-            server.special = special
+        special = bool(out) or server.ejected or server.on_probation or server.restricted_until > now
+        if special != server.needs_check:
+            server.needs_check = special
             if special:
                 self.special[server.entry.server] = server
             else:
                 del self.special[server.entry.server]
-        closed = server.ejected or server.rest_until > now or out + 1 > server.ceiling
-        self.automaton.shares.set_open(i, not (closed or (server.trial and out > 0)))
+        closed = server.ejected or server.paused_until > now or out + 1 > server.max_outstanding
+        self.automaton.shares.set_open(i, not (closed or (server.on_probation and out > 0)))
 
     def look_again(self, server: Server, when: float) -> None:
-        server.due = max(server.due, when)
+        server.restricted_until = max(server.restricted_until, when)
         self._seq += 1
         heapq.heappush(self._due, (when, self._seq, server))
 
@@ -205,14 +205,14 @@
                 continue
             if self.reports.on and not last_resort and self._crowded(server):
                 continue
-            if not server.special and not look.risky:
+            if not server.needs_check and not look.risky:
                 return server
             if self._standing(look, server) >= (SICK if last_resort else FIT):
                 return server
         return None
 
     def _crowded(self, server: Server) -> bool:
-        return self.reports.crowded(server, len(self.arms) * self.automaton.shares.weight(server.at))
+        return self.reports.crowded(server, len(self.arms) * self.automaton.shares.weight(server.position))
 
     def _panics(self, look: Look) -> bool:
         """Whether too many are unhealthy for health to be a guide; counted as seldom as it costs little."""
@@ -223,7 +223,8 @@
             return panic
         late, now = look.late, self._turn.now
         sick = (
-            s.ejected or not s.classes[c].open(now) or self.silent(s, late) for s in self.special.values()
+            s.ejected or not s.class_health[c].accepts_calls(now) or self.silent(s, late)
+            for s in self.special.values()
         )
         self._panic[c] = sum(sick) > PANIC * len(self.arms), 0
         return self._panic[c][0]
@@ -235,11 +236,11 @@
         unhealthy = 0
         arms, risky = self.arms, look.risky
         for server in among:
-            standing = self._standing(look, server) if server.special or risky else FIT
+            standing = self._standing(look, server) if server.needs_check or risky else FIT
             if standing >= SICK:
-                allowed.append(server.at)
+                allowed.append(server.position)
             if standing == FIT:
-                fit.append(server.at)
+                fit.append(server.position)
             elif standing in (CLASS_SICK, SICK):
                 unhealthy += 1
         if last_resort or unhealthy > PANIC * len(arms):
@@ -254,7 +255,7 @@
 
     def _standing(self, look: Look, server: Server) -> int:
         """How a server stands to a request: forbidden, or sick, busy or fit for it."""
-        request, now, out = look.request, self._turn.now, len(server.out)
+        request, now, out = look.request, self._turn.now, len(server.outstanding)
         if look.risky and not permitted(request, server.entry, self._settings, now):
             return FORBIDDEN
         if server.cold:
@@ -262,17 +263,20 @@
                 look.flow = self.capacity.warm_flow()
             if not self.capacity.allows(server, request.value.units, look.flow):
                 return FORBIDDEN
-        health = server.classes[request.class_index]
-        if (health.trial or server.due > now) and not health.open(now):
+        health = server.class_health[request.class_index]
+        if (health.on_probation or server.restricted_until > now) and not health.accepts_calls(now):
             return CLASS_SICK  # also as a last resort: it would most likely fail, where a refusal is harmless
         if server.ejected or (out and self.silent(server, look.late)):
             return SICK
-        if server.trial and (out or (self._can_repeat and not request.repeatable())):
+        if server.on_probation and (out or (self._can_repeat and not request.repeatable())):
             return BUSY  # a returning server gets one call at a time, and none that could be lost for good
-        if server.rest_until > now or out + 1 > server.ceiling:
+        if server.paused_until > now or out + 1 > server.max_outstanding:
             return BUSY
         if out:
-            slow, share = self.automaton.averages.values[server.at], self.automaton.shares.weight(server.at)
+            slow, share = (
+                self.automaton.averages.values[server.position],
+                self.automaton.shares.weight(server.position),
+            )
             if slow and out * (1.0 - look.calm / slow) > self._most_waiting:
                 # By Little's law this part of its calls waits there; a server crowded for long turns slow
                 # for long, and its own average tells so before the mean of all does.
@@ -320,10 +324,10 @@
 
     def silent(self, server: Server, late: float) -> bool:
         """Attempts overdue against what peers answer in count before they end."""
-        if not server.out:
+        if not server.outstanding:
             return False
-        since = max(next(iter(server.out.values())), server.heard)
-        return self._turn.now - since > late / math.sqrt(len(server.out))
+        since = max(next(iter(server.outstanding.values())), server.last_heard_at)
+        return self._turn.now - since > late / math.sqrt(len(server.outstanding))
 
     def rest(self, server: Server, span: float) -> None:
         """Skip a server for a while, unless too many of those that would take its calls are out already.
@@ -332,10 +336,10 @@
         """
         near = self._near_most if self._near_most >= LOCAL_LEAST else len(self.arms)
         now, whole = self._turn.now, near == len(self.arms)
-        out = (s.ejected or s.rest_until > now for s in self.special.values() if whole or self._kept(s))
+        out = (s.ejected or s.paused_until > now for s in self.special.values() if whole or self._kept(s))
         if can_spare(sum(out), near):
             self.rest_until(server, now + span)
 
     def rest_until(self, server: Server, until: float) -> None:
-        server.rest_until = until
+        server.paused_until = until
         self.look_again(server, until)
--- a/leadrudder/recovery/limit.py
+++ b/leadrudder/recovery/limit.py
@@ -12,7 +12,7 @@
 
 from leadrudder.interface import Settings
 from leadrudder.recovery.strain import TIMES_CALM, Strain
-from leadrudder.state.records import Turn
+from leadrudder.state.records import EventContext
 
 DOWN = 0.9
 DOWN_MOST = 0.5  # a cut is as deep as the strain, down to this
@@ -40,7 +40,7 @@
 class Knee:
     """Cut by strain, grown to the knee and no further."""
 
-    def __init__(self, settings: Settings, turn: Turn) -> None:
+    def __init__(self, settings: Settings, turn: EventContext) -> None:
         self._tiers = settings.stages - settings.stage  # from this one on
         self._turn = turn
         self.value = 0.0  # set by the first list
--- a/leadrudder/recovery/strain.py
+++ b/leadrudder/recovery/strain.py
@@ -10,7 +10,7 @@
 
 from leadrudder.interface import Settings
 from leadrudder.state.estimators import Rate
-from leadrudder.state.records import Turn
+from leadrudder.state.records import EventContext
 from leadrudder.state.reports import Reports
 
 TARGET = 0.4  # latencies are kept below this part of the aim, less for inner tiers
@@ -32,7 +32,7 @@
 class Strain:
     """Told of every answer and every call given up."""
 
-    def __init__(self, settings: Settings, turn: Turn, reports: Reports) -> None:
+    def __init__(self, settings: Settings, turn: EventContext, reports: Reports) -> None:
         self._settings = settings
         self._turn = turn
         self._reports = reports
--- a/leadrudder/state/capacity.py
+++ b/leadrudder/state/capacity.py
@@ -9,7 +9,7 @@
 
 from leadrudder.interface import Settings
 from leadrudder.state.estimators import Rate
-from leadrudder.state.records import Server, Turn
+from leadrudder.state.records import EventContext, Server
 
 WARMTH_STEPS = 8  # looks at how warm a cold server has become
 EJECT_MOST = 0.34  # part of the fleet that may be out at once
@@ -23,7 +23,7 @@
 class Capacity:
     """Kept by change: whoever changes a listed server notes it here."""
 
-    def __init__(self, settings: Settings, turn: Turn) -> None:
+    def __init__(self, settings: Settings, turn: EventContext) -> None:
         self._settings = settings
         self._turn = turn
         self._flow = Rate(settings.cold_ms or 1000.0)  # units sent
@@ -52,13 +52,13 @@
 
     def joined(self, server: Server) -> None:
         self._arms += 1
-        server.bears = 0.0
+        server.counted_capacity = 0.0
 
     def left(self, server: Server) -> None:
         self._arms -= 1
         self._cold -= server.cold
-        self._total = self._total - server.bears if self._arms else 0.0  # and rounding with it
-        server.cold, server.bears = False, 0.0
+        self._total = self._total - server.counted_capacity if self._arms else 0.0  # and rounding with it
+        server.cold, server.counted_capacity = False, 0.0
 
     def note(self, server: Server, in_use: bool) -> float | None:
         """A server has changed or is due; the time to look at it again, if time alone will change it."""
@@ -67,17 +67,17 @@
         self._cold += cold - server.cold
         server.cold = cold
         bears = warmth if in_use else 0.0
-        self._total += bears - server.bears
-        server.bears = bears
-        if not cold or server.warmer_at > self._turn.now:
+        self._total += bears - server.counted_capacity
+        server.counted_capacity = bears
+        if not cold or server.next_warm_up_step_at > self._turn.now:
             return None
         step = self._settings.cold_ms / WARMTH_STEPS
-        server.warmer_at = min(self.cold_until(server), self._turn.now + step)
-        return server.warmer_at
+        server.next_warm_up_step_at = min(self.cold_until(server), self._turn.now + step)
+        return server.next_warm_up_step_at
 
     def sent(self, server: Server, units: float) -> None:
         """Work goes out to a server, in calls of mean work."""
-        server.tokens -= units
+        server.cold_start_tokens -= units
         self._flow.add(units, self._turn.now)
 
     def warm_flow(self) -> float:
@@ -92,6 +92,8 @@
         """
         ramp = self.warmth(server)
         most = max(1.0, ramp * flow * self._settings.fall_window_ms)
-        server.tokens = min(most, server.tokens + ramp * flow * (self._turn.now - server.tokens_at))
-        server.tokens_at = self._turn.now
-        return server.tokens >= min(units, most)
+        server.cold_start_tokens = min(
+            most, server.cold_start_tokens + ramp * flow * (self._turn.now - server.cold_start_tokens_at)
+        )
+        server.cold_start_tokens_at = self._turn.now
+        return server.cold_start_tokens >= min(units, most)
--- a/leadrudder/state/listed.py
+++ b/leadrudder/state/listed.py
@@ -55,7 +55,7 @@
             change.fresh.append(server)
         elif entry.started_ms > server.entry.started_ms:
             change.fresh.append(server)
-            server.heard = now
+            server.last_heard_at = now
         old, server.entry = server.entry, entry
         if entry.readiness is not Readiness.READY:
             if server.listed:  # it is taken out from where it was listed, whatever its last entry says
@@ -78,26 +78,26 @@
     def _forget(self) -> None:
         """What has gone and holds no call is forgotten: over a long day new ids come without end."""
         for name, server in list(self._gone.items()):
-            if server.listed or not server.out:
+            if server.listed or not server.outstanding:
                 del self._gone[name]
-            if not server.listed and not server.out:
+            if not server.listed and not server.outstanding:
                 del self.servers[name]
 
     def replace(self, joined: list[Server]) -> None:
         """Take out all that are listed no more, the others keeping their order, and put these behind them."""
         for server in self.arms:
-            server.at = -1
+            server.position = -1
         self.arms[:] = [server for server in self.arms if server.listed] + joined
         for i, server in enumerate(self.arms):
-            server.at = i
+            server.position = i
 
     def join(self, server: Server) -> None:
-        server.at = len(self.arms)
+        server.position = len(self.arms)
         self.arms.append(server)
 
     def leave(self, server: Server) -> None:
         last = self.arms.pop()
         if last is not server:
-            self.arms[server.at] = last
-            last.at = server.at
-        server.at = -1
+            self.arms[server.position] = last
+            last.position = server.position
+        server.position = -1
--- a/leadrudder/state/records.py
+++ b/leadrudder/state/records.py
@@ -8,11 +8,11 @@
 
 from leadrudder.interface import Action, Log, RequestId, ServerEntry
 
-WEIGHT_LEAST, WEIGHT_MOST = 1e-3, 1e3  # of a listed capacity; one that is no number counts as the least
+MIN_WEIGHT, MAX_WEIGHT = 1e-3, 1e3  # of a listed capacity; one that is no number counts as the least
 
 
 @dataclass(slots=True)
-class Turn:
+class EventContext:
     """Set by the balancer at each event; the actions are carried out in their order."""
 
     rng: Random
@@ -27,16 +27,16 @@
 class ClassHealth:
     """How a server does with one class of requests."""
 
-    fail: float = 0.0
-    usual: float = 0.0  # the same over more answers, spoilt ones among them
+    failure_rate: float = 0.0
+    long_term_failure_rate: float = 0.0  # the same over more answers, spoilt ones among them
     served: bool = False
-    barred_until: float = -math.inf
-    trial: bool = False  # barred until lately, and not proven since
-    strikes: int = 0
-    out: int = 0
+    blocked_until: float = -math.inf
+    on_probation: bool = False  # barred until lately, and not proven since
+    backoff_exponent: int = 0
+    outstanding: int = 0
 
-    def open(self, now: float) -> bool:
-        return now >= self.barred_until and not (self.trial and self.out)
+    def accepts_calls(self, now: float) -> bool:
+        return now >= self.blocked_until and not (self.on_probation and self.outstanding)
 
 
 _NO_CALLS: dict[tuple[RequestId, int], float] = {}
@@ -55,42 +55,42 @@
     """
 
     entry: ServerEntry
-    classes: list[ClassHealth]  # changed by calls only
+    class_health: list[ClassHealth]  # changed by calls only
     listed: bool = True
-    out: dict[tuple[RequestId, int], float] = field(default_factory=_no_calls)  # oldest first
-    heard: float = -math.inf
-    fail: float = 0.0
+    outstanding: dict[tuple[RequestId, int], float] = field(default_factory=_no_calls)  # oldest first
+    last_heard_at: float = -math.inf
+    failure_rate: float = 0.0
     ejected: bool = False
-    trial: bool = False
-    strikes: int = 0
-    rest_until: float = -math.inf
-    turned_away: int = 0  # calls, since it last served one
-    ceiling: float = math.inf  # calls of ours that it is known to bear, once it has turned one away
-    at: int = -1  # its index among the arms
-    special: bool = False  # anything but warm, healthy and idle: it is looked at before it is sent to
+    on_probation: bool = False
+    backoff_exponent: int = 0
+    paused_until: float = -math.inf
+    consecutive_refusals: int = 0  # calls, since it last served one
+    max_outstanding: float = math.inf  # calls of ours that it is known to bear, once it has turned one away
+    position: int = -1  # its index among the arms
+    needs_check: bool = False  # anything but warm, healthy and idle: it is looked at before it is sent to
     cold: bool = False
-    warmer_at: float = -math.inf  # when a cold one is looked at again
-    bears: float = 0.0  # what it counts for in the fleet's capacity, in warm servers
-    due: float = -math.inf  # until then it rests, is cold or barred
-    tokens: float = 0.0  # cold budget, in calls of mean work
-    tokens_at: float = 0.0
-    load: tuple[float, ...] = ()  # its latest report, while that is fresh
-    load_at: float = 0.0
-    load_out: int = 0  # calls of ours that were out then
+    next_warm_up_step_at: float = -math.inf  # when a cold one is looked at again
+    counted_capacity: float = 0.0  # what it counts for in the fleet's capacity, in warm servers
+    restricted_until: float = -math.inf  # until then it rests, is cold or barred
+    cold_start_tokens: float = 0.0  # cold budget, in calls of mean work
+    cold_start_tokens_at: float = 0.0
+    load_report: tuple[float, ...] = ()  # its latest report, while that is fresh
+    load_reported_at: float = 0.0
+    outstanding_at_report: int = 0  # calls of ours that were out then
 
     def weight(self, hinted: bool) -> float:
         """What it counts against the mean server; hinted: the list's capacities are to be believed."""
-        return min(max(WEIGHT_LEAST, self.entry.capacity_hint if hinted else 1.0), WEIGHT_MOST)
+        return min(max(MIN_WEIGHT, self.entry.capacity_hint if hinted else 1.0), MAX_WEIGHT)
 
-    def engage(self) -> None:
+    def allocate_call_state(self) -> None:
         """To be called before each call that goes out to it."""
-        if self.out is _NO_CALLS:
-            self.out = {}
-            self.classes = [ClassHealth() for _ in self.classes]
+        if self.outstanding is _NO_CALLS:
+            self.outstanding = {}
+            self.class_health = [ClassHealth() for _ in self.class_health]
 
-    def start_anew(self, now: float, token: float) -> None:
+    def reset_after_restart(self, now: float, token: float) -> None:
         """A new process: what was held against an old one is void; it is cold again."""
-        self.fail, self.strikes, self.ejected, self.trial = 0.0, 0, False, False
-        if self.out is not _NO_CALLS:
-            self.classes = [ClassHealth(out=health.out) for health in self.classes]
-        self.tokens, self.tokens_at = token, now
+        self.failure_rate, self.backoff_exponent, self.ejected, self.on_probation = 0.0, 0, False, False
+        if self.outstanding is not _NO_CALLS:
+            self.class_health = [ClassHealth(outstanding=health.outstanding) for health in self.class_health]
+        self.cold_start_tokens, self.cold_start_tokens_at = token, now
--- a/leadrudder/state/reports.py
+++ b/leadrudder/state/reports.py
@@ -12,7 +12,7 @@
 from collections import deque
 
 from leadrudder.interface import Settings
-from leadrudder.state.records import Server, Turn
+from leadrudder.state.records import EventContext, Server
 
 # By the names of the simulator's wire and of the sockets.
 UTILISATION = ("utilization", "util")
@@ -34,7 +34,7 @@
 class Reports:
     """The latest report of each listed server, and the sums of those that are fresh: O(1) a report."""
 
-    def __init__(self, settings: Settings, turn: Turn) -> None:
+    def __init__(self, settings: Settings, turn: EventContext) -> None:
         self._turn = turn
         self._columns = len(settings.load_columns)
         self._util = _column(settings, UTILISATION)
@@ -57,30 +57,36 @@
         ):
             self._complain(server)
             return
-        if server.at < 0 or (load == server.load and self._turn.now - server.load_at < FRESH_MS):
+        if server.position < 0 or (
+            load == server.load_report and self._turn.now - server.load_reported_at < FRESH_MS
+        ):
             return  # not listed any more; or the same again, as each answer between two refreshes brings it
         self.forget(server)
-        server.load, server.load_at, server.load_out = load, self._turn.now, len(server.out)
+        server.load_report, server.load_reported_at, server.outstanding_at_report = (
+            load,
+            self._turn.now,
+            len(server.outstanding),
+        )
         self._count(server, 1)
         self._fresh.append((self._turn.now, server))
 
     def forget(self, server: Server) -> None:
         """What it told is void: it has left, was started anew, or tells something newer."""
-        if server.load:
+        if server.load_report:
             self._count(server, -1)
-            server.load = ()
+            server.load_report = ()
 
     def _count(self, server: Server, times: int) -> None:
         self._known += times
-        self._held_sum = self._held_sum + times * server.load[self._held] if self._known else 0.0
-        self._util_sum = self._util_sum + times * server.load[self._util] if self._known else 0.0
+        self._held_sum = self._held_sum + times * server.load_report[self._held] if self._known else 0.0
+        self._util_sum = self._util_sum + times * server.load_report[self._util] if self._known else 0.0
 
     def _age(self) -> None:
         """What is no longer fresh tells nothing."""
         oldest = self._turn.now - FRESH_MS
         while self._fresh and self._fresh[0][0] <= oldest:
             at, server = self._fresh.popleft()
-            if server.load_at == at:
+            if server.load_reported_at == at:
                 self.forget(server)
 
     def utilisation(self) -> float | None:
@@ -106,10 +112,10 @@
         """Whether it tells of full cores and of more requests than the mean; share: its part of the draws, as
         a multiple of the mean part."""
         self._age()
-        if not server.load or server.load[self._util] < FULL_CORES or self._known < 2:
+        if not server.load_report or server.load_report[self._util] < FULL_CORES or self._known < 2:
             return False
-        own = len(server.out)
-        held = max(own, server.load[self._held] + own - server.load_out)
+        own = len(server.outstanding)
+        held = max(own, server.load_report[self._held] + own - server.outstanding_at_report)
         return held > CROWDED_TIMES * share * self._held_sum / self._known
 
     def _complain(self, server: Server) -> None:
--- a/leadrudder/state/spread.py
+++ b/leadrudder/state/spread.py
@@ -24,6 +24,6 @@
     held = []
     for i in among:
         average = averages[i]
-        held.append(len(arms[i].out) + (average is not None and average > SLOW_TIMES * mean))
+        held.append(len(arms[i].outstanding) + (average is not None and average > SLOW_TIMES * mean))
     least = min(held, default=0)
     return [i for i, calls in zip(among, held, strict=True) if calls == least]
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -8,15 +8,15 @@
 
 from leadrudder.interface import ListKind, Outcome, RequestClass, ServerEntry, Settings
 from leadrudder.state.capacity import WARMTH_STEPS, Capacity
-from leadrudder.state.records import ClassHealth, Server, Turn
+from leadrudder.state.records import ClassHealth, EventContext, Server
 from tests.checker import Surrounding
 
 COLD_MS = 8000.0
 CLASS = RequestClass("varaus", aim_ms=1500.0, deadline_ms=4000.0)
 
 
-def capacity(now: float = 100_000.0) -> tuple[Capacity, Turn]:
-    turn = Turn(random.Random(1), now)
+def capacity(now: float = 100_000.0) -> tuple[Capacity, EventContext]:
+    turn = EventContext(random.Random(1), now)
     return Capacity(Settings((CLASS,), cold_ms=COLD_MS, cold_start_share=0.25), turn), turn
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -187,7 +187,7 @@
     serve(play, 60, latency=20.0)
     for quiet, kind, closes in ((5.0, 1, False), (100.0, 0, False), (100.0, 1, True)):
         for server in play.balancer._fleet.servers.values():
-            server.heard = play.now - quiet
+            server.last_heard_at = play.now - quiet
         mark = len(play.log)
         request = play.arrive(kind)
         assert any(isinstance(a, CloseIdle) for a in play.log[mark:]) is closes
@@ -532,8 +532,8 @@
     play = make(SAFE, UNSAFE, may_probe=True, cold_ms=1000.0)
     bad = bytes([2])
     serve(play, 30)
-    health = play.balancer._fleet.servers[bad].classes[1]
-    while not health.trial:
+    health = play.balancer._fleet.servers[bad].class_health[1]
+    while not health.on_probation:
         request = play.arrive(1)
         play.step(20)
         for number in play.live(request):
@@ -544,7 +544,7 @@
         request = play.arrive(1)
         play.step(20)
         end_all(play, [request])
-    assert not health.trial and health.fail < 0.45
+    assert not health.on_probation and health.failure_rate < 0.45
 
 
 def test_errors_from_behind_that_meet_all_servers_bar_none_of_them() -> None:
@@ -569,7 +569,7 @@
     for _ in range(2):
         while book(Outcome.ERROR, one) != one:
             pass
-    assert play.balancer._fleet.servers[one].classes[1].open(play.now)
+    assert play.balancer._fleet.servers[one].class_health[1].accepts_calls(play.now)
     assert texts(play) == []
 
 
@@ -578,7 +578,7 @@
     play = make(SAFE, UNSAFE, cold_ms=1000.0)
     bad = bytes([2])
     serve(play, 60)
-    health = play.balancer._fleet.servers[bad].classes[1]
+    health = play.balancer._fleet.servers[bad].class_health[1]
 
     def book(outcome: Outcome) -> None:
         """Bookings until the server has ended one like this."""
@@ -589,12 +589,12 @@
             met = play.owed[request].attempts[0].entry.server == bad
             play.end(request, 0, outcome if met else Outcome.OK)
 
-    while not health.trial:
+    while not health.on_probation:
         book(Outcome.ERROR)
     play.step(6000)
     book(Outcome.OK)
     book(Outcome.ERROR)
-    assert health.open(play.now)
+    assert health.accepts_calls(play.now)
 
 
 def test_a_request_that_a_server_finds_fault_with_is_not_sent_again_and_says_nothing_of_it() -> None:
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -126,28 +126,41 @@
     """All that is kept by change is what a look at every server gives."""
     now, health = balancer._turn.now, balancer._health
     arms = fleet.arms
-    assert [s.at for s in arms] == list(range(len(arms)))
+    assert [s.position for s in arms] == list(range(len(arms)))
     for i, s in enumerate(arms):
         cold = s.entry.started_ms > 0 and now - s.entry.started_ms < balancer.settings.cold_ms
-        barred = any(h.barred_until > now or (h.trial and h.out) for h in s.classes)
-        plain = not (s.out or s.ejected or s.trial or s.rest_until > now or cold or barred)
-        assert plain or s.special, s
-        assert (s.entry.server in fleet.special) == s.special and s.cold == cold
-        closed = s.ejected or s.rest_until > now or len(s.out) + 1 > s.ceiling or bool(s.trial and s.out)
+        barred = any(h.blocked_until > now or (h.on_probation and h.outstanding) for h in s.class_health)
+        plain = not (s.outstanding or s.ejected or s.on_probation or s.paused_until > now or cold or barred)
+        assert plain or s.needs_check, s
+        assert (s.entry.server in fleet.special) == s.needs_check and s.cold == cold
+        closed = (
+            s.ejected
+            or s.paused_until > now
+            or len(s.outstanding) + 1 > s.max_outstanding
+            or bool(s.on_probation and s.outstanding)
+        )
         group, at = fleet.automaton.shares._group[i], fleet.automaton.shares._at[i]
         assert fleet.automaton.shares.groups[group].closed[at] == closed, s
     capacity = fleet.capacity
     assert (capacity._arms, capacity._cold) == (len(arms), sum(s.cold for s in arms))
-    assert capacity._total == pytest.approx(sum(s.bears for s in arms), abs=1e-9)
+    assert capacity._total == pytest.approx(sum(s.counted_capacity for s in arms), abs=1e-9)
     for s in arms:
         least = max(capacity.warmth(s) - 1.0 / WARMTH_STEPS, balancer.settings.cold_start_share)
-        assert (least - 1e-9 <= s.bears <= capacity.warmth(s) + 1e-9) if not s.ejected else s.bears == 0.0, s
+        assert (
+            (least - 1e-9 <= s.counted_capacity <= capacity.warmth(s) + 1e-9)
+            if not s.ejected
+            else s.counted_capacity == 0.0
+        ), s
     assert health._ejected == sum(s.ejected for s in arms)
-    assert health._turned == sum(s.turned_away > 0 for s in arms)
-    assert health._fails == pytest.approx(sum(s.fail for s in arms if not s.ejected), abs=1e-9)
+    assert health._turned == sum(s.consecutive_refusals > 0 for s in arms)
+    assert health._fails == pytest.approx(sum(s.failure_rate for s in arms if not s.ejected), abs=1e-9)
     for c in range(len(balancer.settings.classes)):
-        assert health._class_fails[c] == pytest.approx(sum(s.classes[c].fail for s in arms), abs=1e-9)
-        assert health._class_usual[c] == pytest.approx(sum(s.classes[c].usual for s in arms), abs=1e-9)
+        assert health._class_fails[c] == pytest.approx(
+            sum(s.class_health[c].failure_rate for s in arms), abs=1e-9
+        )
+        assert health._class_usual[c] == pytest.approx(
+            sum(s.class_health[c].long_term_failure_rate for s in arms), abs=1e-9
+        )
 
 
 EVENTS = st.lists(
@@ -249,7 +262,7 @@
     for _ in range(30_000):
         found = fleet._try(look, False)
         if found is not None:
-            counts[found.at] += 1
+            counts[found.position] += 1
             draws += 1
     assert set(counts) == set(pool) and draws > 29_000
     p = fleet.automaton.p
@@ -290,9 +303,9 @@
     fleet = balancer._fleet
     now = 5.0
     for request, server in enumerate(fleet.arms[:-1]):
-        server.ceiling = 1.0
-        server.engage()
-        server.out[request, 0] = now
+        server.max_outstanding = 1.0
+        server.allocate_call_state()
+        server.outstanding[request, 0] = now
         fleet.note(server)
     before = fleet._scans
     sent = _sends(balancer, 10**6, now + 1)
@@ -305,7 +318,7 @@
     balancer = _course(2000)
     fleet = balancer._fleet
     for server in fleet.arms:
-        server.rest_until = 1e9
+        server.paused_until = 1e9
         fleet.look_again(server, 1e9)
         fleet.note(server)
     whole = 0
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -27,7 +27,7 @@
 from leadrudder.node.lists import Naming
 from leadrudder.node.reports import MOST_KEPT, ReportReader
 from leadrudder.node.servers import Servers
-from leadrudder.state.records import ClassHealth, Server, Turn
+from leadrudder.state.records import ClassHealth, EventContext, Server
 from leadrudder.state.reports import FRESH_MS, LOG_EACH_MS, Reports
 from tests.stubs import StubServer, listing, reply, row, run
 
@@ -36,9 +36,9 @@
 BAD = [(math.nan, 1.0), (0.5, math.inf), (-0.1, 3.0), (0.5, -1.0), (0.5, 1e9), (7.0, 1.0), (0.5,)]
 
 
-def reports() -> tuple[Reports, Turn, list[Server]]:
-    turn = Turn(random.Random(1))
-    servers = [Server(ServerEntry(bytes([i])), [ClassHealth()], at=i) for i in range(4)]
+def reports() -> tuple[Reports, EventContext, list[Server]]:
+    turn = EventContext(random.Random(1))
+    servers = [Server(ServerEntry(bytes([i])), [ClassHealth()], position=i) for i in range(4)]
     told = Reports(SETTINGS, turn)
     told.servers = len(servers)
     return told, turn, servers
@@ -63,7 +63,7 @@
     turn.now = FRESH_MS
     assert not told.crowded(servers[0], 1.0) and told.utilisation() is None
     told.take(servers[0], (1.0, 40.0))
-    assert servers[0].load == (1.0, 40.0), "what it told too long ago is heard again"
+    assert servers[0].load_report == (1.0, 40.0), "what it told too long ago is heard again"
 
 
 def test_who_claims_to_hold_nothing_is_held_for_what_this_node_has_there() -> None:
@@ -71,7 +71,7 @@
     for server in servers:
         told.take(server, (1.0, 0.0 if server is servers[0] else 4.0))
     assert not told.crowded(servers[0], 1.0)
-    servers[0].out = {(i, 0): 0.0 for i in range(9)}
+    servers[0].outstanding = {(i, 0): 0.0 for i in range(9)}
     assert told.crowded(servers[0], 1.0)
 
 
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -33,8 +33,8 @@
 
 def test_a_slow_server_counts_as_holding_one_more() -> None:
     arms = [Server(ServerEntry(name), [ClassHealth()]) for name in SERVERS[:4]]
-    arms[3].engage()
-    arms[3].out[1, 0] = 0.0
+    arms[3].allocate_call_state()
+    arms[3].outstanding[1, 0] = 0.0
     slow = 100.0 * SLOW_TIMES + 1.0
     assert least_held([0, 1, 2, 3], arms, [100.0, slow, None, 100.0], 100.0) == [0, 2]
     assert least_held([1, 3], arms, [100.0, slow, None, 100.0], 100.0) == [1, 3]
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -27,7 +27,7 @@
 )
 from leadrudder.policy.admission import Admission
 from leadrudder.policy.attempts import Request
-from leadrudder.state.records import Turn
+from leadrudder.state.records import EventContext
 from leadrudder.state.reports import Reports
 from leadrudder.state.worth import KNOWN, Appraisal, Line, Worth
 
@@ -204,7 +204,7 @@
 def test_places_are_kept_for_what_is_worth_most_the_more_strain_there_is(
     strain: float, little: int, most: int
 ) -> None:
-    turn = Turn(random.Random(1))
+    turn = EventContext(random.Random(1))
     settings = Settings((HEAVY,))
     admission = Admission(settings, turn, Reports(settings, turn))
     admission.limit.value, admission.strain.value = 10.0, strain
