--- a/leadrudder/node/discovery.py
+++ b/leadrudder/node/discovery.py
@@ -256,7 +256,7 @@
         if len(self._lines) > LINES_MOST:
             watch.pause()  # the rest waits in the network
         if self._reading is None and self._gathering is None:
-            if self._rate.take(1000.0 * self._loop.time()):
+            if self._rate.try_take(1000.0 * self._loop.time()):
                 self._read_lines()
             else:
                 if self._loop.time() - self._flooded > 1.0:  # once for each flood
@@ -349,7 +349,7 @@
         if watch is self._successor:
             self._successor = None
             if self._watch is not None:  # it still holds: time for another try
-                self._later(self._backoff.pause())
+                self._later(self._backoff.next_pause())
                 return
         elif watch is self._watch:
             self._watch = None
@@ -357,6 +357,6 @@
                 return
         self._leave()
         if self._pushed:
-            self._timer = self._loop.call_later(self._backoff.pause(), self.subscribe)
+            self._timer = self._loop.call_later(self._backoff.next_pause(), self.subscribe)
         else:
             self._on_failed()
--- a/leadrudder/node/reports.py
+++ b/leadrudder/node/reports.py
@@ -9,7 +9,7 @@
 import json
 import math
 
-from leadrudder.state.reports import HELD, QUEUED, UTILISATION
+from leadrudder.state.reports import OUTSTANDING_COLUMNS, QUEUE_COLUMNS, UTILIZATION_COLUMNS
 
 MOST_BYTES = 512
 MOST_KEPT = 256
@@ -60,5 +60,7 @@
 
 def _names(column: str) -> tuple[str, ...]:
     """How servers may name a figure: as the settings do first."""
-    others = next((names for names in (UTILISATION, HELD, QUEUED) if column in names), ())
+    others = next(
+        (names for names in (UTILIZATION_COLUMNS, OUTSTANDING_COLUMNS, QUEUE_COLUMNS) if column in names), ()
+    )
     return column, *(name for name in others if name != column)
--- a/leadrudder/policy/admission.py
+++ b/leadrudder/policy/admission.py
@@ -7,7 +7,7 @@
 from leadrudder.recovery.limit import Knee, Limit
 from leadrudder.recovery.strain import Strain
 from leadrudder.state.records import EventContext
-from leadrudder.state.reports import Reports
+from leadrudder.state.reports import LoadReports
 
 KEPT = 0.2  # of the limit, the more the less a request is worth: for what is worth most, under strain
 KEPT_FROM = 0.7  # and from this strain on, rising: with less than that it only keeps places empty
@@ -18,7 +18,7 @@
     """Calls out against their limit, which leadrudder/recovery/ sets by what it knows of the strain."""
 
     def __init__(
-        self, settings: Settings, turn: EventContext, reports: Reports, limit: Limit | None = None
+        self, settings: Settings, turn: EventContext, reports: LoadReports, limit: Limit | None = None
     ) -> None:
         self._top = max(c.worth for c in settings.classes) or 1.0
         self._settings = settings
--- a/leadrudder/policy/attempts.py
+++ b/leadrudder/policy/attempts.py
@@ -7,7 +7,7 @@
 
 from leadrudder import interface as api
 from leadrudder.state.records import Server
-from leadrudder.state.worth import Appraisal
+from leadrudder.state.worth import RequestValue
 
 
 @dataclass(slots=True)
@@ -33,7 +33,7 @@
     class_index: int
     arrived: float
     deadline: float
-    value: Appraisal
+    value: RequestValue
     seq: int
     chance: float  # in [0, 1): takes the fraction of the limit of calls out
     attempts: list[Attempt] = field(default_factory=list)
--- a/leadrudder/policy/automaton.py
+++ b/leadrudder/policy/automaton.py
@@ -9,8 +9,8 @@
 from collections.abc import Mapping
 
 from leadrudder.interface import ServerId
-from leadrudder.state.estimators import Column
-from leadrudder.state.weights import GroupedWeights, Newcomers, Weights, floored
+from leadrudder.state.estimators import RunningMeanColumn
+from leadrudder.state.weights import FenwickWeights, GroupedWeights, NewcomerShares, apply_floor
 
 # The automaton.  A copy sees few calls over many servers, so both steps are far above the paper's.
 ALPHA = 0.15  # an average spans about seven of its server's calls
@@ -32,26 +32,26 @@
 class Automaton:
     """A floored probability vector over servers and a latency average for each.
 
-    A payoff moves all other shares by one affine map, which Weights keeps apart from the shares: learning and
-    drawing cost O(log r).  Servers of one listed kind share a map; the draw takes a kind first.
+    A payoff moves all other shares by one affine map, which FenwickWeights keeps apart from the shares:
+    learning and drawing cost O(log r).  Servers of one listed kind share a map; the draw takes a kind first.
     """
 
     def __init__(self, nodes: int = 1, floor_share: float = FLOOR_SHARE) -> None:
         self.servers: list[ServerId] = []
-        self.averages = Column([])  # None: not called yet, counts as the mean of the others
+        self.averages = RunningMeanColumn([])  # None: not called yet, counts as the mean of the others
         self.alpha = min(max(ALPHA, ALPHA_NODES * nodes), ALPHA_MOST)
         self.theta = 0.0  # the steps are set with the servers
         self.theta_kind = 0.0  # 0 where all are listed as of one kind
         self._nodes = nodes
         self._floor = floor_share
-        self.newcomers = Newcomers(NEWCOMER_SHARE)  # of the list at hand
+        self.newcomers = NewcomerShares(NEWCOMER_SHARE)  # of the list at hand
         self.shares = GroupedWeights([], [])  # the vector, by kinds
         self._kinds: dict[int, int] = {}  # listed kinds, and the group of each
 
     @property
     def p(self) -> list[float]:
         """All shares: O(r), for those who want to see them."""
-        return self.shares.all()
+        return self.shares.all_weights()
 
     def mean(self) -> float | None:
         """The payoff threshold: the mean of all averages, None before any answer."""
@@ -69,27 +69,27 @@
             return False
         r, theta = len(self.servers), self.theta
         p_min = self._floor / r
-        self.shares.all_times(1.0 - theta, theta * p_min)
+        self.shares.scale_all(1.0 - theta, theta * p_min)
         self.shares.add(i, theta * (1.0 - (r - 1) * p_min - p_min))
         if self.theta_kind:
             self._favour_kind(self.shares.groups[self.shares.group_of(i)], p_min)
-        if self.shares.worn():
+        if self.shares.needs_rebuild():
             self._renew()
         return True
 
-    def _favour_kind(self, kind: Weights, p_min: float) -> None:
+    def _favour_kind(self, kind: FenwickWeights, p_min: float) -> None:
         """A payoff speaks for the servers listed as of the same kind, too: their shares grow in proportion.
 
         Guards against a fleet in which a node's calls to any one server are too few to tell slow machines
         from fast ones before the slow are driven into the ground, seen within four seconds at full size.
         """
-        theta, same = self.theta_kind, kind.mass()
+        theta, same = self.theta_kind, kind.total_weight()
         lost = theta * (1.0 - same - p_min * (len(self.servers) - len(kind.values)))
         for other in self.shares.groups:
             if other is kind:
-                kind.all_times(1.0 + lost / same)
+                kind.scale_all(1.0 + lost / same)
             else:
-                other.all_times(1.0 - theta, theta * p_min)
+                other.scale_all(1.0 - theta, theta * p_min)
 
     def charge(self, i: int, latency: float) -> None:
         """A failed call: a miss.  A fast error must not look quick, nor a silence lift the threshold."""
@@ -101,7 +101,7 @@
         """Move the chosen server's average only; returns the threshold for this call."""
         mean = self.mean()
         if mean is None:  # the first answer of all is every server's starting value
-            self.averages = Column([latency] * len(self.servers))
+            self.averages = RunningMeanColumn([latency] * len(self.servers))
             return latency
         old = self.averages.values[i]
         start = mean if old is None else old
@@ -110,7 +110,7 @@
 
     def _renew(self) -> None:
         """Take out what rounding has summed up: all anew, to 1 in all and at the floor or above."""
-        self.shares.replace(floored(self.p, self._floor / len(self.servers)))
+        self.shares.replace(apply_floor(self.p, self._floor / len(self.servers)))
 
     def resize(self, weights: Mapping[ServerId, float], kinds: Mapping[ServerId, int] | None = None) -> None:
         """Take in a new set of servers: the others keep their ratios, a newcomer gets a modest share."""
@@ -120,44 +120,44 @@
         averages: list[float | None] = [self.averages.values[index[s]] for s in stay]
         new = [s for s in weights if s not in index]
         unit = NEWCOMER_SHARE * sum(ratios) / sum(weights[s] for s in stay) if stay else 1.0
-        self.newcomers.begin(len(stay), sum(weights[s] for s in new))
+        self.newcomers.reset(len(stay), sum(weights[s] for s in new))
         self.servers = stay + new
-        self.averages = Column(averages + [None] * len(new))
+        self.averages = RunningMeanColumn(averages + [None] * len(new))
         # A payoff looks at all kinds: a list that names very many has the last of them in one.
         named = [kinds[s] if kinds else 0 for s in self.servers]
         self._kinds = {kind: min(at, KINDS_MOST - 1) for at, kind in enumerate(dict.fromkeys(named))}
         groups = [self._kinds[kind] for kind in named]
         ratios += [unit * weights[s] for s in new]
-        self.shares = GroupedWeights(floored(ratios, self._floor / max(1, len(ratios))), groups)
+        self.shares = GroupedWeights(apply_floor(ratios, self._floor / max(1, len(ratios))), groups)
         self._set_steps()
 
     def join(self, server: ServerId, weight: float, kind: int) -> None:
         """One more server, of this weight against the mean of the others: the others keep their ratios."""
         r = len(self.servers) + 1
-        new = min(max(self.newcomers.share(weight), self._floor / r), 1 / 2)
+        new = min(max(self.newcomers.add_newcomer(weight), self._floor / r), 1 / 2)
         self.servers.append(server)
         self.averages.append(None)
-        self.shares.all_times(1.0 - new)
+        self.shares.scale_all(1.0 - new)
         group = self._kinds.setdefault(kind, min(len(self._kinds), KINDS_MOST - 1))
         self.shares.append(new, group)
         self._hold_floor(min(new, (1.0 - new) * self._floor / (r - 1)))
 
     def leave(self, i: int) -> None:
         """One server goes, and the last takes its index: the others keep their ratios."""
-        self.newcomers.leave()
+        self.newcomers.remove_settled()
         r, mine, last = len(self.servers) - 1, self.shares.weight(i), self.servers.pop()
         self.shares.remove(i)
         self.averages.remove(i)
         if i < r:
             self.servers[i] = last
         if r:
-            self.shares.all_times(1.0 / (1.0 - mine))
+            self.shares.scale_all(1.0 / (1.0 - mine))
             self._hold_floor(self._floor / (r + 1) / (1.0 - mine))
 
     def _hold_floor(self, least: float) -> None:
         """The floor has moved with r, and no share is under the least."""
-        self.shares.draw_to_mean(self._floor / len(self.servers), least)
-        if self.shares.worn():
+        self.shares.pull_to_mean(self._floor / len(self.servers), least)
+        if self.shares.needs_rebuild():
             self._renew()
         self._set_steps()
 
--- a/leadrudder/policy/decide.py
+++ b/leadrudder/policy/decide.py
@@ -21,11 +21,11 @@
 from leadrudder.policy.health import Health
 from leadrudder.policy.placement import Placement
 from leadrudder.recovery.limit import Limit
-from leadrudder.state.estimators import Patience
-from leadrudder.state.list_calls import ListCalls
+from leadrudder.state.estimators import LatencyEstimator
+from leadrudder.state.list_calls import ListCallSchedule
 from leadrudder.state.records import EventContext, Server
-from leadrudder.state.timers import Timers
-from leadrudder.state.worth import Worth
+from leadrudder.state.timers import TimerQueue
+from leadrudder.state.worth import RequestValuation
 
 FULL_PAUSE = 0.02  # a server that was full rests for this part of the aim, twice as long each time until it
 FULL_DOUBLINGS = 5  # answers again: one that drains turns calls away for seconds before the list tells
@@ -50,12 +50,15 @@
     def __init__(self, settings: api.Settings, seed: int, limit: Limit | None = None) -> None:
         self.settings = settings
         self._turn = EventContext(random.Random(seed))
-        self._timers = Timers(lambda kind, of: kind == HEDGE and of not in self._requests)
-        self._calls = ListCalls(settings, self._turn.rng)
+        self._timers = TimerQueue(lambda kind, of: kind == HEDGE and of not in self._requests)
+        self._calls = ListCallSchedule(settings, self._turn.rng)
         self._fleet = Placement(settings, self._turn)
         self.automaton = self._fleet.automaton
         self._health = Health(
-            settings, self._turn, self._fleet, lambda when, server: self._timers.at(when, RETURN, server)
+            settings,
+            self._turn,
+            self._fleet,
+            lambda when, server: self._timers.schedule(when, RETURN, server),
         )
         self._admission = Admission(settings, self._turn, self._fleet.reports, limit)
         self._requests: dict[api.RequestId, Request] = {}
@@ -63,9 +66,9 @@
         self._queue: list[tuple[float, int, Request]] = []  # by worth, then age
         self._seq = 0
         self._aim = min(c.aim_ms for c in settings.classes)
-        self._patience = Patience()
-        self._class_patience = [Patience() for _ in settings.classes]
-        self._worth = Worth(settings)
+        self._patience = LatencyEstimator()
+        self._class_patience = [LatencyEstimator() for _ in settings.classes]
+        self._worth = RequestValuation(settings)
         self._retry_tokens = RETRY_MOST / 2
         self._recheck_at = math.inf
         self._on: dict[type, Callable[[Any], None]] = {
@@ -88,22 +91,22 @@
             on_event(event)
         self._admission.bear(self._fleet.capacity.total())
         self._drain()
-        if (wake := self._timers.wake()) is not None:
+        if (wake := self._timers.next_wakeup()) is not None:
             turn.actions.append(api.SetTimer(*wake))
         return turn.actions
 
     def _on_timer(self, event: api.TimerFired) -> None:
-        self._timers.fired(event.token)
-        for kind, subject in self._timers.due(self._turn.now):
+        self._timers.on_wakeup(event.token)
+        for kind, subject in self._timers.pop_due(self._turn.now):
             if kind == RECHECKED:
                 self._recheck_at = math.inf
                 for _, _, waiting in list(self._queue):
                     if waiting.hold_until <= self._turn.now:
                         self._expire(waiting)
             elif kind == LIST:
-                if (again := self._calls.due(self._turn.now)) is not None:
+                if (again := self._calls.on_timer(self._turn.now)) is not None:
                     self._turn.actions.append(api.Subscribe())
-                    self._timers.at(again, LIST)
+                    self._timers.schedule(again, LIST)
             elif isinstance(subject, bytes):
                 if subject in self._fleet.servers:  # else it has gone meanwhile
                     self._health.try_return(self._fleet.servers[subject])
@@ -113,15 +116,15 @@
                     self._hedge(request)
 
     def _on_list(self, event: api.ServerList) -> None:
-        failed = self._calls.failed
-        look = self._calls.told(event.kind, self._turn.now)
+        failed = self._calls.failed_calls
+        look = self._calls.on_list_event(event.kind, self._turn.now)
         if look is not None:
-            self._timers.at(look, LIST)
+            self._timers.schedule(look, LIST)
         if event.kind is api.ListKind.FAILED:
             if not failed:
                 self._turn.log("server list lost: a call failed or the subscription broke")
             return
-        if failed and not self._calls.failed:
+        if failed and not self._calls.failed_calls:
             self._turn.log(f"server list found again after {failed} failed calls")
         self._fleet.take(event)
 
@@ -134,7 +137,7 @@
         kind = settings.classes[event.class_index]
         self._seq += 1
         chance, deadline = self._turn.rng.random(), now + event.budget_ms
-        value = self._worth.appraise(event, now)
+        value = self._worth.evaluate(event, now)
         request = Request(event.request, kind, event.class_index, now, deadline, value, self._seq, chance)
         self._requests[request.id] = request
         self._retry_tokens = min(RETRY_MOST, self._retry_tokens + RETRY_EARN)
@@ -166,7 +169,7 @@
             look = min(self._turn.now + RECHECK * self._aim, min(q[2].hold_until for q in self._queue))
             if look < self._recheck_at:
                 self._recheck_at = look
-                self._timers.at(look, RECHECKED)
+                self._timers.schedule(look, RECHECKED)
 
     def _expire(self, request: Request) -> None:
         """A request has waited long enough: a last attempt anywhere the rules allow, or an answer."""
@@ -176,12 +179,12 @@
 
     def _place(self, request: Request, last_resort: bool) -> bool:
         calm, out = self._admission.strain.calm, len(self._attempts)
-        look = Look(request, self.automaton.mean() or 0.0, calm, out, self._patience.late())
+        look = Look(request, self.automaton.mean() or 0.0, calm, out, self._patience.late_threshold())
         server = self._fleet.pick(look, last_resort)
         return server is not None and self._send(request, server)
 
     def _send(self, request: Request, server: Server) -> bool:
-        """Send an attempt.  Rules 1 to 3 are enforced here; Capacity.allows has kept rule 4."""
+        """Send an attempt.  Rules 1 to 3 are enforced here; FleetCapacity.cold_budget_allows keeps 4."""
         now, settings = self._turn.now, self.settings
         left = request.deadline - now
         if (
@@ -224,13 +227,13 @@
     def _watch(self, request: Request) -> None:
         """Look again when the attempt is late, if another could still be answered."""
         patience = self._class_patience[request.class_index]
-        look = self._turn.now + patience.late()
+        look = self._turn.now + patience.late_threshold()
         if (
             request.repeatable()
             and len(request.attempts) < self.settings.max_attempts
             and look + patience.mean < request.deadline
         ):
-            self._timers.at(look, HEDGE, request.id)
+            self._timers.schedule(look, HEDGE, request.id)
 
     def _hedge(self, request: Request) -> None:
         """A late attempt gets a second copy, or is withdrawn and repeated where copies are forbidden.
@@ -239,7 +242,7 @@
         and giving that up would feed the next queue (14% of attempts timed out on a quiet day).  And only
         while the budget lasts and latencies keep within their part of the aim; else it looks again.
         """
-        late = self._class_patience[request.class_index].late()
+        late = self._class_patience[request.class_index].late_threshold()
         out = [self._fleet.servers[a.entry.server] for a in request.attempts if a.ended is None]
         affordable = self._retry_tokens >= 1.0 and self._admission.strain.pressure < 1.0
         if affordable and all(self._fleet.silent(s, late) for s in out):
@@ -283,7 +286,7 @@
         attempt.ended = event.outcome
         del server.outstanding[key]
         server.class_health[attempt.class_index].outstanding -= 1
-        self._fleet.reports.take(server, event.load)
+        self._fleet.reports.record(server, event.load)
         self._health.count(server, -1)
         self._judge(server, attempt, event)
         self._health.count(server, 1)
@@ -321,7 +324,7 @@
         """What an outcome says of its server, its class and the load."""
         outcome, elapsed = event.outcome, event.elapsed_ms
         request = self._requests.get(event.request)
-        if elapsed > self._patience.late() and self._turn.now - server.last_heard_at >= elapsed:
+        if elapsed > self._patience.late_threshold() and self._turn.now - server.last_heard_at >= elapsed:
             # All that is known of it is this one late outcome: where calls are few, an average of
             # seven spans most of a minute, and what crowded or stopped the server is still there.
             self._fleet.rest(server, LATE_REST * elapsed)
@@ -343,7 +346,7 @@
             self._health.succeeded(server, server.class_health[attempt.class_index])
         elif outcome is Outcome.FULL or (
             outcome is Outcome.CONNECT_FAILED
-            and self._turn.now - server.last_heard_at < self._patience.late()
+            and self._turn.now - server.last_heard_at < self._patience.late_threshold()
         ):
             # A server that answers others but takes no further call, or no further connection, is full, not
             # dead.  Without a ceiling thousands of calls a second bounced off such servers.
@@ -380,7 +383,7 @@
             self._worth.learn(request.class_index, request.value.cost, elapsed)
             self._feel(elapsed / request.kind.aim_ms)
             self.automaton.charge(server.position, elapsed)
-            if current and elapsed >= self._patience.late():
+            if current and elapsed >= self._patience.late_threshold():
                 self._health.eject(server, outcome)
 
     def _on_started(self, event: api.AnswerStarted) -> None:
--- a/leadrudder/policy/health.py
+++ b/leadrudder/policy/health.py
@@ -7,7 +7,7 @@
 
 from leadrudder.interface import CloseIdle, Effect, Outcome, Probe, ProbeEnded, ServerId, Settings
 from leadrudder.policy.placement import Placement
-from leadrudder.state.capacity import EJECT_MOST, can_spare
+from leadrudder.state.capacity import MAX_EJECTED_SHARE, can_eject_another
 from leadrudder.state.records import ClassHealth, EventContext, Server
 
 FAIL_STEP = 0.3  # two failures in a row cross FAIL_EJECT, one never does
@@ -55,7 +55,7 @@
 
     def many_turn_away(self, server: Server) -> bool:
         """Whether more turn calls away than could be left out; the one at hand is not in the sum."""
-        return self._turned + (server.position >= 0) > EJECT_MOST * len(self._fleet.arms)
+        return self._turned + (server.position >= 0) > MAX_EJECTED_SHARE * len(self._fleet.arms)
 
     def count(self, server: Server, times: int) -> None:
         """Take a server out of what is summed up over all arms (-1) before it changes, and in again (1)."""
@@ -98,7 +98,7 @@
         if health.on_probation or (
             health.failure_rate >= max(FAIL_EJECT, _beyond_chance(usual))
             and health.failure_rate >= FAIL_VS_PEERS * norm
-            and can_spare(len(shut), len(self._fleet.arms), BAR_MOST)
+            and can_eject_another(len(shut), len(self._fleet.arms), BAR_MOST)
         ):
             kind = self._settings.classes[class_index]
             part = min(EJECT_LONGEST, EJECT_FIRST * 2.0 ** min(health.backoff_exponent, 10))
@@ -140,7 +140,7 @@
         if server.on_probation or (
             server.failure_rate >= FAIL_EJECT
             and server.failure_rate >= FAIL_VS_PEERS * norm
-            and can_spare(self._ejected, len(self._fleet.arms))
+            and can_eject_another(self._ejected, len(self._fleet.arms))
         ):
             server.ejected, server.on_probation = True, False
             text = f"server {server.entry.server.hex()} ejected: {outcome.value}"
@@ -170,7 +170,7 @@
 
     def on_probe(self, event: ProbeEnded) -> None:
         server = self._fleet.servers.get(event.server)
-        self._fleet.reports.take(server, event.load)
+        self._fleet.reports.record(server, event.load)
         if server is None or not server.ejected:
             return  # news of a server that has changed meanwhile
         if event.outcome is Outcome.OK:
--- a/leadrudder/policy/placement.py
+++ b/leadrudder/policy/placement.py
@@ -14,12 +14,12 @@
 from leadrudder.looks import Look
 from leadrudder.policy.attempts import permitted
 from leadrudder.policy.automaton import Automaton
-from leadrudder.state.capacity import Capacity, can_spare
-from leadrudder.state.listed import Listed
+from leadrudder.state.capacity import FleetCapacity, can_eject_another
+from leadrudder.state.listed import ListedServers
 from leadrudder.state.records import EventContext, Server
-from leadrudder.state.reports import Reports
-from leadrudder.state.rings import Rings
-from leadrudder.state.spread import least_held
+from leadrudder.state.reports import LoadReports
+from leadrudder.state.rings import SubsetAssignment
+from leadrudder.state.spread import fewest_outstanding
 
 PANIC = 0.5  # with more than this part unhealthy, health is ignored: the cause is not the servers
 
@@ -51,9 +51,9 @@
         self._settings = settings
         self._turn = turn
         self.automaton = Automaton(settings.balancers, settings.floor_share)
-        self.list = Listed(len(settings.classes))
-        self.servers, self.arms = self.list.servers, self.list.arms  # arms: those listed, by index
-        self._rings: Rings | None = None  # where the node keeps to a home
+        self.list = ListedServers(len(settings.classes))
+        self.servers, self.arms = self.list.servers, self.list.by_position  # arms: those listed, by index
+        self._rings: SubsetAssignment | None = None  # where the node keeps to a home
         self._homes = 1
         self._home: set[ServerId] | None = None  # None: it keeps to all that are near
         self._home_few: list[Server] = []  # where they are few
@@ -63,8 +63,8 @@
         self.count: Callable[[Server, int], None]  # tells health of an arm's leaving (-1) and coming (1)
         self._due: list[tuple[float, int, Server]] = []  # when to look again whether one still is special
         self._seq = 0
-        self.capacity = Capacity(settings, turn)
-        self.reports = Reports(settings, turn)
+        self.capacity = FleetCapacity(settings, turn)
+        self.reports = LoadReports(settings, turn)
         self._more = False  # further pieces of a list follow
         self._scans = 0.0  # servers that may be looked at beyond those drawn
         self._panic: list[tuple[bool, int]] = [(False, 0)] * len(settings.classes)  # and decisions since
@@ -74,19 +74,23 @@
     def take(self, event: ServerList) -> None:
         """A list, or changes of one; what costs more by the piece is done anew as a whole."""
         pieces, self._more = event.more or self._more, event.more
-        change = self.list.take(event, self._turn.now)
-        for server in change.fresh:
+        change = self.list.apply(event, self._turn.now)
+        for server in change.restarted:
             self.count(server, -1)
-            self.reports.forget(server)
+            self.reports.discard(server)
             server.reset_after_restart(self._turn.now, self._turn.rng.random())
             self.count(server, 1)
         many = max(len(change.joined), len(change.left)) * PIECEWISE > len(self.arms)
         # A list that comes in pieces is a long one: each is followed server by server.
-        whole = change.moved or not self.arms or (not pieces and (many or len(self.arms) <= SCAN_MOST))
+        whole = (
+            change.placement_changed
+            or not self.arms
+            or (not pieces and (many or len(self.arms) <= SCAN_MOST))
+        )
         for server in change.left:
             self._leave(server, whole)
         if whole:
-            self.list.replace(change.joined)
+            self.list.rebuild(change.joined)
             weights = {s.entry.server: s.weight(self._settings.capacity_hints) for s in self.arms}
             self.automaton.resize(weights, {s.entry.server: s.entry.kind for s in self.arms})
             self._rings, self._zone = None, sum(map(self._is_near, self.arms))
@@ -95,9 +99,9 @@
         for server in [*change.changed, *(self.special.values() if whole else ())]:
             self.note(server)
         self._choose_home()
-        self._scans, self.reports.servers = float(len(self.arms)), len(self.arms)
+        self._scans, self.reports.listed_servers = float(len(self.arms)), len(self.arms)
         if not event.more:
-            self.automaton.newcomers.begin(len(self.arms))
+            self.automaton.newcomers.reset(len(self.arms))
 
     def _is_near(self, server: Server) -> bool:
         return not self._settings.cross_zone_price or server.entry.zone in (self._settings.zone, UNTOLD)
@@ -105,22 +109,22 @@
     def _leave(self, server: Server, whole: bool) -> None:
         self.count(server, -1)
         self.special.pop(server.entry.server, None)
-        self.capacity.left(server)
-        self.reports.forget(server)
+        self.capacity.remove_server(server)
+        self.reports.discard(server)
         server.needs_check = False
         if not whole:
             self.automaton.leave(server.position)
-            self.list.leave(server)
+            self.list.remove_by_swap(server)
             self._move(server, -1)
 
     def _join(self, server: Server, whole: bool) -> None:
         if not whole:
-            self.list.join(server)
+            self.list.append_server(server)
             weight = server.weight(self._settings.capacity_hints)
             self.automaton.join(server.entry.server, weight, server.entry.kind)
             self._move(server, 1)
         self.count(server, 1)
-        self.capacity.joined(server)
+        self.capacity.add_server(server)
         self.note(server)
 
     def _move(self, server: Server, by: int) -> None:
@@ -137,7 +141,7 @@
 
     def sent(self, server: Server, units: float) -> None:
         """A call goes out to a server."""
-        self.capacity.sent(server, units)
+        self.capacity.record_send(server, units)
         self.note(server)
 
     def note(self, server: Server) -> None:
@@ -150,9 +154,9 @@
         if i < 0:
             return
         # One that turns calls away bears none: those that drain do so for seconds before the list tells.
-        turns_away = server.consecutive_refusals > 0 and not self.reports.on
+        turns_away = server.consecutive_refusals > 0 and not self.reports.enabled
         in_use = not (server.ejected or turns_away)
-        if (look := self.capacity.note(server, in_use)) is not None:
+        if (look := self.capacity.update(server, in_use)) is not None:
             self.look_again(server, look)
         special = bool(out) or server.ejected or server.on_probation or server.restricted_until > now
         if special != server.needs_check:
@@ -190,7 +194,7 @@
     def _draw(self, look: Look, pool: list[int]) -> Server:
         """By the shares; once all nodes' calls are one for two servers, from those that hold the fewest."""
         if self._settings.even_spread and 2 * look.total * self._settings.balancers >= len(self.arms):
-            pool = least_held(pool, self.arms, self.automaton.averages.values, look.mean)
+            pool = fewest_outstanding(pool, self.arms, self.automaton.averages.values, look.mean)
         return self.arms[self.automaton.shares.draw(pool, self._turn.rng.random())]
 
     def _try(self, look: Look, last_resort: bool) -> Server | None:
@@ -203,7 +207,7 @@
             server = self.arms[i]
             if (keep and not self._kept(server)) or server.entry.server in look.tried:
                 continue
-            if self.reports.on and not last_resort and self._crowded(server):
+            if self.reports.enabled and not last_resort and self._crowded(server):
                 continue
             if not server.needs_check and not look.risky:
                 return server
@@ -246,7 +250,7 @@
         if last_resort or unhealthy > PANIC * len(arms):
             # Something that all servers share is wrong, or it is now or never: health is no guide.
             fit = allowed
-        elif self.reports.on:
+        elif self.reports.enabled:
             fit = [i for i in fit if not self._crowded(arms[i])] or fit
         fresh = [i for i in fit if arms[i].entry.server not in look.tried] if look.tried else fit
         if fresh or (look.request.out and not last_resort):
@@ -260,8 +264,8 @@
             return FORBIDDEN
         if server.cold:
             if look.flow is None:
-                look.flow = self.capacity.warm_flow()
-            if not self.capacity.allows(server, request.value.units, look.flow):
+                look.flow = self.capacity.warm_send_rate()
+            if not self.capacity.cold_budget_allows(server, request.value.units, look.flow):
                 return FORBIDDEN
         health = server.class_health[request.class_index]
         if (health.on_probation or server.restricted_until > now) and not health.accepts_calls(now):
@@ -311,10 +315,10 @@
             self._rings = None
             return
         if self._rings is None or homes != self._homes:
-            self._rings, self._homes = Rings(self._settings.ordinal, nodes, homes), homes
+            self._rings, self._homes = SubsetAssignment(self._settings.ordinal, nodes, homes), homes
             for server in filter(self._is_near, self.arms):
                 self._rings.add(server.entry.kind, server.entry.server)
-        home = self._rings.dealt()
+        home = self._rings.assigned()
         self._home, self._near_most = set(home), len(home)
         self._home_few = [self.servers[name] for name in home] if len(home) <= SCAN_MOST else []
 
@@ -337,7 +341,7 @@
         near = self._near_most if self._near_most >= LOCAL_LEAST else len(self.arms)
         now, whole = self._turn.now, near == len(self.arms)
         out = (s.ejected or s.paused_until > now for s in self.special.values() if whole or self._kept(s))
-        if can_spare(sum(out), near):
+        if can_eject_another(sum(out), near):
             self.rest_until(server, now + span)
 
     def rest_until(self, server: Server, until: float) -> None:
--- a/leadrudder/recovery/strain.py
+++ b/leadrudder/recovery/strain.py
@@ -9,9 +9,9 @@
 import math
 
 from leadrudder.interface import Settings
-from leadrudder.state.estimators import Rate
+from leadrudder.state.estimators import DecayingRate
 from leadrudder.state.records import EventContext
-from leadrudder.state.reports import Reports
+from leadrudder.state.reports import LoadReports
 
 TARGET = 0.4  # latencies are kept below this part of the aim, less for inner tiers
 TARGET_TIMES = 1.6  # and this many times the calmest lateness, where the aim leaves little room
@@ -32,7 +32,7 @@
 class Strain:
     """Told of every answer and every call given up."""
 
-    def __init__(self, settings: Settings, turn: EventContext, reports: Reports) -> None:
+    def __init__(self, settings: Settings, turn: EventContext, reports: LoadReports) -> None:
         self._settings = settings
         self._turn = turn
         self._reports = reports
@@ -43,7 +43,7 @@
         self.calm = math.inf  # the calmest mean latency, ms
         self.least = math.inf  # the same before that is known
         self.busy = 0.0  # calls out, in the mean
-        self.served = Rate(self.aim)  # answers
+        self.served = DecayingRate(self.aim)  # answers
         self._first: float | None = None  # when the first call went out
         self._lateness = 0.0  # mean latency as a part of the aim
         self._calm_lateness = 1.0
@@ -76,7 +76,7 @@
     @property
     def told(self) -> bool:
         """Whether servers tell their load: then their cores are seen beside latencies."""
-        return self._reports.on
+        return self._reports.enabled
 
     def peak(self) -> float:
         """The best recent rate of answers, a millisecond; before calm is known, the present one.
@@ -106,7 +106,7 @@
         if self.calm_known():
             # A count of n is known to within its root: the best of few answers is mostly luck.
             rate = self.served.per_ms(now)
-            self._peak = max(faded, rate - math.sqrt(rate / self.served.span))
+            self._peak = max(faded, rate - math.sqrt(rate / self.served.time_constant))
             self.calm = min(self.calm, self._usual)
             self.calm += CALM_FADE * (self._usual - self.calm)
             self._calm_lateness = min(self._calm_lateness, self._lateness)
@@ -132,4 +132,4 @@
             # By Little's law: calls that are out tell of a queue before they end, if it matters to the aim.
             held = (out - math.sqrt(out)) / max(self.served.per_ms(now), 1e-9)
             strain = max(strain, min(held / max(calm, target * self.aim), HELD_MOST))
-        self.value = self._reports.temper(strain, self.pressure)
+        self.value = self._reports.adjust_saturation(strain, self.pressure)
--- a/leadrudder/state/backoff.py
+++ b/leadrudder/state/backoff.py
@@ -27,7 +27,7 @@
         """It has worked: the next failure is a first one."""
         self._failed = 0
 
-    def pause(self) -> float:
+    def next_pause(self) -> float:
         """After one more failure: how long to wait."""
         bound = min(self._most, self._first * 2.0 ** min(self._failed, 30))
         least = 0.5 * bound if self._failed else 0.0
--- a/leadrudder/state/estimators.py
+++ b/leadrudder/state/estimators.py
@@ -5,14 +5,14 @@
 import math
 from dataclasses import dataclass
 
-DEVIATIONS = 4.0  # patience = mean + this many mean deviations, as in TCP's time-out
-LATE_LEAST = 2.0  # and at least this many means, for work that always takes the same time
+LATE_DEVIATIONS = 4.0  # patience = mean + this many mean deviations, as in TCP's time-out
+LATE_MIN_MEANS = 2.0  # and at least this many means, for work that always takes the same time
 
-SUM_ANEW = 100  # moves for each value after which a column is summed anew
+RESUM_MOVES_PER_VALUE = 100  # moves for each value after which a column is summed anew
 
 
 @dataclass(slots=True)
-class Patience:
+class LatencyEstimator:
     """Mean and mean deviation of served latencies: what an attempt may take before it is late."""
 
     mean: float = 0.0
@@ -25,32 +25,38 @@
             self.deviation += 0.1 * (abs(latency - self.mean) - self.deviation)
             self.mean += 0.1 * (latency - self.mean)
 
-    def late(self) -> float:
-        return max(self.mean + DEVIATIONS * self.deviation, LATE_LEAST * self.mean) if self.mean else math.inf
+    def late_threshold(self) -> float:
+        return (
+            max(self.mean + LATE_DEVIATIONS * self.deviation, LATE_MIN_MEANS * self.mean)
+            if self.mean
+            else math.inf
+        )
 
 
 @dataclass(slots=True)
-class Rate:
+class DecayingRate:
     """An exponentially fading count of units a millisecond, true from its first moments on."""
 
-    span: float
-    start: float | None = None
+    time_constant: float
+    started_at: float | None = None
     count: float = 0.0
-    at: float = 0.0
+    updated_at: float = 0.0
 
     def add(self, units: float, now: float) -> None:
-        if self.start is None:
-            self.start = now
+        if self.started_at is None:
+            self.started_at = now
         self.count = self._faded(now) + units
-        self.at = now
+        self.updated_at = now
 
     def per_ms(self, now: float) -> float:
-        if self.start is None:
+        if self.started_at is None:
             return 0.0
-        return self._faded(now) / (self.span * (1.0 - math.exp(-max(now - self.start, 1.0) / self.span)))
+        return self._faded(now) / (
+            self.time_constant * (1.0 - math.exp(-max(now - self.started_at, 1.0) / self.time_constant))
+        )
 
     def _faded(self, now: float) -> float:
-        return self.count * math.exp(-(now - self.at) / self.span) if self.count else 0.0
+        return self.count * math.exp(-(now - self.updated_at) / self.time_constant) if self.count else 0.0
 
 
 @dataclass(slots=True)
@@ -59,24 +65,24 @@
 
     per_s: float
     tokens: float = 0.0
-    at: float = 0.0  # ms
+    refilled_at: float = 0.0  # ms
 
     @classmethod
     def full(cls, per_s: float) -> TokenBucket:
         return cls(per_s, per_s)
 
-    def take(self, now: float) -> bool:
+    def try_take(self, now: float) -> bool:
         """Whether there was one to take."""
         if self.per_s <= 0:
             return True
-        self.tokens = min(self.per_s, self.tokens + (now - self.at) * self.per_s / 1000.0)
-        self.at = now
+        self.tokens = min(self.per_s, self.tokens + (now - self.refilled_at) * self.per_s / 1000.0)
+        self.refilled_at = now
         inside = self.tokens >= 1.0
         self.tokens -= inside
         return inside
 
 
-class Column:
+class RunningMeanColumn:
     """A value for each of many, None where it is not known, and the mean of the known ones in O(1)."""
 
     __slots__ = ("_known", "_moves", "_sum", "values")
@@ -94,7 +100,7 @@
         self._sum += value - (old or 0.0)
         self._known += old is None
         self._moves += 1
-        if self._moves > SUM_ANEW * len(self.values):
+        if self._moves > RESUM_MOVES_PER_VALUE * len(self.values):
             self._sum_anew()
 
     def append(self, value: float | None) -> None:
--- a/leadrudder/state/listed.py
+++ b/leadrudder/state/listed.py
@@ -13,31 +13,31 @@
 
 
 @dataclass(slots=True)
-class Change:
+class ListChange:
     """What a list has changed."""
 
     joined: list[Server] = field(default_factory=list)
     left: list[Server] = field(default_factory=list)
     changed: list[Server] = field(default_factory=list)  # listed before and now, with another entry
-    fresh: list[Server] = field(default_factory=list)  # new processes, among those or joined
-    moved: bool = False  # one that is listed before and now has another kind, zone or weight
+    restarted: list[Server] = field(default_factory=list)  # new processes, among those or joined
+    placement_changed: bool = False  # one that is listed before and now has another kind, zone or weight
 
 
-class Listed:
+class ListedServers:
     """All servers that are listed or hold calls."""
 
     def __init__(self, classes: int) -> None:
         self._untouched = [ClassHealth() for _ in range(classes)]
         self.servers: dict[ServerId, Server] = {}
-        self.arms: list[Server] = []  # those listed, each at its index
+        self.by_position: list[Server] = []  # those listed, each at its index
         self._gone: dict[ServerId, Server] = {}  # those that still held calls when they went
 
-    def take(self, event: ServerList, now: float) -> Change:
+    def apply(self, event: ServerList, now: float) -> ListChange:
         """Follow a list or changes of one; an entry that is there twice counts as the last says.
 
         Who joins and leaves is told, and is put in and taken out of the arms by the caller.
         """
-        change = Change()
+        change = ListChange()
         entries = {entry.server: entry for entry in event.entries}
         for entry in entries.values():
             self._take(entry, change, now)
@@ -48,13 +48,13 @@
         self._forget()
         return change
 
-    def _take(self, entry: ServerEntry, change: Change, now: float) -> None:
+    def _take(self, entry: ServerEntry, change: ListChange, now: float) -> None:
         server = self.servers.get(entry.server)
         if server is None:
             server = self.servers[entry.server] = Server(entry, self._untouched, listed=False)
-            change.fresh.append(server)
+            change.restarted.append(server)
         elif entry.started_ms > server.entry.started_ms:
-            change.fresh.append(server)
+            change.restarted.append(server)
             server.last_heard_at = now
         old, server.entry = server.entry, entry
         if entry.readiness is not Readiness.READY:
@@ -63,13 +63,15 @@
             self._unlist(server, change)
         elif server.listed and old is not entry and old != entry:
             placed = (old.kind, old.zone) == (entry.kind, entry.zone)
-            change.moved = change.moved or not placed or old.capacity_hint != entry.capacity_hint
+            change.placement_changed = (
+                change.placement_changed or not placed or old.capacity_hint != entry.capacity_hint
+            )
             change.changed.append(server)
         elif not server.listed:
             server.listed = True
             change.joined.append(server)
 
-    def _unlist(self, server: Server, change: Change) -> None:
+    def _unlist(self, server: Server, change: ListChange) -> None:
         if server.listed:
             server.listed = False
             change.left.append(server)
@@ -83,21 +85,21 @@
             if not server.listed and not server.outstanding:
                 del self.servers[name]
 
-    def replace(self, joined: list[Server]) -> None:
+    def rebuild(self, joined: list[Server]) -> None:
         """Take out all that are listed no more, the others keeping their order, and put these behind them."""
-        for server in self.arms:
+        for server in self.by_position:
             server.position = -1
-        self.arms[:] = [server for server in self.arms if server.listed] + joined
-        for i, server in enumerate(self.arms):
+        self.by_position[:] = [server for server in self.by_position if server.listed] + joined
+        for i, server in enumerate(self.by_position):
             server.position = i
 
-    def join(self, server: Server) -> None:
-        server.position = len(self.arms)
-        self.arms.append(server)
+    def append_server(self, server: Server) -> None:
+        server.position = len(self.by_position)
+        self.by_position.append(server)
 
-    def leave(self, server: Server) -> None:
-        last = self.arms.pop()
+    def remove_by_swap(self, server: Server) -> None:
+        last = self.by_position.pop()
         if last is not server:
-            self.arms[server.position] = last
+            self.by_position[server.position] = last
             last.position = server.position
         server.position = -1
--- a/leadrudder/state/rings.py
+++ b/leadrudder/state/rings.py
@@ -11,10 +11,12 @@
 import math
 from bisect import bisect_left, insort
 
-PHASE = (math.sqrt(5.0) - 1.0) / 2.0  # parts of the kinds are rounded at places that are spread evenly
+ROUNDING_PHASE = (
+    math.sqrt(5.0) - 1.0
+) / 2.0  # parts of the kinds are rounded at places that are spread evenly
 
 
-class Rings:
+class SubsetAssignment:
     """One node's part, kind by kind.
 
     It was the next few from a place on a hash ring, as in consistent hashing: of 31 nodes before 51 servers
@@ -48,11 +50,11 @@
             raise ValueError(name)
         del ring[i]
 
-    def dealt(self) -> list[bytes]:
+    def assigned(self) -> list[bytes]:
         """The names that fall to this node, of every kind in proportion."""
         found: list[bytes] = []
         for kind, ring in self._rings.items():
-            phase, part = kind * PHASE % 1.0, len(ring) / self._places
+            phase, part = kind * ROUNDING_PHASE % 1.0, len(ring) / self._places
             first, last = (int(place * part + phase) for place in (self._place, self._place + 1))
             found += [name for _, name in ring[first:last]]
         return found
--- a/leadrudder/state/spread.py
+++ b/leadrudder/state/spread.py
@@ -11,10 +11,10 @@
 
 from leadrudder.state.records import Server
 
-SLOW_TIMES = 2.0  # the mean of all averages: one beyond it counts as holding a call more than it does
+SLOW_LATENCY_RATIO = 2.0  # the mean of all averages: one beyond it counts as holding a call more than it does
 
 
-def least_held(
+def fewest_outstanding(
     among: Sequence[int], arms: Sequence[Server], averages: Sequence[float | None], mean: float
 ) -> list[int]:
     """Of these indices those whose servers hold the fewest calls of ours, in their order: O(of these).
@@ -24,6 +24,6 @@
     held = []
     for i in among:
         average = averages[i]
-        held.append(len(arms[i].outstanding) + (average is not None and average > SLOW_TIMES * mean))
+        held.append(len(arms[i].outstanding) + (average is not None and average > SLOW_LATENCY_RATIO * mean))
     least = min(held, default=0)
     return [i for i, calls in zip(among, held, strict=True) if calls == least]
--- a/leadrudder/state/weights.py
+++ b/leadrudder/state/weights.py
@@ -14,23 +14,34 @@
 
 # A value is a weight divided by the scale, so what rounding adds to a sum is a 1e-16th part of the weights of
 # that time, however small the scale has become, and fades with them: only the range of floats bounds it.
-SCALE_LEAST = 1e-200
-RENEW_EACH = 20  # additions for each item after which rounding is taken out all the same
+MIN_SCALE = 1e-200
+REBUILD_ADDITIONS_PER_ITEM = 20  # additions for each item after which rounding is taken out all the same
 
 
-class Weights:
+class FenwickWeights:
     """Weights of n items, by index; all draws take x in [0, mass of the open).
 
     steps counts the tree's nodes that were touched, so that a test can tell the cost without a clock.
     """
 
-    __slots__ = ("_count", "_sum", "_top", "closed", "offset", "open", "scale", "steps", "total", "values")
+    __slots__ = (
+        "_count",
+        "_sum",
+        "_top",
+        "closed",
+        "offset",
+        "open_items",
+        "scale",
+        "touched_nodes",
+        "value_sum",
+        "values",
+    )
 
     def __init__(self, values: Sequence[float]) -> None:
         self.values = array("d", values)
         self.closed = [False] * len(self.values)
         self.scale, self.offset = 1.0, 0.0
-        self.steps = 0
+        self.touched_nodes = 0
         self.rebuild()
 
     def rebuild(self) -> None:
@@ -40,8 +51,8 @@
             self.values = array("d", (scale * value + offset for value in self.values))
             self.scale, self.offset = 1.0, 0.0
         n = len(self.values)
-        self.total = sum(self.values)
-        self.open = n - sum(self.closed)
+        self.value_sum = sum(self.values)
+        self.open_items = n - sum(self.closed)
         self._top = 1 << max(0, n.bit_length() - 1)
         # Machine numbers: as lists these were half of what a node keeps of 10,000 servers.
         self._sum = array("d", [0.0])
@@ -53,16 +64,16 @@
             if parent <= n:
                 self._sum[parent] += self._sum[i]
                 self._count[parent] += self._count[i]
-        self.steps += n
+        self.touched_nodes += n
 
     def weight(self, i: int) -> float:
         return self.scale * self.values[i] + self.offset
 
-    def mass(self) -> float:
+    def total_weight(self) -> float:
         """The sum of all weights, closed ones among them."""
-        return self.scale * self.total + self.offset * len(self.values)
+        return self.scale * self.value_sum + self.offset * len(self.values)
 
-    def open_mass(self) -> float:
+    def open_weight(self) -> float:
         """The sum of the weights that can be drawn."""
         value, count, i = 0.0, 0, len(self.values)
         while i > 0:
@@ -71,7 +82,7 @@
             i &= i - 1
         return self.scale * value + self.offset * count
 
-    def all_times(self, factor: float, plus: float = 0.0) -> None:
+    def scale_all(self, factor: float, plus: float = 0.0) -> None:
         """Every weight becomes factor * weight + plus."""
         self.scale *= factor
         self.offset = self.offset * factor + plus
@@ -80,7 +91,7 @@
         """Add to one item's weight."""
         value = weight / self.scale
         self.values[i] += value
-        self.total += value
+        self.value_sum += value
         if not self.closed[i]:
             self._change(i, value, 0)
 
@@ -88,13 +99,13 @@
         """Leave an item out of all draws."""
         if not self.closed[i]:
             self.closed[i] = True
-            self.open -= 1
+            self.open_items -= 1
             self._change(i, -self.values[i], -1)
 
     def reopen(self, i: int) -> None:
         if self.closed[i]:
             self.closed[i] = False
-            self.open += 1
+            self.open_items += 1
             self._change(i, self.values[i], 1)
 
     def _change(self, i: int, value: float, count: int) -> None:
@@ -103,7 +114,7 @@
         while i <= n:
             sums[i] += value
             counts[i] += count
-            self.steps += 1
+            self.touched_nodes += 1
             i += i & -i
 
     def append(self, weight: float) -> None:
@@ -111,14 +122,14 @@
         value = (weight - self.offset) / self.scale
         self.values.append(value)
         self.closed.append(False)
-        self.total += value
-        self.open += 1
+        self.value_sum += value
+        self.open_items += 1
         n = len(self.values)
         below, stop, count = n - 1, n - (n & -n), 1
         while below > stop:  # the nodes that the new one covers
             value += self._sum[below]
             count += self._count[below]
-            self.steps += 1
+            self.touched_nodes += 1
             below &= below - 1
         self._sum.append(value)
         self._count.append(count)
@@ -127,8 +138,8 @@
     def pop(self) -> tuple[float, bool]:
         """Take out the last item: its value and whether it was closed.  No other node covers it."""
         value, closed = self.values.pop(), self.closed.pop()
-        self.total -= value
-        self.open -= not closed
+        self.value_sum -= value
+        self.open_items -= not closed
         self._sum.pop()
         self._count.pop()
         self._top = 1 << max(0, len(self.values).bit_length() - 1)
@@ -141,7 +152,7 @@
             return
         self.reopen(i)
         self._change(i, value - self.values[i], 0)
-        self.total += value - self.values[i]
+        self.value_sum += value - self.values[i]
         self.values[i] = value
         if closed:
             self.close(i)
@@ -149,7 +160,7 @@
     def draw(self, x: float) -> int:
         """The open item in whose stretch x lies, the items side by side in order; IndexError if none is
         open."""
-        if not self.open:
+        if not self.open_items:
             raise IndexError("no item is open")
         at, step, n = 0, self._top, len(self.values)
         scale, offset, sums, counts = self.scale, self.offset, self._sum, self._count
@@ -160,7 +171,7 @@
                 if x >= part:
                     x -= part
                     at = reach
-            self.steps += 1
+            self.touched_nodes += 1
             step >>= 1
         # Rounding may lead past the last open item, or to a closed one whose sum is not quite nothing.
         return at if at < n and not self.closed[at] else self._open_before(at)
@@ -188,7 +199,7 @@
         for i, group in enumerate(groups):
             members.setdefault(group, array("i")).append(i)
         self._members = list(members.values())
-        self.groups = [Weights([values[i] for i in indices]) for indices in self._members]
+        self.groups = [FenwickWeights([values[i] for i in indices]) for indices in self._members]
         self._group = array("i", bytes(4 * len(values)))  # of each item, and its index there
         self._at = array("i", bytes(4 * len(values)))
         for group, indices in enumerate(self._members):
@@ -201,14 +212,14 @@
     def weight(self, i: int) -> float:
         return self.groups[self._group[i]].weight(self._at[i])
 
-    def all(self) -> list[float]:
+    def all_weights(self) -> list[float]:
         """Every weight: O(n)."""
         return [self.weight(i) for i in range(len(self))]
 
     def append(self, weight: float, group: int) -> None:
         """One more item, open and the last, in a group: one that is there, or the next."""
         if group == len(self.groups):
-            self.groups.append(Weights([]))
+            self.groups.append(FenwickWeights([]))
             self._members.append(array("i"))
         self._group.append(group)
         self._at.append(len(self._members[group]))
@@ -228,10 +239,10 @@
             self._group[i], self._at[i] = last_group, last_at
             self._members[last_group][last_at] = i
 
-    def all_times(self, factor: float, plus: float = 0.0) -> None:
+    def scale_all(self, factor: float, plus: float = 0.0) -> None:
         """Every weight becomes factor * weight + plus."""
         for weights in self.groups:
-            weights.all_times(factor, plus)
+            weights.scale_all(factor, plus)
 
     def group_of(self, i: int) -> int:
         return self._group[i]
@@ -248,10 +259,12 @@
         else:
             self.groups[group].close(at)
 
-    def worn(self) -> bool:
+    def needs_rebuild(self) -> bool:
         """Whether all should be summed anew (replace): a scale nears the least that floats have room for, or
         enough has been added for that to cost each addition next to nothing."""
-        return self._added > RENEW_EACH * len(self) or any(w.scale < SCALE_LEAST for w in self.groups)
+        return self._added > REBUILD_ADDITIONS_PER_ITEM * len(self) or any(
+            w.scale < MIN_SCALE for w in self.groups
+        )
 
     def replace(self, values: Sequence[float]) -> None:
         """New weights for all items, which stay open or closed."""
@@ -276,11 +289,11 @@
 
     def draw_open(self, u: float) -> int | None:
         """By u in [0, 1) from all that are open, by their weights, in O(log n); None where none is."""
-        masses = [weights.open_mass() if weights.open else 0.0 for weights in self.groups]
+        masses = [weights.open_weight() if weights.open_items else 0.0 for weights in self.groups]
         left = u * sum(masses)
         last = None
         for group, mass in enumerate(masses):
-            if not self.groups[group].open:
+            if not self.groups[group].open_items:
                 continue
             if left < mass:
                 return self._members[group][self.groups[group].draw(left)]
@@ -288,14 +301,14 @@
             last = group
         return None if last is None else self._members[last][self.groups[last].draw(masses[last])]
 
-    def draw_to_mean(self, floor: float, least: float) -> None:
+    def pull_to_mean(self, floor: float, least: float) -> None:
         """Move all weights, which sum to 1 and are at least `least`, to their mean as a floor asks for."""
         mean = 1.0 / len(self)
         part = max(0.0, floor - least) / (mean - min(least, floor))
-        self.all_times(1.0 - part, part * mean)
+        self.scale_all(1.0 - part, part * mean)
 
 
-class Newcomers:
+class NewcomerShares:
     """What those that join count against those that were there, so that all of one list stand alike.
 
     part: of the mean share of those that were there, for a newcomer of weight 1.
@@ -305,23 +318,23 @@
 
     def __init__(self, part: float) -> None:
         self._part = part
-        self.begin(0)
+        self.reset(0)
 
-    def begin(self, settled: int, weight: float = 0.0) -> None:
+    def reset(self, settled: int, weight: float = 0.0) -> None:
         """So many were there before, and newcomers of this weight have joined."""
         self._settled, self._weight = settled, self._part * weight
 
-    def leave(self) -> None:
+    def remove_settled(self) -> None:
         """One of those that were there goes."""
         self._settled = max(0, self._settled - 1)
 
-    def share(self, weight: float) -> float:
+    def add_newcomer(self, weight: float) -> float:
         """Of one more newcomer, while all others keep their ratios."""
         self._weight += self._part * weight
         return self._part * weight / (self._settled + self._weight)
 
 
-def floored(ratios: Sequence[float], floor: float) -> list[float]:
+def apply_floor(ratios: Sequence[float], floor: float) -> list[float]:
     """Shares that sum to 1 and keep the ratios of all that stand above the floor (less than the mean)."""
     n = len(ratios)
     free, low = list(range(n)), 0
--- a/tests/simulation/plants.py
+++ b/tests/simulation/plants.py
@@ -37,7 +37,7 @@
 from leadrudder.policy.admission import Admission
 from leadrudder.policy.attempts import Attempt, Request
 from leadrudder.policy.decide import Balancer
-from leadrudder.state.capacity import Capacity
+from leadrudder.state.capacity import FleetCapacity
 
 Plant = Callable[[pytest.MonkeyPatch], None]
 
@@ -225,7 +225,7 @@
 
 def cold_as_warm(patch: pytest.MonkeyPatch) -> None:
     """A cold server gets whatever comes, and all of it."""
-    patch.setattr(Capacity, "allows", lambda *_: True)
+    patch.setattr(FleetCapacity, "cold_budget_allows", lambda *_: True)
     patch.setattr(placement, "BUDGET_PLUS", 1e9)
     patch.setattr(placement, "WAITING_MOST", 1e9)
     patch.setattr(Admission, "has_room", lambda *_: True)
@@ -233,7 +233,7 @@
 
 def cold_given_anything(patch: pytest.MonkeyPatch) -> None:
     """A cold server gets its share of calls like any other."""
-    patch.setattr(Capacity, "allows", lambda *_: True)
+    patch.setattr(FleetCapacity, "cold_budget_allows", lambda *_: True)
 
 
 def answers_beyond_their_time(patch: pytest.MonkeyPatch) -> None:
--- a/tests/simulation/test_herd.py
+++ b/tests/simulation/test_herd.py
@@ -55,14 +55,14 @@
 
 def test_first_pauses_are_spread_from_nothing_and_later_ones_grow_to_their_bound() -> None:
     nodes = [Backoff(random.Random(seed), 1.0, 8.0) for seed in range(NODES)]
-    first = sorted(node.pause() for node in nodes)
+    first = sorted(node.next_pause() for node in nodes)
     assert first[4] < 0.25 and first[-5] > 0.75 and first[-1] <= 1.0
-    assert all(1.0 <= node.pause() <= 2.0 for node in nodes)
+    assert all(1.0 <= node.next_pause() <= 2.0 for node in nodes)
     for _ in range(5000):
-        assert nodes[0].pause() <= 8.0
-    assert nodes[0].pause() >= 4.0
+        assert nodes[0].next_pause() <= 8.0
+    assert nodes[0].next_pause() >= 4.0
     nodes[0].reset()
-    assert nodes[0].pause() <= 1.0
+    assert nodes[0].next_pause() <= 1.0
 
 
 def test_nodes_that_are_told_to_move_do_not_ask_in_the_same_instant(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -7,7 +7,7 @@
 import pytest
 
 from leadrudder.interface import ListKind, Outcome, RequestClass, ServerEntry, Settings
-from leadrudder.state.capacity import WARMTH_STEPS, Capacity
+from leadrudder.state.capacity import WARM_UP_STEPS, FleetCapacity
 from leadrudder.state.records import ClassHealth, EventContext, Server
 from tests.checker import Surrounding
 
@@ -15,9 +15,9 @@
 CLASS = RequestClass("varaus", aim_ms=1500.0, deadline_ms=4000.0)
 
 
-def capacity(now: float = 100_000.0) -> tuple[Capacity, EventContext]:
+def capacity(now: float = 100_000.0) -> tuple[FleetCapacity, EventContext]:
     turn = EventContext(random.Random(1), now)
-    return Capacity(Settings((CLASS,), cold_ms=COLD_MS, cold_start_share=0.25), turn), turn
+    return FleetCapacity(Settings((CLASS,), cold_ms=COLD_MS, cold_start_share=0.25), turn), turn
 
 
 def server(name: int, started_ms: float = 0.0) -> Server:
@@ -28,53 +28,53 @@
     bears, turn = capacity()
     warm, cold = server(0), server(1, started_ms=turn.now)
     for each in (warm, cold):
-        bears.joined(each)
-    assert bears.note(warm, True) is None
-    due = bears.note(cold, True)
+        bears.add_server(each)
+    assert bears.update(warm, True) is None
+    due = bears.update(cold, True)
     assert bears.total() == pytest.approx(1.25)
     looks = 0
     while due is not None:
         looks += 1
         turn.now = due
-        due = bears.note(cold, True)
-        assert bears.total() == pytest.approx(1.25 + 0.75 * looks / WARMTH_STEPS)
-    assert looks == WARMTH_STEPS and bears.total() == pytest.approx(2.0)
+        due = bears.update(cold, True)
+        assert bears.total() == pytest.approx(1.25 + 0.75 * looks / WARM_UP_STEPS)
+    assert looks == WARM_UP_STEPS and bears.total() == pytest.approx(2.0)
 
 
 def test_between_two_steps_a_cold_server_asks_for_no_further_look() -> None:
     bears, turn = capacity()
     cold = server(0, started_ms=turn.now)
-    bears.joined(cold)
-    assert bears.note(cold, True) == turn.now + COLD_MS / WARMTH_STEPS
+    bears.add_server(cold)
+    assert bears.update(cold, True) == turn.now + COLD_MS / WARM_UP_STEPS
     turn.now += 1.0
-    assert bears.note(cold, True) is None
+    assert bears.update(cold, True) is None
 
 
 def test_who_is_out_of_use_or_has_left_bears_nothing() -> None:
     bears, turn = capacity()
     servers = [server(i) for i in range(4)]
     for each in servers:
-        bears.joined(each)
-        bears.note(each, True)
-    bears.note(servers[0], False)
+        bears.add_server(each)
+        bears.update(each, True)
+    bears.update(servers[0], False)
     assert bears.total() == pytest.approx(3.0)
-    bears.left(servers[1])
+    bears.remove_server(servers[1])
     assert bears.total() == pytest.approx(2.0)
-    bears.note(servers[2], False)
-    bears.note(servers[3], False)
+    bears.update(servers[2], False)
+    bears.update(servers[3], False)
     assert bears.total() == pytest.approx(0.25 * 3), "health is no guide where all are out of use"
     for each in servers[:1] + servers[2:]:
-        bears.left(each)
+        bears.remove_server(each)
     assert bears.total() == 0.0
 
 
 def test_a_process_started_anew_is_cold_again() -> None:
     bears, turn = capacity()
     one = server(0)
-    bears.joined(one)
-    bears.note(one, True)
+    bears.add_server(one)
+    bears.update(one, True)
     one.entry = ServerEntry(b"\0", started_ms=turn.now)
-    assert bears.note(one, True) is not None and one.cold
+    assert bears.update(one, True) is not None and one.cold
     assert bears.total() == pytest.approx(0.25)
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -23,7 +23,7 @@
 from leadrudder.node.lists import ListError, Naming
 from leadrudder.node.node import Clock
 from leadrudder.policy.attempts import Attempt, Request, permitted
-from leadrudder.state.worth import Appraisal
+from leadrudder.state.worth import RequestValue
 from tests.stubs import listing, row, settings
 
 
@@ -150,6 +150,6 @@
     for group in (RepeatGroup.ZONE, RepeatGroup.CELL):
         kind = RequestClass("move", 1000, 3000, effect=Effect.KEYED, group=group, window_ms=5000.0)
         for first, second, allowed in ((a, a, False), (a, b, False), (c, c, True)):
-            request = Request(1, kind, 0, 0.0, 3000.0, Appraisal(1.0, 1.0, 1.0, False), 1, 0.5)
+            request = Request(1, kind, 0, 0.0, 3000.0, RequestValue(1.0, 1.0, 1.0, False), 1, 0.5)
             request.attempts.append(Attempt(first, 0.0, ended=Outcome.RESET))
             assert permitted(request, second, Settings(classes=(kind,)), 10.0) is allowed, (group, first)
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -30,8 +30,8 @@
 from leadrudder.looks import Look
 from leadrudder.policy.automaton import FLOOR_SHARE, KINDS_MOST, Automaton
 from leadrudder.policy.placement import SCAN_EACH, SCAN_MOST, TRIES, Placement
-from leadrudder.state.capacity import WARMTH_STEPS
-from leadrudder.state.timers import SHED_LEAST
+from leadrudder.state.capacity import WARM_UP_STEPS
+from leadrudder.state.timers import MIN_PRUNE_SIZE
 from tests.checker import Surrounding
 from tests.plain_automaton import PlainAutomaton
 
@@ -145,9 +145,9 @@
     assert (capacity._arms, capacity._cold) == (len(arms), sum(s.cold for s in arms))
     assert capacity._total == pytest.approx(sum(s.counted_capacity for s in arms), abs=1e-9)
     for s in arms:
-        least = max(capacity.warmth(s) - 1.0 / WARMTH_STEPS, balancer.settings.cold_start_share)
+        least = max(capacity.slow_start_factor(s) - 1.0 / WARM_UP_STEPS, balancer.settings.cold_start_share)
         assert (
-            (least - 1e-9 <= s.counted_capacity <= capacity.warmth(s) + 1e-9)
+            (least - 1e-9 <= s.counted_capacity <= capacity.slow_start_factor(s) + 1e-9)
             if not s.ejected
             else s.counted_capacity == 0.0
         ), s
@@ -237,7 +237,7 @@
 
 def _look(balancer: Balancer, request: int) -> Look:
     mean = balancer.automaton.mean() or 0.0
-    calm, late = balancer._admission.strain.calm, balancer._patience.late()
+    calm, late = balancer._admission.strain.calm, balancer._patience.late_threshold()
     return Look(balancer._requests[request], mean, calm, len(balancer._attempts), late)
 
 
@@ -475,12 +475,12 @@
     """Counted: nodes of the trees that are touched by a server that goes and one that comes, of 5,000."""
     balancer = _course(5000)
     groups = balancer.automaton.shares.groups
-    before = sum(group.steps for group in groups)
+    before = sum(group.touched_nodes for group in groups)
     gone = ServerEntry((17).to_bytes(3, "big"), Readiness.DRAINING, kind=1, zone=2)
     balancer.handle(ServerList(ListKind.CHANGES, (gone,)), 2.0)
     balancer.handle(ServerList(ListKind.CHANGES, (ServerEntry(b"new"),)), 3.0)
     assert balancer.automaton.shares.groups is groups, "not built anew"
-    assert sum(group.steps for group in groups) - before < 200
+    assert sum(group.touched_nodes for group in groups) - before < 200
     assert len(balancer.automaton.servers) == 5000
     _scan(balancer._fleet, balancer)
 
@@ -513,5 +513,5 @@
             done, server = out.pop(0)
             balancer.handle(AttemptEnded(done, 0, server, Outcome.OK, 900.0, True), now)
     assert len(balancer._requests) < 100
-    assert len(balancer._timers) <= SHED_LEAST + 1
+    assert len(balancer._timers) <= MIN_PRUNE_SIZE + 1
     assert len(balancer._fleet._due) < 100
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -218,11 +218,11 @@
     settings = Settings(classes=(RequestClass("r", 1000, 3000),))
     book, balancer = Book(), Balancer(settings, seed=1)
     feed(balancer, book.pieces(read(1, *rows(range(4000)))))
-    steps = [sum(weights.steps for weights in balancer.automaton.shares.groups)]
+    steps = [sum(weights.touched_nodes for weights in balancer.automaton.shares.groups)]
     for piece in book.pieces(read(2, *rows(range(2000, 6000)))):
         if piece is not None:
             balancer.handle(piece.event(), 2.0)
-            steps.append(sum(weights.steps for weights in balancer.automaton.shares.groups))
+            steps.append(sum(weights.touched_nodes for weights in balancer.automaton.shares.groups))
     assert len(steps) == 1 + 20
     assert max(b - a for a, b in zip(steps, steps[1:], strict=False)) < SLICE * 8 * 13
     assert len(balancer.automaton.servers) == 4000
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -28,7 +28,7 @@
 from leadrudder.node.reports import MOST_KEPT, ReportReader
 from leadrudder.node.servers import Servers
 from leadrudder.state.records import ClassHealth, EventContext, Server
-from leadrudder.state.reports import FRESH_MS, LOG_EACH_MS, Reports
+from leadrudder.state.reports import LOG_INTERVAL_MS, REPORT_LIFETIME_MS, LoadReports
 from tests.stubs import StubServer, listing, reply, row, run
 
 COLUMNS = ("utilization", "outstanding")
@@ -36,18 +36,18 @@
 BAD = [(math.nan, 1.0), (0.5, math.inf), (-0.1, 3.0), (0.5, -1.0), (0.5, 1e9), (7.0, 1.0), (0.5,)]
 
 
-def reports() -> tuple[Reports, EventContext, list[Server]]:
+def reports() -> tuple[LoadReports, EventContext, list[Server]]:
     turn = EventContext(random.Random(1))
     servers = [Server(ServerEntry(bytes([i])), [ClassHealth()], position=i) for i in range(4)]
-    told = Reports(SETTINGS, turn)
-    told.servers = len(servers)
+    told = LoadReports(SETTINGS, turn)
+    told.listed_servers = len(servers)
     return told, turn, servers
 
 
 def test_crowded_is_who_tells_of_full_cores_and_of_more_than_its_part() -> None:
     told, _, servers = reports()
     for server, load in zip(servers, [(1.0, 30.0), (1.0, 6.0), (0.4, 30.0), (1.0, 30.0)], strict=True):
-        told.take(server, load)
+        told.record(server, load)
     # The mean is 24: the second is below it, the third has cores free, and of a large share much is expected.
     assert [told.crowded(s, 1.0) for s in servers] == [True, False, False, True]
     assert not told.crowded(servers[3], 1.2)
@@ -56,20 +56,20 @@
 def test_a_report_counts_for_its_time_and_a_repeat_of_it_makes_it_no_younger() -> None:
     told, turn, servers = reports()
     for server in servers:
-        told.take(server, (1.0, 40.0 if server is servers[0] else 1.0))
-    turn.now = FRESH_MS - 1.0
-    told.take(servers[0], (1.0, 40.0))
-    assert told.crowded(servers[0], 1.0) and told.utilisation() == 1.0
-    turn.now = FRESH_MS
-    assert not told.crowded(servers[0], 1.0) and told.utilisation() is None
-    told.take(servers[0], (1.0, 40.0))
+        told.record(server, (1.0, 40.0 if server is servers[0] else 1.0))
+    turn.now = REPORT_LIFETIME_MS - 1.0
+    told.record(servers[0], (1.0, 40.0))
+    assert told.crowded(servers[0], 1.0) and told.mean_utilization() == 1.0
+    turn.now = REPORT_LIFETIME_MS
+    assert not told.crowded(servers[0], 1.0) and told.mean_utilization() is None
+    told.record(servers[0], (1.0, 40.0))
     assert servers[0].load_report == (1.0, 40.0), "what it told too long ago is heard again"
 
 
 def test_who_claims_to_hold_nothing_is_held_for_what_this_node_has_there() -> None:
     told, _, servers = reports()
     for server in servers:
-        told.take(server, (1.0, 0.0 if server is servers[0] else 4.0))
+        told.record(server, (1.0, 0.0 if server is servers[0] else 4.0))
     assert not told.crowded(servers[0], 1.0)
     servers[0].outstanding = {(i, 0): 0.0 for i in range(9)}
     assert told.crowded(servers[0], 1.0)
@@ -90,34 +90,36 @@
 ) -> None:
     told, _, servers = reports()
     for server in servers[:3]:
-        told.take(server, (busy, 5.0))
-    assert told.temper(strain, pressure) == pytest.approx(tempered)
-    told.servers = 6
-    assert told.temper(strain, pressure) == strain, "of half a fleet's reports nothing is concluded"
+        told.record(server, (busy, 5.0))
+    assert told.adjust_saturation(strain, pressure) == pytest.approx(tempered)
+    told.listed_servers = 6
+    assert (
+        told.adjust_saturation(strain, pressure) == strain
+    ), "of half a fleet's reports nothing is concluded"
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.sampled_from("trgw"), st.floats(0.0, 1.2)), max_size=120))
 @settings(max_examples=60, deadline=None)
 def test_the_sums_are_those_of_a_full_scan(steps: list[tuple[int, str, float]]) -> None:
     told, turn, servers = reports()
-    told.servers = 1
+    told.listed_servers = 1
     last: dict[int, tuple[float, tuple[float, float]]] = {}
     for i, what, figure in steps:
         if what == "t":
             turn.now += 1500.0 * figure
         elif what == "g":
-            told.forget(servers[i])
+            told.discard(servers[i])
             last.pop(i, None)
         elif what == "w":
-            told.take(servers[i], (-1.0, figure))
+            told.record(servers[i], (-1.0, figure))
         else:
             load = (figure, round(10 * figure))
-            if i not in last or last[i][1] != load or turn.now - last[i][0] >= FRESH_MS:
+            if i not in last or last[i][1] != load or turn.now - last[i][0] >= REPORT_LIFETIME_MS:
                 last[i] = turn.now, load
-            told.take(servers[i], load)
-        fresh = [load for at, load in last.values() if turn.now - at < FRESH_MS]
+            told.record(servers[i], load)
+        fresh = [load for at, load in last.values() if turn.now - at < REPORT_LIFETIME_MS]
         mean = sum(u for u, _ in fresh) / len(fresh) if fresh else None
-        got = told.utilisation()
+        got = told.mean_utilization()
         assert got == (pytest.approx(mean) if mean is not None else None)
         assert len(told._fresh) <= len(steps)
 
@@ -143,7 +145,7 @@
     lines = [a for a in with_bad if isinstance(a, Log)]
     assert [a for a in with_bad if a not in lines] == [a for a in play([]) if not isinstance(a, Log)]
     assert len(lines) == 1 and "load reports can't be meant" in lines[0].text
-    assert LOG_EACH_MS > 400 * 10.0
+    assert LOG_INTERVAL_MS > 400 * 10.0
 
 
 def test_a_crowded_server_gets_less_while_others_have_room_and_all_of_them_none_the_less_for_it() -> None:
@@ -166,7 +168,7 @@
     assert sum(plain) == sum(one) == sum(every) == 2000
     assert min(plain) > 300 and min(every) > 300
     # What it told is fresh for four seconds; then it is asked with a call, and tells again.
-    assert 1 <= one[0] <= 2000 * 10.0 / FRESH_MS + 8
+    assert 1 <= one[0] <= 2000 * 10.0 / REPORT_LIFETIME_MS + 8
 
 
 # ---------------------------------------------------------------- on sockets
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -9,7 +9,7 @@
 from leadrudder import Balancer
 from leadrudder.interface import Arrival, ListKind, RequestClass, Send, ServerEntry, ServerList, Settings
 from leadrudder.state.records import ClassHealth, Server
-from leadrudder.state.spread import SLOW_TIMES, least_held
+from leadrudder.state.spread import SLOW_LATENCY_RATIO, fewest_outstanding
 
 SERVERS = [bytes([i]) for i in range(9)]
 
@@ -35,7 +35,7 @@
     arms = [Server(ServerEntry(name), [ClassHealth()]) for name in SERVERS[:4]]
     arms[3].allocate_call_state()
     arms[3].outstanding[1, 0] = 0.0
-    slow = 100.0 * SLOW_TIMES + 1.0
-    assert least_held([0, 1, 2, 3], arms, [100.0, slow, None, 100.0], 100.0) == [0, 2]
-    assert least_held([1, 3], arms, [100.0, slow, None, 100.0], 100.0) == [1, 3]
-    assert least_held([], arms, [], 0.0) == []
+    slow = 100.0 * SLOW_LATENCY_RATIO + 1.0
+    assert fewest_outstanding([0, 1, 2, 3], arms, [100.0, slow, None, 100.0], 100.0) == [0, 2]
+    assert fewest_outstanding([1, 3], arms, [100.0, slow, None, 100.0], 100.0) == [1, 3]
+    assert fewest_outstanding([], arms, [], 0.0) == []
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -2,37 +2,37 @@
 
 from __future__ import annotations
 
-from leadrudder.state.timers import SHED_LEAST, Subject, Timers
+from leadrudder.state.timers import MIN_PRUNE_SIZE, Subject, TimerQueue
 
 
 def test_things_fall_due_in_order_and_one_call_wakes_for_all() -> None:
-    timers = Timers(lambda kind, subject: False)
-    assert timers.wake() is None
-    timers.at(30.0, 1, 7)
-    first = timers.wake()
-    assert first is not None and first[1] == 30.0 and timers.wake() is None
-    timers.at(10.0, 2, b"x")
-    second = timers.wake()
+    timers = TimerQueue(lambda kind, subject: False)
+    assert timers.next_wakeup() is None
+    timers.schedule(30.0, 1, 7)
+    first = timers.next_wakeup()
+    assert first is not None and first[1] == 30.0 and timers.next_wakeup() is None
+    timers.schedule(10.0, 2, b"x")
+    second = timers.next_wakeup()
     assert second is not None and second[1] == 10.0 and second[0] != first[0]
-    timers.at(20.0, 3)
-    assert timers.wake() is None, "the call that is out comes before"
-    assert list(timers.due(25.0)) == [(2, b"x"), (3, None)]
-    timers.fired(first[0])  # it was overtaken
-    assert timers.wake() is None
-    timers.fired(second[0])
-    assert timers.wake() is not None
+    timers.schedule(20.0, 3)
+    assert timers.next_wakeup() is None, "the call that is out comes before"
+    assert list(timers.pop_due(25.0)) == [(2, b"x"), (3, None)]
+    timers.on_wakeup(first[0])  # it was overtaken
+    assert timers.next_wakeup() is None
+    timers.on_wakeup(second[0])
+    assert timers.next_wakeup() is not None
 
 
 def test_what_is_void_is_thrown_out_and_all_else_kept() -> None:
     open_ones: set[Subject] = set()
-    timers = Timers(lambda kind, subject: kind == 0 and subject not in open_ones)
-    for i in range(20 * SHED_LEAST):
+    timers = TimerQueue(lambda kind, subject: kind == 0 and subject not in open_ones)
+    for i in range(20 * MIN_PRUNE_SIZE):
         if i % 100 == 0:
             open_ones.add(i)
-        timers.at(1e6 + i, 0, i)
+        timers.schedule(1e6 + i, 0, i)
         if i % 50 == 0:
-            timers.at(2e6 + i, 1, i)
-    assert len(timers) <= 2 * (20 * SHED_LEAST // 100 + 20 * SHED_LEAST // 50) + SHED_LEAST
-    due = list(timers.due(1e9))
+            timers.schedule(2e6 + i, 1, i)
+    assert len(timers) <= 2 * (20 * MIN_PRUNE_SIZE // 100 + 20 * MIN_PRUNE_SIZE // 50) + MIN_PRUNE_SIZE
+    due = list(timers.pop_due(1e9))
     assert {s for kind, s in due if kind == 0} >= open_ones
-    assert sum(kind == 1 for kind, _ in due) == len(range(0, 20 * SHED_LEAST, 50))
+    assert sum(kind == 1 for kind, _ in due) == len(range(0, 20 * MIN_PRUNE_SIZE, 50))
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from leadrudder.state.weights import GroupedWeights, Weights
+from leadrudder.state.weights import FenwickWeights, GroupedWeights
 
 OPS = st.lists(
     st.one_of(
@@ -26,14 +26,14 @@
 @settings(max_examples=200)
 @given(st.lists(st.floats(0.01, 10.0), min_size=1, max_size=40), OPS, st.floats(0.0, 0.999))
 def test_it_does_what_a_list_does(values: list[float], ops: list[tuple[str, float, float]], u: float) -> None:
-    tree, plain, closed = Weights(values), list(values), [False] * len(values)
+    tree, plain, closed = FenwickWeights(values), list(values), [False] * len(values)
     for what, a, b in ops:
         i = int(a) % len(values)
         if what == "add":
             tree.add(i, b)
             plain[i] += b
         elif what == "times":
-            tree.all_times(a, b)
+            tree.scale_all(a, b)
             plain = [a * x + b for x in plain]
         elif what == "rebuild":
             tree.rebuild()
@@ -41,14 +41,14 @@
             (tree.close if what == "close" else tree.reopen)(i)
             closed[i] = what == "close"
     assert [tree.weight(i) for i in range(len(plain))] == pytest.approx(plain)
-    assert tree.mass() == pytest.approx(sum(plain)) and tree.open == closed.count(False)
+    assert tree.total_weight() == pytest.approx(sum(plain)) and tree.open_items == closed.count(False)
     mass = sum(x for x, shut in zip(plain, closed, strict=True) if not shut)
-    assert tree.open_mass() == pytest.approx(mass, abs=1e-9 * sum(plain))
-    if not tree.open:
+    assert tree.open_weight() == pytest.approx(mass, abs=1e-9 * sum(plain))
+    if not tree.open_items:
         with pytest.raises(IndexError):
             tree.draw(0.0)
         return
-    drawn = tree.draw(u * tree.open_mass())
+    drawn = tree.draw(u * tree.open_weight())
     assert not closed[drawn]
     before = sum(x for x, shut in zip(plain[:drawn], closed[:drawn], strict=True) if not shut)
     slack = 1e-9 * sum(plain)
@@ -57,7 +57,7 @@
 
 def test_a_draw_beyond_the_mass_gives_an_open_item() -> None:
     """Rounding may ask for a little more than there is."""
-    tree = Weights([1.0, 2.0, 3.0, 4.0])
+    tree = FenwickWeights([1.0, 2.0, 3.0, 4.0])
     tree.close(3)
     assert tree.draw(6.0000001) == 2 and tree.draw(100.0) == 2
     tree.close(2)
@@ -71,14 +71,14 @@
 @pytest.mark.parametrize("n", [10, 100, 1_000, 10_000, 100_000])
 def test_the_cost_of_a_change_and_a_draw_grows_with_the_logarithm(n: int) -> None:
     """Counted, not timed: nodes of the tree that are touched."""
-    tree = Weights([1.0] * n)
+    tree = FenwickWeights([1.0] * n)
     rng = random.Random(n)
-    tree.steps = 0
+    tree.touched_nodes = 0
     for _ in range(200):
-        tree.all_times(0.999, 0.001)
+        tree.scale_all(0.999, 0.001)
         tree.add(rng.randrange(n), 0.5)
-        tree.draw(rng.random() * tree.open_mass())
-    assert tree.steps / 200 <= 2 * (math.log2(n) + 1)
+        tree.draw(rng.random() * tree.open_weight())
+    assert tree.touched_nodes / 200 <= 2 * (math.log2(n) + 1)
 
 
 def test_draws_from_groups_follow_the_weights_of_the_open() -> None:
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -28,15 +28,15 @@
 from leadrudder.policy.admission import Admission
 from leadrudder.policy.attempts import Request
 from leadrudder.state.records import EventContext
-from leadrudder.state.reports import Reports
-from leadrudder.state.worth import KNOWN, Appraisal, Line, Worth
+from leadrudder.state.reports import LoadReports
+from leadrudder.state.worth import MIN_OBSERVATION_WEIGHT, CostLatencyFit, RequestValuation, RequestValue
 
 LIGHT = RequestClass("view", 600.0, 1500.0, worth=1.0)
 HEAVY = RequestClass("close", 1000.0, 3000.0, worth=2.0)
 
 
-def taught(slope: float, start: float, spread: float, seed: int = 1) -> Line:
-    line, rng = Line(), random.Random(seed)
+def taught(slope: float, start: float, spread: float, seed: int = 1) -> CostLatencyFit:
+    line, rng = CostLatencyFit(), random.Random(seed)
     for _ in range(400):
         cost = rng.expovariate(1.0 / 100.0)
         line.learn(cost, (start + slope * cost) * rng.lognormvariate(0.0, spread))
@@ -47,7 +47,7 @@
 def test_a_time_is_foretold_from_the_hint(slope: float, start: float) -> None:
     line = taught(slope, start, 0.2)
     for cost in (10.0, 100.0, 500.0):
-        assert line.foretell(cost) == pytest.approx(start + slope * cost, rel=0.3, abs=20.0)
+        assert line.predict(cost) == pytest.approx(start + slope * cost, rel=0.3, abs=20.0)
 
 
 @pytest.mark.parametrize("spread", [0.2, 0.6])
@@ -56,7 +56,7 @@
     bins: dict[int, list[tuple[float, bool]]] = {}
     for _ in range(20_000):
         cost = rng.expovariate(1.0 / 100.0)
-        chance = line.chance(cost, 400.0)
+        chance = line.completion_probability(cost, 400.0)
         in_time = (50.0 + 3.0 * cost) * rng.lognormvariate(0.0, spread) <= 400.0
         bins.setdefault(min(3, int(4 * chance)), []).append((chance, in_time))
     assert len(bins) == 4
@@ -66,36 +66,36 @@
 
 
 def test_little_known_and_hints_all_alike_foretell_nothing_wrong() -> None:
-    line = Line()
-    for _ in range(int(KNOWN) - 2):
+    line = CostLatencyFit()
+    for _ in range(int(MIN_OBSERVATION_WEIGHT) - 2):
         line.learn(1.0, 5000.0)
-    assert line.chance(1.0, 100.0) == 1.0
+    assert line.completion_probability(1.0, 100.0) == 1.0
     for _ in range(200):
         line.learn(1.0, 50.0)
-    assert line.foretell(1.0) == line.foretell(1000.0) < 100.0
+    assert line.predict(1.0) == line.predict(1000.0) < 100.0
 
 
 def test_an_hour_of_absurd_figures_leaves_a_line_that_can_be_used() -> None:
-    line, rng = Line(), random.Random(5)
+    line, rng = CostLatencyFit(), random.Random(5)
     for _ in range(5000):
         line.learn(10.0 ** rng.uniform(-6, 9), 10.0 ** rng.uniform(-3, 7))
-        assert 0.0 <= line.chance(10.0 ** rng.uniform(-6, 9), 600.0) <= 1.0
+        assert 0.0 <= line.completion_probability(10.0 ** rng.uniform(-6, 9), 600.0) <= 1.0
     for _ in range(2000):
         cost = rng.uniform(50.0, 150.0)
         line.learn(cost, 2.0 * cost)
-    assert line.foretell(100.0) == pytest.approx(200.0, rel=0.2)
+    assert line.predict(100.0) == pytest.approx(200.0, rel=0.2)
 
 
 def test_worth_goes_by_class_share_and_hope() -> None:
     tenants = (Tenant("a", 0.5, 1.0), Tenant("b", 0.5, 1000.0))
-    worth = Worth(Settings((LIGHT, HEAVY), tenants, worth_by_work=True, over_share_worth=0.05))
-    found = [worth.appraise(Arrival(i, 1, 3000.0, tenant=0), 0.0).worth for i in range(2)]
+    worth = RequestValuation(Settings((LIGHT, HEAVY), tenants, worth_by_work=True, over_share_worth=0.05))
+    found = [worth.evaluate(Arrival(i, 1, 3000.0, tenant=0), 0.0).worth for i in range(2)]
     assert found == [2.0, pytest.approx(0.1)]
     for _ in range(100):
         worth.learn(1, 100.0, 200.0)
         worth.learn(1, 1000.0, 2000.0)
     light, heavy = (
-        worth.appraise(Arrival(9, 1, 3000.0, tenant=1, cost_hint_ms=c), 0.0) for c in (100.0, 1000.0)
+        worth.evaluate(Arrival(9, 1, 3000.0, tenant=1, cost_hint_ms=c), 0.0) for c in (100.0, 1000.0)
     )
     assert not light.hopeless and light.worth > 1.9
     assert heavy.hopeless and heavy.worth < 0.5
@@ -103,17 +103,17 @@
 
 def test_what_is_worth_something_late_is_not_hopeless() -> None:
     late = RequestClass("book", 1000.0, 3000.0, late_share=0.5)
-    worth = Worth(Settings((late,)))
+    worth = RequestValuation(Settings((late,)))
     for _ in range(100):
         worth.learn(0, 1.0, 2500.0)
-    assert not worth.appraise(Arrival(1, 0, 3000.0), 0.0).hopeless
+    assert not worth.evaluate(Arrival(1, 0, 3000.0), 0.0).hopeless
 
 
 def test_a_call_further_in_is_worth_what_its_request_was() -> None:
-    worth = Worth(Settings((LIGHT,), stage=1, stages=2))
+    worth = RequestValuation(Settings((LIGHT,), stage=1, stages=2))
     for _ in range(100):
         worth.learn(0, 1.0, 5000.0)
-    assert worth.appraise(Arrival(1, 0, 1500.0), 0.0).worth == 1.0
+    assert worth.evaluate(Arrival(1, 0, 1500.0), 0.0).worth == 1.0
 
 
 def overload(settings: Settings, hint: dict[int, float]) -> dict[int, list[int]]:
@@ -178,7 +178,7 @@
     hopeless = RequestClass("close", 600.0, 4000.0, worth=2.0)
     settings = Settings((LIGHT, hopeless), worth_by_work=True, max_attempts=1)
     told = overload(settings, {0: 60.0, 1: 900.0})
-    monkeypatch.setattr(Line, "chance", lambda *_: 1.0)
+    monkeypatch.setattr(CostLatencyFit, "completion_probability", lambda *_: 1.0)
     blind = overload(settings, {0: 60.0, 1: 900.0})
     assert told[0][0] > 2.0 * blind[0][0]
 
@@ -206,12 +206,12 @@
 ) -> None:
     turn = EventContext(random.Random(1))
     settings = Settings((HEAVY,))
-    admission = Admission(settings, turn, Reports(settings, turn))
+    admission = Admission(settings, turn, LoadReports(settings, turn))
     admission.limit.value, admission.strain.value = 10.0, strain
 
     def calls(worth: float) -> int:
         """The most calls out with which one more of this worth still has room."""
-        value = Appraisal(1.0, 1.0, worth, False)
+        value = RequestValue(1.0, 1.0, worth, False)
         request = Request(1, HEAVY, 0, 0.0, 3000.0, value, 1, 0.9)
         return max(out for out in range(12) if admission.has_room(request, out))
 
