--- a/leadrudder/policy/admission.py
+++ b/leadrudder/policy/admission.py
@@ -4,8 +4,8 @@
 
 from leadrudder.interface import Settings
 from leadrudder.policy.attempts import Request
-from leadrudder.recovery.limit import Knee, Limit
-from leadrudder.recovery.strain import Strain
+from leadrudder.recovery.limit import ConcurrencyLimit, KneeLimit
+from leadrudder.recovery.strain import Saturation
 from leadrudder.state.records import EventContext
 from leadrudder.state.reports import LoadReports
 
@@ -18,7 +18,11 @@
     """Calls out against their limit, which leadrudder/recovery/ sets by what it knows of the strain."""
 
     def __init__(
-        self, settings: Settings, turn: EventContext, reports: LoadReports, limit: Limit | None = None
+        self,
+        settings: Settings,
+        turn: EventContext,
+        reports: LoadReports,
+        limit: ConcurrencyLimit | None = None,
     ) -> None:
         self._top = max(c.worth for c in settings.classes) or 1.0
         self._settings = settings
@@ -27,8 +31,8 @@
         # it sends was admitted at the front, and a call held back there costs all the work done for it.
         self._sharers = 1 if settings.stage else settings.balancers
         self._arms = 0.0  # warm servers that stand behind the limit
-        self.strain = Strain(settings, turn, reports)
-        self.limit: Limit = Knee(settings, turn) if limit is None else limit
+        self.strain = Saturation(settings, turn, reports)
+        self.limit: ConcurrencyLimit = KneeLimit(settings, turn) if limit is None else limit
         self._shedding = False
 
     def bear(self, capacity: float) -> None:
@@ -37,8 +41,8 @@
             return
         by = capacity / self._arms if self._arms else 1.0
         self._arms = capacity
-        self.strain.moved(by)
-        self.limit.moved(by, capacity, capacity / self._sharers)
+        self.strain.rescale(by)
+        self.limit.rescale(by, capacity, capacity / self._sharers)
 
     def has_room(self, request: Request, out: int) -> bool:
         """Whether the limit of calls out leaves room for this request.
@@ -58,12 +62,12 @@
     def feel(self, latency_share: float, out: int, patience: float) -> None:
         """An answer or a call given up: its latency as a part of its aim, the calls out, the mean latency."""
         strain = self.strain
-        strain.feel(latency_share, out)
-        self.limit.feel(strain, latency_share, out, patience)
+        strain.record_outcome(latency_share, out)
+        self.limit.record_outcome(strain, latency_share, out, patience)
         shedding = strain.value > 1.0
         if shedding != self._shedding:
             self._shedding = shedding
             text = f"admission limit {'on' if shedding else 'off'}: {self.limit.value:.1f} calls"
             text += f", strain {strain.value:.2f}"
-            text += f", mean latency {strain.level:.0f} ms, calmest {strain.calm:.0f} ms"
+            text += f", mean latency {strain.mean_latency_ms:.0f} ms, calmest {strain.baseline_ms:.0f} ms"
             self._turn.log(text)
--- a/leadrudder/policy/decide.py
+++ b/leadrudder/policy/decide.py
@@ -20,7 +20,7 @@
 from leadrudder.policy.attempts import Attempt, Request, may_go_on, permitted
 from leadrudder.policy.health import Health
 from leadrudder.policy.placement import Placement
-from leadrudder.recovery.limit import Limit
+from leadrudder.recovery.limit import ConcurrencyLimit
 from leadrudder.state.estimators import LatencyEstimator
 from leadrudder.state.list_calls import ListCallSchedule
 from leadrudder.state.records import EventContext, Server
@@ -47,7 +47,7 @@
 class Balancer:
     """The decisions of one node.  Feed it events in order; carry out the actions it returns."""
 
-    def __init__(self, settings: api.Settings, seed: int, limit: Limit | None = None) -> None:
+    def __init__(self, settings: api.Settings, seed: int, limit: ConcurrencyLimit | None = None) -> None:
         self.settings = settings
         self._turn = EventContext(random.Random(seed))
         self._timers = TimerQueue(lambda kind, of: kind == HEDGE and of not in self._requests)
@@ -178,7 +178,7 @@
         self._finish(request)
 
     def _place(self, request: Request, last_resort: bool) -> bool:
-        calm, out = self._admission.strain.calm, len(self._attempts)
+        calm, out = self._admission.strain.baseline_ms, len(self._attempts)
         look = Look(request, self.automaton.mean() or 0.0, calm, out, self._patience.late_threshold())
         server = self._fleet.pick(look, last_resort)
         return server is not None and self._send(request, server)
@@ -206,7 +206,7 @@
         server.outstanding[request.id, number] = now
         self._attempts[request.id, number] = (server, attempt)
         self._fleet.sent(server, request.value.units)
-        self._admission.strain.sent()
+        self._admission.strain.record_send()
         self._watch(request)
         if self._doubts(request, server):
             self._turn.actions.append(api.CloseIdle(server.entry.server))
@@ -222,7 +222,7 @@
         as much as the work: not while latencies are past their part of the aim (overload 0.87 -> 0.72).
         """
         unheard = self._turn.now - server.last_heard_at > self._patience.mean
-        return unheard and self._admission.strain.pressure < 1.0 and not request.repeatable()
+        return unheard and self._admission.strain.latency_ratio < 1.0 and not request.repeatable()
 
     def _watch(self, request: Request) -> None:
         """Look again when the attempt is late, if another could still be answered."""
@@ -244,7 +244,7 @@
         """
         late = self._class_patience[request.class_index].late_threshold()
         out = [self._fleet.servers[a.entry.server] for a in request.attempts if a.ended is None]
-        affordable = self._retry_tokens >= 1.0 and self._admission.strain.pressure < 1.0
+        affordable = self._retry_tokens >= 1.0 and self._admission.strain.latency_ratio < 1.0
         if affordable and all(self._fleet.silent(s, late) for s in out):
             if not self.settings.may_duplicate:
                 self._abandon(request, None)
@@ -340,7 +340,7 @@
                 self._worth.learn(request.class_index, request.value.cost, elapsed)
                 aim = request.kind.aim_ms
             usual = elapsed / (0.5 + 0.5 * attempt.units)  # half of what the cost hint foretold is taken out
-            self._admission.strain.answered(usual)
+            self._admission.strain.record_latency(usual)
             self._feel(elapsed / aim)
             self.automaton.learn(server.position, usual)
             self._health.succeeded(server, server.class_health[attempt.class_index])
--- a/leadrudder/recovery/limit.py
+++ b/leadrudder/recovery/limit.py
@@ -11,33 +11,35 @@
 from typing import Protocol
 
 from leadrudder.interface import Settings
-from leadrudder.recovery.strain import TIMES_CALM, Strain
+from leadrudder.recovery.strain import MAX_BASELINE_RATIO, Saturation
 from leadrudder.state.records import EventContext
 
-DOWN = 0.9
-DOWN_MOST = 0.5  # a cut is as deep as the strain, down to this
-UP = 1.05
-START_UP = 1.2  # growth for each mean latency until the first strain
-KNEE_TIMES = 1.45  # calls out for each that the best rate needs at the calmest latency: no growth beyond
-TOLD_TIMES = 1.65  # the same where servers tell their load
-DEPTH = 1.2  # the same for cuts: to no less
-START = 6.0  # calls out for each server before anything is known, so that a restart opens no flood
-USED = 0.8  # part of the limit that must be used before it grows
+MAX_CUT_FACTOR = 0.9
+MIN_CUT_FACTOR = 0.5  # a cut is as deep as the strain, down to this
+GROWTH_FACTOR = 1.05
+INITIAL_GROWTH_FACTOR = 1.2  # growth for each mean latency until the first strain
+KNEE_MARGIN = 1.45  # calls out for each that the best rate needs at the calmest latency: no growth beyond
+KNEE_MARGIN_WITH_REPORTS = 1.65  # the same where servers tell their load
+CUT_MARGIN = 1.2  # the same for cuts: to no less
+INITIAL_CALLS_PER_SERVER = (
+    6.0  # calls out for each server before anything is known, so that a restart opens no flood
+)
+MIN_USE_TO_GROW = 0.8  # part of the limit that must be used before it grows
 
 
-class Limit(Protocol):
+class ConcurrencyLimit(Protocol):
     """A limit of calls out, which follows what the node sees."""
 
     value: float  # calls
 
-    def moved(self, by: float, servers: float, part: float) -> None:
+    def rescale(self, by: float, servers: float, part: float) -> None:
         """The fleet bears so many times as much; in warm servers, in all and this node's part of them."""
 
-    def feel(self, strain: Strain, latency_share: float, out: int, patience: float) -> None:
+    def record_outcome(self, strain: Saturation, latency_share: float, out: int, patience: float) -> None:
         """An answer or a call given up, once strain knows of it; patience: the mean latency, ms."""
 
 
-class Knee:
+class KneeLimit:
     """Cut by strain, grown to the knee and no further."""
 
     def __init__(self, settings: Settings, turn: EventContext) -> None:
@@ -49,7 +51,7 @@
         self._strained = False
         self._at = 0.0
 
-    def moved(self, by: float, servers: float, part: float) -> None:
+    def rescale(self, by: float, servers: float, part: float) -> None:
         """Guards against a release that leaves six of ten servers, two of them cold, to calls out for ten:
         each then holds more than it bears and turns slow for long."""
         self.value *= by
@@ -59,48 +61,60 @@
         self._least = self._tiers * part
         if not self._strained:
             # All nodes of the tier start alike: each takes its part of what the fleet may hold.
-            self.value = max(self.value, START * self._part)
+            self.value = max(self.value, INITIAL_CALLS_PER_SERVER * self._part)
 
-    def feel(self, strain: Strain, latency_share: float, out: int, patience: float) -> None:
+    def record_outcome(self, strain: Saturation, latency_share: float, out: int, patience: float) -> None:
         """Cut or grow, once for each mean latency.
 
         Not by the mean latency alone: in a jam that grows to the callers' deadline, and cuts came too late.
         """
         now = self._turn.now
-        if now - self._at < min(patience, TIMES_CALM * strain.calm, strain.aim):
+        if now - self._at < min(patience, MAX_BASELINE_RATIO * strain.baseline_ms, strain.min_aim_ms):
             return
         self._at = now
         if strain.value > 1.0:
             self._strained = True
             self._cut(strain)
-        elif out + 1 >= USED * self.value and (strain.calm_known() or strain.seems_calm()):
-            grown = self.value * (UP if self._strained else START_UP) + 1.0
+        elif out + 1 >= MIN_USE_TO_GROW * self.value and (
+            strain.baseline_known() or strain.near_provisional_baseline()
+        ):
+            grown = self.value * (GROWTH_FACTOR if self._strained else INITIAL_GROWTH_FACTOR) + 1.0
             self.value = max(self.value, min(grown, self._most(strain)))
 
-    def _most(self, strain: Strain) -> float:
+    def _most(self, strain: Saturation) -> float:
         """The calls that growth ends at.
 
         Where servers tell their load, cores are seen beside latencies, and a tight knee refuses what free
         ones could do (a zone lost and regained, the second deployment at full size: 0.83 to 0.73).
         """
-        if strain.told:
-            known = strain.calm_known()
-            knee = TOLD_TIMES * min(strain.calm, strain.least) * strain.peak() if known else 0.0
-            most = max(knee, START * (self._part if known else self._least))
+        if strain.has_load_reports:
+            known = strain.baseline_known()
+            knee = (
+                KNEE_MARGIN_WITH_REPORTS
+                * min(strain.baseline_ms, strain.provisional_baseline_ms)
+                * strain.peak_rate()
+                if known
+                else 0.0
+            )
+            most = max(knee, INITIAL_CALLS_PER_SERVER * (self._part if known else self._least))
             return most + math.sqrt(most)
         # Not the least of both: that of the first answers stays too low where calls wait for others.
-        calm = strain.calm if strain.calm < math.inf else strain.least
-        knee = KNEE_TIMES * calm * strain.peak() if calm < math.inf else 0.0
-        return max(knee, START * self._part)
+        calm = strain.baseline_ms if strain.baseline_ms < math.inf else strain.provisional_baseline_ms
+        knee = KNEE_MARGIN * calm * strain.peak_rate() if calm < math.inf else 0.0
+        return max(knee, INITIAL_CALLS_PER_SERVER * self._part)
 
-    def _cut(self, strain: Strain) -> None:
+    def _cut(self, strain: Saturation) -> None:
         """At most to what was in flight when as much was answered without a queue, and a margin."""
-        calm = min(strain.calm, strain.level)
-        knee = DEPTH * strain.peak() * calm if strain.calm_known() else 0.0
-        down = min(DOWN, max(DOWN_MOST, 1.0 / strain.value))
+        calm = min(strain.baseline_ms, strain.mean_latency_ms)
+        knee = CUT_MARGIN * strain.peak_rate() * calm if strain.baseline_known() else 0.0
+        down = min(MAX_CUT_FACTOR, max(MIN_CUT_FACTOR, 1.0 / strain.value))
         # The mean of what is out, and a deviation more: at one moment few calls may be far fewer.
-        reach = max(1.0, strain.busy + math.sqrt(strain.busy))
+        reach = max(1.0, strain.mean_outstanding + math.sqrt(strain.mean_outstanding))
         # While the aim is far, to no less than a node starts with: in a burst of heavy work lower limits
         # halved the rate of answers.  It could hurt where servers bear far fewer calls than START.
-        floor = max(self._least, START * self._part) if strain.pressure < 1.0 else self._least
+        floor = (
+            max(self._least, INITIAL_CALLS_PER_SERVER * self._part)
+            if strain.latency_ratio < 1.0
+            else self._least
+        )
         self.value = max(floor, knee, min(self.value, reach) * down)
--- a/leadrudder/station/points.py
+++ b/leadrudder/station/points.py
@@ -15,7 +15,7 @@
 from leadrudder import interface as api
 from leadrudder.interface import Effect, Outcome, ServerId
 from leadrudder.policy.decide import Balancer
-from leadrudder.recovery.strain import Strain
+from leadrudder.recovery.strain import Saturation
 from leadrudder.station.candidates import Candidates, Distance
 from leadrudder.station.purse import Purse
 from leadrudder.timetable.items import Route
@@ -36,10 +36,10 @@
 
     value = math.inf
 
-    def moved(self, by: float, servers: float, part: float) -> None:
+    def rescale(self, by: float, servers: float, part: float) -> None:
         """Nothing moves it."""
 
-    def feel(self, strain: Strain, latency_share: float, out: int, patience: float) -> None:
+    def record_outcome(self, strain: Saturation, latency_share: float, out: int, patience: float) -> None:
         """Nothing moves it."""
 
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -145,8 +145,8 @@
     play = fleet(6)
     answer(play, latency=500.0, every=60.0, count=400)
     strain = play.balancer._admission.strain
-    assert strain.calm == pytest.approx(500.0, rel=0.1) and strain.value < 1.0
-    level = strain.level
+    assert strain.baseline_ms == pytest.approx(500.0, rel=0.1) and strain.value < 1.0
+    level = strain.mean_latency_ms
     # All that comes now is held; what was out before ends in its usual time.
     usual = {(r, n) for r in play.open for n in play.live(r)}
     since = play.now
@@ -157,8 +157,10 @@
             if play.now - play.owed[request].attempts[number].sent >= 500.0:
                 usual.remove((request, number))
                 play.end(request, number, Outcome.OK)
-    assert play.now - since <= 600.0 and strain.level == pytest.approx(level, rel=0.1)
-    assert strain.pressure < 1.0 and strain.level < 1.2 * strain.calm, "no latency tells of it"
+    assert play.now - since <= 600.0 and strain.mean_latency_ms == pytest.approx(level, rel=0.1)
+    assert (
+        strain.latency_ratio < 1.0 and strain.mean_latency_ms < 1.2 * strain.baseline_ms
+    ), "no latency tells of it"
     assert strain.value > 1.0
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -387,7 +387,7 @@
     node = play.balancer
     serve(play, 60, latency=400.0)  # two and a half answers a second
     true_rate = 1 / 400.0
-    assert node._admission.strain.calm_known() and 0.0 < node._admission.strain._peak < true_rate
+    assert node._admission.strain.baseline_known() and 0.0 < node._admission.strain._peak < true_rate
 
 
 def test_a_fraction_of_the_limit_lets_in_that_part_of_the_requests() -> None:
@@ -486,7 +486,7 @@
     """Seen on a second deployment, where calls wait for others: half a day's first ten seconds was refused
     while no server had a queue, as calm counts as known only after twenty mean latencies."""
     play, refused = _start_of_a_day(lambda out: 400.0)
-    assert not play.balancer._admission.strain.calm_known()
+    assert not play.balancer._admission.strain.baseline_known()
     assert play.balancer._admission.limit.value > 40.0 and refused < 100
 
 
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -237,7 +237,7 @@
 
 def _look(balancer: Balancer, request: int) -> Look:
     mean = balancer.automaton.mean() or 0.0
-    calm, late = balancer._admission.strain.calm, balancer._patience.late_threshold()
+    calm, late = balancer._admission.strain.baseline_ms, balancer._patience.late_threshold()
     return Look(balancer._requests[request], mean, calm, len(balancer._attempts), late)
 
 
--- a/tests/test_limit.py
+++ b/tests/test_limit.py
@@ -6,7 +6,7 @@
 
 from leadrudder.experiment.limits import LIMITS
 from leadrudder.interface import Outcome, RequestClass, ServerEntry, Settings
-from leadrudder.recovery.limit import KNEE_TIMES, START
+from leadrudder.recovery.limit import INITIAL_CALLS_PER_SERVER, KNEE_MARGIN
 from tests.checker import Surrounding
 from tests.experiment.small import played
 
@@ -39,10 +39,10 @@
                 play.end(*call, Outcome.OK)
         highest = max(highest, play.balancer._admission.limit.value)
         early = highest if step < 700 else early
-    assert early <= KNEE_TIMES * KNEE + 1.0, "before the calmest mean is known"
+    assert early <= KNEE_MARGIN * KNEE + 1.0, "before the calmest mean is known"
     # Twice: the calmest mean is taken when what was added by then has queued.
-    assert highest <= KNEE_TIMES * KNEE_TIMES * KNEE + 1.0
-    assert play.balancer._admission.limit.value >= max(KNEE, 2 * START), "nor below it"
+    assert highest <= KNEE_MARGIN * KNEE_MARGIN * KNEE + 1.0
+    assert play.balancer._admission.limit.value >= max(KNEE, 2 * INITIAL_CALLS_PER_SERVER), "nor below it"
 
 
 @pytest.mark.parametrize("policy", LIMITS)
