--- a/leadrudder/recovery/__init__.py
+++ b/leadrudder/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""How a node tells a queue from long work, and what it lets out because of it.  No I/O, no clock."""
+"""Overload control: saturation of the fleet, and the concurrency limit that follows it.  No I/O, no clock."""
--- a/leadrudder/state/__init__.py
+++ b/leadrudder/state/__init__.py
@@ -1,1 +1,1 @@
-"""What the decisions rest on: state kept by change, and statistics of it; below policy/, free of I/O."""
+"""State that the decisions in policy/ rest on, kept incrementally, and running statistics; free of I/O."""
--- a/leadrudder/state/backoff.py
+++ b/leadrudder/state/backoff.py
@@ -1,6 +1,6 @@
-"""Pauses between tries of what has failed: longer each time, and never in step with those of other nodes.
+"""Exponential back-off with jitter, so that retries of different nodes do not synchronise.
 
-No clock and no random source of its own: its owner keeps the time and hands in the node's.
+It has no clock and no random source of its own: the owner keeps the time and passes in the node's generator.
 """
 
 from __future__ import annotations
@@ -11,25 +11,25 @@
 class Backoff:
     """Exponential back-off with jitter.
 
-    The first pause is drawn from nothing up to its bound ("full jitter"): what fails at many nodes fails at
-    the same instant, and they would all be back within half a pause.  Later ones keep the spread that is
-    there, and are drawn from the upper half, which costs fewer tries.
+    The first pause is drawn from zero up to its bound ("full jitter"): a shared cause fails many nodes at
+    the same instant, and with less jitter all would retry within half a pause.  Later pauses keep the spread
+    that this gives and are drawn from the upper half of the bound, which costs fewer attempts.
     """
 
-    def __init__(self, rng: random.Random, first: float, most: float) -> None:
-        """first, most: bounds of the first pause and of any, in the owner's unit of time."""
+    def __init__(self, rng: random.Random, first_bound: float, max_bound: float) -> None:
+        """Bounds are upper bounds of the first pause and of any pause, in the owner's unit of time."""
         self._rng = rng
-        self._first = first
-        self._most = most
-        self._failed = 0
+        self._first_bound = first_bound
+        self._max_bound = max_bound
+        self._failures = 0
 
     def reset(self) -> None:
-        """It has worked: the next failure is a first one."""
-        self._failed = 0
+        """Record a success: the next failure counts as the first."""
+        self._failures = 0
 
     def next_pause(self) -> float:
-        """After one more failure: how long to wait."""
-        bound = min(self._most, self._first * 2.0 ** min(self._failed, 30))
-        least = 0.5 * bound if self._failed else 0.0
-        self._failed += 1
-        return self._rng.uniform(least, bound)
+        """Record a failure and return how long to wait before the next attempt."""
+        bound = min(self._max_bound, self._first_bound * 2.0 ** min(self._failures, 30))
+        lower = 0.5 * bound if self._failures else 0.0
+        self._failures += 1
+        return self._rng.uniform(lower, bound)
--- a/leadrudder/state/rings.py
+++ b/leadrudder/state/rings.py
@@ -1,8 +1,7 @@
-"""Dealing the members of a fleet to many nodes: every member to as many nodes as any other.
+"""Deterministic subsetting: assigns servers to many nodes, each server to as many nodes as any other.
 
-Deterministic subsetting, a plain computation: the nodes form turns, every turn has an order of the members
-of its own, by hash, and its nodes part that order among them.  A change of the list moves the bounds by less
-than a member.
+The nodes form groups.  Each group orders the servers by a hash of its own, and its nodes split that order
+among them.  A change of the list moves the bounds of a subset by less than one server.
 """
 
 from __future__ import annotations
@@ -11,50 +10,52 @@
 import math
 from bisect import bisect_left, insort
 
-ROUNDING_PHASE = (
-    math.sqrt(5.0) - 1.0
-) / 2.0  # parts of the kinds are rounded at places that are spread evenly
+# The golden ratio spreads the offsets evenly at which the subsets of the kinds are rounded.
+ROUNDING_PHASE = (math.sqrt(5.0) - 1.0) / 2.0
 
 
 class SubsetAssignment:
-    """One node's part, kind by kind.
+    """One node's subset of the servers, kind by kind.
 
-    It was the next few from a place on a hash ring, as in consistent hashing: of 31 nodes before 51 servers
-    one kept to one server and seven to others, and each held calls in proportion (2.3 to 4.5 in the mean).
+    Consistent hashing, with the next few servers on a hash ring as the subset, is too uneven: of 31 nodes
+    before 51 servers one server was in the subset of one node and others in seven, and the calls at each
+    were in proportion (2.3 to 4.5 in the mean).
     """
 
-    def __init__(self, ordinal: int, nodes: int, parts: int) -> None:
-        """nodes: of the tier, numbered from 0; one beyond them, as a newcomer may be, takes another's part.
+    def __init__(self, ordinal: int, nodes: int, max_group_size: int) -> None:
+        """ordinal: the node's number, from 0; one of nodes or more, as a new node may have, shares a subset.
 
-        parts: a turn has so many nodes at the most.
+        nodes: number of nodes of the tier; max_group_size: the most nodes that a group has.
         """
-        turns = max(1, math.ceil(nodes / parts))
-        turn = ordinal % turns
-        self._turn = turn.to_bytes(4, "big")
-        self._places = max(1, math.ceil((nodes - turn) / turns))
-        self._place = ordinal // turns % self._places
-        self._rings: dict[int, list[tuple[bytes, bytes]]] = {}
+        groups = max(1, math.ceil(nodes / max_group_size))
+        group = ordinal % groups
+        self._group = group.to_bytes(4, "big")
+        self._group_size = max(1, math.ceil((nodes - group) / groups))
+        self._index_in_group = ordinal // groups % self._group_size
+        self._order_by_kind: dict[int, list[tuple[bytes, bytes]]] = {}
 
-    def _at(self, name: bytes) -> tuple[bytes, bytes]:
-        """Where a member stands in this turn's order."""
-        return hashlib.blake2b(name + self._turn, digest_size=6).digest(), name
+    def _sort_key(self, name: bytes) -> tuple[bytes, bytes]:
+        """Sort key of a server in this group's order."""
+        return hashlib.blake2b(name + self._group, digest_size=6).digest(), name
 
     def add(self, kind: int, name: bytes) -> None:
-        insort(self._rings.setdefault(kind, []), self._at(name))
+        insort(self._order_by_kind.setdefault(kind, []), self._sort_key(name))
 
     def remove(self, kind: int, name: bytes) -> None:
-        """KeyError or ValueError for one that is not there."""
-        ring, at = self._rings[kind], self._at(name)
-        i = bisect_left(ring, at)
-        if i == len(ring) or ring[i] != at:
+        """Raises KeyError or ValueError for a server that was not added."""
+        order, key = self._order_by_kind[kind], self._sort_key(name)
+        i = bisect_left(order, key)
+        if i == len(order) or order[i] != key:
             raise ValueError(name)
-        del ring[i]
+        del order[i]
 
     def assigned(self) -> list[bytes]:
-        """The names that fall to this node, of every kind in proportion."""
-        found: list[bytes] = []
-        for kind, ring in self._rings.items():
-            phase, part = kind * ROUNDING_PHASE % 1.0, len(ring) / self._places
-            first, last = (int(place * part + phase) for place in (self._place, self._place + 1))
-            found += [name for _, name in ring[first:last]]
-        return found
+        """The servers of this node's subset, of every kind in proportion."""
+        servers: list[bytes] = []
+        for kind, order in self._order_by_kind.items():
+            phase, size = kind * ROUNDING_PHASE % 1.0, len(order) / self._group_size
+            first, last = (
+                int(index * size + phase) for index in (self._index_in_group, self._index_in_group + 1)
+            )
+            servers += [name for _, name in order[first:last]]
+        return servers
--- a/leadrudder/state/spread.py
+++ b/leadrudder/state/spread.py
@@ -1,8 +1,8 @@
-"""Which of the servers that are fit hold the fewest of this node's calls.  A plain computation.
+"""Least-outstanding selection among candidate servers, by this node's own calls.
 
-Nodes share nothing, but the sum of what each spreads evenly is even too: seven nodes that draw each call by
-their shares alone leave 1 to 14 calls at servers that hold seven in the mean, and what is crowded for long
-turns slow for long.  The draw among those that are left stays the automaton's.
+Nodes share no state, but the sum of evenly spread calls is even too: seven nodes that draw each call by their
+weights alone leave 1 to 14 calls at servers with a mean of seven, and a server that is crowded for long turns
+slow for long.  The automaton draws among the servers that remain.
 """
 
 from __future__ import annotations
@@ -11,19 +11,22 @@
 
 from leadrudder.state.records import Server
 
-SLOW_LATENCY_RATIO = 2.0  # the mean of all averages: one beyond it counts as holding a call more than it does
+SLOW_LATENCY_RATIO = 2.0  # a server above this multiple of the mean latency counts as having one more call
 
 
 def fewest_outstanding(
-    among: Sequence[int], arms: Sequence[Server], averages: Sequence[float | None], mean: float
+    candidates: Sequence[int], servers: Sequence[Server], averages: Sequence[float | None], mean: float
 ) -> list[int]:
-    """Of these indices those whose servers hold the fewest calls of ours, in their order: O(of these).
+    """The candidates with the fewest outstanding calls of this node, in their order: O(candidates).
 
-    averages: mean latency of each server, ms, None where it is not known yet; mean: of all of them.
+    candidates: indices of servers; averages: mean latency of each server, ms, None where not known yet;
+    mean: of all averages.
     """
-    held = []
-    for i in among:
+    call_counts = []
+    for i in candidates:
         average = averages[i]
-        held.append(len(arms[i].outstanding) + (average is not None and average > SLOW_LATENCY_RATIO * mean))
-    least = min(held, default=0)
-    return [i for i, calls in zip(among, held, strict=True) if calls == least]
+        call_counts.append(
+            len(servers[i].outstanding) + (average is not None and average > SLOW_LATENCY_RATIO * mean)
+        )
+    fewest = min(call_counts, default=0)
+    return [i for i, calls in zip(candidates, call_counts, strict=True) if calls == fewest]
--- a/leadrudder/state/timers.py
+++ b/leadrudder/state/timers.py
@@ -1,4 +1,4 @@
-"""What is due when, and the one wake-up call that it needs.  Plain bookkeeping: it decides nothing."""
+"""Timer queue that needs a single wake-up at a time."""
 
 from __future__ import annotations
 
@@ -7,52 +7,55 @@
 from collections.abc import Callable, Iterator
 
 Subject = int | bytes | None
-MIN_PRUNE_SIZE = 256  # things that are kept without a look whether they are void
+MIN_PRUNE_SIZE = 256  # up to this size no timer is checked for being obsolete
 
 
 class TimerQueue:
-    """Things of a kind and a subject that fall due; time is the owner's.
+    """Timers, each of a kind and a subject; the owner provides the time.
 
-    void tells what nobody waits for any more: it is thrown out whenever there are twice as many as after the
-    last time, so that memory follows what is open and each costs O(1) looks.
+    is_obsolete tells which timers nobody waits for any more.  They are removed whenever the queue has doubled
+    since the last removal, so that memory follows the number of live timers and each costs O(1) checks.
     """
 
-    def __init__(self, void: Callable[[int, Subject], bool]) -> None:
-        self._void = void
-        self._shed_at = MIN_PRUNE_SIZE
+    def __init__(self, is_obsolete: Callable[[int, Subject], bool]) -> None:
+        self._is_obsolete = is_obsolete
+        self._prune_at_size = MIN_PRUNE_SIZE
         self._heap: list[tuple[float, int, int, Subject]] = []
         self._seq = 0
-        self._wake = math.inf
-        self._token = 0
+        self._wakeup_at = math.inf
+        self._wakeup_token = 0
 
     def schedule(self, when: float, kind: int, subject: Subject = None) -> None:
         self._seq += 1
         heapq.heappush(self._heap, (when, self._seq, kind, subject))
-        if len(self._heap) > self._shed_at:
-            self._heap = [x for x in self._heap if not self._void(x[2], x[3])]
+        if len(self._heap) > self._prune_at_size:
+            self._heap = [timer for timer in self._heap if not self._is_obsolete(timer[2], timer[3])]
             heapq.heapify(self._heap)
-            self._shed_at = max(MIN_PRUNE_SIZE, 2 * len(self._heap))
+            self._prune_at_size = max(MIN_PRUNE_SIZE, 2 * len(self._heap))
 
     def __len__(self) -> int:
         return len(self._heap)
 
     def pop_due(self, now: float) -> Iterator[tuple[int, Subject]]:
-        """Take out what is due, in order, also what falls due meanwhile."""
+        """Remove and yield the due timers in order, including those scheduled meanwhile."""
         while self._heap and self._heap[0][0] <= now:
             _, _, kind, subject = heapq.heappop(self._heap)
             yield kind, subject
 
     def on_wakeup(self, token: int) -> None:
-        """A wake-up call came.  One that was overtaken by an earlier one asks for no other: it would live on
-        as a chain of its own."""
-        if token == self._token:
-            self._wake = math.inf
+        """Handle a wake-up.
+
+        One that was superseded by an earlier one must not lead to another: each would start a chain of
+        wake-ups of its own.
+        """
+        if token == self._wakeup_token:
+            self._wakeup_at = math.inf
 
     def next_wakeup(self) -> tuple[int, float] | None:
-        """The token and time of the next wake-up call, where the one that is out comes too late."""
-        if not self._heap or self._heap[0][0] >= self._wake:
+        """Token and time of the wake-up to set; None if the pending one comes early enough."""
+        if not self._heap or self._heap[0][0] >= self._wakeup_at:
             return None
-        self._wake = self._heap[0][0]
+        self._wakeup_at = self._heap[0][0]
         self._seq += 1
-        self._token = self._seq
-        return self._token, self._wake
+        self._wakeup_token = self._seq
+        return self._wakeup_token, self._wakeup_at
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -387,7 +387,7 @@
     node = play.balancer
     serve(play, 60, latency=400.0)  # two and a half answers a second
     true_rate = 1 / 400.0
-    assert node._admission.strain.baseline_known() and 0.0 < node._admission.strain._peak < true_rate
+    assert node._admission.strain.baseline_known() and 0.0 < node._admission.strain._peak_rate < true_rate
 
 
 def test_a_fraction_of_the_limit_lets_in_that_part_of_the_requests() -> None:
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -139,10 +139,10 @@
             or len(s.outstanding) + 1 > s.max_outstanding
             or bool(s.on_probation and s.outstanding)
         )
-        group, at = fleet.automaton.shares._group[i], fleet.automaton.shares._at[i]
+        group, at = fleet.automaton.shares._group_of[i], fleet.automaton.shares._index_in_group[i]
         assert fleet.automaton.shares.groups[group].closed[at] == closed, s
     capacity = fleet.capacity
-    assert (capacity._arms, capacity._cold) == (len(arms), sum(s.cold for s in arms))
+    assert (capacity._servers, capacity._cold_servers) == (len(arms), sum(s.cold for s in arms))
     assert capacity._total == pytest.approx(sum(s.counted_capacity for s in arms), abs=1e-9)
     for s in arms:
         least = max(capacity.slow_start_factor(s) - 1.0 / WARM_UP_STEPS, balancer.settings.cold_start_share)
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -144,7 +144,7 @@
     with_bad = play(list(BAD))
     lines = [a for a in with_bad if isinstance(a, Log)]
     assert [a for a in with_bad if a not in lines] == [a for a in play([]) if not isinstance(a, Log)]
-    assert len(lines) == 1 and "load reports can't be meant" in lines[0].text
+    assert len(lines) == 1 and "invalid load reports, the last from server" in lines[0].text
     assert LOG_INTERVAL_MS > 400 * 10.0
 
 
