--- a/tests/simulation/test_herd.py
+++ b/tests/simulation/test_herd.py
@@ -49,7 +49,7 @@
 
 
 def test_pauses_that_do_not_grow_break_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Backoff, "pause", lambda self: 0.5 * self._first)
+    monkeypatch.setattr(Backoff, "next_pause", lambda self: 0.5 * self._first_bound)
     assert _busiest("1")[1]["list calls"] > LIST_CALLS
 
 
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -1,4 +1,4 @@
-"""Long lists of servers: read in slices, followed by what they change, in pieces; and a node that goes on."""
+"""Long server lists: parsed in slices, applied as changes in pieces, while the node keeps serving."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from tests.stubs import StubServer, listing, reply, row, run, tell, world
 
 NAMING = Naming(("hall",), ("std",))
-PATIENT = {"mustAskInMs": 60_000.0}  # a watch that is slow to speak is not given up by the node meanwhile
+LONG_DISCOVERY_DEADLINE = {"mustAskInMs": 60_000.0}  # so that the node does not give up a slow watch
 
 
 def rows(names: range, port: int = 1, lifecycle: str = "SERVING") -> list[dict[str, Any]]:
@@ -85,12 +85,12 @@
         '{"generation": 1, "reset": true, "instances": ' + "[" * 100_000,
     ],
 )
-def test_a_text_that_is_no_list_is_an_error_of_its_own(text: str) -> None:
+def test_a_text_that_is_no_list_raises_list_error(text: str) -> None:
     with pytest.raises(ListError):
         finished(NAMING.read_text(text))
 
 
-def test_a_long_list_is_read_in_slices_and_comes_to_the_same() -> None:
+def test_a_long_list_is_read_in_slices_with_the_same_result() -> None:
     raw = listing(7, *rows(range(3 * SLICE + 1)))
     slices = NAMING.read_text(json.dumps(raw))
     stops = 0
@@ -111,14 +111,14 @@
     return [piece for piece in book.pieces(told) if piece is not None]
 
 
-def test_a_short_list_is_handed_on_as_it_came() -> None:
+def test_a_short_list_is_passed_on_unchanged() -> None:
     book, told = Book(), read(1, *rows(range(5)))
     assert handed(book, told) == [told]
     drained = read(2, *rows(range(1), lifecycle="DRAINING"), whole=False)
     assert handed(book, drained) == [drained]
 
 
-def test_a_long_list_comes_in_pieces_and_what_has_gone_comes_first() -> None:
+def test_a_long_list_comes_in_pieces_with_removed_servers_first() -> None:
     book = Book()
     first = handed(book, read(1, *rows(range(1000))))
     assert [len(piece.entries) for piece in first] == [SLICE] * 5
@@ -131,15 +131,15 @@
     assert second[-1].addresses[b"s1099"][1] == 2
 
 
-def test_a_long_list_without_news_is_handed_on_as_an_empty_one() -> None:
+def test_a_long_list_without_changes_is_passed_on_as_an_empty_one() -> None:
     book = Book()
     handed(book, read(1, *rows(range(1000))))
     (piece,) = handed(book, read(2, *rows(range(1000))))
     assert (piece.entries, piece.more, piece.version) == ((), False, 2)
 
 
-def test_a_server_that_was_left_out_is_told_again() -> None:
-    """Two servers at one address: the older one is taken back, and may be the one that lives."""
+def test_a_forgotten_server_is_sent_again() -> None:
+    """Of two servers at one address the older one is dropped, though it may be the live one."""
     book = Book()
     handed(book, read(1, *rows(range(1000))))
     book.forget(b"s7")
@@ -148,7 +148,7 @@
 
 
 def follow(known: dict[bytes, tuple[object, object]], told: Listing) -> None:
-    """What is known once this has been told: the plain way."""
+    """Reference implementation: apply a listing to the known servers."""
     if told.whole:
         known.clear()
     for entry in told.entries:
@@ -187,37 +187,38 @@
         assert followed == plain
 
 
-# ---------------------------------------------------------------- the module
+# ---------------------------------------------------------------- the balancer
 
 
-def feed(balancer: Balancer, pieces: Iterator[Listing | None], now: float = 1.0) -> None:
+def send_pieces(balancer: Balancer, pieces: Iterator[Listing | None], now: float = 1.0) -> None:
     for piece in pieces:
         if piece is not None:
             balancer.handle(piece.event(), now)
 
 
-def test_newcomers_of_one_list_stand_alike_however_it_was_cut() -> None:
-    """Each counted against all that were there, the first of ten thousand would get fourteen times the last
-    one's share."""
+def test_newcomers_of_one_list_get_equal_shares_however_it_was_split() -> None:
+    """Guards against shares relative to all servers so far: the first of ten thousand newcomers would get
+    fourteen times the share of the last."""
     settings = Settings(classes=(RequestClass("r", 1000, 3000),))
     book, balancer = Book(), Balancer(settings, seed=1)
-    feed(balancer, book.pieces(read(1, *rows(range(1000)))))
+    send_pieces(balancer, book.pieces(read(1, *rows(range(1000)))))
     p = balancer.automaton.p
     assert len(p) == 1000 and max(p) - min(p) < 1e-12 and sum(p) == pytest.approx(1.0)
-    feed(balancer, book.pieces(read(2, *rows(range(3000)))))
+    send_pieces(balancer, book.pieces(read(2, *rows(range(3000)))))
     shares = dict(zip(balancer.automaton.servers, balancer.automaton.p, strict=True))
     old = [shares[b"s%d" % n] for n in range(1000)]
     new = [shares[b"s%d" % n] for n in range(1000, 3000)]
     assert max(old) - min(old) < 1e-12 and max(new) - min(new) < 1e-12
-    assert new[0] == pytest.approx(old[0], rel=1e-9)  # the mean share: what a cold one gets is capacity.py's
+    # All get the mean share; capacity.py limits what a cold one gets.
+    assert new[0] == pytest.approx(old[0], rel=1e-9)
     assert sum(shares.values()) == pytest.approx(1.0)
 
 
-def test_a_list_in_pieces_costs_the_module_by_the_piece() -> None:
-    """Counted in nodes of the tree that are touched: no piece sums the whole fleet anew."""
+def test_the_cost_of_a_list_in_pieces_follows_the_pieces() -> None:
+    """Counts visited tree nodes: no piece leads to a sum over the whole fleet."""
     settings = Settings(classes=(RequestClass("r", 1000, 3000),))
     book, balancer = Book(), Balancer(settings, seed=1)
-    feed(balancer, book.pieces(read(1, *rows(range(4000)))))
+    send_pieces(balancer, book.pieces(read(1, *rows(range(4000)))))
     steps = [sum(weights.touched_nodes for weights in balancer.automaton.shares.groups)]
     for piece in book.pieces(read(2, *rows(range(2000, 6000)))):
         if piece is not None:
@@ -231,17 +232,17 @@
 # ---------------------------------------------------------------- the node
 
 
-def _lists_told(node: Node) -> list[ServerList]:
-    """What the module is told of lists from now on."""
+def _record_list_events(node: Node) -> list[ServerList]:
+    """Collects the list events that the balancer gets from now on."""
     events: list[ServerList] = []
     handle = node._balancer.handle
 
-    def noted(event: Any, now: float) -> Any:
+    def recording_handle(event: Any, now: float) -> Any:
         if isinstance(event, ServerList):
             events.append(event)
         return handle(event, now)
 
-    node._balancer.handle = noted  # type: ignore[method-assign]
+    node._balancer.handle = recording_handle  # type: ignore[method-assign]
     return events
 
 
@@ -259,13 +260,13 @@
     return len(_servers(node)._peers)
 
 
-def test_a_node_goes_on_while_it_reads_a_long_list() -> None:
-    """Requests are answered between the slices, and lines behind the long one wait their turn."""
+def test_a_node_serves_requests_while_it_reads_a_long_list() -> None:
+    """Requests are answered between the slices; lines after the long one are processed in order."""
 
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(known=False, registryMode="pushed", guarantees=PATIENT) as w,
+            world(known=False, registryMode="pushed", guarantees=LONG_DISCOVERY_DEADLINE) as w,
         ):
             watch = await w.discovery.watch()
             tell(watch, listing(1, row("live", server.address)))
@@ -290,9 +291,9 @@
     run(main())
 
 
-def test_a_long_list_is_followed_though_its_watch_ends_behind_it() -> None:
+def test_a_long_list_is_applied_though_its_watch_ends_after_it() -> None:
     async def main() -> None:
-        async with world(known=False, registryMode="pushed", guarantees=PATIENT) as w:
+        async with world(known=False, registryMode="pushed", guarantees=LONG_DISCOVERY_DEADLINE) as w:
             watch = await w.discovery.watch()
             tell(watch, listing(5, *rows(range(3000))))
             watch.close()
@@ -302,10 +303,10 @@
     run(main())
 
 
-def test_a_long_line_that_is_no_list_changes_nothing_and_the_watch_is_made_anew() -> None:
+def test_an_invalid_long_line_changes_nothing_and_the_watch_is_renewed() -> None:
     async def main() -> None:
-        async with world(known=False, registryMode="pushed", guarantees=PATIENT) as w:
-            events = _lists_told(w.node)
+        async with world(known=False, registryMode="pushed", guarantees=LONG_DISCOVERY_DEADLINE) as w:
+            events = _record_list_events(w.node)
             watch = await w.discovery.watch()
             text = json.dumps(listing(5, *rows(range(3000)))).encode()
             tell(watch, text[:-1] + b"]")
@@ -319,9 +320,9 @@
     run(main())
 
 
-def test_a_node_that_ends_while_it_reads_leaves_nothing_behind() -> None:
+def test_a_node_that_stops_while_it_reads_leaves_nothing_behind() -> None:
     async def main() -> None:
-        async with world(known=False, registryMode="pushed", guarantees=PATIENT) as w:
+        async with world(known=False, registryMode="pushed", guarantees=LONG_DISCOVERY_DEADLINE) as w:
             watch = await w.discovery.watch()
             tell(watch, listing(5, *rows(range(3000))))
             await _until(lambda: w.node._discovery._reading is not None)
@@ -330,12 +331,12 @@
     run(main())
 
 
-def test_ten_thousand_changes_in_a_second_are_followed_as_a_few(caplog: pytest.LogCaptureFixture) -> None:
-    """One line of the log, work that is bounded by time, and the last entry of each server holds."""
+def test_ten_thousand_changes_in_a_second_are_merged_into_a_few(caplog: pytest.LogCaptureFixture) -> None:
+    """There are few log lines, the work is bounded by time, and the last entry of each server counts."""
 
     async def main() -> None:
-        async with world(known=False, registryMode="pushed", guarantees=PATIENT) as w:
-            events = _lists_told(w.node)
+        async with world(known=False, registryMode="pushed", guarantees=LONG_DISCOVERY_DEADLINE) as w:
+            events = _record_list_events(w.node)
             watch = await w.discovery.watch()
             tell(watch, listing(1, *rows(range(20))))
             lines = [
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Load reports: what they add, how long, and what one that can't be meant does."""
+"""Load reports: their effect, their lifetime, and invalid ones."""
 
 from __future__ import annotations
 
@@ -33,40 +33,40 @@
 
 COLUMNS = ("utilization", "outstanding")
 SETTINGS = Settings((RequestClass("look", 1000.0, 3000.0),), load_columns=COLUMNS)
-BAD = [(math.nan, 1.0), (0.5, math.inf), (-0.1, 3.0), (0.5, -1.0), (0.5, 1e9), (7.0, 1.0), (0.5,)]
+INVALID = [(math.nan, 1.0), (0.5, math.inf), (-0.1, 3.0), (0.5, -1.0), (0.5, 1e9), (7.0, 1.0), (0.5,)]
 
 
 def reports() -> tuple[LoadReports, EventContext, list[Server]]:
-    turn = EventContext(random.Random(1))
+    context = EventContext(random.Random(1))
     servers = [Server(ServerEntry(bytes([i])), [ClassHealth()], position=i) for i in range(4)]
-    told = LoadReports(SETTINGS, turn)
+    told = LoadReports(SETTINGS, context)
     told.listed_servers = len(servers)
-    return told, turn, servers
+    return told, context, servers
 
 
-def test_crowded_is_who_tells_of_full_cores_and_of_more_than_its_part() -> None:
+def test_a_server_with_full_cores_and_more_requests_than_its_share_is_crowded() -> None:
     told, _, servers = reports()
     for server, load in zip(servers, [(1.0, 30.0), (1.0, 6.0), (0.4, 30.0), (1.0, 30.0)], strict=True):
         told.record(server, load)
-    # The mean is 24: the second is below it, the third has cores free, and of a large share much is expected.
+    # The mean is 24: the second is below it, the third has free cores; a larger share allows more requests.
     assert [told.crowded(s, 1.0) for s in servers] == [True, False, False, True]
     assert not told.crowded(servers[3], 1.2)
 
 
-def test_a_report_counts_for_its_time_and_a_repeat_of_it_makes_it_no_younger() -> None:
-    told, turn, servers = reports()
+def test_a_report_expires_and_its_repetition_does_not_refresh_it() -> None:
+    told, context, servers = reports()
     for server in servers:
         told.record(server, (1.0, 40.0 if server is servers[0] else 1.0))
-    turn.now = REPORT_LIFETIME_MS - 1.0
+    context.now = REPORT_LIFETIME_MS - 1.0
     told.record(servers[0], (1.0, 40.0))
     assert told.crowded(servers[0], 1.0) and told.mean_utilization() == 1.0
-    turn.now = REPORT_LIFETIME_MS
+    context.now = REPORT_LIFETIME_MS
     assert not told.crowded(servers[0], 1.0) and told.mean_utilization() is None
     told.record(servers[0], (1.0, 40.0))
-    assert servers[0].load_report == (1.0, 40.0), "what it told too long ago is heard again"
+    assert servers[0].load_report == (1.0, 40.0), "a report that has expired counts when it is repeated"
 
 
-def test_who_claims_to_hold_nothing_is_held_for_what_this_node_has_there() -> None:
+def test_a_server_that_reports_no_requests_counts_with_the_calls_of_this_node() -> None:
     told, _, servers = reports()
     for server in servers:
         told.record(server, (1.0, 0.0 if server is servers[0] else 4.0))
@@ -76,37 +76,37 @@
 
 
 @pytest.mark.parametrize(
-    ("busy", "pressure", "strain", "tempered"),
+    ("utilization", "latency_ratio", "saturation", "adjusted"),
     [
-        (0.5, 0.8, 1.7, 1.0),  # cores are free and latencies near their target: heavy work, no jam
-        (0.5, 2.0, 1.7, 1.7),  # far above it they wait for something else than these cores
+        (0.5, 0.8, 1.7, 1.0),  # cores are free and latencies near their target: heavy work, no overload
+        (0.5, 2.0, 1.7, 1.7),  # far above the target calls wait for something other than these cores
         (0.93, 0.8, 1.7, 1.7),
-        (1.0, 0.8, 0.4, 1.03),  # no core is free: strain before latencies tell of it
+        (1.0, 0.8, 0.4, 1.03),  # no core is free: saturation before latencies show it
         (0.5, 0.8, 0.4, 0.4),
     ],
 )
-def test_strain_is_seen_beside_the_cores(
-    busy: float, pressure: float, strain: float, tempered: float
+def test_saturation_is_corrected_by_cpu_utilization(
+    utilization: float, latency_ratio: float, saturation: float, adjusted: float
 ) -> None:
     told, _, servers = reports()
     for server in servers[:3]:
-        told.record(server, (busy, 5.0))
-    assert told.adjust_saturation(strain, pressure) == pytest.approx(tempered)
+        told.record(server, (utilization, 5.0))
+    assert told.adjust_saturation(saturation, latency_ratio) == pytest.approx(adjusted)
     told.listed_servers = 6
     assert (
-        told.adjust_saturation(strain, pressure) == strain
-    ), "of half a fleet's reports nothing is concluded"
+        told.adjust_saturation(saturation, latency_ratio) == saturation
+    ), "reports of half a fleet have no effect"
 
 
 @given(st.lists(st.tuples(st.integers(0, 3), st.sampled_from("trgw"), st.floats(0.0, 1.2)), max_size=120))
 @settings(max_examples=60, deadline=None)
-def test_the_sums_are_those_of_a_full_scan(steps: list[tuple[int, str, float]]) -> None:
-    told, turn, servers = reports()
+def test_the_sums_equal_those_of_a_full_scan(steps: list[tuple[int, str, float]]) -> None:
+    told, context, servers = reports()
     told.listed_servers = 1
     last: dict[int, tuple[float, tuple[float, float]]] = {}
     for i, what, figure in steps:
         if what == "t":
-            turn.now += 1500.0 * figure
+            context.now += 1500.0 * figure
         elif what == "g":
             told.discard(servers[i])
             last.pop(i, None)
@@ -114,17 +114,17 @@
             told.record(servers[i], (-1.0, figure))
         else:
             load = (figure, round(10 * figure))
-            if i not in last or last[i][1] != load or turn.now - last[i][0] >= REPORT_LIFETIME_MS:
-                last[i] = turn.now, load
+            if i not in last or last[i][1] != load or context.now - last[i][0] >= REPORT_LIFETIME_MS:
+                last[i] = context.now, load
             told.record(servers[i], load)
-        fresh = [load for at, load in last.values() if turn.now - at < REPORT_LIFETIME_MS]
+        fresh = [load for at, load in last.values() if context.now - at < REPORT_LIFETIME_MS]
         mean = sum(u for u, _ in fresh) / len(fresh) if fresh else None
         got = told.mean_utilization()
         assert got == (pytest.approx(mean) if mean is not None else None)
         assert len(told._fresh) <= len(steps)
 
 
-def test_bad_reports_change_nothing_and_are_told_once_in_a_while() -> None:
+def test_invalid_reports_change_nothing_and_are_logged_at_intervals() -> None:
     def play(loads: list[tuple[float, ...]]) -> list[Action]:
         node = Balancer(SETTINGS, 7)
         log: list[Action] = []
@@ -141,15 +141,15 @@
             log += sent
         return log
 
-    with_bad = play(list(BAD))
-    lines = [a for a in with_bad if isinstance(a, Log)]
-    assert [a for a in with_bad if a not in lines] == [a for a in play([]) if not isinstance(a, Log)]
+    with_invalid = play(list(INVALID))
+    lines = [a for a in with_invalid if isinstance(a, Log)]
+    assert [a for a in with_invalid if a not in lines] == [a for a in play([]) if not isinstance(a, Log)]
     assert len(lines) == 1 and "invalid load reports, the last from server" in lines[0].text
     assert LOG_INTERVAL_MS > 400 * 10.0
 
 
-def test_a_crowded_server_gets_less_while_others_have_room_and_all_of_them_none_the_less_for_it() -> None:
-    def calls(crowd: set[int]) -> list[int]:
+def test_a_crowded_server_gets_fewer_calls_unless_all_are_crowded() -> None:
+    def calls(crowded_servers: set[int]) -> list[int]:
         node = Balancer(SETTINGS, 3)
         node.handle(ServerList(ListKind.FULL, tuple(ServerEntry(bytes([i])) for i in range(4))), 0.0)
         got = [0] * 4
@@ -159,15 +159,18 @@
                 if isinstance(action, Send):
                     at = action.server[0]
                     got[at] += 1
-                    # The figures move a little, as those of a server that measures anew do.
-                    load = (1.0 if at in crowd else 0.5, (30.0 if at in crowd else 5.0) + i % 3)
+                    # The figures vary a little, like those of a server that refreshes its measurement.
+                    load = (
+                        1.0 if at in crowded_servers else 0.5,
+                        (30.0 if at in crowded_servers else 5.0) + i % 3,
+                    )
                     node.handle(AttemptEnded(i, 0, action.server, Outcome.OK, 20.0, True, load), now + 5.0)
         return got
 
     plain, one, every = calls(set()), calls({0}), calls({0, 1, 2, 3})
     assert sum(plain) == sum(one) == sum(every) == 2000
     assert min(plain) > 300 and min(every) > 300
-    # What it told is fresh for four seconds; then it is asked with a call, and tells again.
+    # Its report is fresh for four seconds; then a call is sent to it and brings a new one.
     assert 1 <= one[0] <= 2000 * 10.0 / REPORT_LIFETIME_MS + 8
 
 
@@ -178,7 +181,7 @@
     ("told", "read"),
     [
         (b'{"utilization":0.61,"outstanding":7}', (0.61, 7.0)),
-        (b'{"inflight":7,"queue":2,"util":0.61}', (0.61, 7.0)),  # as the sockets name them
+        (b'{"inflight":7,"queue":2,"util":0.61}', (0.61, 7.0)),  # the names used over sockets
         (None, ()),
     ],
 )
@@ -202,12 +205,12 @@
         b'{"util":0.6,"inflight":7,"x":"' + b"y" * 600 + b'"}',
     ],
 )
-def test_what_cannot_be_read_is_handed_on_as_no_figures(told: bytes) -> None:
+def test_an_unreadable_report_is_passed_on_as_nan(told: bytes) -> None:
     read = ReportReader(COLUMNS).read(told)
     assert len(read) == 2 and all(math.isnan(figure) for figure in read)
 
 
-def test_what_is_kept_of_reports_is_bounded() -> None:
+def test_the_cache_of_parsed_reports_is_bounded() -> None:
     reader = ReportReader(COLUMNS)
     for i in range(3 * MOST_KEPT):
         assert reader.read(b'{"util":0.5,"inflight":%d}' % i) == (0.5, float(i))
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -1,4 +1,4 @@
-"""What a request is worth, whether it can still count, and who gets the places that are left."""
+"""Valuation of requests, prediction of late answers, and admission by worth under overload."""
 
 from __future__ import annotations
 
@@ -35,58 +35,58 @@
 HEAVY = RequestClass("close", 1000.0, 3000.0, worth=2.0)
 
 
-def taught(slope: float, start: float, spread: float, seed: int = 1) -> CostLatencyFit:
-    line, rng = CostLatencyFit(), random.Random(seed)
+def trained_fit(slope: float, start: float, spread: float, seed: int = 1) -> CostLatencyFit:
+    fit, rng = CostLatencyFit(), random.Random(seed)
     for _ in range(400):
         cost = rng.expovariate(1.0 / 100.0)
-        line.learn(cost, (start + slope * cost) * rng.lognormvariate(0.0, spread))
-    return line
+        fit.learn(cost, (start + slope * cost) * rng.lognormvariate(0.0, spread))
+    return fit
 
 
 @pytest.mark.parametrize(("slope", "start"), [(3.0, 50.0), (0.0, 200.0), (10.0, 5.0)])
-def test_a_time_is_foretold_from_the_hint(slope: float, start: float) -> None:
-    line = taught(slope, start, 0.2)
+def test_latency_is_predicted_from_the_cost_hint(slope: float, start: float) -> None:
+    fit = trained_fit(slope, start, 0.2)
     for cost in (10.0, 100.0, 500.0):
-        assert line.predict(cost) == pytest.approx(start + slope * cost, rel=0.3, abs=20.0)
+        assert fit.predict(cost) == pytest.approx(start + slope * cost, rel=0.3, abs=20.0)
 
 
 @pytest.mark.parametrize("spread", [0.2, 0.6])
-def test_the_chance_to_be_in_time_is_right_in_the_mean(spread: float) -> None:
-    line, rng = taught(3.0, 50.0, spread), random.Random(2)
+def test_the_predicted_probability_matches_the_share_in_time(spread: float) -> None:
+    fit, rng = trained_fit(3.0, 50.0, spread), random.Random(2)
     bins: dict[int, list[tuple[float, bool]]] = {}
     for _ in range(20_000):
         cost = rng.expovariate(1.0 / 100.0)
-        chance = line.completion_probability(cost, 400.0)
+        chance = fit.completion_probability(cost, 400.0)
         in_time = (50.0 + 3.0 * cost) * rng.lognormvariate(0.0, spread) <= 400.0
         bins.setdefault(min(3, int(4 * chance)), []).append((chance, in_time))
     assert len(bins) == 4
-    for held in bins.values():
-        foretold = sum(chance for chance, _ in held) / len(held)
-        assert sum(in_time for _, in_time in held) / len(held) == pytest.approx(foretold, abs=0.2)
+    for samples in bins.values():
+        predicted = sum(chance for chance, _ in samples) / len(samples)
+        assert sum(in_time for _, in_time in samples) / len(samples) == pytest.approx(predicted, abs=0.2)
 
 
-def test_little_known_and_hints_all_alike_foretell_nothing_wrong() -> None:
-    line = CostLatencyFit()
+def test_few_observations_or_equal_hints_give_no_wrong_prediction() -> None:
+    fit = CostLatencyFit()
     for _ in range(int(MIN_OBSERVATION_WEIGHT) - 2):
-        line.learn(1.0, 5000.0)
-    assert line.completion_probability(1.0, 100.0) == 1.0
+        fit.learn(1.0, 5000.0)
+    assert fit.completion_probability(1.0, 100.0) == 1.0
     for _ in range(200):
-        line.learn(1.0, 50.0)
-    assert line.predict(1.0) == line.predict(1000.0) < 100.0
+        fit.learn(1.0, 50.0)
+    assert fit.predict(1.0) == fit.predict(1000.0) < 100.0
 
 
-def test_an_hour_of_absurd_figures_leaves_a_line_that_can_be_used() -> None:
-    line, rng = CostLatencyFit(), random.Random(5)
+def test_the_fit_recovers_from_absurd_observations() -> None:
+    fit, rng = CostLatencyFit(), random.Random(5)
     for _ in range(5000):
-        line.learn(10.0 ** rng.uniform(-6, 9), 10.0 ** rng.uniform(-3, 7))
-        assert 0.0 <= line.completion_probability(10.0 ** rng.uniform(-6, 9), 600.0) <= 1.0
+        fit.learn(10.0 ** rng.uniform(-6, 9), 10.0 ** rng.uniform(-3, 7))
+        assert 0.0 <= fit.completion_probability(10.0 ** rng.uniform(-6, 9), 600.0) <= 1.0
     for _ in range(2000):
         cost = rng.uniform(50.0, 150.0)
-        line.learn(cost, 2.0 * cost)
-    assert line.predict(100.0) == pytest.approx(200.0, rel=0.2)
+        fit.learn(cost, 2.0 * cost)
+    assert fit.predict(100.0) == pytest.approx(200.0, rel=0.2)
 
 
-def test_worth_goes_by_class_share_and_hope() -> None:
+def test_worth_depends_on_class_quota_and_probability() -> None:
     tenants = (Tenant("a", 0.5, 1.0), Tenant("b", 0.5, 1000.0))
     worth = RequestValuation(Settings((LIGHT, HEAVY), tenants, worth_by_work=True, over_share_worth=0.05))
     found = [worth.evaluate(Arrival(i, 1, 3000.0, tenant=0), 0.0).worth for i in range(2)]
@@ -101,7 +101,7 @@
     assert heavy.hopeless and heavy.worth < 0.5
 
 
-def test_what_is_worth_something_late_is_not_hopeless() -> None:
+def test_a_request_with_worth_when_late_is_not_hopeless() -> None:
     late = RequestClass("book", 1000.0, 3000.0, late_share=0.5)
     worth = RequestValuation(Settings((late,)))
     for _ in range(100):
@@ -109,7 +109,7 @@
     assert not worth.evaluate(Arrival(1, 0, 3000.0), 0.0).hopeless
 
 
-def test_a_call_further_in_is_worth_what_its_request_was() -> None:
+def test_an_inner_tier_does_not_reduce_the_worth_of_a_call() -> None:
     worth = RequestValuation(Settings((LIGHT,), stage=1, stages=2))
     for _ in range(100):
         worth.learn(0, 1.0, 5000.0)
@@ -117,7 +117,7 @@
 
 
 def overload(settings: Settings, hint: dict[int, float]) -> dict[int, list[int]]:
-    """A fleet of four slots at twice its capacity; served in time and asked, by class."""
+    """Run a fleet of four slots at twice its capacity; returns requests in time and arrived, by class."""
     rng = random.Random(4)
     node = Balancer(settings, 1)
     entries = tuple(ServerEntry(bytes([i])) for i in range(2))
@@ -148,10 +148,12 @@
                 done = max(now, slots[slot]) + costs[action.request]
                 slots[slot] = done
                 began, kind = arrived[action.request]
-                over = began + settings.classes[kind].deadline_ms
-                in_time, at = done <= over, min(done, over)
-                how = Outcome.OK if in_time else Outcome.TIMEOUT
-                late.append((at, seq, AttemptEnded(action.request, 0, action.server, how, at - now, in_time)))
+                deadline = began + settings.classes[kind].deadline_ms
+                in_time, at = done <= deadline, min(done, deadline)
+                outcome = Outcome.OK if in_time else Outcome.TIMEOUT
+                late.append(
+                    (at, seq, AttemptEnded(action.request, 0, action.server, outcome, at - now, in_time))
+                )
                 told[kind][0] += done - began <= settings.classes[kind].aim_ms
             elif isinstance(action, SetTimer):
                 late.append((action.at_ms, seq, TimerFired(action.token)))
@@ -163,29 +165,28 @@
             told[arrived[event.request][1]][1] += 1
         if isinstance(event, AttemptEnded) and event.finished:
             answered.add(event.request)
-    assert answered == set(arrived), "each has one end"
+    assert answered == set(arrived), "each request ends once"
     return told
 
 
-def test_in_overload_what_is_worth_more_is_served_and_the_rest_is_not_starved() -> None:
+def test_overload_serves_requests_of_more_worth_without_starving_the_rest() -> None:
     settings = Settings((LIGHT, HEAVY), worth_by_work=True, max_attempts=1)
     told = overload(settings, {0: 60.0, 1: 60.0})
     light, heavy = (served / asked for served, asked in (told[0], told[1]))
     assert heavy > 0.6 and 0.05 < light < heavy - 0.2
 
 
-def test_what_cannot_come_in_time_leaves_its_place_to_what_can(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_hopeless_requests_yield_to_those_that_can_be_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
     hopeless = RequestClass("close", 600.0, 4000.0, worth=2.0)
     settings = Settings((LIGHT, hopeless), worth_by_work=True, max_attempts=1)
     told = overload(settings, {0: 60.0, 1: 900.0})
     monkeypatch.setattr(CostLatencyFit, "completion_probability", lambda *_: 1.0)
-    blind = overload(settings, {0: 60.0, 1: 900.0})
-    assert told[0][0] > 2.0 * blind[0][0]
+    without_prediction = overload(settings, {0: 60.0, 1: 900.0})
+    assert told[0][0] > 2.0 * without_prediction[0][0]
 
 
-def test_hopeless_work_alone_still_goes_out_and_is_learned_anew() -> None:
-    """All that comes is foretold to be late: none the less some of it is tried, and once it is quick again
-    all of it is."""
+def test_hopeless_requests_alone_are_still_sent_and_learned_from() -> None:
+    """All requests are predicted to be late, yet some are sent; once answers are quick again, all are."""
     node = Balancer(Settings((LIGHT,)), 2)
     node.handle(ServerList(ListKind.FULL, (ServerEntry(b"a"), ServerEntry(b"b"))), 0.0)
     now, sent = 0.0, [0, 0]
@@ -195,24 +196,26 @@
         for action in node.handle(Arrival(i, 0, 1500.0), now):
             if isinstance(action, Send):
                 sent[not slow] += 1
-                took = 1400.0 if slow else 40.0
-                node.handle(AttemptEnded(i, 0, action.server, Outcome.OK, took, True), now + 50.0)
+                latency = 1400.0 if slow else 40.0
+                node.handle(AttemptEnded(i, 0, action.server, Outcome.OK, latency, True), now + 50.0)
     assert sent[0] > 100 and sent[1] > 290
 
 
-@pytest.mark.parametrize(("strain", "little", "most"), [(0.5, 9, 9), (0.85, 8, 9), (1.0, 7, 9), (2.0, 7, 9)])
-def test_places_are_kept_for_what_is_worth_most_the_more_strain_there_is(
-    strain: float, little: int, most: int
+@pytest.mark.parametrize(
+    ("saturation", "low_worth", "high_worth"), [(0.5, 9, 9), (0.85, 8, 9), (1.0, 7, 9), (2.0, 7, 9)]
+)
+def test_more_of_the_limit_is_reserved_for_high_worth_with_more_saturation(
+    saturation: float, low_worth: int, high_worth: int
 ) -> None:
-    turn = EventContext(random.Random(1))
+    context = EventContext(random.Random(1))
     settings = Settings((HEAVY,))
-    admission = Admission(settings, turn, LoadReports(settings, turn))
-    admission.limit.value, admission.strain.value = 10.0, strain
+    admission = Admission(settings, context, LoadReports(settings, context))
+    admission.limit.value, admission.strain.value = 10.0, saturation
 
     def calls(worth: float) -> int:
-        """The most calls out with which one more of this worth still has room."""
+        """The most outstanding calls with which a request of this worth is still admitted."""
         value = RequestValue(1.0, 1.0, worth, False)
         request = Request(1, HEAVY, 0, 0.0, 3000.0, value, 1, 0.9)
         return max(out for out in range(12) if admission.has_room(request, out))
 
-    assert (calls(0.0), calls(HEAVY.worth)) == (little, most)
+    assert (calls(0.0), calls(HEAVY.worth)) == (low_worth, high_worth)
