--- a/leadrudder/policy/decide.py
+++ b/leadrudder/policy/decide.py
@@ -19,13 +19,13 @@
 from leadrudder.policy.attempts import Attempt, Request, may_go_on, permitted
 from leadrudder.policy.health import Health
 from leadrudder.policy.placement import Placement
-from leadrudder.recovery.limit import Limit
+from leadrudder.recovery.limit import ConcurrencyLimit
 from leadrudder.selection_context import Look
-from leadrudder.state.estimators import Patience
-from leadrudder.state.list_calls import ListCalls
-from leadrudder.state.records import Server, Turn
-from leadrudder.state.request_value import Worth
-from leadrudder.state.timers import Timers
+from leadrudder.state.estimators import LatencyEstimator
+from leadrudder.state.list_calls import ListCallSchedule
+from leadrudder.state.records import EventContext, Server
+from leadrudder.state.request_value import RequestValuation
+from leadrudder.state.timers import TimerQueue
 
 FULL_PAUSE = 0.02  # a server that was full rests for this part of the aim, twice as long each time until it
 FULL_DOUBLINGS = 5  # answers again: one that drains turns calls away for seconds before the list tells
@@ -47,15 +47,18 @@
 class Balancer:
     """The decisions of one node.  Feed it events in order; carry out the actions it returns."""
 
-    def __init__(self, settings: api.Settings, seed: int, limit: Limit | None = None) -> None:
+    def __init__(self, settings: api.Settings, seed: int, limit: ConcurrencyLimit | None = None) -> None:
         self.settings = settings
-        self._turn = Turn(random.Random(seed))
-        self._timers = Timers(lambda kind, of: kind == HEDGE and of not in self._requests)
-        self._calls = ListCalls(settings, self._turn.rng)
+        self._turn = EventContext(random.Random(seed))
+        self._timers = TimerQueue(lambda kind, of: kind == HEDGE and of not in self._requests)
+        self._calls = ListCallSchedule(settings, self._turn.rng)
         self._fleet = Placement(settings, self._turn)
         self.automaton = self._fleet.automaton
         self._health = Health(
-            settings, self._turn, self._fleet, lambda when, server: self._timers.at(when, RETURN, server)
+            settings,
+            self._turn,
+            self._fleet,
+            lambda when, server: self._timers.schedule(when, RETURN, server),
         )
         self._admission = Admission(settings, self._turn, self._fleet.reports, limit)
         self._requests: dict[api.RequestId, Request] = {}
@@ -63,9 +66,9 @@
         self._queue: list[tuple[float, int, Request]] = []  # by worth, then age
         self._seq = 0
         self._aim = min(c.aim_ms for c in settings.classes)
-        self._patience = Patience()
-        self._class_patience = [Patience() for _ in settings.classes]
-        self._worth = Worth(settings)
+        self._patience = LatencyEstimator()
+        self._class_patience = [LatencyEstimator() for _ in settings.classes]
+        self._worth = RequestValuation(settings)
         self._retry_tokens = RETRY_MOST / 2
         self._recheck_at = math.inf
         self._on: dict[type, Callable[[Any], None]] = {
@@ -88,22 +91,22 @@
             on_event(event)
         self._admission.bear(self._fleet.capacity.total())
         self._drain()
-        if (wake := self._timers.wake()) is not None:
+        if (wake := self._timers.next_wakeup()) is not None:
             turn.actions.append(api.SetTimer(*wake))
         return turn.actions
 
     def _on_timer(self, event: api.TimerFired) -> None:
-        self._timers.fired(event.token)
-        for kind, subject in self._timers.due(self._turn.now):
+        self._timers.on_wakeup(event.token)
+        for kind, subject in self._timers.pop_due(self._turn.now):
             if kind == RECHECKED:
                 self._recheck_at = math.inf
                 for _, _, waiting in list(self._queue):
                     if waiting.hold_until <= self._turn.now:
                         self._expire(waiting)
             elif kind == LIST:
-                if (again := self._calls.due(self._turn.now)) is not None:
+                if (again := self._calls.on_timer(self._turn.now)) is not None:
                     self._turn.actions.append(api.Subscribe())
-                    self._timers.at(again, LIST)
+                    self._timers.schedule(again, LIST)
             elif isinstance(subject, bytes):
                 if subject in self._fleet.servers:  # else it has gone meanwhile
                     self._health.try_return(self._fleet.servers[subject])
@@ -113,15 +116,15 @@
                     self._hedge(request)
 
     def _on_list(self, event: api.ServerList) -> None:
-        failed = self._calls.failed
-        look = self._calls.told(event.kind, self._turn.now)
+        failed = self._calls.failed_calls
+        look = self._calls.on_list_event(event.kind, self._turn.now)
         if look is not None:
-            self._timers.at(look, LIST)
+            self._timers.schedule(look, LIST)
         if event.kind is api.ListKind.FAILED:
             if not failed:
                 self._turn.log("server list lost: a call failed or the subscription broke")
             return
-        if failed and not self._calls.failed:
+        if failed and not self._calls.failed_calls:
             self._turn.log(f"server list found again after {failed} failed calls")
         self._fleet.take(event)
 
@@ -134,7 +137,7 @@
         kind = settings.classes[event.class_index]
         self._seq += 1
         chance, deadline = self._turn.rng.random(), now + event.budget_ms
-        value = self._worth.appraise(event, now)
+        value = self._worth.evaluate(event, now)
         request = Request(event.request, kind, event.class_index, now, deadline, value, self._seq, chance)
         self._requests[request.id] = request
         self._retry_tokens = min(RETRY_MOST, self._retry_tokens + RETRY_EARN)
@@ -166,7 +169,7 @@
             look = min(self._turn.now + RECHECK * self._aim, min(q[2].hold_until for q in self._queue))
             if look < self._recheck_at:
                 self._recheck_at = look
-                self._timers.at(look, RECHECKED)
+                self._timers.schedule(look, RECHECKED)
 
     def _expire(self, request: Request) -> None:
         """A request has waited long enough: a last attempt anywhere the rules allow, or an answer."""
@@ -175,13 +178,13 @@
         self._finish(request)
 
     def _place(self, request: Request, last_resort: bool) -> bool:
-        calm, out = self._admission.strain.calm, len(self._attempts)
-        look = Look(request, self.automaton.mean() or 0.0, calm, out, self._patience.late())
+        calm, out = self._admission.strain.baseline_ms, len(self._attempts)
+        look = Look(request, self.automaton.mean() or 0.0, calm, out, self._patience.late_threshold())
         server = self._fleet.pick(look, last_resort)
         return server is not None and self._send(request, server)
 
     def _send(self, request: Request, server: Server) -> bool:
-        """Send an attempt.  Rules 1 to 3 are enforced here; Capacity.allows has kept rule 4."""
+        """Send an attempt.  Rules 1 to 3 are enforced here; FleetCapacity.cold_budget_allows keeps 4."""
         now, settings = self._turn.now, self.settings
         left = request.deadline - now
         if (
@@ -196,14 +199,14 @@
         self._leave_queue(request)
         number = len(request.attempts)
         attempt = Attempt(server.entry, now, request.value.units, request.class_index)
-        server.engage()
-        server.classes[request.class_index].out += 1
+        server.allocate_call_state()
+        server.class_health[request.class_index].outstanding += 1
         request.attempts.append(attempt)
         request.out += 1
-        server.out[request.id, number] = now
+        server.outstanding[request.id, number] = now
         self._attempts[request.id, number] = (server, attempt)
         self._fleet.sent(server, request.value.units)
-        self._admission.strain.sent()
+        self._admission.strain.record_send()
         self._watch(request)
         if self._doubts(request, server):
             self._turn.actions.append(api.CloseIdle(server.entry.server))
@@ -218,19 +221,19 @@
         A new connection that does not come up proves that nothing ran.  It could hurt where handshakes cost
         as much as the work: not while latencies are past their part of the aim (overload 0.87 -> 0.72).
         """
-        unheard = self._turn.now - server.heard > self._patience.mean
-        return unheard and self._admission.strain.pressure < 1.0 and not request.repeatable()
+        unheard = self._turn.now - server.last_heard_at > self._patience.mean
+        return unheard and self._admission.strain.latency_ratio < 1.0 and not request.repeatable()
 
     def _watch(self, request: Request) -> None:
         """Look again when the attempt is late, if another could still be answered."""
         patience = self._class_patience[request.class_index]
-        look = self._turn.now + patience.late()
+        look = self._turn.now + patience.late_threshold()
         if (
             request.repeatable()
             and len(request.attempts) < self.settings.max_attempts
             and look + patience.mean < request.deadline
         ):
-            self._timers.at(look, HEDGE, request.id)
+            self._timers.schedule(look, HEDGE, request.id)
 
     def _hedge(self, request: Request) -> None:
         """A late attempt gets a second copy, or is withdrawn and repeated where copies are forbidden.
@@ -239,9 +242,9 @@
         and giving that up would feed the next queue (14% of attempts timed out on a quiet day).  And only
         while the budget lasts and latencies keep within their part of the aim; else it looks again.
         """
-        late = self._class_patience[request.class_index].late()
+        late = self._class_patience[request.class_index].late_threshold()
         out = [self._fleet.servers[a.entry.server] for a in request.attempts if a.ended is None]
-        affordable = self._retry_tokens >= 1.0 and self._admission.strain.pressure < 1.0
+        affordable = self._retry_tokens >= 1.0 and self._admission.strain.latency_ratio < 1.0
         if affordable and all(self._fleet.silent(s, late) for s in out):
             if not self.settings.may_duplicate:
                 self._abandon(request, None)
@@ -281,9 +284,9 @@
             raise api.UnexpectedEvent(f"attempt {event.attempt} of request {event.request} was not out")
         server, attempt = found
         attempt.ended = event.outcome
-        del server.out[key]
-        server.classes[attempt.class_index].out -= 1
-        self._fleet.reports.take(server, event.load)
+        del server.outstanding[key]
+        server.class_health[attempt.class_index].outstanding -= 1
+        self._fleet.reports.record(server, event.load)
         self._health.count(server, -1)
         self._judge(server, attempt, event)
         self._health.count(server, 1)
@@ -321,15 +324,15 @@
         """What an outcome says of its server, its class and the load."""
         outcome, elapsed = event.outcome, event.elapsed_ms
         request = self._requests.get(event.request)
-        if elapsed > self._patience.late() and self._turn.now - server.heard >= elapsed:
+        if elapsed > self._patience.late_threshold() and self._turn.now - server.last_heard_at >= elapsed:
             # All that is known of it is this one late outcome: where calls are few, an average of
             # seven spans most of a minute, and what crowded or stopped the server is still there.
             self._fleet.rest(server, LATE_REST * elapsed)
         current = attempt.entry.started_ms == server.entry.started_ms
         if outcome is Outcome.OK:
-            server.heard = self._turn.now
-            server.turned_away = 0
-            server.ceiling += CEILING_UP / server.ceiling
+            server.last_heard_at = self._turn.now
+            server.consecutive_refusals = 0
+            server.max_outstanding += CEILING_UP / server.max_outstanding
             self._patience.observe(elapsed)
             aim = self._aim
             if request is not None:
@@ -337,35 +340,40 @@
                 self._worth.learn(request.class_index, request.value.cost, elapsed)
                 aim = request.kind.aim_ms
             usual = elapsed / (0.5 + 0.5 * attempt.units)  # half of what the cost hint foretold is taken out
-            self._admission.strain.answered(usual)
+            self._admission.strain.record_latency(usual)
             self._feel(elapsed / aim)
-            self.automaton.learn(server.at, usual)
-            self._health.succeeded(server, server.classes[attempt.class_index])
+            self.automaton.learn(server.position, usual)
+            self._health.succeeded(server, server.class_health[attempt.class_index])
         elif outcome is Outcome.FULL or (
-            outcome is Outcome.CONNECT_FAILED and self._turn.now - server.heard < self._patience.late()
+            outcome is Outcome.CONNECT_FAILED
+            and self._turn.now - server.last_heard_at < self._patience.late_threshold()
         ):
             # A server that answers others but takes no further call, or no further connection, is full, not
             # dead.  Without a ceiling thousands of calls a second bounced off such servers.
-            server.ceiling = max(1.0, CEILING_DOWN * min(server.ceiling, len(server.out)))
-            pause = FULL_PAUSE * 2.0 ** min(server.turned_away, FULL_DOUBLINGS)
+            server.max_outstanding = max(
+                1.0, CEILING_DOWN * min(server.max_outstanding, len(server.outstanding))
+            )
+            pause = FULL_PAUSE * 2.0 ** min(server.consecutive_refusals, FULL_DOUBLINGS)
             self._fleet.rest_until(server, self._turn.now + pause * self._aim)
-            server.turned_away += 1
-            self.automaton.charge(server.at, elapsed)
+            server.consecutive_refusals += 1
+            self.automaton.charge(server.position, elapsed)
             # The fleet is strained only when more turn calls away than could be left out: servers that
             # drain in turn were taken for strain.
             if self._health.many_turn_away(server):
                 self._feel(1.0)
         elif outcome in (Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.SPOILT):
             if outcome in (Outcome.ERROR, Outcome.SPOILT):
-                server.heard = self._turn.now
-            self.automaton.charge(server.at, elapsed)
+                server.last_heard_at = self._turn.now
+            self.automaton.charge(server.position, elapsed)
             self._health.failed(server, attempt.class_index, outcome, current)
         elif outcome is Outcome.MOOT and event.rest_ms:
             # Refused beside its server, which is full: a miss, and the next draws are for others meanwhile.
-            self.automaton.charge(server.at, elapsed)
+            self.automaton.charge(server.position, elapsed)
             self._fleet.rest_until(server, self._turn.now + event.rest_ms)
         elif outcome is Outcome.REJECTED:
-            server.heard = self._turn.now  # the request is at fault, and neither the server nor the load
+            server.last_heard_at = (
+                self._turn.now
+            )  # the request is at fault, and neither the server nor the load
         elif outcome in (Outcome.TIMEOUT, Outcome.CANCELLED):
             if request is None:
                 return  # withdrawn because another copy was quicker
@@ -374,15 +382,15 @@
             self._class_patience[request.class_index].observe(elapsed)
             self._worth.learn(request.class_index, request.value.cost, elapsed)
             self._feel(elapsed / request.kind.aim_ms)
-            self.automaton.charge(server.at, elapsed)
-            if current and elapsed >= self._patience.late():
+            self.automaton.charge(server.position, elapsed)
+            if current and elapsed >= self._patience.late_threshold():
                 self._health.eject(server, outcome)
 
     def _on_started(self, event: api.AnswerStarted) -> None:
         found = self._attempts.get((event.request, event.attempt))
         if found is None:
             raise api.UnexpectedEvent(f"attempt {event.attempt} of request {event.request} was not out")
-        found[0].heard = self._turn.now
+        found[0].last_heard_at = self._turn.now
         request = self._requests.get(event.request)
         if request is not None:
             request.started = True
--- a/leadrudder/policy/placement.py
+++ b/leadrudder/policy/placement.py
@@ -14,12 +14,12 @@
 from leadrudder.policy.attempts import permitted
 from leadrudder.policy.automaton import Automaton
 from leadrudder.selection_context import Look
-from leadrudder.state.capacity import Capacity, can_spare
-from leadrudder.state.least_loaded import least_held
-from leadrudder.state.records import Server, Turn
-from leadrudder.state.reports import Reports
-from leadrudder.state.server_table import Listed
-from leadrudder.state.subsetting import Rings
+from leadrudder.state.capacity import FleetCapacity, can_eject_another
+from leadrudder.state.least_loaded import fewest_outstanding
+from leadrudder.state.records import EventContext, Server
+from leadrudder.state.reports import LoadReports
+from leadrudder.state.server_table import ListedServers
+from leadrudder.state.subsetting import SubsetAssignment
 
 PANIC = 0.5  # with more than this part unhealthy, health is ignored: the cause is not the servers
 
@@ -47,13 +47,13 @@
 class Placement:
     """The listed servers and the draw among them."""
 
-    def __init__(self, settings: Settings, turn: Turn) -> None:
+    def __init__(self, settings: Settings, turn: EventContext) -> None:
         self._settings = settings
         self._turn = turn
         self.automaton = Automaton(settings.balancers, settings.floor_share)
-        self.list = Listed(len(settings.classes))
-        self.servers, self.arms = self.list.servers, self.list.arms  # arms: those listed, by index
-        self._rings: Rings | None = None  # where the node keeps to a home
+        self.list = ListedServers(len(settings.classes))
+        self.servers, self.arms = self.list.servers, self.list.by_position  # arms: those listed, by index
+        self._rings: SubsetAssignment | None = None  # where the node keeps to a home
         self._homes = 1
         self._home: set[ServerId] | None = None  # None: it keeps to all that are near
         self._home_few: list[Server] = []  # where they are few
@@ -63,8 +63,8 @@
         self.count: Callable[[Server, int], None]  # tells health of an arm's leaving (-1) and coming (1)
         self._due: list[tuple[float, int, Server]] = []  # when to look again whether one still is special
         self._seq = 0
-        self.capacity = Capacity(settings, turn)
-        self.reports = Reports(settings, turn)
+        self.capacity = FleetCapacity(settings, turn)
+        self.reports = LoadReports(settings, turn)
         self._more = False  # further pieces of a list follow
         self._scans = 0.0  # servers that may be looked at beyond those drawn
         self._panic: list[tuple[bool, int]] = [(False, 0)] * len(settings.classes)  # and decisions since
@@ -74,19 +74,23 @@
     def take(self, event: ServerList) -> None:
         """A list, or changes of one; what costs more by the piece is done anew as a whole."""
         pieces, self._more = event.more or self._more, event.more
-        change = self.list.take(event, self._turn.now)
-        for server in change.fresh:
+        change = self.list.apply(event, self._turn.now)
+        for server in change.restarted:
             self.count(server, -1)
-            self.reports.forget(server)
-            server.start_anew(self._turn.now, self._turn.rng.random())
+            self.reports.discard(server)
+            server.reset_after_restart(self._turn.now, self._turn.rng.random())
             self.count(server, 1)
         many = max(len(change.joined), len(change.left)) * PIECEWISE > len(self.arms)
         # A list that comes in pieces is a long one: each is followed server by server.
-        whole = change.moved or not self.arms or (not pieces and (many or len(self.arms) <= SCAN_MOST))
+        whole = (
+            change.placement_changed
+            or not self.arms
+            or (not pieces and (many or len(self.arms) <= SCAN_MOST))
+        )
         for server in change.left:
             self._leave(server, whole)
         if whole:
-            self.list.replace(change.joined)
+            self.list.rebuild(change.joined)
             weights = {s.entry.server: s.weight(self._settings.capacity_hints) for s in self.arms}
             self.automaton.resize(weights, {s.entry.server: s.entry.kind for s in self.arms})
             self._rings, self._zone = None, sum(map(self._is_near, self.arms))
@@ -95,9 +99,9 @@
         for server in [*change.changed, *(self.special.values() if whole else ())]:
             self.note(server)
         self._choose_home()
-        self._scans, self.reports.servers = float(len(self.arms)), len(self.arms)
+        self._scans, self.reports.listed_servers = float(len(self.arms)), len(self.arms)
         if not event.more:
-            self.automaton.newcomers.begin(len(self.arms))
+            self.automaton.newcomers.reset(len(self.arms))
 
     def _is_near(self, server: Server) -> bool:
         return not self._settings.cross_zone_price or server.entry.zone in (self._settings.zone, UNTOLD)
@@ -105,22 +109,22 @@
     def _leave(self, server: Server, whole: bool) -> None:
         self.count(server, -1)
         self.special.pop(server.entry.server, None)
-        self.capacity.left(server)
-        self.reports.forget(server)
-        server.special = False
+        self.capacity.remove_server(server)
+        self.reports.discard(server)
+        server.needs_check = False
         if not whole:
-            self.automaton.leave(server.at)
-            self.list.leave(server)
+            self.automaton.leave(server.position)
+            self.list.remove_by_swap(server)
             self._move(server, -1)
 
     def _join(self, server: Server, whole: bool) -> None:
         if not whole:
-            self.list.join(server)
+            self.list.append_server(server)
             weight = server.weight(self._settings.capacity_hints)
             self.automaton.join(server.entry.server, weight, server.entry.kind)
             self._move(server, 1)
         self.count(server, 1)
-        self.capacity.joined(server)
+        self.capacity.add_server(server)
         self.note(server)
 
     def _move(self, server: Server, by: int) -> None:
@@ -137,7 +141,7 @@
 
     def sent(self, server: Server, units: float) -> None:
         """A call goes out to a server."""
-        self.capacity.sent(server, units)
+        self.capacity.record_send(server, units)
         self.note(server)
 
     def note(self, server: Server) -> None:
@@ -146,26 +150,26 @@
         What hangs on time alone is looked at again when it is due; what hangs on the state of all (a share of
         the calls out, what is silent) concerns servers with calls out only, and those are special.
         """
-        i, now, out = server.at, self._turn.now, len(server.out)
+        i, now, out = server.position, self._turn.now, len(server.outstanding)
         if i < 0:
             return
         # One that turns calls away bears none: those that drain do so for seconds before the list tells.
-        turns_away = server.turned_away > 0 and not self.reports.on
+        turns_away = server.consecutive_refusals > 0 and not self.reports.enabled
         in_use = not (server.ejected or turns_away)
-        if (look := self.capacity.note(server, in_use)) is not None:
+        if (look := self.capacity.update(server, in_use)) is not None:
             self.look_again(server, look)
-        special = bool(out) or server.ejected or server.trial or server.due > now
-        if special != server.special:
-            server.special = special
+        special = bool(out) or server.ejected or server.on_probation or server.restricted_until > now
+        if special != server.needs_check:
+            server.needs_check = special
             if special:
                 self.special[server.entry.server] = server
             else:
                 del self.special[server.entry.server]
-        closed = server.ejected or server.rest_until > now or out + 1 > server.ceiling
-        self.automaton.shares.set_open(i, not (closed or (server.trial and out > 0)))
+        closed = server.ejected or server.paused_until > now or out + 1 > server.max_outstanding
+        self.automaton.shares.set_open(i, not (closed or (server.on_probation and out > 0)))
 
     def look_again(self, server: Server, when: float) -> None:
-        server.due = max(server.due, when)
+        server.restricted_until = max(server.restricted_until, when)
         self._seq += 1
         heapq.heappush(self._due, (when, self._seq, server))
 
@@ -190,7 +194,7 @@
     def _draw(self, look: Look, pool: list[int]) -> Server:
         """By the shares; once all nodes' calls are one for two servers, from those that hold the fewest."""
         if self._settings.even_spread and 2 * look.total * self._settings.balancers >= len(self.arms):
-            pool = least_held(pool, self.arms, self.automaton.averages.values, look.mean)
+            pool = fewest_outstanding(pool, self.arms, self.automaton.averages.values, look.mean)
         return self.arms[self.automaton.shares.draw(pool, self._turn.rng.random())]
 
     def _try(self, look: Look, last_resort: bool) -> Server | None:
@@ -203,16 +207,16 @@
             server = self.arms[i]
             if (keep and not self._kept(server)) or server.entry.server in look.tried:
                 continue
-            if self.reports.on and not last_resort and self._crowded(server):
+            if self.reports.enabled and not last_resort and self._crowded(server):
                 continue
-            if not server.special and not look.risky:
+            if not server.needs_check and not look.risky:
                 return server
             if self._standing(look, server) >= (SICK if last_resort else FIT):
                 return server
         return None
 
     def _crowded(self, server: Server) -> bool:
-        return self.reports.crowded(server, len(self.arms) * self.automaton.shares.weight(server.at))
+        return self.reports.crowded(server, len(self.arms) * self.automaton.shares.weight(server.position))
 
     def _panics(self, look: Look) -> bool:
         """Whether too many are unhealthy for health to be a guide; counted as seldom as it costs little."""
@@ -223,7 +227,8 @@
             return panic
         late, now = look.late, self._turn.now
         sick = (
-            s.ejected or not s.classes[c].open(now) or self.silent(s, late) for s in self.special.values()
+            s.ejected or not s.class_health[c].accepts_calls(now) or self.silent(s, late)
+            for s in self.special.values()
         )
         self._panic[c] = sum(sick) > PANIC * len(self.arms), 0
         return self._panic[c][0]
@@ -235,17 +240,17 @@
         unhealthy = 0
         arms, risky = self.arms, look.risky
         for server in among:
-            standing = self._standing(look, server) if server.special or risky else FIT
+            standing = self._standing(look, server) if server.needs_check or risky else FIT
             if standing >= SICK:
-                allowed.append(server.at)
+                allowed.append(server.position)
             if standing == FIT:
-                fit.append(server.at)
+                fit.append(server.position)
             elif standing in (CLASS_SICK, SICK):
                 unhealthy += 1
         if last_resort or unhealthy > PANIC * len(arms):
             # Something that all servers share is wrong, or it is now or never: health is no guide.
             fit = allowed
-        elif self.reports.on:
+        elif self.reports.enabled:
             fit = [i for i in fit if not self._crowded(arms[i])] or fit
         fresh = [i for i in fit if arms[i].entry.server not in look.tried] if look.tried else fit
         if fresh or (look.request.out and not last_resort):
@@ -254,25 +259,28 @@
 
     def _standing(self, look: Look, server: Server) -> int:
         """How a server stands to a request: forbidden, or sick, busy or fit for it."""
-        request, now, out = look.request, self._turn.now, len(server.out)
+        request, now, out = look.request, self._turn.now, len(server.outstanding)
         if look.risky and not permitted(request, server.entry, self._settings, now):
             return FORBIDDEN
         if server.cold:
             if look.flow is None:
-                look.flow = self.capacity.warm_flow()
-            if not self.capacity.allows(server, request.value.units, look.flow):
+                look.flow = self.capacity.warm_send_rate()
+            if not self.capacity.cold_budget_allows(server, request.value.units, look.flow):
                 return FORBIDDEN
-        health = server.classes[request.class_index]
-        if (health.trial or server.due > now) and not health.open(now):
+        health = server.class_health[request.class_index]
+        if (health.on_probation or server.restricted_until > now) and not health.accepts_calls(now):
             return CLASS_SICK  # also as a last resort: it would most likely fail, where a refusal is harmless
         if server.ejected or (out and self.silent(server, look.late)):
             return SICK
-        if server.trial and (out or (self._can_repeat and not request.repeatable())):
+        if server.on_probation and (out or (self._can_repeat and not request.repeatable())):
             return BUSY  # a returning server gets one call at a time, and none that could be lost for good
-        if server.rest_until > now or out + 1 > server.ceiling:
+        if server.paused_until > now or out + 1 > server.max_outstanding:
             return BUSY
         if out:
-            slow, share = self.automaton.averages.values[server.at], self.automaton.shares.weight(server.at)
+            slow, share = (
+                self.automaton.averages.values[server.position],
+                self.automaton.shares.weight(server.position),
+            )
             if slow and out * (1.0 - look.calm / slow) > self._most_waiting:
                 # By Little's law this part of its calls waits there; a server crowded for long turns slow
                 # for long, and its own average tells so before the mean of all does.
@@ -307,10 +315,10 @@
             self._rings = None
             return
         if self._rings is None or homes != self._homes:
-            self._rings, self._homes = Rings(self._settings.ordinal, nodes, homes), homes
+            self._rings, self._homes = SubsetAssignment(self._settings.ordinal, nodes, homes), homes
             for server in filter(self._is_near, self.arms):
                 self._rings.add(server.entry.kind, server.entry.server)
-        home = self._rings.dealt()
+        home = self._rings.assigned()
         self._home, self._near_most = set(home), len(home)
         self._home_few = [self.servers[name] for name in home] if len(home) <= SCAN_MOST else []
 
@@ -320,10 +328,10 @@
 
     def silent(self, server: Server, late: float) -> bool:
         """Attempts overdue against what peers answer in count before they end."""
-        if not server.out:
+        if not server.outstanding:
             return False
-        since = max(next(iter(server.out.values())), server.heard)
-        return self._turn.now - since > late / math.sqrt(len(server.out))
+        since = max(next(iter(server.outstanding.values())), server.last_heard_at)
+        return self._turn.now - since > late / math.sqrt(len(server.outstanding))
 
     def rest(self, server: Server, span: float) -> None:
         """Skip a server for a while, unless too many of those that would take its calls are out already.
@@ -332,10 +340,10 @@
         """
         near = self._near_most if self._near_most >= LOCAL_LEAST else len(self.arms)
         now, whole = self._turn.now, near == len(self.arms)
-        out = (s.ejected or s.rest_until > now for s in self.special.values() if whole or self._kept(s))
-        if can_spare(sum(out), near):
+        out = (s.ejected or s.paused_until > now for s in self.special.values() if whole or self._kept(s))
+        if can_eject_another(sum(out), near):
             self.rest_until(server, now + span)
 
     def rest_until(self, server: Server, until: float) -> None:
-        server.rest_until = until
+        server.paused_until = until
         self.look_again(server, until)
