--- a/bench/long_list.py
+++ b/bench/long_list.py
@@ -95,7 +95,7 @@
 
 
 async def measure(servers: int) -> dict[str, float]:
-    from leadrudder.node.config import load
+    from leadrudder.node.config import load_config
     from leadrudder.node.node import Node
 
     loop = asyncio.get_running_loop()
@@ -104,7 +104,7 @@
         opened: asyncio.Future[_Discovery] = loop.create_future()
         server = await loop.create_server(lambda opened=opened: _Discovery(opened), HOST, 0)  # type: ignore[misc]
         with tempfile.TemporaryDirectory() as folder:
-            node = Node(load(_config(Path(folder), server.sockets[0].getsockname()[1])))
+            node = Node(load_config(_config(Path(folder), server.sockets[0].getsockname()[1])))
         await node.start()
         watch = await opened
         halves = servers // 2
--- a/leadrudder/__main__.py
+++ b/leadrudder/__main__.py
@@ -11,7 +11,7 @@
 
 import uvloop
 
-from leadrudder.node.config import Config, ConfigError, load
+from leadrudder.node.config import Config, ConfigError, load_config
 from leadrudder.node.node import Node
 
 
@@ -65,7 +65,7 @@
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     logging.getLogger().handlers[0].addFilter(_RateLimit())
     try:
-        config = load(os.environ)
+        config = load_config(os.environ)
         uvloop.run(_serve(config, os.environ.get("NODE_RPC", "")))
     except ConfigError as error:
         print(f"leadrudder: {error}", file=sys.stderr)
--- a/leadrudder/experiment/whole.py
+++ b/leadrudder/experiment/whole.py
@@ -26,7 +26,7 @@
 from leadrudder.experiment.server import Server
 from leadrudder.experiment.spec import File, Tier
 from leadrudder.interface import Outcome, Readiness
-from leadrudder.node.config import load
+from leadrudder.node.config import load_config
 from leadrudder.node.node import Node as RealNode
 from leadrudder.policy.decide import Balancer
 from leadrudder.simulation.framing import Frame, Framing, answer, request
@@ -227,7 +227,7 @@
             "NODE_CONFIG": "config.json",
         }
         platform = NodePlatform(fleet.scheduler, {"config.json": config})
-        real = load(environment, platform)
+        real = load_config(environment, platform)
 
         async def main() -> None:
             node = RealNode(real, platform)
--- a/leadrudder/mesh/demo.py
+++ b/leadrudder/mesh/demo.py
@@ -63,7 +63,7 @@
         assert isinstance(message, WholeMessage) and isinstance(self._transport, asyncio.Transport)
         told = message.headers.get(b"attempt-id", b"")
         fields = b"Attempt-Id: %s\r\nServer-Seal: %s\r\n" % (told, self._name)
-        self._transport.write(rendered(200, fields, b"served by %s for %s\n" % (self._name, message.start)))
+        self._transport.write(rendered(200, fields, b"served by %s for %s\n" % (self._name, message.target)))
 
 
 CALL_S = 2.0
--- a/leadrudder/node/callers.py
+++ b/leadrudder/node/callers.py
@@ -11,28 +11,34 @@
 from typing import cast
 
 from leadrudder.interface import Effect, Settings
-from leadrudder.node.contract import Answer, Ask, DuplicateId, Exchange, HttpCall
+from leadrudder.node.contract import (
+    ClientRequest,
+    DuplicateRequestId,
+    Exchange,
+    HttpRequest,
+    UpstreamResponse,
+)
 from leadrudder.node.http import (
-    CLASS,
-    CONTENT_TYPE,
-    COST_HINT,
-    DEADLINE,
-    IDEMPOTENCY_KEY,
-    REQUEST_ID,
-    RETRY,
-    TENANT,
-    TOKEN,
-    Message,
-    MessageError,
-    Reader,
-    answer,
+    CLASS_HEADER,
+    CONTENT_TYPE_HEADER,
+    COST_HINT_HEADER,
+    DEADLINE_HEADER,
+    IDEMPOTENCY_KEY_HEADER,
+    REQUEST_ID_HEADER,
+    RETRY_HEADER,
+    TENANT_HEADER,
+    TOKEN_PATTERN,
+    HttpMessage,
+    HttpMessageError,
+    HttpParser,
+    render_response,
 )
 from leadrudder.node.platform import SYSTEM, Platform
-from leadrudder.node.routes import Route, class_of
+from leadrudder.node.routes import Route, match_class
 
 log = logging.getLogger(__name__)
 
-MOST_PIPELINED = 16  # requests that a connection may have open; usual callers have one
+MAX_PIPELINED_REQUESTS = 16  # requests that a connection may have open; usual callers have one
 PACE_PIPELINED = 2  # with as many open it is read no further: what comes then waits in the network
 LONGEST_DEADLINE_S = 3600.0
 HINT_MOST_US = 1e9
@@ -58,52 +64,52 @@
 class HttpExchange:
     """One request of a caller's and the place of its one answer."""
 
-    __slots__ = ("_connection", "close", "gone", "on_gone", "output", "size")
+    __slots__ = ("_connection", "close", "gone", "on_disconnect", "output", "size")
 
-    def __init__(self, connection: CallerConnection, close: bool) -> None:
+    def __init__(self, connection: ClientConnection, close: bool) -> None:
         self._connection = connection
         self.close = close
         self.gone = False
         self.size = 0  # bytes of its body, counted while it is open
         self.output: bytes | None = None
-        self.on_gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
 
-    def answer(self, status: int, body: bytes = b"", extra: bytes = b"") -> None:
+    def send(self, status: int, body: bytes = b"", extra: bytes = b"") -> None:
         """Send the answer; nothing goes to a caller that has left, and no second answer to anybody."""
         if self.gone or self.output is not None:
             return
         # Nothing may follow an answer that closes: with more requests behind it this one leaves open.
         self.close = self.close or (self._connection.callers.closing and self._connection.is_last(self))
         self._connection.callers.release(self)
-        self.output = answer(status, body, extra, close=self.close)
+        self.output = render_response(status, body, extra, close=self.close)
         self._connection.flush()
 
     # What the core tells.
 
-    def served(self, answer: Answer) -> None:
-        kind = answer.content_type
-        self.answer(200, answer.body, b"Content-Type: %s\r\n" % kind if kind else b"")
+    def complete(self, response: UpstreamResponse) -> None:
+        kind = response.content_type
+        self.send(200, response.body, b"Content-Type: %s\r\n" % kind if kind else b"")
 
-    def refused(self, retry_after_ms: float) -> None:
+    def refuse(self, retry_after_ms: float) -> None:
         after = b"Retry-After: %.3f\r\n" % (retry_after_ms / 1000.0) if retry_after_ms else b""
-        self.answer(503, extra=after)
+        self.send(503, extra=after)
 
-    def failed(self) -> None:
-        self.answer(502)
+    def fail(self) -> None:
+        self.send(502)
 
-    def fault(self) -> None:
-        self.answer(500)
+    def fail_internally(self) -> None:
+        self.send(500)
 
 
-class CallerConnection(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """One connection of a caller's; answers go out in the order of the requests."""
 
-    def __init__(self, callers: Callers) -> None:
+    def __init__(self, callers: HttpListener) -> None:
         self.callers = callers
         self.since = 0.0  # when it was opened, last became idle, or stopped reading
         self._answered = False
         self._usual = False  # it has brought a request that was taken
-        self._reader = Reader(self._on_request, requests=True)
+        self._reader = HttpParser(self._on_request, requests=True)
         self._transport: asyncio.Transport | None = None
         self._exchanges: deque[HttpExchange] = deque()
         self._deaf = False  # its last request has come: what follows is not read
@@ -173,28 +179,28 @@
             self.since = self.callers.now()
         try:
             self._reader.feed(data)
-        except MessageError as error:
+        except HttpMessageError as error:
             self._answer_early(error.status)
         except Exception:
             log.exception("fault while a request was taken")
             self._answer_early(500)
         self._pace()
 
-    def _on_request(self, message: Message) -> None:
+    def _on_request(self, message: HttpMessage) -> None:
         exchange = HttpExchange(self, not message.keep_alive)
         self._exchanges.append(exchange)
         if exchange.close:
             self._stop_reading()
         try:
-            if len(self._exchanges) > MOST_PIPELINED:
-                raise MessageError(400, "too many requests in a row")
+            if len(self._exchanges) > MAX_PIPELINED_REQUESTS:
+                raise HttpMessageError(400, "too many requests in a row")
             self._usual |= self.callers.route(message, exchange)
-        except MessageError as error:
+        except HttpMessageError as error:
             self._answer_early(error.status)
         except Exception:
             # A fault in one request must cost that request alone, and still be answered.
             log.exception("fault in a request")
-            exchange.answer(500)
+            exchange.send(500)
 
     def _answer_early(self, status: int) -> None:
         """Answer what cannot be taken at once, whatever waits on this connection, then close."""
@@ -204,7 +210,7 @@
         self._leave()
         exchange = HttpExchange(self, True)
         self._exchanges.append(exchange)
-        exchange.answer(status)
+        exchange.send(status)
 
     def flush(self) -> None:
         """Send what is due: answers in order, up to the first that is not there yet."""
@@ -271,8 +277,8 @@
         for exchange in exchanges:
             exchange.gone = True
             self.callers.release(exchange)
-            if exchange.on_gone is not None and exchange.output is None:
-                exchange.on_gone()
+            if exchange.on_disconnect is not None and exchange.output is None:
+                exchange.on_disconnect()
 
     def pause_writing(self) -> None:
         self._choked = True
@@ -292,13 +298,13 @@
             self._transport.resume_reading()
 
 
-class Callers:
+class HttpListener:
     """The listening socket and all connections of callers."""
 
     def __init__(
         self,
         settings: Settings,
-        take: Callable[[Ask, Exchange], None],
+        take: Callable[[ClientRequest, Exchange], None],
         ready: Callable[[], bool],
         most: int,
         most_bytes: int,
@@ -307,16 +313,16 @@
     ) -> None:
         self.closing = False
         self.now = platform.monotonic  # the loop's own time is too coarse to tell which is idle longest
-        self.last_heard = 0.0  # when a connection or a request last came
+        self.last_activity = 0.0  # when a connection or a request last came
         self._settings = settings
         self._classes = {c.name.encode(): i for i, c in enumerate(settings.classes)}
         self._routes = routes
         self._tenants = {t.name.encode(): i for i, t in enumerate(settings.tenants)}
         self._required = [
-            REQUEST_ID,
-            DEADLINE,
-            *([] if routes else [CLASS]),
-            *([TENANT] if self._tenants else []),
+            REQUEST_ID_HEADER,
+            DEADLINE_HEADER,
+            *([] if routes else [CLASS_HEADER]),
+            *([TENANT_HEADER] if self._tenants else []),
         ]
         self._take = take
         self._ready = ready
@@ -324,7 +330,7 @@
         self._most_bytes = most_bytes
         self._bytes = 0
         self._loop = asyncio.get_running_loop()
-        self._open: dict[CallerConnection, None] = {}  # a set with an order: the same at every play
+        self._open: dict[ClientConnection, None] = {}  # a set with an order: the same at every play
         self._server: asyncio.Server | None = None
         self._sweeper = self._loop.call_later(SWEEP_S, self._sweep)
 
@@ -332,7 +338,7 @@
         """Listen on this address only; returns it with the port that was bound."""
         host, port = address
         self._server = await self._loop.create_server(
-            lambda: CallerConnection(self), host, port, backlog=1024, reuse_address=True
+            lambda: ClientConnection(self), host, port, backlog=1024, reuse_address=True
         )
         bound: tuple[str, int] = self._server.sockets[0].getsockname()[:2]
         return bound
@@ -340,13 +346,13 @@
     def listening(self) -> bool:
         return self._server is not None and self._server.is_serving()
 
-    def opened(self, connection: CallerConnection) -> None:
+    def opened(self, connection: ClientConnection) -> None:
         self._open[connection] = None
-        self.last_heard = self.now()
+        self.last_activity = self.now()
         if len(self._open) > self._most and not self._shed_one(connection) and self._overflows():
             connection.drop()
 
-    def closed(self, connection: CallerConnection) -> None:
+    def closed(self, connection: ClientConnection) -> None:
         self._open.pop(connection, None)
 
     def crowded(self) -> bool:
@@ -362,7 +368,7 @@
         """Beyond this a newcomer is closed unheard: descriptors must not run out."""
         return len(self._open) > self._most * (1.0 + OVERFLOW_PART)
 
-    def _shed_one(self, newest: CallerConnection) -> bool:
+    def _shed_one(self, newest: ClientConnection) -> bool:
         """Close the connection that makes way most readily, if there is one."""
         now = self.now()
         ranks = [(rank, c) for c in self._open if c is not newest and (rank := c.may_go(now)) is not None]
@@ -379,7 +385,7 @@
         for connection in list(self._open):
             connection.check(now)
 
-    def wind_down(self) -> None:
+    def drain(self) -> None:
         """From now on every answer closes its connection, and idle ones are closed at once."""
         self.closing = True
         for connection in [c for c in self._open if c.idle()]:
@@ -398,104 +404,104 @@
 
     # Requests.
 
-    def route(self, message: Message, exchange: HttpExchange) -> bool:
+    def route(self, message: HttpMessage, exchange: HttpExchange) -> bool:
         """Take one whole request and tell whether it is one for the servers; MessageError if it is none that
         a node serves."""
-        self.last_heard = self.now()
-        path = message.start.partition(b"?")[0]
+        self.last_activity = self.now()
+        path = message.target.partition(b"?")[0]
         if path == b"/ready":
             if message.method != b"GET":
-                raise MessageError(400, "method")
-            exchange.answer(200 if self._ready() and not self.closing else 503)
+                raise HttpMessageError(400, "method")
+            exchange.send(200 if self._ready() and not self.closing else 503)
             return False
         if not self._routes and path != b"/api" and not path.startswith(b"/api/"):
-            raise MessageError(404, "path")
-        ask = self._ask(message, path)
+            raise HttpMessageError(404, "path")
+        ask = self._to_client_request(message, path)
         if self.crowded() or self._bytes + len(message.body) > self._most_bytes:
             exchange.close = True
-            exchange.answer(503, extra=b"Retry-After: %.3f\r\n" % FULL_RETRY_S)
+            exchange.send(503, extra=b"Retry-After: %.3f\r\n" % FULL_RETRY_S)
             return True
         exchange.size = len(message.body)
         self._bytes += exchange.size
         try:
             self._take(ask, exchange)
-        except DuplicateId as error:
-            raise MessageError(409, str(error)) from None
+        except DuplicateRequestId as error:
+            raise HttpMessageError(409, str(error)) from None
         return True
 
-    def _ask(self, message: Message, path: bytes) -> Ask:
+    def _to_client_request(self, message: HttpMessage, path: bytes) -> ClientRequest:
         headers = message.headers
         for name in self._required:
             if not headers.get(name) or name in message.repeated:
-                raise MessageError(400, f"{name.decode()} is missing or repeated")
-        if not TOKEN.fullmatch(headers[REQUEST_ID]):
-            raise MessageError(400, "bad id")
+                raise HttpMessageError(400, f"{name.decode()} is missing or repeated")
+        if not TOKEN_PATTERN.fullmatch(headers[REQUEST_ID_HEADER]):
+            raise HttpMessageError(400, "bad id")
         class_index = self._class_index(message, path)
-        tenant = self._tenants.get(headers[TENANT]) if self._tenants else 0
+        tenant = self._tenants.get(headers[TENANT_HEADER]) if self._tenants else 0
         if class_index is None or tenant is None:
-            raise MessageError(400, "unknown class or tenant")
+            raise HttpMessageError(400, "unknown class or tenant")
         self._check_method(message, self._settings.classes[class_index].effect)
-        hint = headers.get(COST_HINT)
+        hint = headers.get(COST_HINT_HEADER)
         item = path.removeprefix(b"/api").removeprefix(b"/")
-        return Ask(
-            id=headers[REQUEST_ID],
+        return ClientRequest(
+            id=headers[REQUEST_ID_HEADER],
             class_index=class_index,
             tenant=tenant,
             key=int.from_bytes(blake2b(item, digest_size=8).digest(), "big") if item else 0,
-            budget_ms=1000.0 * _number(headers[DEADLINE], "deadline", LONGEST_DEADLINE_S),
+            budget_ms=1000.0 * _number(headers[DEADLINE_HEADER], "deadline", LONGEST_DEADLINE_S),
             cost_hint_ms=_hint_ms(hint),
-            is_repeat=headers.get(RETRY) == b"1",
-            call=HttpCall(
+            is_repeat=headers.get(RETRY_HEADER) == b"1",
+            call=HttpRequest(
                 message.method,
-                message.start,
-                headers.get(IDEMPOTENCY_KEY),
-                headers.get(CONTENT_TYPE),
+                message.target,
+                headers.get(IDEMPOTENCY_KEY_HEADER),
+                headers.get(CONTENT_TYPE_HEADER),
                 message.body,
             ),
         )
 
-    def _class_index(self, message: Message, path: bytes) -> int | None:
+    def _class_index(self, message: HttpMessage, path: bytes) -> int | None:
         """By its route where there are routes, else as the request says; None for an unknown one.
 
         A request that says another class than its route is turned down: what the operator's file forbids to
         repeat must not be repeated because an application mistook its class.
         """
-        told = message.headers.get(CLASS)
+        told = message.headers.get(CLASS_HEADER)
         named = None if told is None else self._classes.get(told)
         if not self._routes:
             return named
-        routed = class_of(self._routes, message.method, path.removeprefix(b"/api"))
+        routed = match_class(self._routes, message.method, path.removeprefix(b"/api"))
         if routed is None:
-            raise MessageError(404, "no route")
-        if (told is not None and named != routed) or CLASS in message.repeated:
-            raise MessageError(400, "class does not fit the route")
+            raise HttpMessageError(404, "no route")
+        if (told is not None and named != routed) or CLASS_HEADER in message.repeated:
+            raise HttpMessageError(400, "class does not fit the route")
         return routed
 
     @staticmethod
-    def _check_method(message: Message, effect: Effect) -> None:
+    def _check_method(message: HttpMessage, effect: Effect) -> None:
         """The method and the key must say of the effect what the class says: rule 2 rests on it."""
-        keyed = IDEMPOTENCY_KEY in message.headers
+        keyed = IDEMPOTENCY_KEY_HEADER in message.headers
         safe = effect is Effect.SAFE
         if (
             message.method != (b"GET" if safe else b"POST")
             or keyed != (effect is Effect.KEYED)
             or (safe and message.body)
-            or IDEMPOTENCY_KEY in message.repeated
-            or (keyed and not TOKEN.fullmatch(message.headers[IDEMPOTENCY_KEY]))
+            or IDEMPOTENCY_KEY_HEADER in message.repeated
+            or (keyed and not TOKEN_PATTERN.fullmatch(message.headers[IDEMPOTENCY_KEY_HEADER]))
         ):
-            raise MessageError(400, "method or key does not fit the class")
+            raise HttpMessageError(400, "method or key does not fit the class")
 
 
 def _hint_ms(text: bytes | None) -> float | None:
     """A hint is a guess: one that cannot be read is none, and no reason to turn the request down."""
     try:
         return None if text is None else _number(text, "cost hint", HINT_MOST_US) / 1000.0
-    except MessageError:
+    except HttpMessageError:
         return None
 
 
 def _number(text: bytes, what: str, most: float) -> float:
     value = float(text) if _DECIMAL.fullmatch(text) else 0.0
     if not 0.0 < value <= most:
-        raise MessageError(400, f"bad {what}")
+        raise HttpMessageError(400, f"bad {what}")
     return value
--- a/leadrudder/node/config.py
+++ b/leadrudder/node/config.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from leadrudder.interface import ImpossibleSettings, Settings
-from leadrudder.node.lists import ListError, Listing, Naming
+from leadrudder.node.lists import DiscoveryDecoder, EndpointListError, EndpointUpdate
 from leadrudder.node.platform import SYSTEM, Platform
 from leadrudder.node.routes import Route
 from leadrudder.settings import SettingsError, read_settings
@@ -44,23 +44,23 @@
     seed: int
     limits: Limits
     settings: Settings
-    naming: Naming
-    known: Listing | None
+    decoder: DiscoveryDecoder
+    known: EndpointUpdate | None
     conn_idle_ms: float
     routes: tuple[Route, ...] = ()  # none: requests name their class themselves
 
 
-def load(environment: Mapping[str, str], platform: Platform = SYSTEM) -> Config:
+def load_config(environment: Mapping[str, str], platform: Platform = SYSTEM) -> Config:
     """The configuration of this process."""
     path = _variable(environment, "NODE_CONFIG")
     raw = _read_file(path, platform)
     settings_raw = _member(raw, "settings", dict)
-    values = dict(flat(settings_raw))
+    values = dict(flatten(settings_raw))
     try:
         settings = read_settings(values)
     except (SettingsError, ImpossibleSettings) as error:
         raise ConfigError(str(error)) from None
-    naming = Naming(_names(settings_raw, "azs"), _names(settings_raw, "models"))
+    decoder = DiscoveryDecoder(_names(settings_raw, "azs"), _names(settings_raw, "models"))
     limits = _member(raw, "limits", dict)
     return Config(
         path=path,
@@ -70,14 +70,14 @@
         seed=_seed(_member(raw, "seed", str)),
         limits=Limits(_limit(limits, "memory_mb", 1), _limit(limits, "sockets", _LEAST_SOCKETS)),
         settings=settings,
-        naming=naming,
-        known=_known(raw.get("known"), naming),
+        decoder=decoder,
+        known=_known(raw.get("known"), decoder),
         conn_idle_ms=_conn_idle(values),
         routes=_routes(raw.get("routes", []), settings),
     )
 
 
-def discovery_anew(path: str, platform: Platform = SYSTEM) -> tuple[str, int]:
+def read_discovery_address(path: str, platform: Platform = SYSTEM) -> tuple[str, int]:
     """Where discovery is by the file as it stands now; the environment names the address of the start."""
     return _address({}, _read_file(path, platform), "discovery", "discovery")
 
@@ -139,12 +139,12 @@
     return host, number
 
 
-def _known(raw: Any, naming: Naming) -> Listing | None:
+def _known(raw: Any, decoder: DiscoveryDecoder) -> EndpointUpdate | None:
     if raw is None:
         return None
     try:
-        return naming.read(raw)
-    except ListError as error:
+        return decoder.decode(raw)
+    except EndpointListError as error:
         raise ConfigError(f"known: {error}") from None
 
 
@@ -182,15 +182,15 @@
     return tuple(str(name) for name in value)
 
 
-def flat(value: Any, path: str = "") -> Iterator[tuple[str, str]]:
+def flatten(value: Any, path: str = "") -> Iterator[tuple[str, str]]:
     """Nested JSON as the path to value pairs of the simulator's first message."""
     if isinstance(value, dict):
         for name, member in value.items():
-            yield from flat(member, f"{path}.{name}" if path else name)
+            yield from flatten(member, f"{path}.{name}" if path else name)
     elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
         yield f"{path}.count", str(len(value))
         for i, item in enumerate(value):
-            yield from flat(item, f"{path}.{i}")
+            yield from flatten(item, f"{path}.{i}")
     elif isinstance(value, list):
         yield path, ",".join(str(item).replace(",", "_") for item in value)
     elif isinstance(value, bool):
--- a/leadrudder/node/contract.py
+++ b/leadrudder/node/contract.py
@@ -14,16 +14,16 @@
 from typing import Protocol
 
 from leadrudder.interface import Outcome, ServerId
-from leadrudder.node.lists import Listing
-from leadrudder.node.reports import Report
+from leadrudder.node.lists import EndpointUpdate
+from leadrudder.node.reports import LoadReport
 
 
-class DuplicateId(Exception):  # noqa: N818 - it names what is wrong with a request
+class DuplicateRequestId(Exception):  # noqa: N818 - it names what is wrong with a request
     """A request with this id is open, or an attempt of it is out: servers could not tell the two apart."""
 
 
 @dataclass(frozen=True, slots=True)
-class HttpCall:
+class HttpRequest:
     """A request of an HTTP caller's, as it is passed on."""
 
     method: bytes
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class ClientRequest:
     """A valid request in the terms of the settings."""
 
     id: bytes  # the caller's, passed on unchanged
@@ -63,11 +63,11 @@
     budget_ms: float  # what its caller will wait
     cost_hint_ms: float | None
     is_repeat: bool
-    call: HttpCall | RpcCall
+    call: HttpRequest | RpcCall
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class UpstreamResponse:
     """What a server answered to a request that it served."""
 
     body: bytes
@@ -78,27 +78,27 @@
 class Exchange(Protocol):
     """The place of a request's one answer.  A second one, and one to a caller that has left, goes nowhere."""
 
-    on_gone: Callable[[], None] | None  # called once if the caller leaves before its answer
+    on_disconnect: Callable[[], None] | None  # called once if the caller leaves before its answer
 
-    def served(self, answer: Answer) -> None:
+    def complete(self, answer: UpstreamResponse) -> None:
         """A server's answer, unchanged."""
 
-    def refused(self, retry_after_ms: float) -> None:
+    def refuse(self, retry_after_ms: float) -> None:
         """Not served, and trying again is harmless; 0: no time is told."""
 
-    def failed(self) -> None:
+    def fail(self) -> None:
         """Not served, and nothing is promised."""
 
-    def fault(self) -> None:
+    def fail_internally(self) -> None:
         """The node itself could not deal with it."""
 
 
-class Front(Protocol):
+class Frontend(Protocol):
     """A side towards callers beside the HTTP one."""
 
-    last_heard: float  # when a connection or a call last came, on the loop's clock
+    last_activity: float  # when a connection or a call last came, on the loop's clock
 
-    def wind_down(self) -> None:
+    def drain(self) -> None:
         """The node is ending: take nothing new, and close what is idle."""
 
     def busy(self) -> bool:
@@ -111,35 +111,39 @@
 class Attempt(Protocol):
     """An attempt, or a probe, that is out."""
 
-    def give_up(self, outcome: Outcome) -> None:
+    def cancel(self, outcome: Outcome) -> None:
         """Stop waiting: it ends now, with this outcome, unless it has ended."""
 
 
-class Done(Protocol):
+class AttemptCallback(Protocol):
     """Called once with how an attempt or a probe ended; report: what the server told of its load with it."""
 
-    def __call__(self, outcome: Outcome, answer: Answer | None, report: Report = (), /) -> None: ...
+    def __call__(
+        self, outcome: Outcome, answer: UpstreamResponse | None, report: LoadReport = (), /
+    ) -> None: ...
 
 
 class Upstream(Protocol):
     """The connections to all servers.  Nothing is ever sent twice by one."""
 
-    def update(self, listing: Listing) -> list[ServerId]:
+    def update(self, listing: EndpointUpdate) -> list[ServerId]:
         """Follow a list; returns the servers whose address is another's now."""
 
-    def any_listed(self) -> bool: ...
+    def has_endpoints(self) -> bool: ...
 
-    def open_connections(self) -> int:
+    def open_connection_count(self) -> int:
         """How many connections to servers are open."""
 
-    def attempt(self, server: ServerId, ask: Ask, timeout_s: float, done: Done) -> Attempt:
+    def attempt(
+        self, server: ServerId, ask: ClientRequest, timeout_s: float, done: AttemptCallback
+    ) -> Attempt:
         """Start one attempt; its outcome comes by done, once, at the earliest after this returns.
 
         CONNECT_FAILED, MOOT and FULL: the server never ran it.  OK comes with an answer.  All others: it was
         written, at least in part, and may have run.
         """
 
-    def probe(self, server: ServerId, timeout_s: float, done: Done) -> Attempt: ...
+    def probe(self, server: ServerId, timeout_s: float, done: AttemptCallback) -> Attempt: ...
 
     def close_idle(self, server: ServerId) -> None:
         """Close connections to a server on which nothing is out."""
--- a/leadrudder/node/dialling.py
+++ b/leadrudder/node/dialling.py
@@ -12,21 +12,21 @@
 from typing import Protocol, TypeVar
 
 
-class Dialled(Protocol):
+class DialedProtocol(Protocol):
     """A protocol whose connection is opened by us."""
 
-    def give_up_dial(self) -> None:
+    def on_connect_failed(self) -> None:
         """The dial has failed: a connection that came up has ended, and one that still does is closed."""
 
 
-D = TypeVar("D", bound="Dialled")
+ProtocolT = TypeVar("ProtocolT", bound="DialedProtocol")
 
 
-async def connect(make: Callable[[], D], host: str, port: int, within_s: float) -> D:
+async def open_connection(make: Callable[[], ProtocolT], host: str, port: int, within_s: float) -> ProtocolT:
     """The protocol of a connection that stands.  OSError or TimeoutError where none comes up in time."""
-    made: list[D] = []
+    made: list[ProtocolT] = []
 
-    def remembered() -> D:
+    def remembered() -> ProtocolT:
         made.append(make())
         return made[-1]
 
@@ -35,6 +35,6 @@
             await asyncio.get_running_loop().create_connection(remembered, host, port)  # type: ignore[type-var]
     except BaseException:
         for each in made:
-            each.give_up_dial()
+            each.on_connect_failed()
         raise
     return made[-1]
--- a/leadrudder/node/discovery.py
+++ b/leadrudder/node/discovery.py
@@ -13,7 +13,15 @@
 import httptools
 
 from leadrudder.interface import ServerId
-from leadrudder.node.lists import SHORT, Book, ListError, Listing, Naming, finished, merged
+from leadrudder.node.lists import (
+    SHORT_LINE_BYTES,
+    DeliveredState,
+    DiscoveryDecoder,
+    EndpointListError,
+    EndpointUpdate,
+    merge_updates,
+    run_to_end,
+)
 from leadrudder.state.backoff import Backoff
 from leadrudder.state.estimators import TokenBucket
 
@@ -125,7 +133,7 @@
         self._end()
 
 
-class Discovery:
+class DiscoveryClient:
     """Keeps at most one watch; tells of each list, and once of each call or watch that failed.
 
     Where lists are pushed the watch is on the machine's own agent: it costs nothing, is kept up without
@@ -136,17 +144,17 @@
     def __init__(
         self,
         address: tuple[str, int],
-        naming: Naming,
+        decoder: DiscoveryDecoder,
         *,
         pushed: bool,
         call_s: float,
-        on_list: Callable[[Listing], None],
+        on_list: Callable[[EndpointUpdate], None],
         on_failed: Callable[[], None],
         rng: random.Random,
     ) -> None:
         """rng: of the node's own seed, so that nodes are not in step."""
         self._address = address
-        self._naming = naming
+        self._decoder = decoder
         self._pushed = pushed
         self._call_s = call_s
         self._on_list = on_list
@@ -159,16 +167,16 @@
         self._watch: _Watch | None = None
         self._successor: _Watch | None = None  # at the address that discovery moved to, until it speaks
         self._timer: asyncio.TimerHandle | None = None
-        self._book = Book()
+        self._book = DeliveredState()
         self._reading: Generator[None, None, None] | None = None  # a long line
         self._lines: deque[tuple[_Watch, bytes]] = deque()  # what has come and is not read
         self._rate = TokenBucket.full(LINES_A_SECOND)
         self._gathering: asyncio.TimerHandle | None = None
         self._flooded = -1.0  # when lines were last gathered
 
-    def begin_with(self, known: Listing) -> None:
+    def begin_with(self, known: EndpointUpdate) -> None:
         """The list that is known at the start has been handed on by its owner."""
-        self._book.take(known)
+        self._book.record(known)
 
     def forget(self, server: ServerId) -> None:
         """A server of the list was left out by the owner: the next list that names it tells of it again."""
@@ -250,7 +258,7 @@
             if first:
                 # Nothing has changed since the version asked for. Untold, the module took the call for one
                 # without a reply, and asked anew every second for as long as nothing changed.
-                self._on_list(Listing(self._version, False, (), {}))
+                self._on_list(EndpointUpdate(self._version, False, (), {}))
             return
         self._lines.append((watch, line))
         if len(self._lines) > LINES_MOST:
@@ -268,17 +276,17 @@
         """A flood of lines is followed as one change each time: work is bounded by time, not by lines."""
         self._gathering = None
         many, self._lines = list(self._lines), deque()
-        together: list[Listing] = []
+        together: list[EndpointUpdate] = []
         for i, (watch, line) in enumerate(many):
-            if len(line) > SHORT:  # a long one stands for itself, and what follows it waits
+            if len(line) > SHORT_LINE_BYTES:  # a long one stands for itself, and what follows it waits
                 self._lines.extend(many[i:])
                 break
             try:
-                together.append(finished(self._naming.read_text(line.decode())))
-            except (ValueError, ListError) as error:
+                together.append(run_to_end(self._decoder.decode_text(line.decode())))
+            except (ValueError, EndpointListError) as error:
                 self._bad_line(watch, error)
-        for listing in merged(together):
-            for piece in self._book.pieces(listing):
+        for listing in merge_updates(together):
+            for piece in self._book.chunks(listing):
                 if piece is not None:
                     self._on_list(piece)
             self._version = listing.version
@@ -293,7 +301,7 @@
     def _take(self, watch: _Watch, line: bytes) -> None:
         """Read a line: a short one at once, a long one slice by slice, while the node goes on."""
         slices = self._follow(watch, line)
-        if len(line) <= SHORT:
+        if len(line) <= SHORT_LINE_BYTES:
             for _ in slices:
                 pass
             return
@@ -328,11 +336,11 @@
     def _follow(self, watch: _Watch, line: bytes) -> Generator[None, None, None]:
         """Read one line and hand on what it changes, in slices."""
         try:
-            listing = yield from self._naming.read_text(line.decode())
-        except (ValueError, ListError) as error:
+            listing = yield from self._decoder.decode_text(line.decode())
+        except (ValueError, EndpointListError) as error:
             self._bad_line(watch, error)
             return
-        for piece in self._book.pieces(listing):
+        for piece in self._book.chunks(listing):
             if piece is not None:
                 self._on_list(piece)
             yield
--- a/leadrudder/node/http.py
+++ b/leadrudder/node/http.py
@@ -12,22 +12,24 @@
 
 import httptools
 
-from leadrudder.node.contract import HttpCall
-
-MAX_BODY = 64 * 1024
-MAX_HEAD = 16 * 1024
-TOKEN = re.compile(rb"[!-~]{1,256}")  # an id or a key is passed on as it came: nothing but plain characters
-
-REQUEST_ID = b"x-request-id"
-CLASS = b"x-class"
-TENANT = b"x-tenant"
-DEADLINE = b"x-deadline"
-RETRY = b"x-retry"
-COST_HINT = b"x-cost-hint"
-IDEMPOTENCY_KEY = b"idempotency-key"
-NOT_RUN = b"x-not-run"
-LOAD = b"x-load"
-CONTENT_TYPE = b"content-type"
+from leadrudder.node.contract import HttpRequest
+
+MAX_BODY_BYTES = 64 * 1024
+MAX_HEAD_BYTES = 16 * 1024
+TOKEN_PATTERN = re.compile(
+    rb"[!-~]{1,256}"
+)  # an id or a key is passed on as it came: nothing but plain characters
+
+REQUEST_ID_HEADER = b"x-request-id"
+CLASS_HEADER = b"x-class"
+TENANT_HEADER = b"x-tenant"
+DEADLINE_HEADER = b"x-deadline"
+RETRY_HEADER = b"x-retry"
+COST_HINT_HEADER = b"x-cost-hint"
+IDEMPOTENCY_KEY_HEADER = b"idempotency-key"
+NOT_RUN_HEADER = b"x-not-run"
+LOAD_HEADER = b"x-load"
+CONTENT_TYPE_HEADER = b"content-type"
 
 _REASONS = {
     200: b"OK",
@@ -42,7 +44,7 @@
 }
 
 
-class MessageError(Exception):
+class HttpMessageError(Exception):
     """A message that cannot be taken; a request of this form is answered with the status."""
 
     def __init__(self, status: int, text: str) -> None:
@@ -51,10 +53,10 @@
 
 
 @dataclass(slots=True)
-class Message:
+class HttpMessage:
     """A whole request or answer."""
 
-    start: bytes = b""  # a request's target
+    target: bytes = b""  # of a request
     method: bytes = b""
     status: int = 0
     headers: dict[bytes, bytes] = field(default_factory=dict)
@@ -67,7 +69,7 @@
     """Ends the parsing of a piece of input from within."""
 
 
-class Reader:
+class HttpParser:
     """Feeds bytes to httptools and hands on whole messages, within the size limits.
 
     The limits are kept here because the parser itself would collect a header or a body without end.
@@ -87,15 +89,15 @@
         "surplus",
     )
 
-    def __init__(self, on_message: Callable[[Message], None], *, requests: bool) -> None:
+    def __init__(self, on_message: Callable[[HttpMessage], None], *, requests: bool) -> None:
         self._on_message = on_message
         self._parser: httptools.HttpRequestParser | httptools.HttpResponseParser
         self._parser = httptools.HttpRequestParser(self) if requests else httptools.HttpResponseParser(self)
-        self._failure: MessageError | None = None
-        self._head_left = MAX_HEAD
+        self._failure: HttpMessageError | None = None
+        self._head_left = MAX_HEAD_BYTES
         self._head_size = 0
         self._in_body = False
-        self._message: Message | None = None
+        self._message: HttpMessage | None = None
         self._body: list[bytes] = []
         self._size = 0
         self._stopped = False
@@ -117,11 +119,11 @@
                 self.surplus = True
                 return
             if self._failure is None:
-                raise MessageError(400, f"malformed message: {error}") from None
+                raise HttpMessageError(400, f"malformed message: {error}") from None
         if self._failure is not None:
             raise self._failure
         if not self._in_body and self._head_left < 0:
-            raise MessageError(400, "the head is too large")
+            raise HttpMessageError(400, "the head is too large")
 
     def stop(self) -> None:
         """Begin no further message, also not one that is in the same piece of input."""
@@ -136,13 +138,13 @@
     def on_message_begin(self) -> None:
         if self._stopped:
             raise _StopParsing
-        self._message = Message()
+        self._message = HttpMessage()
         self._body.clear()
         self._size = 0
 
     def on_url(self, part: bytes) -> None:
         if self._message is not None:
-            self._message.start += part
+            self._message.target += part
             self._measure(len(part))
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -170,7 +172,7 @@
         else:
             message.status = parser.get_status_code()
 
-    def _check_length(self, message: Message) -> None:
+    def _check_length(self, message: HttpMessage) -> None:
         """The length must be told, in one of the two ways that this node reads.
 
         The parser refuses both at once and numbers that are none.  An answer that lasts until the end of the
@@ -182,14 +184,14 @@
             if length is not None or coding.lower() != b"chunked":
                 self._fail(400, "the length is told in no way that is read here")
         elif length is not None:
-            if int(length) > MAX_BODY:
+            if int(length) > MAX_BODY_BYTES:
                 self._fail(413, "the body is too large")
         elif isinstance(self._parser, httptools.HttpResponseParser) and self._parser.get_status_code() == 200:
             self._fail(400, "the length is not told")
 
     def on_body(self, part: bytes) -> None:
         self._size += len(part)
-        if self._size > MAX_BODY:
+        if self._size > MAX_BODY_BYTES:
             self._fail(413, "the body is too large")
         self._body.append(part)
 
@@ -202,22 +204,22 @@
         self._body.clear()
         message.keep_alive = self._parser.should_keep_alive()
         if not 100 <= message.status < 200:  # an interim answer is no answer, and counts with the next head
-            self._head_left, self._head_size = MAX_HEAD, 0
+            self._head_left, self._head_size = MAX_HEAD_BYTES, 0
             self._on_message(message)
 
     def _measure(self, size: int) -> None:
         """A head that came whole in one piece is measured here, before it is taken."""
         self._head_size += size
-        if self._head_size > MAX_HEAD:
+        if self._head_size > MAX_HEAD_BYTES:
             self._fail(400, "the head is too large")
 
     def _fail(self, status: int, text: str) -> NoReturn:
-        self._failure = MessageError(status, text)
+        self._failure = HttpMessageError(status, text)
         self._body.clear()
         raise _StopParsing
 
 
-def answer(status: int, body: bytes = b"", extra: bytes = b"", *, close: bool = False) -> bytes:
+def render_response(status: int, body: bytes = b"", extra: bytes = b"", *, close: bool = False) -> bytes:
     """An answer to a caller; extra holds whole header lines."""
     return b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s%s\r\n%s" % (
         status,
@@ -229,7 +231,7 @@
     )
 
 
-def request_head(name: bytes, call: HttpCall, host: bytes) -> bytes:
+def render_request_head(name: bytes, call: HttpRequest, host: bytes) -> bytes:
     """The part of an attempt's head that is the same for each attempt: all but the deadline."""
     lines = [b"%s %s HTTP/1.1\r\nHost: %s\r\nX-Request-Id: %s\r\n" % (call.method, call.target, host, name)]
     if call.key is not None:
--- a/leadrudder/node/lists.py
+++ b/leadrudder/node/lists.py
@@ -20,8 +20,8 @@
 
 log = logging.getLogger(__name__)
 
-SLICE = 200  # entries; reading or following as many takes a few milliseconds
-SHORT = 64 * 1024  # a line of fewer bytes is read in one go
+CHUNK_ENTRIES = 200  # entries; reading or following as many takes a few milliseconds
+SHORT_LINE_BYTES = 64 * 1024  # a line of fewer bytes is read in one go
 
 _LIFECYCLES = {
     "SERVING": Readiness.READY,
@@ -34,42 +34,42 @@
 Address = tuple[str, int]
 
 
-class ListError(Exception):
+class EndpointListError(Exception):
     """A list from discovery that cannot be read; its text names the field."""
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
+class EndpointUpdate:
     """A list or a change of it, in the module's form, and where its servers listen."""
 
     version: int
-    whole: bool
+    is_snapshot: bool
     entries: tuple[ServerEntry, ...]
     addresses: dict[ServerId, Address]
-    more: bool = False  # further pieces of the same list follow
+    has_more: bool = False  # further pieces of the same list follow
 
-    def event(self, *, cached: bool = False) -> ServerList:
+    def to_event(self, *, cached: bool = False) -> ServerList:
         """What the module is told."""
-        kind = ListKind.CACHED if cached else ListKind.FULL if self.whole else ListKind.CHANGES
-        return ServerList(kind, self.entries, self.version, self.more)
+        kind = ListKind.CACHED if cached else ListKind.FULL if self.is_snapshot else ListKind.CHANGES
+        return ServerList(kind, self.entries, self.version, self.has_more)
 
 
 @dataclass(frozen=True, slots=True)
-class Naming:
+class DiscoveryDecoder:
     """Turns discovery's names of zones, machine types and cells into the module's numbers."""
 
     zones: tuple[str, ...]
     models: tuple[str, ...]
 
-    def read(self, raw: Any) -> Listing:
+    def decode(self, raw: Any) -> EndpointUpdate:
         """One object of discovery's; ListError if it is not one."""
-        return finished(self.in_slices(_members_of(raw)))
+        return run_to_end(self.decode_members(_members_of(raw)))
 
-    def read_text(self, text: str) -> Generator[None, None, Listing]:
+    def decode_text(self, text: str) -> Generator[None, None, EndpointUpdate]:
         """The same of its text, a slice at a time; ListError also for what is no JSON."""
-        return self.in_slices(members(text))
+        return self.decode_members(iter_members(text))
 
-    def in_slices(self, parts: Iterable[tuple[str, Any]]) -> Generator[None, None, Listing]:
+    def decode_members(self, parts: Iterable[tuple[str, Any]]) -> Generator[None, None, EndpointUpdate]:
         """From the members of the object, those of 'instances' one by one."""
         told: dict[str, Any] = {}
         entries: list[ServerEntry] = []
@@ -83,14 +83,14 @@
                 entries.append(entry)
                 host, _, port = value["hostPort"].rpartition(":")
                 addresses[entry.server] = (host, int(port))
-                if len(entries) % SLICE == 0:
+                if len(entries) % CHUNK_ENTRIES == 0:
                     yield
             _tell_oddities(entries, len(addresses))
-            return Listing(int(told["generation"]), bool(told["reset"]), tuple(entries), addresses)
+            return EndpointUpdate(int(told["generation"]), bool(told["reset"]), tuple(entries), addresses)
         except KeyError as error:
-            raise ListError(f"{error} is missing or unknown") from None
+            raise EndpointListError(f"{error} is missing or unknown") from None
         except (TypeError, ValueError, AttributeError, RecursionError) as error:
-            raise ListError(f"not a list of servers: {error}") from None
+            raise EndpointListError(f"not a list of servers: {error}") from None
 
     def _entry(self, item: dict[str, Any]) -> ServerEntry:
         return ServerEntry(
@@ -104,13 +104,13 @@
         )
 
 
-def finished(slices: Generator[None, None, Listing]) -> Listing:
+def run_to_end(slices: Generator[None, None, EndpointUpdate]) -> EndpointUpdate:
     """What a reading in slices comes to, in one go."""
     while True:
         try:
             next(slices)
         except StopIteration as end:
-            return cast(Listing, end.value)
+            return cast(EndpointUpdate, end.value)
 
 
 def _members_of(raw: Any) -> Iterator[tuple[str, Any]]:
@@ -119,7 +119,7 @@
     yield from ((key, raw[key]) for key in ("generation", "reset"))
 
 
-def members(text: str) -> Iterator[tuple[str, Any]]:
+def iter_members(text: str) -> Iterator[tuple[str, Any]]:
     """The members of a JSON object, and of its array 'instances' item by item; ValueError if it is none.
 
     Values are read by the standard library: what it takes is what json.loads takes.  A member that is there
@@ -209,23 +209,23 @@
     return len(names) + crc32(str(name).encode())
 
 
-def merged(listings: Iterable[Listing]) -> list[Listing]:
+def merge_updates(listings: Iterable[EndpointUpdate]) -> list[EndpointUpdate]:
     """Changes that follow each other as one, in which a server's last entry holds; a whole list by itself."""
-    told: list[Listing] = []
+    told: list[EndpointUpdate] = []
     for listing in listings:
-        if listing.whole:
+        if listing.is_snapshot:
             told = [listing]  # what came before it is void
-        elif not told or told[-1].whole:
+        elif not told or told[-1].is_snapshot:
             told.append(listing)
         else:
             last = told.pop()
             entries = {entry.server: entry for entry in (*last.entries, *listing.entries)}
             addresses = {**last.addresses, **listing.addresses}
-            told.append(Listing(listing.version, False, tuple(entries.values()), addresses))
+            told.append(EndpointUpdate(listing.version, False, tuple(entries.values()), addresses))
     return told
 
 
-class Book:
+class DeliveredState:
     """What has been handed on of the list, so that a long list is followed by what it changes, in pieces.
 
     A short one is handed on as it came.
@@ -235,10 +235,10 @@
         self._entries: dict[ServerId, ServerEntry] = {}
         self._addresses: dict[ServerId, Address] = {}
 
-    def pieces(self, listing: Listing) -> Iterator[Listing | None]:
+    def chunks(self, listing: EndpointUpdate) -> Iterator[EndpointUpdate | None]:
         """The list in pieces, to be handed on in this order; None where there is only time to be left to
         others."""
-        if len(listing.entries) <= SLICE and len(self._entries) <= SLICE:
+        if len(listing.entries) <= CHUNK_ENTRIES and len(self._entries) <= CHUNK_ENTRIES:
             self._note(listing)
             yield listing
             return
@@ -251,16 +251,16 @@
                 rest.append(entry)
             else:
                 gone.append(entry)
-            if i % SLICE == SLICE - 1:
+            if i % CHUNK_ENTRIES == CHUNK_ENTRIES - 1:
                 yield None
-        missing = [server for server in self._entries if server not in latest] if listing.whole else []
+        missing = [server for server in self._entries if server not in latest] if listing.is_snapshot else []
         for i, server in enumerate(missing):
             gone.append(ServerEntry(server, Readiness.GONE))
-            if i % SLICE == SLICE - 1:
+            if i % CHUNK_ENTRIES == CHUNK_ENTRIES - 1:
                 yield None
         yield from self._cut(listing, gone + rest)
 
-    def take(self, listing: Listing) -> None:
+    def record(self, listing: EndpointUpdate) -> None:
         """A list that was handed on as it is: the one known at the start."""
         self._note(listing)
 
@@ -269,23 +269,23 @@
         self._entries.pop(server, None)
         self._addresses.pop(server, None)
 
-    def _says_nothing(self, entry: ServerEntry, listing: Listing) -> bool:
+    def _says_nothing(self, entry: ServerEntry, listing: EndpointUpdate) -> bool:
         """Whether an entry is known as it is."""
         server = entry.server
         return self._entries.get(server) == entry and self._addresses[server] == listing.addresses[server]
 
-    def _cut(self, listing: Listing, entries: list[ServerEntry]) -> Iterator[Listing]:
+    def _cut(self, listing: EndpointUpdate, entries: list[ServerEntry]) -> Iterator[EndpointUpdate]:
         """Pieces of the changes; an empty one if there are none: that the list has come is news as well."""
-        last = max(0, len(entries) - 1) // SLICE * SLICE
-        for at in range(0, last + 1, SLICE):
-            part = entries[at : at + SLICE]
+        last = max(0, len(entries) - 1) // CHUNK_ENTRIES * CHUNK_ENTRIES
+        for at in range(0, last + 1, CHUNK_ENTRIES):
+            part = entries[at : at + CHUNK_ENTRIES]
             addresses = {e.server: listing.addresses[e.server] for e in part if e.server in listing.addresses}
-            piece = Listing(listing.version, False, tuple(part), addresses, at < last)
+            piece = EndpointUpdate(listing.version, False, tuple(part), addresses, at < last)
             self._note(piece)
             yield piece
 
-    def _note(self, listing: Listing) -> None:
-        if listing.whole:
+    def _note(self, listing: EndpointUpdate) -> None:
+        if listing.is_snapshot:
             self._entries.clear()
             self._addresses.clear()
         for entry in listing.entries:
--- a/leadrudder/node/node.py
+++ b/leadrudder/node/node.py
@@ -41,20 +41,28 @@
     Subscribe,
     TimerFired,
 )
-from leadrudder.node.callers import Callers
-from leadrudder.node.config import Config, ConfigError, discovery_anew
-from leadrudder.node.contract import Answer, Ask, Attempt, DuplicateId, Exchange, Front, Upstream
-from leadrudder.node.discovery import Discovery
-from leadrudder.node.lists import Listing
+from leadrudder.node.callers import HttpListener
+from leadrudder.node.config import Config, ConfigError, read_discovery_address
+from leadrudder.node.contract import (
+    Attempt,
+    ClientRequest,
+    DuplicateRequestId,
+    Exchange,
+    Frontend,
+    Upstream,
+    UpstreamResponse,
+)
+from leadrudder.node.discovery import DiscoveryClient
+from leadrudder.node.lists import EndpointUpdate
 from leadrudder.node.platform import SYSTEM, Platform
-from leadrudder.node.reports import Report
-from leadrudder.node.servers import Servers
+from leadrudder.node.reports import LoadReport
+from leadrudder.node.servers import HttpUpstream
 from leadrudder.policy.decide import Balancer
 
 log = logging.getLogger(__name__)
 
 # A caller's time counts from its send, so the last of it goes to the network and a busy core.
-RESERVE_MS = 25.0
+RESPONSE_RESERVE_MS = 25.0
 RESERVE_MOST = 0.2  # of a short budget
 NO_TOKEN = -1  # of no timer that the module set: what is due is due all the same
 GUARD_MS = 10.0  # after the budget's end, within the reserve: the module must have answered by then
@@ -68,7 +76,7 @@
 
 QUIET_S = 0.6  # after SIGTERM: new connections come for up to 0.4 s
 SILENT_S = 0.25  # and none may have come for this long
-LAST_S = 3.4  # all is answered by then: SIGKILL comes 3.7 s after SIGTERM at the earliest
+DRAIN_LIMIT_S = 3.4  # all is answered by then: SIGKILL comes 3.7 s after SIGTERM at the earliest
 DRAIN_CHECK_S = 0.02
 
 
@@ -85,17 +93,19 @@
 
 
 @dataclass(slots=True)
-class Pending:
+class PendingRequest:
     """A request that a caller waits for."""
 
-    ask: Ask
+    ask: ClientRequest
     exchange: Exchange
     deadline: float
     timer: TimerHandle
     attempts: int = 0
 
 
-def http_servers(config: Config, platform: Platform = SYSTEM, kind: type[Servers] = Servers) -> Servers:
+def create_http_upstream(
+    config: Config, platform: Platform = SYSTEM, kind: type[HttpUpstream] = HttpUpstream
+) -> HttpUpstream:
     """The side towards HTTP servers, with this node's part of the descriptors."""
     return kind(
         connect_s=config.settings.connect_timeout_ms / 1000.0,
@@ -119,7 +129,7 @@
         self._loop = asyncio.get_running_loop()
         self._clock = Clock(platform)
         self._balancer = Balancer(settings, config.seed)
-        self._on: dict[type, Callable[[Any], None]] = {
+        self._action_handlers: dict[type, Callable[[Any], None]] = {
             Send: self._send,
             SetTimer: self._on_set_timer,
             Refuse: self._on_refuse,
@@ -132,32 +142,34 @@
         }
         self._events: deque[Event] = deque()
         self._handling = False
-        self._requests: dict[RequestId, Pending] = {}
-        self._calls: dict[tuple[RequestId, int], Attempt] = {}  # also those of finished requests
-        self._struck: dict[RequestId, Pending] = {}  # finished, and the module may not know yet
-        self._held: dict[bytes, int] = {}  # callers' ids: open requests and attempts that are out
+        self._requests: dict[RequestId, PendingRequest] = {}
+        self._attempts: dict[tuple[RequestId, int], Attempt] = {}  # also those of finished requests
+        self._closed_during_event: dict[
+            RequestId, PendingRequest
+        ] = {}  # finished, and the module may not know yet
+        self._id_uses: dict[bytes, int] = {}  # callers' ids: open requests and attempts that are out
         self._last_id = 0
         self._terminated_at: float | None = None
-        self._done = asyncio.Event()
+        self._stopped = asyncio.Event()
         sockets = config.limits.sockets
-        self._servers: Upstream = upstream or http_servers(config, platform)
-        self._fronts: list[Front] = []  # beside the HTTP one
-        self._callers = Callers(
+        self._upstream: Upstream = upstream or create_http_upstream(config, platform)
+        self._frontends: list[Frontend] = []  # beside the HTTP one
+        self._listener = HttpListener(
             settings,
-            self.take,
-            self._servers.any_listed,
+            self.submit,
+            self._upstream.has_endpoints,
             most=int(CALLERS_PART * sockets),
             most_bytes=int(BODIES_PART * config.limits.memory_mb * 1_000_000),
             platform=platform,
             routes=config.routes,
         )
-        self._discovery = Discovery(
+        self._discovery = DiscoveryClient(
             config.discovery,
-            config.naming,
+            config.decoder,
             pushed=not settings.ask_for_list,
             call_s=CALL_PART * settings.must_ask_ms / 1000.0,
             on_list=self._follow,
-            on_failed=lambda: self._post(ServerList(ListKind.FAILED)),
+            on_failed=lambda: self._dispatch(ServerList(ListKind.FAILED)),
             rng=random.Random(config.seed ^ DISCOVERY_STREAM),
         )
 
@@ -171,30 +183,30 @@
             self._discovery.begin_with(known)
             self._follow(known, cached=True)
         self._discovery.start(known.version if known is not None else None)
-        host, port = await self._callers.listen(self._config.listen)
+        host, port = await self._listener.listen(self._config.listen)
         log.info("node %s listens on %s:%d", self._config.name, host, port)
         return host, port
 
-    def add_front(self, front: Front) -> None:
+    def add_frontend(self, front: Frontend) -> None:
         """Another side towards callers; it hands its calls to take, and ends with the node."""
-        self._fronts.append(front)
+        self._frontends.append(front)
 
     def stop(self) -> None:
         """End now, whatever is open."""
-        self._done.set()
+        self._stopped.set()
 
     async def wait(self) -> None:
         """Serve until SIGTERM, then until everything taken is answered."""
-        await self._done.wait()
+        await self._stopped.wait()
         self._discovery.close()
-        self._callers.close()
-        for front in self._fronts:
+        self._listener.close()
+        for front in self._frontends:
             front.close()
-        self._servers.close()
+        self._upstream.close()
 
     # ------------------------------------------------------------ events in, actions out
 
-    def _post(self, event: Event) -> None:
+    def _dispatch(self, event: Event) -> None:
         """Hand an event to the module.
 
         Carrying out an action may bring the next event; that waits its turn, because the module's own state
@@ -209,7 +221,7 @@
                 self._handle(self._events.popleft())
         finally:
             self._handling = False
-            self._struck.clear()
+            self._closed_during_event.clear()
 
     def _handle(self, event: Event) -> None:
         now = self._clock.now()
@@ -224,7 +236,7 @@
             return
         for action in actions:
             try:
-                self._on[type(action)](action)
+                self._action_handlers[type(action)](action)
             except Exception:
                 log.exception("fault while carrying out %s", type(action).__name__)
                 if isinstance(action, Send | Refuse | Fail):
@@ -244,28 +256,28 @@
         # The loop counts whole milliseconds, and calls at once what is less than half of one away: the
         # module, called before its time, asks again, and the core spins until that has come.
         delay = max(0, math.ceil(action.at_ms - self._clock.now())) / 1000.0
-        self._loop.call_later(delay, self._post, TimerFired(action.token))
+        self._loop.call_later(delay, self._dispatch, TimerFired(action.token))
 
     def _on_refuse(self, action: Refuse) -> None:
         pending = self._close(action.request)
         if pending is not None:
-            pending.exchange.refused(action.retry_after_ms)
+            pending.exchange.refuse(action.retry_after_ms)
 
     def _on_fail(self, action: Fail) -> None:
         pending = self._close(action.request)
         if pending is not None:
-            pending.exchange.failed()
+            pending.exchange.fail()
 
     def _on_cancel(self, action: Cancel) -> None:
-        call = self._calls.get((action.request, action.attempt))
+        call = self._attempts.get((action.request, action.attempt))
         if call is not None:
-            call.give_up(Outcome.CANCELLED)
+            call.cancel(Outcome.CANCELLED)
 
     def _on_probe(self, action: Probe) -> None:
         self._probe(action.server)
 
     def _on_close_idle(self, action: CloseIdle) -> None:
-        self._servers.close_idle(action.server)
+        self._upstream.close_idle(action.server)
 
     def _on_subscribe(self, _: Subscribe) -> None:
         self._discovery.subscribe()
@@ -275,28 +287,28 @@
 
     # ------------------------------------------------------------ requests
 
-    def take(self, ask: Ask, exchange: Exchange) -> None:
+    def submit(self, ask: ClientRequest, exchange: Exchange) -> None:
         """A valid request from a front: from here on it is owed one answer; DuplicateId if it is not."""
         name = ask.id
-        if name in self._held:
+        if name in self._id_uses:
             # A server could not tell the two apart, and what it has of one would count for the other.
-            raise DuplicateId("a request with this id is open")
-        self._held[name] = 1
+            raise DuplicateRequestId("a request with this id is open")
+        self._id_uses[name] = 1
         now = self._clock.now()
         self._last_id += 1
         request = self._last_id
         budget = ask.budget_ms
         if self._terminated_at is not None:
-            budget = min(budget, 1000.0 * (self._terminated_at + LAST_S - self._platform.monotonic()))
-        budget = max(1.0, budget - min(RESERVE_MS, RESERVE_MOST * budget))
-        self._requests[request] = Pending(
+            budget = min(budget, 1000.0 * (self._terminated_at + DRAIN_LIMIT_S - self._platform.monotonic()))
+        budget = max(1.0, budget - min(RESPONSE_RESERVE_MS, RESERVE_MOST * budget))
+        self._requests[request] = PendingRequest(
             ask,
             exchange,
             now + budget,
             self._loop.call_later((budget + GUARD_MS) / 1000.0, self._overdue, request),
         )
-        exchange.on_gone = lambda: self._gone(request)
-        self._post(
+        exchange.on_disconnect = lambda: self._gone(request)
+        self._dispatch(
             Arrival(
                 request,
                 ask.class_index,
@@ -308,26 +320,26 @@
             )
         )
 
-    def _close(self, request: RequestId) -> Pending | None:
+    def _close(self, request: RequestId) -> PendingRequest | None:
         """Strike a request off the table; None if it has been answered already."""
         pending = self._requests.pop(request, None)
         if pending is not None:
             pending.timer.cancel()
-            pending.exchange.on_gone = None
-            self._let_go(pending.ask.id)
+            pending.exchange.on_disconnect = None
+            self._release_id(pending.ask.id)
             if self._handling:
-                self._struck[request] = pending
+                self._closed_during_event[request] = pending
         return pending
 
-    def _let_go(self, name: bytes) -> None:
+    def _release_id(self, name: bytes) -> None:
         """An id is free again when its request is answered and none of its attempts is out any more."""
-        self._held[name] -= 1
-        if not self._held[name]:
-            del self._held[name]
+        self._id_uses[name] -= 1
+        if not self._id_uses[name]:
+            del self._id_uses[name]
 
     def _gone(self, request: RequestId) -> None:
         if self._close(request) is not None:
-            self._post(RequestGone(request))
+            self._dispatch(RequestGone(request))
 
     def _overdue(self, request: RequestId) -> None:
         """The module owed an answer by now: the caller gets one all the same, before its time is over.
@@ -336,12 +348,12 @@
         out may have run, and its own time may have been set a moment after the guard's: then nothing is
         promised, as the module would have it.
         """
-        self._post(TimerFired(NO_TOKEN))
+        self._dispatch(TimerFired(NO_TOKEN))
         if request not in self._requests:
             return
         log.error("request %d was not answered in time", request)
         attempts = range(self._requests[request].attempts)
-        if any((request, number) in self._calls for number in attempts):
+        if any((request, number) in self._attempts for number in attempts):
             self._answer_fault(request, may_have_run=True)
         else:
             self._answer_fault(request)
@@ -351,10 +363,10 @@
         pending = self._close(request)
         if pending is not None:
             if may_have_run:
-                pending.exchange.failed()
+                pending.exchange.fail()
             else:
-                pending.exchange.fault()
-            self._post(RequestGone(request))
+                pending.exchange.fail_internally()
+            self._dispatch(RequestGone(request))
 
     # ------------------------------------------------------------ attempts
 
@@ -363,26 +375,26 @@
         pending = self._requests.get(request)
         if pending is None:
             # Its caller left while this was decided, and the module does not know yet.
-            struck = self._struck[request]
-            self._post(AttemptEnded(request, struck.attempts, server, Outcome.MOOT, 0.0, True))
+            struck = self._closed_during_event[request]
+            self._dispatch(AttemptEnded(request, struck.attempts, server, Outcome.MOOT, 0.0, True))
             struck.attempts += 1
             return
         number = pending.attempts
         pending.attempts += 1
         left = pending.deadline - self._clock.now()
         if left <= 0.0:
-            self._post(AttemptEnded(request, number, server, Outcome.MOOT, 0.0, False))
+            self._dispatch(AttemptEnded(request, number, server, Outcome.MOOT, 0.0, False))
             return
         timeout = min(action.timeout_ms, left) if action.timeout_ms > 0 else left
         sent = self._clock.now()
         name = pending.ask.id
 
-        def done(outcome: Outcome, answer: Answer | None, report: Report = (), /) -> None:
-            self._let_go(name)
+        def done(outcome: Outcome, answer: UpstreamResponse | None, report: LoadReport = (), /) -> None:
+            self._release_id(name)
             self._ended(request, number, server, sent, outcome, answer, report)
 
-        self._held[name] += 1
-        self._calls[request, number] = self._servers.attempt(server, pending.ask, timeout / 1000.0, done)
+        self._id_uses[name] += 1
+        self._attempts[request, number] = self._upstream.attempt(server, pending.ask, timeout / 1000.0, done)
 
     def _ended(
         self,
@@ -391,39 +403,39 @@
         server: ServerId,
         sent: float,
         outcome: Outcome,
-        answer: Answer | None,
-        report: Report,
+        answer: UpstreamResponse | None,
+        report: LoadReport,
     ) -> None:
-        self._calls.pop((request, number), None)
+        self._attempts.pop((request, number), None)
         if outcome is Outcome.OK and answer is not None and (pending := self._close(request)) is not None:
-            pending.exchange.served(answer)
+            pending.exchange.complete(answer)
         elapsed = self._clock.now() - sent
         finished = request not in self._requests
-        self._post(AttemptEnded(request, number, server, outcome, elapsed, finished, report))
+        self._dispatch(AttemptEnded(request, number, server, outcome, elapsed, finished, report))
 
     def _probe(self, server: ServerId) -> None:
         sent = self._clock.now()
 
-        def done(outcome: Outcome, _: Answer | None, report: Report = (), /) -> None:
-            self._post(ProbeEnded(server, outcome, self._clock.now() - sent, report))
+        def done(outcome: Outcome, _: UpstreamResponse | None, report: LoadReport = (), /) -> None:
+            self._dispatch(ProbeEnded(server, outcome, self._clock.now() - sent, report))
 
-        self._servers.probe(server, PROBE_MS / 1000.0, done)
+        self._upstream.probe(server, PROBE_MS / 1000.0, done)
 
     # ------------------------------------------------------------ the list
 
-    def _follow(self, listing: Listing, *, cached: bool = False) -> None:
-        replaced = self._servers.update(listing)
-        self._post(listing.event(cached=cached))
+    def _follow(self, listing: EndpointUpdate, *, cached: bool = False) -> None:
+        replaced = self._upstream.update(listing)
+        self._dispatch(listing.to_event(cached=cached))
         if replaced:
             for server in replaced:
                 self._discovery.forget(server)
             gone = tuple(ServerEntry(server, Readiness.GONE) for server in replaced)
-            self._post(ServerList(ListKind.CHANGES, gone, listing.version))
+            self._dispatch(ServerList(ListKind.CHANGES, gone, listing.version))
 
     def reload(self) -> None:
         """SIGHUP: the configuration file was replaced; discovery may have moved."""
         try:
-            address = discovery_anew(self._config.path, self._platform)
+            address = read_discovery_address(self._config.path, self._platform)
         except ConfigError as error:
             log.error("kept the old configuration: %s", error)
             return
@@ -438,10 +450,10 @@
             return
         log.info("terminating, %d requests open", len(self._requests))
         self._terminated_at = self._platform.monotonic()
-        self._loop.call_later(LAST_S, self._fail_rest)
-        self._callers.wind_down()
-        for front in self._fronts:
-            front.wind_down()
+        self._loop.call_later(DRAIN_LIMIT_S, self._fail_rest)
+        self._listener.drain()
+        for front in self._frontends:
+            front.drain()
         self._loop.call_later(QUIET_S, self._end_when_quiet)
 
     def _fail_rest(self) -> None:
@@ -452,9 +464,9 @@
     def _end_when_quiet(self) -> None:
         assert self._terminated_at is not None
         now = self._platform.monotonic()
-        quiet = not self._callers.busy() and now - self._callers.last_heard >= SILENT_S
-        quiet = quiet and not any(front.busy() for front in self._fronts)
-        if quiet or now - self._terminated_at > LAST_S + SILENT_S:
+        quiet = not self._listener.busy() and now - self._listener.last_activity >= SILENT_S
+        quiet = quiet and not any(front.busy() for front in self._frontends)
+        if quiet or now - self._terminated_at > DRAIN_LIMIT_S + SILENT_S:
             self.stop()
         else:
             self._loop.call_later(DRAIN_CHECK_S, self._end_when_quiet)
--- a/leadrudder/node/peers.py
+++ b/leadrudder/node/peers.py
@@ -6,10 +6,10 @@
 from typing import Generic, Protocol, TypeVar
 
 from leadrudder.interface import Readiness, ServerId
-from leadrudder.node.lists import Address, Listing
+from leadrudder.node.lists import Address, EndpointUpdate
 
 
-class Listed(Protocol):
+class ListedEndpoint(Protocol):
     """A server process as it is listed."""
 
     address: Address
@@ -17,32 +17,32 @@
     current: bool  # False once drained, gone or restarted
 
 
-P = TypeVar("P", bound=Listed)
+EndpointT = TypeVar("EndpointT", bound=ListedEndpoint)
 
 
-class PeerTable(Generic[P]):
+class EndpointTable(Generic[EndpointT]):
     """The listed servers of one upstream.
 
     make: a peer by its name, address and start; dropped: called with each that is listed no more as it was.
     """
 
     def __init__(
-        self, make: Callable[[str, Address, float], P], dropped: Callable[[ServerId, P], None]
+        self, make: Callable[[str, Address, float], EndpointT], dropped: Callable[[ServerId, EndpointT], None]
     ) -> None:
-        self.peers: dict[ServerId, P] = {}
+        self.endpoints: dict[ServerId, EndpointT] = {}
         self._make = make
         self._dropped = dropped
         self._by_address: dict[Address, ServerId] = {}
 
-    def update(self, listing: Listing) -> list[ServerId]:
+    def update(self, listing: EndpointUpdate) -> list[ServerId]:
         """Follow the list: with another address or start time old connections lead to a dead process.
 
         Returns the servers whose address is another's now.  What is sent there by the old name would meet the
         new server, which is cold.
         """
-        if listing.whole:
+        if listing.is_snapshot:
             named = {entry.server for entry in listing.entries}
-            for server in [server for server in self.peers if server not in named]:
+            for server in [server for server in self.endpoints if server not in named]:
                 self._drop(server)
         replaced: list[ServerId] = []
         for entry in listing.entries:
@@ -52,21 +52,21 @@
             address = listing.addresses[entry.server]
             rival = self._by_address.get(address)
             if rival is not None and rival != entry.server:
-                older = entry.server if self.peers[rival].started_ms > entry.started_ms else rival
+                older = entry.server if self.endpoints[rival].started_ms > entry.started_ms else rival
                 self._drop(older)
                 replaced.append(older)
                 if older == entry.server:
                     continue
-            peer = self.peers.get(entry.server)
+            peer = self.endpoints.get(entry.server)
             if peer is None or peer.address != address or peer.started_ms != entry.started_ms:
                 self._drop(entry.server)
                 name = entry.server.decode(errors="replace")
-                self.peers[entry.server] = self._make(name, address, entry.started_ms)
+                self.endpoints[entry.server] = self._make(name, address, entry.started_ms)
                 self._by_address[address] = entry.server
         return replaced
 
     def _drop(self, server: ServerId) -> None:
-        peer = self.peers.pop(server, None)
+        peer = self.endpoints.pop(server, None)
         if peer is not None:
             peer.current = False
             if self._by_address.get(peer.address) == server:
--- a/leadrudder/node/platform.py
+++ b/leadrudder/node/platform.py
@@ -22,7 +22,7 @@
     def wall(self) -> float:
         """Unix time in seconds."""
 
-    def unread(self, transport: asyncio.Transport) -> bool:
+    def has_unread_input(self, transport: asyncio.Transport) -> bool:
         """Whether bytes, or the peer's end, have come in on a connection and were not handed on yet."""
 
     def read_text(self, path: str) -> str:
@@ -36,7 +36,7 @@
     wall = staticmethod(time.time)
 
     @staticmethod
-    def unread(transport: asyncio.Transport) -> bool:
+    def has_unread_input(transport: asyncio.Transport) -> bool:
         poll = select.poll()
         poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
         return bool(poll.poll(0))
--- a/leadrudder/node/reports.py
+++ b/leadrudder/node/reports.py
@@ -11,13 +11,13 @@
 
 from leadrudder.state.reports import HELD, QUEUED, UTILISATION
 
-MOST_BYTES = 512
-MOST_KEPT = 256
+MAX_REPORT_BYTES = 512
+MAX_CACHED_REPORTS = 256
 
-Report = tuple[float, ...]
+LoadReport = tuple[float, ...]
 
 
-class ReportReader:
+class LoadReportParser:
     """Reads the columns that the settings name, in their order.
 
     A server tells the same until it has measured anew, a second or so: what was read lately is kept.
@@ -26,22 +26,22 @@
     def __init__(self, columns: tuple[str, ...]) -> None:
         self._columns = [_names(column) for column in columns]
         self._none = (math.nan,) * len(columns)
-        self._kept: dict[bytes, Report] = {}
+        self._kept: dict[bytes, LoadReport] = {}
 
-    def read(self, value: bytes | None) -> Report:
+    def parse(self, value: bytes | None) -> LoadReport:
         """The figures; empty where there is no report or none is wanted, NaN each where it can't be read."""
         if value is None or not self._columns:
             return ()
         report = self._kept.get(value)
         if report is None:
-            report = self._parse(value)
-            if len(self._kept) >= MOST_KEPT:
+            report = self._parse_json(value)
+            if len(self._kept) >= MAX_CACHED_REPORTS:
                 del self._kept[next(iter(self._kept))]
             self._kept[value] = report
         return report
 
-    def _parse(self, value: bytes) -> Report:
-        if len(value) > MOST_BYTES:
+    def _parse_json(self, value: bytes) -> LoadReport:
+        if len(value) > MAX_REPORT_BYTES:
             return self._none
         try:
             told = json.loads(value)
--- a/leadrudder/node/routes.py
+++ b/leadrudder/node/routes.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-BELOW = "/*"  # a path that ends so takes all below it, and what stands before it
+SUBTREE_SUFFIX = "/*"  # a path that ends so takes all below it, and what stands before it
 
 
 @dataclass(frozen=True, slots=True)
@@ -17,17 +17,17 @@
     class_index: int
 
     def takes(self, method: str, path: str) -> bool:
-        return method == self.method and covers(self.path, path)
+        return method == self.method and path_covers(self.path, path)
 
 
-def covers(wide: str, narrow: str) -> bool:
+def path_covers(wide: str, narrow: str) -> bool:
     """Whether a route's path takes a request's path, or all that another route's path does."""
-    if wide.endswith(BELOW):
-        return narrow == wide[: -len(BELOW)] or narrow.startswith(wide[:-1])
+    if wide.endswith(SUBTREE_SUFFIX):
+        return narrow == wide[: -len(SUBTREE_SUFFIX)] or narrow.startswith(wide[:-1])
     return wide == narrow
 
 
-def class_of(routes: Sequence[Route], method: bytes, path: bytes) -> int | None:
+def match_class(routes: Sequence[Route], method: bytes, path: bytes) -> int | None:
     """The class index of the first route that takes a request; None where none does.
 
     method, path: as they came; the path without its query.
--- a/leadrudder/rpc/attach.py
+++ b/leadrudder/rpc/attach.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable
 
 from leadrudder.node.config import Config
-from leadrudder.node.contract import Ask, Done, HttpCall
-from leadrudder.node.node import Node, http_servers
-from leadrudder.node.servers import Call as HttpAttempt
-from leadrudder.node.servers import Servers
+from leadrudder.node.contract import AttemptCallback, ClientRequest, HttpRequest
+from leadrudder.node.node import Node, create_http_upstream
+from leadrudder.node.servers import HttpUpstream
+from leadrudder.node.servers import UpstreamCall as HttpAttempt
 from leadrudder.rpc.config import RpcConfig, RpcConfigError
 from leadrudder.rpc.front import RpcFront
 from leadrudder.rpc.mapping import Calls
@@ -26,14 +26,16 @@
     return lambda: b"%s-%x-%x" % (start, config.seed, next(numbers))
 
 
-class HttpForCalls(Servers):
+class HttpForCalls(HttpUpstream):
     """HTTP servers for a node whose callers may speak MessagePack-RPC."""
 
     calls: Calls
 
-    def attempt(self, server: bytes, ask: Ask, timeout_s: float, done: Done) -> HttpAttempt:
-        call: HttpCall = self.calls.as_http(ask)
-        as_http = Ask(
+    def attempt(
+        self, server: bytes, ask: ClientRequest, timeout_s: float, done: AttemptCallback
+    ) -> HttpAttempt:
+        call: HttpRequest = self.calls.as_http(ask)
+        as_http = ClientRequest(
             ask.id,
             ask.class_index,
             ask.tenant,
@@ -52,12 +54,12 @@
     if rpc.terms is not None:
         node = Node(config, upstream=RpcServers(rpc.terms, calls.as_rpc, calls.body))
     else:
-        servers = http_servers(config, kind=HttpForCalls)
+        servers = create_http_upstream(config, kind=HttpForCalls)
         assert isinstance(servers, HttpForCalls)
         servers.calls = calls
         node = Node(config, upstream=servers)
-    front = RpcFront(calls, node.take, rpc.bounds)
-    node.add_front(front)
+    front = RpcFront(calls, node.submit, rpc.bounds)
+    node.add_frontend(front)
     await node.start()
     for address in rpc.listen:
         try:
--- a/leadrudder/rpc/command.py
+++ b/leadrudder/rpc/command.py
@@ -7,7 +7,7 @@
 import click
 
 from leadrudder.interface import Effect, ImpossibleSettings, Settings
-from leadrudder.node.config import flat
+from leadrudder.node.config import flatten
 from leadrudder.rpc.config import Listen, RpcConfig, RpcConfigError, read
 from leadrudder.settings import SettingsError, read_settings
 
@@ -32,7 +32,7 @@
 def _settings(path: str) -> Settings:
     try:
         with open(path, encoding="utf-8") as opened:
-            return read_settings(dict(flat(json.load(opened)["settings"])))
+            return read_settings(dict(flatten(json.load(opened)["settings"])))
     except (OSError, ValueError, KeyError, TypeError, SettingsError, ImpossibleSettings) as error:
         raise click.ClickException(f"{path}: no settings of a node: {error}") from None
 
--- a/leadrudder/rpc/front.py
+++ b/leadrudder/rpc/front.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import cast
 
-from leadrudder.node.contract import Answer, Ask, DuplicateId, Exchange
+from leadrudder.node.contract import ClientRequest, DuplicateRequestId, Exchange, UpstreamResponse
 from leadrudder.rpc import errors
 from leadrudder.rpc.framing import (
     NIL,
@@ -51,14 +51,14 @@
 class RpcExchange:
     """One call and the place of its one response; a notification has no such place, and ends all the same."""
 
-    __slots__ = ("_connection", "_msgid", "gone", "on_gone", "size")
+    __slots__ = ("_connection", "_msgid", "gone", "on_disconnect", "size")
 
     def __init__(self, connection: CallerConnection, msgid: int | None, size: int) -> None:
         self._connection = connection
         self._msgid = msgid
         self.size = size
         self.gone = False  # it has had its response, or nobody waits for one
-        self.on_gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
 
     def _respond(self, error: bytes, result: bytes = NIL) -> None:
         if self.gone:
@@ -66,24 +66,24 @@
         self.gone = True
         self._connection.respond(self, self._msgid, error, result)
 
-    def served(self, answer: Answer) -> None:
+    def complete(self, answer: UpstreamResponse) -> None:
         self._respond(NIL, self._connection.front.calls.result(answer))
 
-    def refused(self, retry_after_ms: float) -> None:
+    def refuse(self, retry_after_ms: float) -> None:
         self._respond(errors.error(errors.REFUSED, "not served; may be tried again", retry_after_ms))
 
-    def failed(self) -> None:
+    def fail(self) -> None:
         self._respond(errors.error(errors.FAILED, "not served; it may have run"))
 
-    def fault(self) -> None:
+    def fail_internally(self) -> None:
         self._respond(errors.error(errors.FAULT, "the node could not deal with it"))
 
     def leave(self) -> None:
         """The caller has gone: nobody waits."""
         if not self.gone:
             self.gone = True
-            if self.on_gone is not None:
-                self.on_gone()
+            if self.on_disconnect is not None:
+                self.on_disconnect()
 
 
 class CallerConnection(asyncio.Protocol):
@@ -227,12 +227,12 @@
 class RpcFront:
     """The listening sockets and all connections of callers."""
 
-    def __init__(self, calls: Calls, take: Callable[[Ask, Exchange], None], bounds: Bounds) -> None:
+    def __init__(self, calls: Calls, take: Callable[[ClientRequest, Exchange], None], bounds: Bounds) -> None:
         self.calls = calls
         self.bounds = bounds
         self.closing = False
         self.reading = False  # a call is being handed to the core
-        self.last_heard = 0.0
+        self.last_activity = 0.0
         self._take = take
         self._loop = asyncio.get_running_loop()
         self.now = self._loop.time
@@ -256,7 +256,7 @@
         return bound
 
     def opened(self, connection: CallerConnection) -> None:
-        self.last_heard = self.now()
+        self.last_activity = self.now()
         self._open[connection] = None
         if len(self._open) > self.bounds.connections:
             connection.drop()  # descriptors must not run out
@@ -268,26 +268,26 @@
 
     def take(self, message: Request | Notification, exchange: RpcExchange) -> None:
         """Hand one call to the core, or answer it at once."""
-        self.last_heard = self.now()
+        self.last_activity = self.now()
         connection = exchange._connection
         full = self._calls >= self.bounds.open_all or self._bytes + exchange.size > self.bounds.held_bytes
         self._calls += 1
         self._bytes += exchange.size
         connection.notes += isinstance(message, Notification)
         if full or self.closing:
-            exchange.refused(FULL_RETRY_MS)
+            exchange.refuse(FULL_RETRY_MS)
             return
         was, self.reading = self.reading, True
         try:
             self._take(self.calls.ask(message), exchange)
         except Turned as turned:
             exchange._respond(errors.error(turned.code, str(turned)))
-        except DuplicateId as error:
+        except DuplicateRequestId as error:
             exchange._respond(errors.error(errors.DUPLICATE, str(error)))
         except Exception:
             # A fault in one call must cost that call alone, and still be answered.
             log.exception("fault in a call")
-            exchange.fault()
+            exchange.fail_internally()
         finally:
             self.reading = was
 
@@ -306,7 +306,7 @@
         for connection in list(self._open):
             connection.check(now)
 
-    def wind_down(self) -> None:
+    def drain(self) -> None:
         """From now on calls are refused, and a connection closes when none is open on it."""
         self.closing = True
         for server in self._servers:
--- a/leadrudder/rpc/mapping.py
+++ b/leadrudder/rpc/mapping.py
@@ -13,8 +13,8 @@
 from typing import Any
 
 from leadrudder.interface import Effect, Settings
-from leadrudder.node.contract import Answer, Ask, HttpCall, RpcCall
-from leadrudder.node.http import TOKEN
+from leadrudder.node.contract import ClientRequest, HttpRequest, RpcCall, UpstreamResponse
+from leadrudder.node.http import TOKEN_PATTERN
 from leadrudder.rpc.errors import BAD_REQUEST, UNKNOWN_METHOD
 from leadrudder.rpc.framing import REQUEST as REQUEST_KIND
 from leadrudder.rpc.framing import FramingError, Limits, Notification, Pairs, Reader, Request, pack, unpack
@@ -85,7 +85,7 @@
 
     # From a caller.
 
-    def ask(self, call: Request | Notification) -> Ask:
+    def ask(self, call: Request | Notification) -> ClientRequest:
         """A call in the terms of the settings; Turned if it is none that a node serves."""
         method = self._methods.get(call.method)
         if method is None:
@@ -96,7 +96,7 @@
             raise Turned(BAD_REQUEST, "a key is told where, and only where, the class asks for one")
         if "key" in told:
             _token(told["key"], "key")
-        return Ask(
+        return ClientRequest(
             id=_token(told["id"], "id") if "id" in told else self._fresh_id(),
             class_index=method.class_index,
             tenant=self._tenant(told.get("tenant", self._defaults.tenant)),
@@ -144,7 +144,7 @@
 
     # To a server.
 
-    def as_rpc(self, ask: Ask) -> RpcCall:
+    def as_rpc(self, ask: ClientRequest) -> RpcCall:
         """For an RPC server: a call as it came; an HTTP request as [target, body, map of what it tells]."""
         if isinstance(ask.call, RpcCall):
             return ask.call
@@ -157,20 +157,20 @@
             told["key"] = call.key.decode("ascii")
         return RpcCall(method.name, pack([call.target.decode("latin-1"), call.body, told]))
 
-    def as_http(self, ask: Ask) -> HttpCall:
+    def as_http(self, ask: ClientRequest) -> HttpRequest:
         """For an HTTP server: the parameters are the body, or in the query where there may be no body."""
-        if isinstance(ask.call, HttpCall):
+        if isinstance(ask.call, HttpRequest):
             return ask.call
         call = ask.call
         target = self._methods[call.method].target or b"/api/" + call.method.encode()
         if self._settings.classes[ask.class_index].effect is Effect.SAFE:
-            return HttpCall(b"GET", target + b"?params=" + urlsafe_b64encode(call.params).rstrip(b"="))
+            return HttpRequest(b"GET", target + b"?params=" + urlsafe_b64encode(call.params).rstrip(b"="))
         key = None if call.key is None else call.key.encode()
-        return HttpCall(b"POST", target, key, MSGPACK, call.params)
+        return HttpRequest(b"POST", target, key, MSGPACK, call.params)
 
     # Answers.
 
-    def result(self, answer: Answer) -> bytes:
+    def result(self, answer: UpstreamResponse) -> bytes:
         """The result of an RPC response: an RPC server's as it came, an HTTP server's body as it is typed."""
         if answer.packed or (answer.content_type == MSGPACK and self._is_value(answer.body)):
             return answer.body
@@ -183,13 +183,13 @@
         return len(told) == 1 and reader.failure is None and not reader.held()
 
     @staticmethod
-    def body(answer: Answer) -> Answer:
+    def body(answer: UpstreamResponse) -> UpstreamResponse:
         """The body of an HTTP answer: a binary result is the body, any other is passed on as MessagePack."""
         if not answer.packed:
             return answer
         if answer.body[:1] in (b"\xc4", b"\xc5", b"\xc6"):
-            return Answer(unpack(answer.body))
-        return Answer(answer.body, MSGPACK)
+            return UpstreamResponse(unpack(answer.body))
+        return UpstreamResponse(answer.body, MSGPACK)
 
 
 def _decoded(params: bytes, item: tuple[int, int]) -> Any:
@@ -209,7 +209,7 @@
         text = value.encode("ascii") if isinstance(value, str) else b""
     except UnicodeEncodeError:
         text = b""
-    if not TOKEN.fullmatch(text):
+    if not TOKEN_PATTERN.fullmatch(text):
         raise Turned(BAD_REQUEST, f"the {what} is no string of plain characters")
     return text
 
--- a/leadrudder/rpc/upstream.py
+++ b/leadrudder/rpc/upstream.py
@@ -15,11 +15,11 @@
 from typing import cast
 
 from leadrudder.interface import Outcome, ServerId
-from leadrudder.node.contract import Answer, Ask, Done, HttpCall, RpcCall
-from leadrudder.node.dialling import connect
-from leadrudder.node.lists import Address, Listing
-from leadrudder.node.peers import PeerTable
-from leadrudder.node.reports import Report
+from leadrudder.node.contract import AttemptCallback, ClientRequest, HttpRequest, RpcCall, UpstreamResponse
+from leadrudder.node.dialling import open_connection
+from leadrudder.node.lists import Address, EndpointUpdate
+from leadrudder.node.peers import EndpointTable
+from leadrudder.node.reports import LoadReport
 from leadrudder.rpc.errors import Form, outcome
 from leadrudder.rpc.framing import (
     MSGID_MOST,
@@ -59,7 +59,7 @@
     __slots__ = ("_done", "_timer", "connection", "ended", "frame", "msgid", "peer", "written")
 
     def __init__(
-        self, peer: Peer | None, frame: Callable[[int], bytes], timeout_s: float, done: Done
+        self, peer: Peer | None, frame: Callable[[int], bytes], timeout_s: float, done: AttemptCallback
     ) -> None:
         self.peer = peer
         self.frame = frame  # its bytes by its msgid
@@ -70,7 +70,7 @@
         self._done = done
         self._timer = asyncio.get_running_loop().call_later(timeout_s, self._time_out)
 
-    def end(self, how: Outcome, answer: Answer | None = None) -> None:
+    def end(self, how: Outcome, answer: UpstreamResponse | None = None) -> None:
         """The one outcome; later ones are nobody's."""
         if self.ended:
             return
@@ -78,7 +78,7 @@
         self._timer.cancel()
         self._done(how, answer)
 
-    def give_up(self, how: Outcome) -> None:
+    def cancel(self, how: Outcome) -> None:
         """Stop waiting.  The connection lives on: a late answer is dropped, its msgid not used until then."""
         if self.ended:
             return
@@ -89,7 +89,7 @@
         self.end(how)
 
     def _time_out(self) -> None:
-        self.give_up(Outcome.TIMEOUT if self.written else Outcome.CONNECT_FAILED)
+        self.cancel(Outcome.TIMEOUT if self.written else Outcome.CONNECT_FAILED)
 
 
 @dataclass(slots=True, eq=False)
@@ -123,7 +123,7 @@
         self._transport: asyncio.Transport | None = None
         self._given_up = False
 
-    def give_up_dial(self) -> None:
+    def on_connect_failed(self) -> None:
         """The time to come up is over: it is not counted as open, and if it still comes up it is closed."""
         self._given_up = True
         self.break_off(Outcome.CONNECT_FAILED)
@@ -207,7 +207,7 @@
             return False
         del self.calls[message.msgid]
         how = outcome(message.error, self._servers.terms.form)
-        answer = Answer(message.result, packed=True) if how is Outcome.OK else None
+        answer = UpstreamResponse(message.result, packed=True) if how is Outcome.OK else None
         self._after()
         call.end(how, answer)
         return True
@@ -264,21 +264,24 @@
     """All servers that the list has named, and every connection to them."""
 
     def __init__(
-        self, terms: Terms, as_rpc: Callable[[Ask], RpcCall], as_body: Callable[[Answer], Answer]
+        self,
+        terms: Terms,
+        as_rpc: Callable[[ClientRequest], RpcCall],
+        as_body: Callable[[UpstreamResponse], UpstreamResponse],
     ) -> None:
         """as_rpc: how a request reads to these servers; as_body: how their answers read to an HTTP caller."""
         self.terms = terms
         self._as_rpc = as_rpc
         self._as_body = as_body
         self._loop = asyncio.get_running_loop()
-        self._table: PeerTable[Peer] = PeerTable(Peer, self._dropped)
+        self._table: EndpointTable[Peer] = EndpointTable(Peer, self._dropped)
         self._open: dict[Connection, None] = {}
         self._opening: dict[asyncio.Task[None], None] = {}
         self._sweeper = self._loop.call_later(SWEEP_S, self._sweep)
 
     # What the list says.
 
-    def update(self, listing: Listing) -> list[ServerId]:
+    def update(self, listing: EndpointUpdate) -> list[ServerId]:
         """Follow the list; returns the servers whose address is another's now."""
         return self._table.update(listing)
 
@@ -289,28 +292,28 @@
         for connection in list(peer.connections):
             connection.leave()
 
-    def any_listed(self) -> bool:
-        return bool(self._table.peers)
+    def has_endpoints(self) -> bool:
+        return bool(self._table.endpoints)
 
-    def open_connections(self) -> int:
+    def open_connection_count(self) -> int:
         return len(self._open)
 
     # Calls.
 
-    def attempt(self, server: ServerId, ask: Ask, timeout_s: float, done: Done) -> Call:
+    def attempt(self, server: ServerId, ask: ClientRequest, timeout_s: float, done: AttemptCallback) -> Call:
         """One attempt of a request, as the contract has it.  A notification is served once it is written."""
         call = self._as_rpc(ask)
-        if isinstance(ask.call, HttpCall):
+        if isinstance(ask.call, HttpRequest):
             told = done
 
-            def done(how: Outcome, answer: Answer | None, report: Report = (), /) -> None:
+            def done(how: Outcome, answer: UpstreamResponse | None, report: LoadReport = (), /) -> None:
                 told(how, None if answer is None else self._as_body(answer))
 
         if call.notification:
             return self._notify(server, call, timeout_s, done)
         return self._begin(server, lambda msgid: request(msgid, call.method, call.params), timeout_s, done)
 
-    def _notify(self, server: ServerId, call: RpcCall, timeout_s: float, done: Done) -> Call:
+    def _notify(self, server: ServerId, call: RpcCall, timeout_s: float, done: AttemptCallback) -> Call:
         """It gets no response: it ends when its bytes have been handed to the socket."""
 
         def frame(msgid: int) -> bytes:
@@ -324,14 +327,14 @@
     def _noted(call: Call) -> None:
         if not call.ended and call.connection is not None:
             call.connection.calls.pop(call.msgid, None)
-            call.end(Outcome.OK, Answer(b"\xc0", packed=True))
+            call.end(Outcome.OK, UpstreamResponse(b"\xc0", packed=True))
 
-    def probe(self, server: ServerId, timeout_s: float, done: Done) -> Call:
+    def probe(self, server: ServerId, timeout_s: float, done: AttemptCallback) -> Call:
         """Ask for a sign of life: by the method that the operator named, else by a new connection."""
         if self.terms.probe:
             method = self.terms.probe
             return self._begin(server, lambda msgid: request(msgid, method, b"\x90"), timeout_s, done)
-        peer = self._table.peers.get(server)
+        peer = self._table.endpoints.get(server)
         call = Call(None, lambda _: b"", timeout_s, done)
         if peer is None:
             self._loop.call_soon(call.end, Outcome.CONNECT_FAILED)
@@ -339,8 +342,10 @@
             self._open_one(peer, call)
         return call
 
-    def _begin(self, server: ServerId, frame: Callable[[int], bytes], timeout_s: float, done: Done) -> Call:
-        peer = self._table.peers.get(server)
+    def _begin(
+        self, server: ServerId, frame: Callable[[int], bytes], timeout_s: float, done: AttemptCallback
+    ) -> Call:
+        peer = self._table.endpoints.get(server)
         call = Call(peer, frame, timeout_s, done)
         most = WAITING_TIMES * self.terms.window * self.terms.connections
         if peer is None or len(peer.waiting) >= most:
@@ -376,7 +381,7 @@
     async def _connect(self, peer: Peer, probe: Call | None) -> None:
         host, port = peer.address
         try:
-            await connect(lambda: Connection(peer, self), host, port, self.terms.connect_s)
+            await open_connection(lambda: Connection(peer, self), host, port, self.terms.connect_s)
         except (OSError, TimeoutError):
             peer.opening -= 1
             self._failed(peer, probe)
@@ -414,7 +419,7 @@
                 self._loop.call_soon(self.pump, peer)
 
     def close_idle(self, server: ServerId) -> None:
-        peer = self._table.peers.get(server)
+        peer = self._table.endpoints.get(server)
         for connection in list(peer.connections) if peer is not None else ():
             if not connection.calls:
                 connection.abandon()
@@ -438,7 +443,7 @@
         self._sweeper.cancel()
         for task in list(self._opening):
             task.cancel()
-        for peer in self._table.peers.values():
+        for peer in self._table.endpoints.values():
             waiting, peer.waiting = list(peer.waiting), deque()
             for call in waiting:
                 call.end(Outcome.CONNECT_FAILED)
--- a/leadrudder/simulation/world.py
+++ b/leadrudder/simulation/world.py
@@ -17,10 +17,10 @@
 from random import Random
 from typing import Any
 
-from leadrudder.node.callers import CallerConnection, HttpExchange
-from leadrudder.node.config import load
-from leadrudder.node.node import Node, Pending
-from leadrudder.node.servers import Call, Connection
+from leadrudder.node.callers import ClientConnection, HttpExchange
+from leadrudder.node.config import load_config
+from leadrudder.node.node import Node, PendingRequest
+from leadrudder.node.servers import UpstreamCall, UpstreamConnection
 from leadrudder.policy.attempts import Attempt, Request
 from leadrudder.simulation.faults import Fault, draw
 from leadrudder.simulation.injector import DISCOVERY_PORT, Injector
@@ -34,7 +34,9 @@
 from leadrudder.simulation.standins.server import Keys, StandInServer
 
 # What a node makes for one request or connection: none is left when all is quiet.
-PASSING = frozenset({Attempt, Call, CallerConnection, Connection, HttpExchange, Pending, Request})
+PASSING = frozenset(
+    {Attempt, UpstreamCall, ClientConnection, UpstreamConnection, HttpExchange, PendingRequest, Request}
+)
 EPOCH_S = 1_800_000_000.0  # Unix time at which a world begins
 EPISODE_MS = 10_000  # of virtual time, for which faults are drawn at once
 FAULTS = 14  # in an episode
@@ -63,7 +65,7 @@
         return EPOCH_S + self._scheduler.now / MICROSECONDS
 
     @staticmethod
-    def unread(transport: asyncio.Transport) -> bool:
+    def has_unread_input(transport: asyncio.Transport) -> bool:
         assert isinstance(transport, VirtualTransport)
         return transport.unread()
 
@@ -243,7 +245,7 @@
         seed = Random(f"{self.seed}/node/{host.name}/{host.starts}").getrandbits(64)
         self.write_config(host, discovery, seed, known)
         platform = NodePlatform(self.scheduler, host.files)
-        config = load(
+        config = load_config(
             {
                 "NODE_NAME": host.name,
                 "NODE_LISTEN": f"{host.address[0]}:{host.address[1]}",
@@ -409,15 +411,15 @@
                 continue
             sizes = {
                 "requests": len(node._requests),
-                "attempts": len(node._calls),
-                "ids held": len(node._held),
-                "struck requests": len(node._struck),
+                "attempts": len(node._attempts),
+                "ids held": len(node._id_uses),
+                "struck requests": len(node._closed_during_event),
                 "requests of the module": len(node._balancer._requests),
                 "attempts of the module": len(node._balancer._attempts),
                 "waiting requests": len(node._balancer._queue),
-                "bytes of bodies": node._callers._bytes,
-                "callers' connections": len(node._callers._open),
-                "servers' connections": node._servers.open_connections(),
+                "bytes of bodies": node._listener._bytes,
+                "callers' connections": len(node._listener._open),
+                "servers' connections": node._upstream.open_connection_count(),
                 "tasks": max(0, len(loop.tasks()) - 1),  # its main one
                 "timers": max(0, loop.timers - TIMERS_AT_REST),
             }
--- a/leadrudder/station/inbound.py
+++ b/leadrudder/station/inbound.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from leadrudder.interface import Outcome
-from leadrudder.node.servers import Call
+from leadrudder.node.servers import UpstreamCall
 from leadrudder.station.gate import Gate
 from leadrudder.station.server import NOT_RUN, SEAL, Going, OwnServer
 from leadrudder.telegraph.http import WholeMessage
@@ -68,7 +68,7 @@
 
         A run that may be repeated is broken off then; one that may not goes on to its end.
         """
-        call: Call | None = None
+        call: UpstreamCall | None = None
 
         def refuse(verdict: Verdict) -> None:
             deliver(
@@ -85,7 +85,7 @@
             if queued is not None:
                 self.gate.withdraw(queued)
             if call is not None and client_left and not waybill.once:
-                call.give_up(Outcome.CANCELLED)
+                call.cancel(Outcome.CANCELLED)
 
         if self._lent(waybill):
             refuse(Verdict(Ran.NEVER, "lent"))
@@ -95,7 +95,7 @@
             self._look_again()
         return withdraw
 
-    def _run(self, waybill: Waybill, deliver: Deliver) -> Call:
+    def _run(self, waybill: Waybill, deliver: Deliver) -> UpstreamCall:
         began = self._loop.time()
         length = b""
         if waybill.body or waybill.method not in (b"GET", b"HEAD", b"DELETE"):
--- a/leadrudder/station/outbound.py
+++ b/leadrudder/station/outbound.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import cast
 
-from leadrudder.node.http import Message, MessageError
+from leadrudder.node.http import HttpMessage, HttpMessageError
 from leadrudder.observability.loop_lag import BEHIND_S
 from leadrudder.station.client_patience import ClientPatience
 from leadrudder.station.inbound import passed_on
@@ -73,7 +73,7 @@
             self._since = self._outbound.now()
         try:
             self._reader.feed(data)
-        except MessageError as error:
+        except HttpMessageError as error:
             self._refuse(error.status, str(error))
         if not self._outbound.hold(self, self._reader.body_size) and not self._over:
             self._refuse(503, "no memory for the body now", COME_BACK)
@@ -104,7 +104,7 @@
         self._outbound.clients.pop(self, None)
         self._leave()
 
-    def _on_request(self, message: Message) -> None:
+    def _on_request(self, message: HttpMessage) -> None:
         if self._over:
             return
         place = Place(close=not message.keep_alive)
@@ -253,10 +253,10 @@
         """
         self.last_heard = self.now()
         headers = message.headers
-        path, _, _ = message.start.partition(b"?")
+        path, _, _ = message.target.partition(b"?")
         host = headers.get(b"host", b"")
         attempt_id = headers.get(b"attempt-id", b"")
-        if not host or b"host" in message.repeated or not message.start.startswith(b"/"):
+        if not host or b"host" in message.repeated or not message.target.startswith(b"/"):
             return self._plain(write, 400)
         if not _TOKEN.fullmatch(attempt_id) or b"attempt-id" in message.repeated:
             return self._plain(write, 400)
@@ -288,7 +288,7 @@
 
         errand = Errand(
             method=message.method,
-            target=message.start,
+            target=message.target,
             fields=passed_on(message, _OURS) + self._calling,
             body=message.body,
             attempt_id=attempt_id,
--- a/leadrudder/station/server.py
+++ b/leadrudder/station/server.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass
 
 from leadrudder.interface import Outcome, Readiness, ServerEntry
-from leadrudder.node.http import Message, MessageError, Reader
-from leadrudder.node.lists import Address, Listing
+from leadrudder.node.http import HttpMessage, HttpMessageError, HttpParser
+from leadrudder.node.lists import Address, EndpointUpdate
 from leadrudder.node.platform import SYSTEM, Platform
-from leadrudder.node.servers import Call, Connection, Peer, Servers
+from leadrudder.node.servers import Endpoint, HttpUpstream, UpstreamCall, UpstreamConnection
 from leadrudder.telegraph.http import WholeMessage, WholeReader
 
 ATTEMPT_ID = b"attempt-id"
@@ -40,27 +40,27 @@
         return b"%sTime-Left: %d\r\n\r\n%s" % (self.head, left, self.body)
 
 
-class OwnConnection(Connection):
+class OwnConnection(UpstreamConnection):
     """One connection to the server."""
 
-    def __init__(self, peer: Peer, servers: Servers) -> None:
+    def __init__(self, peer: Endpoint, servers: HttpUpstream) -> None:
         self._tainted = False
         self._wanted = b""
         super().__init__(peer, servers)
 
-    def reader(self) -> Reader:
+    def reader(self) -> HttpParser:
         return WholeReader(self._on_answer, requests=False, body_most=ANSWER_MOST)
 
-    def carry(self, call: Call) -> None:
+    def carry(self, call: UpstreamCall) -> None:
         assert isinstance(call.render, Going)
         self._wanted = call.render.attempt_id
         super().carry(call)
 
-    def _on_answer(self, message: Message) -> None:
+    def _on_answer(self, message: HttpMessage) -> None:
         told = message.headers.get(ATTEMPT_ID)
         if self._wanted and told != self._wanted:
             if told is None:
-                raise MessageError(400, "an answer without an id")
+                raise HttpMessageError(400, "an answer without an id")
             self._tainted = True  # it answers an earlier request; ours may still come
             return
         if self._tainted:
@@ -68,7 +68,7 @@
         super()._on_answer(message)
 
 
-class OwnServer(Servers):
+class OwnServer(HttpUpstream):
     """The server beside this station: at most one life of it at a time."""
 
     connection = OwnConnection
@@ -80,15 +80,15 @@
     def is_now(self, server: str) -> None:
         """Another life of it: connections of the one before are not used any more."""
         entry = ServerEntry(server.encode(), Readiness.READY)
-        self.update(Listing(0, True, (entry,), {entry.server: self._address}))
+        self.update(EndpointUpdate(0, True, (entry,), {entry.server: self._address}))
 
     def is_gone(self) -> None:
-        self.update(Listing(0, True, (), {}))
+        self.update(EndpointUpdate(0, True, (), {}))
 
-    def run(self, server: str, going: Going, timeout_s: float, ended: Ended) -> Call:
+    def run(self, server: str, going: Going, timeout_s: float, ended: Ended) -> UpstreamCall:
         """One request; its end is told once, at the earliest after this returns."""
 
-        def done(outcome: Outcome, message: Message | None) -> None:
+        def done(outcome: Outcome, message: HttpMessage | None) -> None:
             assert message is None or isinstance(message, WholeMessage)
             ended(outcome, message)
 
--- a/leadrudder/telegraph/http.py
+++ b/leadrudder/telegraph/http.py
@@ -12,7 +12,7 @@
 
 import httptools
 
-from leadrudder.node.http import Message, MessageError, Reader
+from leadrudder.node.http import HttpMessage, HttpMessageError, HttpParser
 
 HEAD_MOST = 64 * 1024
 BODY_MOST = 16 * 1024 * 1024
@@ -36,20 +36,20 @@
 
 
 @dataclass(slots=True)
-class WholeMessage(Message):
+class WholeMessage(HttpMessage):
     """A message with all its header fields, in their order and as they came."""
 
     fields: list[tuple[bytes, bytes]] = field(default_factory=list)
 
 
-class WholeReader(Reader):
+class WholeReader(HttpParser):
     """Reads messages with all their fields.  head_most, body_most: bytes."""
 
     __slots__ = ("_body_most", "_head_most", "_heads", "begun")
 
     def __init__(
         self,
-        on_message: Callable[[Message], None],
+        on_message: Callable[[HttpMessage], None],
         *,
         requests: bool,
         head_most: int = HEAD_MOST,
@@ -86,7 +86,7 @@
         if self._message is None:
             self._head_left = self._head_most
 
-    def _check_length(self, message: Message) -> None:
+    def _check_length(self, message: HttpMessage) -> None:
         length = message.headers.get(b"content-length")
         coding = message.headers.get(b"transfer-encoding")
         if coding is not None:
@@ -156,7 +156,7 @@
         self._server = server
         self._reader = WholeReader(self._on_message, requests=True)
         self._transport: asyncio.Transport | None = None
-        self._queue: list[Message] = []
+        self._queue: list[HttpMessage] = []
         self._task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
 
@@ -174,7 +174,7 @@
         self._wait()
         try:
             self._reader.feed(data)
-        except MessageError as error:
+        except HttpMessageError as error:
             self._write(rendered(error.status, b"", str(error).encode() + b"\n", close=True))
             if self._transport is not None:
                 self._transport.close()
@@ -194,7 +194,7 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def _on_message(self, message: Message) -> None:
+    def _on_message(self, message: HttpMessage) -> None:
         self._queue.append(message)
         if self._task is None:
             self._task = asyncio.get_running_loop().create_task(self._work())
@@ -202,7 +202,7 @@
     async def _work(self) -> None:
         while self._queue and self._transport is not None:
             message = self._queue.pop(0)
-            path = message.start.partition(b"?")[0].decode("latin-1")
+            path = message.target.partition(b"?")[0].decode("latin-1")
             segments = tuple(part for part in path.split("/") if part)
             try:
                 told = await self._server.dispatch(
--- a/leadrudder/telegraph/link.py
+++ b/leadrudder/telegraph/link.py
@@ -14,7 +14,7 @@
 
 from google.protobuf.message import DecodeError
 
-from leadrudder.node.dialling import connect
+from leadrudder.node.dialling import open_connection
 from leadrudder.waybill.waybill_pb2 import Frame
 
 FRAME_MOST = 80 * 1024 * 1024  # bytes; more is no frame of ours
@@ -146,7 +146,7 @@
             self._transport.abort()
         self._over()
 
-    def give_up_dial(self) -> None:
+    def on_connect_failed(self) -> None:
         """Nobody waits for it to come up any more: it never does, or it ends now."""
         self._given_up = True
         self.cut()
@@ -195,6 +195,6 @@
     """A link to an address IP:PORT; None where it does not come up in time."""
     host, _, port = address.rpartition(":")
     try:
-        return await connect(make, host, int(port), CONNECT_S)
+        return await open_connection(make, host, int(port), CONNECT_S)
     except (OSError, TimeoutError, ValueError):
         return None
--- a/leadrudder/tool/checks.py
+++ b/leadrudder/tool/checks.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
 
-from leadrudder.node.routes import covers
+from leadrudder.node.routes import path_covers
 from leadrudder.tool.model import File, Listener, Tier
 from leadrudder.tool.source import Path
 
@@ -417,7 +417,7 @@
 def routes_are_reached(file: File) -> Iterator[Finding]:
     for i, route in enumerate(file.route):
         for j, other in enumerate(file.route[:i]):
-            if route.method == other.method and covers(other.path, route.path):
+            if route.method == other.method and path_covers(other.path, route.path):
                 yield Finding(
                     ("route", i, "path"),
                     "route-shadowed",
--- a/leadrudder/tool/explain.py
+++ b/leadrudder/tool/explain.py
@@ -9,7 +9,7 @@
 
 from pydantic import BaseModel
 
-from leadrudder.node.routes import covers
+from leadrudder.node.routes import path_covers
 from leadrudder.tool.model import File, RequestClass, Route, Tier
 from leadrudder.tool.source import Source
 
@@ -29,7 +29,7 @@
     if found is None:
         raise NoRequestError(f"{request!r} is no method and path, such as 'POST /varaus/17'")
     method, path = found[1], found[2].partition("?")[0]
-    at = next((i for i, r in enumerate(file.route) if r.method == method and covers(r.path, path)), None)
+    at = next((i for i, r in enumerate(file.route) if r.method == method and path_covers(r.path, path)), None)
     if at is None:
         yield f"{method} {path}: no route takes it; the application has no node for it"
         return
--- a/tests/rpc/mixed.py
+++ b/tests/rpc/mixed.py
@@ -125,8 +125,8 @@
 
 
 async def _http_caller(w: RpcWorld, names: list[str], tally: Tally) -> None:
-    assert w.node._callers._server is not None
-    address = w.node._callers._server.sockets[0].getsockname()[:2]
+    assert w.node._listener._server is not None
+    address = w.node._listener._server.sockets[0].getsockname()[:2]
     caller = await Caller.connect(address)
     for name in names:
         answer = await caller.ask(name.partition("-")[0], name=name, deadline="1.5")
--- a/tests/rpc/stubs.py
+++ b/tests/rpc/stubs.py
@@ -11,8 +11,8 @@
 
 import msgpack
 
-from leadrudder.node.config import Config, Limits, flat
-from leadrudder.node.lists import Naming
+from leadrudder.node.config import Config, Limits, flatten
+from leadrudder.node.lists import DiscoveryDecoder
 from leadrudder.node.node import Node
 from leadrudder.rpc import attach
 from leadrudder.rpc.config import parse
@@ -162,7 +162,7 @@
 
     def __init__(self, node: Node, discovery: StubDiscovery, address: tuple[str, int] | str) -> None:
         self.node, self.discovery, self.address = node, discovery, address
-        front = node._fronts[0]
+        front = node._frontends[0]
         assert isinstance(front, RpcFront)
         self.front = front
 
@@ -175,7 +175,7 @@
     *rows: dict[str, Any], upstream: dict[str, Any] | None = None, http: bool = False, **changes: Any
 ) -> AsyncIterator[RpcWorld]:
     """A node that knows these servers; http: they speak HTTP; changes go into the operator's file."""
-    naming = Naming(("hall",), ("std",))
+    decoder = DiscoveryDecoder(("hall",), ("std",))
     async with StubDiscovery() as discovery:
         host, _, port = discovery.address.rpartition(":")
         config = Config(
@@ -185,15 +185,15 @@
             discovery=(host, int(port)),
             seed=7,
             limits=Limits(192, 1024),
-            settings=read_settings(dict(flat(settings(guarantees={"mustAskInMs": 60_000.0})))),
-            naming=naming,
-            known=naming.read(listing(1, *rows)),
+            settings=read_settings(dict(flatten(settings(guarantees={"mustAskInMs": 60_000.0})))),
+            decoder=decoder,
+            known=decoder.decode(listing(1, *rows)),
             conn_idle_ms=30_000.0,
         )
         file = {**FILE, **({} if http else {"upstream": upstream or {}}), **changes}
         node = await attach.start(config, parse(file, config.settings))
         serving = asyncio.create_task(node.wait())
-        front = node._fronts[0]
+        front = node._frontends[0]
         assert isinstance(front, RpcFront)
         bound = front._servers[0].sockets[0].getsockname()
         try:
--- a/tests/rpc/test_differential.py
+++ b/tests/rpc/test_differential.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from leadrudder.interface import Action, Event, Outcome, ServerId, SetTimer, TimerFired
-from leadrudder.node.config import Config, Limits, flat
-from leadrudder.node.contract import Answer, Ask, Done
-from leadrudder.node.lists import Listing, Naming
+from leadrudder.node.config import Config, Limits, flatten
+from leadrudder.node.contract import AttemptCallback, ClientRequest, UpstreamResponse
+from leadrudder.node.lists import DiscoveryDecoder, EndpointUpdate
 from leadrudder.node.node import Node
 from leadrudder.node.platform import SYSTEM
 from leadrudder.rpc.config import parse
@@ -34,14 +34,14 @@
     def wall(self) -> float:
         return self.seconds
 
-    unread = staticmethod(SYSTEM.unread)
+    has_unread_input = staticmethod(SYSTEM.has_unread_input)
     read_text = staticmethod(SYSTEM.read_text)
 
 
 class Out:
     """An attempt that has ended by the time anybody could give it up."""
 
-    def give_up(self, outcome: Outcome) -> None:
+    def cancel(self, outcome: Outcome) -> None:
         pass
 
 
@@ -54,34 +54,34 @@
         self.asked: list[tuple[ServerId, bytes, int]] = []
         self.out = 0
 
-    def attempt(self, server: ServerId, ask: Ask, timeout_s: float, done: Done) -> Out:
+    def attempt(self, server: ServerId, ask: ClientRequest, timeout_s: float, done: AttemptCallback) -> Out:
         self.asked.append((server, ask.id, ask.class_index))
         took = self._rng.uniform(0.005, 0.05) * (3.0 if server == b"s1" else 1.0)
         ends = [Outcome.OK] * 12 + [Outcome.ERROR, Outcome.RESET, Outcome.FULL, Outcome.SPOILT]
         self._later(self._rng.choice(ends), took, done)
         return Out()
 
-    def _later(self, how: Outcome, took: float, done: Done) -> None:
+    def _later(self, how: Outcome, took: float, done: AttemptCallback) -> None:
         self.out += 1
 
         def end() -> None:
             self.out -= 1
             self._clock.seconds += took
-            done(how, Answer(b"\xc0", packed=True) if how is Outcome.OK else None)
+            done(how, UpstreamResponse(b"\xc0", packed=True) if how is Outcome.OK else None)
 
         asyncio.get_running_loop().call_soon(end)
 
-    def probe(self, server: ServerId, timeout_s: float, done: Done) -> Out:
+    def probe(self, server: ServerId, timeout_s: float, done: AttemptCallback) -> Out:
         self._later(Outcome.OK, 0.001, done)
         return Out()
 
-    def update(self, listing: Listing) -> list[ServerId]:
+    def update(self, listing: EndpointUpdate) -> list[ServerId]:
         return []
 
-    def any_listed(self) -> bool:
+    def has_endpoints(self) -> bool:
         return True
 
-    def open_connections(self) -> int:
+    def open_connection_count(self) -> int:
         return 0
 
     def close_idle(self, server: ServerId) -> None:
@@ -97,7 +97,7 @@
     def __init__(self, node: Node, clock: Still, upstream: Scripted) -> None:
         self._node, self._clock, self._upstream = node, clock, upstream
         self._set: list[tuple[float, int]] = []
-        node._on[SetTimer] = lambda action: self._set.append((action.at_ms, action.token))
+        node._action_handlers[SetTimer] = lambda action: self._set.append((action.at_ms, action.token))
 
     def fire(self, until_ms: float) -> None:
         """All that is due by then, in order."""
@@ -105,7 +105,7 @@
             at_ms, token = min(self._set)
             self._set.remove((at_ms, token))
             self._clock.seconds = max(self._clock.seconds, at_ms / 1000.0)
-            self._node._post(TimerFired(token))
+            self._node._dispatch(TimerFired(token))
 
     async def answered(self, answer: asyncio.Task[Any]) -> Any:
         """Wait for an answer; time goes on to the next timer where the module itself waits."""
@@ -120,8 +120,8 @@
     """One call after another: what the module was told and decided, how each call ended, who was asked."""
     clock, course = Still(), random.Random(seed)
     upstream = Scripted(clock, seed)
-    naming = Naming(("hall",), ("std",))
-    made = read_settings(dict(flat(settings(guarantees={"mustAskInMs": 60_000.0}))))
+    decoder = DiscoveryDecoder(("hall",), ("std",))
+    made = read_settings(dict(flatten(settings(guarantees={"mustAskInMs": 60_000.0}))))
     rows = [row(f"s{i}", f"{HOST}:{i + 1}") for i in range(4)]
     config = Config(
         path="",
@@ -131,8 +131,8 @@
         seed=seed,
         limits=Limits(192, 1024),
         settings=made,
-        naming=naming,
-        known=naming.read(listing(1, *rows)),
+        decoder=decoder,
+        known=decoder.decode(listing(1, *rows)),
         conn_idle_ms=30_000.0,
     )
     node = Node(config, clock, upstream=upstream)
@@ -147,8 +147,8 @@
     node._balancer.handle = noted  # type: ignore[method-assign]
     file = parse(FILE, made)
     calls = Calls(made, file.methods, file.meta, file.defaults, lambda: b"none", file.bounds.limits)
-    front = RpcFront(calls, node.take, file.bounds)
-    node.add_front(front)
+    front = RpcFront(calls, node.submit, file.bounds)
+    node.add_frontend(front)
     serving = asyncio.create_task(node.wait())
     http_address = await node.start()
     rpc_address = await front.listen((HOST, 0))
--- a/tests/rpc/test_front.py
+++ b/tests/rpc/test_front.py
@@ -127,7 +127,7 @@
             assert (await other.answer())[1] is None
             while w.front._calls:
                 await asyncio.sleep(0)
-            assert w.front._bytes == 0 and not w.node._held
+            assert w.front._bytes == 0 and not w.node._id_uses
 
     run(main())
 
@@ -267,7 +267,7 @@
             assert (await caller.answer())[1] is None
             with pytest.raises(ConnectionError):
                 await caller.read()
-            await asyncio.wait_for(w.node._done.wait(), 10.0)
+            await asyncio.wait_for(w.node._stopped.wait(), 10.0)
 
     run(main())
 
@@ -301,7 +301,7 @@
             caller = await w.caller()
             caller.send(0, 1, "move", params)
             await server.seen(1)
-            assert list(w.node._held) == [b"own"]
+            assert list(w.node._id_uses) == [b"own"]
             assert server.calls[0][3] == params
             server.release.set()
             assert (await caller.answer())[1] is None
@@ -315,8 +315,8 @@
             peer.send(1, message[1], None, b"plain")
 
         async with RpcServer(bins) as server, rpc_world(row("a", server.address)) as w:
-            assert w.node._callers._server is not None
-            http = await Caller.connect(w.node._callers._server.sockets[0].getsockname()[:2])
+            assert w.node._listener._server is not None
+            http = await Caller.connect(w.node._listener._server.sockets[0].getsockname()[:2])
             answer = await http.ask("book", body=b"hello", name="h1")
             assert (answer.status, answer.body) == (200, b"plain")
             target, body, told = server.calls[0][3]
--- a/tests/rpc/test_upstream.py
+++ b/tests/rpc/test_upstream.py
@@ -9,15 +9,15 @@
 import pytest
 
 from leadrudder.interface import Outcome
-from leadrudder.node.contract import Answer, Ask, RpcCall
-from leadrudder.node.lists import Naming
-from leadrudder.node.reports import Report
+from leadrudder.node.contract import ClientRequest, RpcCall, UpstreamResponse
+from leadrudder.node.lists import DiscoveryDecoder
+from leadrudder.node.reports import LoadReport
 from leadrudder.rpc.framing import pack
 from leadrudder.rpc.upstream import RpcServers, Terms
 from tests.rpc.stubs import RpcPeer, RpcServer, rpc_world, serve
 from tests.stubs import PATIENCE_S, StubServer, listing, reply, row, run
 
-NAMING = Naming((), ())
+NAMING = DiscoveryDecoder((), ())
 QUICK = 30.0  # seconds that nobody waits for
 
 
@@ -32,17 +32,17 @@
     def __init__(self, *servers: RpcServer, **terms: Any) -> None:
         self.upstream = RpcServers(Terms(**terms), lambda ask: _rpc(ask), lambda answer: answer)
         self.rows = [row(f"s{i}", server.address) for i, server in enumerate(servers)]
-        self.upstream.update(NAMING.read(listing(1, *self.rows)))
-        self.ended: dict[int, tuple[Outcome, Answer | None]] = {}
+        self.upstream.update(NAMING.decode(listing(1, *self.rows)))
+        self.ended: dict[int, tuple[Outcome, UpstreamResponse | None]] = {}
         self.calls: list[Any] = []
         self._changed = asyncio.Event()
 
     def call(self, timeout_s: float = QUICK, server: bytes = b"s0", note: bool = False, size: int = 0) -> int:
         number = len(self.calls)
         params = pack([number, b"x" * size])
-        ask = Ask(b"%d" % number, 0, 0, 0, 1000.0, None, False, RpcCall("look", params, note))
+        ask = ClientRequest(b"%d" % number, 0, 0, 0, 1000.0, None, False, RpcCall("look", params, note))
 
-        def done(how: Outcome, answer: Answer | None, report: Report = (), /) -> None:
+        def done(how: Outcome, answer: UpstreamResponse | None, report: LoadReport = (), /) -> None:
             assert number not in self.ended, "it ended twice"
             self.ended[number] = how, answer
             self._changed.set()
@@ -66,10 +66,10 @@
         await asyncio.wait_for(wait(), PATIENCE_S)
 
     def connections(self) -> list[Any]:
-        return [c for peer in self.upstream._table.peers.values() for c in peer.connections]
+        return [c for peer in self.upstream._table.endpoints.values() for c in peer.connections]
 
 
-def _rpc(ask: Ask) -> RpcCall:
+def _rpc(ask: ClientRequest) -> RpcCall:
     assert isinstance(ask.call, RpcCall)
     return ask.call
 
@@ -83,7 +83,7 @@
             await server.seen(6)
             assert len(server.peers) == 2
             assert sorted(len(c.calls) for c in side.connections()) == [3, 3]
-            assert len(side.upstream._table.peers[b"s0"].waiting) == 4
+            assert len(side.upstream._table.endpoints[b"s0"].waiting) == 4
             assert all(len({m[1] for m in server.calls}) >= 3 for _ in range(1))
             for peer in server.peers:
                 peer.close()
@@ -121,7 +121,7 @@
             side = Side(server, connections=1, window=2)
             side.call()
             await server.seen(1)
-            side.calls[0].give_up(Outcome.CANCELLED)
+            side.calls[0].cancel(Outcome.CANCELLED)
             (connection,) = side.connections()
             assert connection.late == {1}
             connection._last = 0  # as after four thousand million calls
@@ -144,7 +144,7 @@
             for i in range(4):
                 side.call()
                 await server.seen(i + 1)
-                side.calls[i].give_up(Outcome.CANCELLED)
+                side.calls[i].cancel(Outcome.CANCELLED)
             (full,) = side.connections()
             assert len(full.late) == 4 and full.room() == 0
             side.call()
@@ -228,7 +228,9 @@
                     # The kernel's buffers took them all: as many again.
                     break
             queued = [side.call(size=60_000) for _ in range(3)] if connection._choked else []
-            await side.until(lambda: not side.upstream._table.peers[b"s0"].waiting or not connection._choked)
+            await side.until(
+                lambda: not side.upstream._table.endpoints[b"s0"].waiting or not connection._choked
+            )
             written = [call.written for call in side.calls]
             server.peers[0].close()
             await server.stop()
@@ -281,7 +283,7 @@
                 side.call()
             await server.seen(100)
             drained = row("s0", server.address, "DRAINING")
-            side.upstream.update(NAMING.read(listing(2, drained, reset=False)))
+            side.upstream.update(NAMING.decode(listing(2, drained, reset=False)))
             side.call()
             await side.until(lambda: len(side.ended) == 21)
             assert {side.ended[i][0] for i in range(100, 120)} == {Outcome.MOOT}
--- a/tests/simulation/plants.py
+++ b/tests/simulation/plants.py
@@ -28,11 +28,11 @@
     TimerFired,
 )
 from leadrudder.node import discovery, lists, node, servers
-from leadrudder.node.callers import Callers, HttpExchange
-from leadrudder.node.contract import Ask, Exchange
-from leadrudder.node.http import Message, Reader
+from leadrudder.node.callers import HttpExchange, HttpListener
+from leadrudder.node.contract import ClientRequest, Exchange
+from leadrudder.node.http import HttpMessage, HttpParser
 from leadrudder.node.node import Node
-from leadrudder.node.reports import ReportReader
+from leadrudder.node.reports import LoadReportParser
 from leadrudder.policy import attempts, decide, placement
 from leadrudder.policy.admission import Admission
 from leadrudder.policy.attempts import Attempt, Request
@@ -80,44 +80,46 @@
 
 def reply_lost_at_the_deadline(patch: pytest.MonkeyPatch) -> None:
     """An answer that comes at the instant of its time-out goes to nobody, and no guard is left."""
-    original = servers.Call.end
+    original = servers.UpstreamCall.end
 
-    def end(self: servers.Call, outcome: Outcome, answer: Message | None = None) -> None:
+    def end(self: servers.UpstreamCall, outcome: Outcome, answer: HttpMessage | None = None) -> None:
         if not self.ended and self._loop.time() >= self.deadline:
             self.ended = True
             self._timer.cancel()
             return
         original(self, outcome, answer)
 
-    patch.setattr(servers.Call, "end", end)
+    patch.setattr(servers.UpstreamCall, "end", end)
     patch.setattr(Node, "_overdue", lambda self, request: None)
 
 
 def surplus_taken_for_an_answer(patch: pytest.MonkeyPatch) -> None:
     """A connection that brought more than its answer goes on, and the surplus answers a request."""
-    patch.setattr(Reader, "stop", lambda self: None)
+    patch.setattr(HttpParser, "stop", lambda self: None)
 
 
 def reused_after_surplus(patch: pytest.MonkeyPatch) -> None:
     """A connection that brought more than its answer in one piece is kept, and the surplus thrown away."""
-    patch.setattr(Reader, "surplus", property(lambda self: False, lambda self, value: None), raising=False)
+    patch.setattr(
+        HttpParser, "surplus", property(lambda self: False, lambda self, value: None), raising=False
+    )
 
 
 def told_close_overlooked(patch: pytest.MonkeyPatch) -> None:
     """A connection is kept though its server told that it closes it."""
-    original = servers.Connection._finish
+    original = servers.UpstreamConnection._finish
 
-    def finish(self: servers.Connection, answer: Message) -> None:
+    def finish(self: servers.UpstreamConnection, answer: HttpMessage) -> None:
         original(self, replace(answer, keep_alive=True))
 
-    patch.setattr(servers.Connection, "_finish", finish)
+    patch.setattr(servers.UpstreamConnection, "_finish", finish)
 
 
 def every_503_never_ran(patch: pytest.MonkeyPatch) -> None:
     """A 503 counts as "never ran", whether it is marked so or not."""
     original = servers._outcome
 
-    def outcome(message: Message) -> Outcome:
+    def outcome(message: HttpMessage) -> Outcome:
         return Outcome.FULL if message.status == 503 else original(message)
 
     patch.setattr(servers, "_outcome", outcome)
@@ -125,53 +127,53 @@
 
 def same_id_taken(patch: pytest.MonkeyPatch) -> None:
     """Two open requests of one id are both taken."""
-    original = Node.take
+    original = Node.submit
 
-    def take(self: Node, ask: Ask, exchange: Exchange) -> None:
-        before = self._held.pop(ask.id, 0)
+    def submit(self: Node, ask: ClientRequest, exchange: Exchange) -> None:
+        before = self._id_uses.pop(ask.id, 0)
         original(self, ask, exchange)
-        self._held[ask.id] += before
+        self._id_uses[ask.id] += before
 
-    patch.setattr(Node, "take", take)
+    patch.setattr(Node, "submit", submit)
 
 
 def late_answer_kept(patch: pytest.MonkeyPatch) -> None:
     """The connection of a call that was given up is used again, and what comes late answers another
     request."""
 
-    def give_up(self: servers.Call, outcome: Outcome) -> None:
+    def cancel(self: servers.UpstreamCall, outcome: Outcome) -> None:
         connection = self.connection
         if not self.ended and connection is not None:
             connection._call = None
             connection._servers.rest(connection)
         self.end(outcome)
 
-    patch.setattr(servers.Call, "give_up", give_up)
+    patch.setattr(servers.UpstreamCall, "cancel", cancel)
 
 
 def ids_held_for_good(patch: pytest.MonkeyPatch) -> None:
     """The table of ids in use is never cleared."""
 
-    def let_go(self: Node, name: bytes) -> None:
-        self._held[name] -= 1
+    def release_id(self: Node, name: bytes) -> None:
+        self._id_uses[name] -= 1
 
-    patch.setattr(Node, "_let_go", let_go)
+    patch.setattr(Node, "_release_id", release_id)
 
 
 def exchanges_remembered(patch: pytest.MonkeyPatch) -> None:
     """Something outside of all tables keeps what belonged to requests."""
-    original = HttpExchange.answer
+    original = HttpExchange.send
 
     def answer(self: HttpExchange, status: int, body: bytes = b"", extra: bytes = b"") -> None:
         self._connection.callers.__dict__.setdefault("kept", []).append(self)
         original(self, status, body, extra)
 
-    patch.setattr(HttpExchange, "answer", answer)
+    patch.setattr(HttpExchange, "send", answer)
 
 
 def answered_twice(patch: pytest.MonkeyPatch) -> None:
     """A refusal is written twice."""
-    original = HttpExchange.answer
+    original = HttpExchange.send
 
     def answer(self: HttpExchange, status: int, body: bytes = b"", extra: bytes = b"") -> None:
         first = self.output is None and not self.gone
@@ -181,7 +183,7 @@
             if transport is not None and not self.close:
                 transport.write(self.output)
 
-    patch.setattr(HttpExchange, "answer", answer)
+    patch.setattr(HttpExchange, "send", answer)
 
 
 def ends_at_once(patch: pytest.MonkeyPatch) -> None:
@@ -203,24 +205,24 @@
 def connects_left_behind(patch: pytest.MonkeyPatch) -> None:
     """The end of a node leaves connections that are coming up to themselves."""
 
-    def close(self: servers.Servers) -> None:
+    def close(self: servers.HttpUpstream) -> None:
         self._sweeper.cancel()
         for connection in list(self._open):
             connection.abandon()
 
-    patch.setattr(servers.Servers, "close", close)
+    patch.setattr(servers.HttpUpstream, "close", close)
 
 
 def fault_swallowed(patch: pytest.MonkeyPatch) -> None:
     """An exception in one of the callers' paths, which the node logs and survives."""
-    original = Callers._ask
+    original = HttpListener._to_client_request
 
-    def ask(self: Callers, message: Message, path: bytes) -> Any:
+    def to_client_request(self: HttpListener, message: HttpMessage, path: bytes) -> Any:
         if path.endswith(b"77"):
             raise KeyError(path)
         return original(self, message, path)
 
-    patch.setattr(Callers, "_ask", ask)
+    patch.setattr(HttpListener, "_to_client_request", to_client_request)
 
 
 def cold_as_warm(patch: pytest.MonkeyPatch) -> None:
@@ -238,12 +240,12 @@
 
 def answers_beyond_their_time(patch: pytest.MonkeyPatch) -> None:
     """Requests are held 400 ms beyond their budget: their answers come when the caller has given up."""
-    patch.setattr(node, "RESERVE_MS", -400.0)
+    patch.setattr(node, "RESPONSE_RESERVE_MS", -400.0)
 
 
 def terms_without_end(patch: pytest.MonkeyPatch) -> None:
     """What is taken after SIGTERM has all of its caller's time, however little is left to the node."""
-    patch.setattr(node, "LAST_S", 60.0)
+    patch.setattr(node, "DRAIN_LIMIT_S", 60.0)
 
 
 def timers_at_once(patch: pytest.MonkeyPatch) -> None:
@@ -251,30 +253,30 @@
 
     def on_set_timer(self: Node, action: SetTimer) -> None:
         delay = max(0.0, action.at_ms - self._clock.now()) / 1000.0
-        asyncio.get_running_loop().call_later(delay, self._post, TimerFired(action.token))
+        asyncio.get_running_loop().call_later(delay, self._dispatch, TimerFired(action.token))
 
     patch.setattr(Node, "_on_set_timer", on_set_timer)
 
 
 def silent_watch_asked_anew(patch: pytest.MonkeyPatch) -> None:
     """As it was: a watch without news counts as a call without a reply, and is replaced every second."""
-    original = discovery.Discovery._line
+    original = discovery.DiscoveryClient._line
 
-    def line(self: discovery.Discovery, watch: discovery._Watch, text: bytes) -> None:
+    def line(self: discovery.DiscoveryClient, watch: discovery._Watch, text: bytes) -> None:
         watch.heard = True
         original(self, watch, text)
 
-    patch.setattr(discovery.Discovery, "_line", line)
+    patch.setattr(discovery.DiscoveryClient, "_line", line)
 
 
 def reports_read_unguarded(patch: pytest.MonkeyPatch) -> None:
     """A load report is taken for what it should be."""
 
-    def parse(self: ReportReader, value: bytes) -> tuple[float, ...]:
+    def parse_json(self: LoadReportParser, value: bytes) -> tuple[float, ...]:
         told = json.loads(value)
         return float(told["util"]), float(told["inflight"])
 
-    patch.setattr(ReportReader, "_parse", parse)
+    patch.setattr(LoadReportParser, "_parse_json", parse_json)
 
 
 @dataclass(frozen=True)
--- a/tests/stubs.py
+++ b/tests/stubs.py
@@ -12,8 +12,8 @@
 
 import uvloop
 
-from leadrudder.node.config import Config, Limits, flat
-from leadrudder.node.lists import Naming
+from leadrudder.node.config import Config, Limits, flatten
+from leadrudder.node.lists import DiscoveryDecoder
 from leadrudder.node.node import Node
 from leadrudder.node.routes import Route
 from leadrudder.settings import read_settings
@@ -342,7 +342,7 @@
     **changes: Any,
 ) -> AsyncIterator[World]:
     """A node that knows these servers; changes go into its settings."""
-    naming = Naming(("hall",), ("std",))
+    decoder = DiscoveryDecoder(("hall",), ("std",))
     async with StubDiscovery() as discovery:
         host, _, port = discovery.address.rpartition(":")
         config = Config(
@@ -352,9 +352,9 @@
             discovery=(host, int(port)),
             seed=7,
             limits=Limits(192, sockets),
-            settings=read_settings(dict(flat(settings(**changes)))),
-            naming=naming,
-            known=naming.read(listing(1, *rows)) if known else None,
+            settings=read_settings(dict(flatten(settings(**changes)))),
+            decoder=decoder,
+            known=decoder.decode(listing(1, *rows)) if known else None,
             conn_idle_ms=30_000.0,
             routes=routes,
         )
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -19,8 +19,8 @@
     RequestClass,
     Settings,
 )
-from leadrudder.node.config import ConfigError, load
-from leadrudder.node.lists import ListError, Naming
+from leadrudder.node.config import ConfigError, load_config
+from leadrudder.node.lists import DiscoveryDecoder, EndpointListError
 from leadrudder.node.node import Clock
 from leadrudder.policy.attempts import Attempt, Request, permitted
 from leadrudder.state.worth import Appraisal
@@ -47,7 +47,7 @@
 
 
 def test_environment_and_file_become_settings(tmp_path: Path) -> None:
-    config = load(_environment(tmp_path, _config()))
+    config = load_config(_environment(tmp_path, _config()))
     assert config.listen == ("127.0.0.1", 0), "the environment goes before the file"
     assert config.discovery == ("127.0.0.1", 8500)
     assert config.seed == 0x8C1F30D27A5BE964
@@ -55,7 +55,7 @@
     assert config.settings.ask_for_list and config.settings.may_probe
     assert config.settings.tenants[0].name == "acme"
     assert config.known is not None
-    event = config.known.event(cached=True)
+    event = config.known.to_event(cached=True)
     assert (event.kind, event.version) == (ListKind.CACHED, 41)
     entry = event.entries[0]
     assert (entry.server, entry.readiness, entry.started_ms) == (b"s-1", Readiness.DRAINING, 12.0)
@@ -78,19 +78,19 @@
 )
 def test_a_bad_configuration_names_the_field(tmp_path: Path, changes: dict[str, Any], field: str) -> None:
     with pytest.raises(ConfigError, match=field):
-        load(_environment(tmp_path, _config(**changes)))
+        load_config(_environment(tmp_path, _config(**changes)))
 
 
 def test_a_missing_file_names_the_variable(tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match="NODE_CONFIG"):
-        load({"NODE_CONFIG": str(tmp_path / "none.json")})
+        load_config({"NODE_CONFIG": str(tmp_path / "none.json")})
     with pytest.raises(ConfigError, match="NODE_CONFIG"):
-        load({})
+        load_config({})
 
 
 def test_tight_limits_are_taken_as_they_are(tmp_path: Path) -> None:
     limits = {"cores": 0.5, "memory_mb": 48.0, "sockets": 32}
-    got = load(_environment(tmp_path, _config(limits=limits))).limits
+    got = load_config(_environment(tmp_path, _config(limits=limits))).limits
     assert (got.memory_mb, got.sockets) == (48, 32)
 
 
@@ -106,14 +106,14 @@
     ],
 )
 def test_a_bad_list_is_an_error_of_its_own(raw: Any) -> None:
-    with pytest.raises(ListError):
-        Naming((), ()).read(raw)
+    with pytest.raises(EndpointListError):
+        DiscoveryDecoder((), ()).decode(raw)
 
 
 def test_names_become_their_place_in_the_settings() -> None:
-    naming = Naming(("north", "south"), ("std", "slow"))
+    decoder = DiscoveryDecoder(("north", "south"), ("std", "slow"))
     rows = [{**row("a", "h:1"), "zone": "south", "machineType": kind} for kind in ("slow", "odd", "std")]
-    entries = naming.read(listing(1, *rows)).entries
+    entries = decoder.decode(listing(1, *rows)).entries
     assert [entry.zone for entry in entries] == [1, 1, 1]
     assert len({entry.kind for entry in entries}) == 3
     assert (entries[0].kind, entries[2].kind) == (1, 0)
@@ -131,7 +131,7 @@
 def test_a_list_with_oddities_is_taken_and_told_in_a_line_each(caplog: pytest.LogCaptureFixture) -> None:
     rows = [row("a", "127.0.0.1:1"), row("b", "127.0.0.1:2"), row("a", "127.0.0.1:3", "DRAINING")]
     rows[1]["weight"] = float("inf")
-    listed = Naming(("hall",), ("std",)).read(listing(7, *rows))
+    listed = DiscoveryDecoder(("hall",), ("std",)).decode(listing(7, *rows))
     assert [entry.server for entry in listed.entries] == [b"a", b"b", b"a"]
     assert [record.getMessage() for record in caplog.records] == [
         "discovery: 1 entries of a list repeat others; the last counts",
@@ -145,7 +145,7 @@
     rows = [row("a", "127.0.0.1:1"), row("b", "127.0.0.1:2"), row("c", "127.0.0.1:3")]
     del rows[0]["zone"], rows[0]["cell"]
     rows[1]["zone"] = ""
-    a, b, c = Naming(("hall",), ("std",)).read(listing(7, *rows)).entries
+    a, b, c = DiscoveryDecoder(("hall",), ("std",)).decode(listing(7, *rows)).entries
     assert (a.zone, b.zone, c.zone) == (UNTOLD, UNTOLD, 0) and a.cell == UNTOLD != b.cell
     for group in (RepeatGroup.ZONE, RepeatGroup.CELL):
         kind = RequestClass("move", 1000, 3000, effect=Effect.KEYED, group=group, window_ms=5000.0)
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -13,12 +13,21 @@
 
 from leadrudder import Balancer
 from leadrudder.interface import ListKind, Readiness, RequestClass, ServerList, Settings
-from leadrudder.node.lists import SLICE, Book, ListError, Listing, Naming, finished, members, merged
+from leadrudder.node.lists import (
+    CHUNK_ENTRIES,
+    DeliveredState,
+    DiscoveryDecoder,
+    EndpointListError,
+    EndpointUpdate,
+    iter_members,
+    merge_updates,
+    run_to_end,
+)
 from leadrudder.node.node import Node
-from leadrudder.node.servers import Servers
+from leadrudder.node.servers import HttpUpstream
 from tests.stubs import StubServer, listing, reply, row, run, tell, world
 
-NAMING = Naming(("hall",), ("std",))
+NAMING = DiscoveryDecoder(("hall",), ("std",))
 PATIENT = {"mustAskInMs": 60_000.0}  # a watch that is slow to speak is not given up by the node meanwhile
 
 
@@ -26,8 +35,8 @@
     return [row(f"s{n}", f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:{port}", lifecycle) for n in names]
 
 
-def read(version: int, *of: dict[str, Any], whole: bool = True) -> Listing:
-    return NAMING.read(listing(version, *of, reset=whole))
+def read(version: int, *of: dict[str, Any], whole: bool = True) -> EndpointUpdate:
+    return NAMING.decode(listing(version, *of, reset=whole))
 
 
 # ---------------------------------------------------------------- reading
@@ -49,7 +58,7 @@
     others: dict[str, Any], items: list[Any], indent: Any, first: bool
 ) -> None:
     raw = {"instances": items, **others} if first else {**others, "instances": items}
-    told = list(members(json.dumps(raw, indent=indent)))
+    told = list(iter_members(json.dumps(raw, indent=indent)))
     assert [value for key, value in told if key == "instances"] == items
     assert {key: value for key, value in told if key != "instances"} == others
 
@@ -58,7 +67,7 @@
 def test_what_the_library_does_not_read_is_not_read_here(text: str) -> None:
     """And whatever is read here is an object with the array, as the library reads it."""
     try:
-        told = list(members(text))
+        told = list(iter_members(text))
     except (ValueError, KeyError):
         return
     raw = json.loads(text)
@@ -86,20 +95,20 @@
     ],
 )
 def test_a_text_that_is_no_list_is_an_error_of_its_own(text: str) -> None:
-    with pytest.raises(ListError):
-        finished(NAMING.read_text(text))
+    with pytest.raises(EndpointListError):
+        run_to_end(NAMING.decode_text(text))
 
 
 def test_a_long_list_is_read_in_slices_and_comes_to_the_same() -> None:
-    raw = listing(7, *rows(range(3 * SLICE + 1)))
-    slices = NAMING.read_text(json.dumps(raw))
+    raw = listing(7, *rows(range(3 * CHUNK_ENTRIES + 1)))
+    slices = NAMING.decode_text(json.dumps(raw))
     stops = 0
     while True:
         try:
             next(slices)
             stops += 1
         except StopIteration as end:
-            assert end.value == NAMING.read(raw)
+            assert end.value == NAMING.decode(raw)
             break
     assert stops == 3
 
@@ -107,22 +116,22 @@
 # ---------------------------------------------------------------- pieces
 
 
-def handed(book: Book, told: Listing) -> list[Listing]:
-    return [piece for piece in book.pieces(told) if piece is not None]
+def handed(book: DeliveredState, told: EndpointUpdate) -> list[EndpointUpdate]:
+    return [piece for piece in book.chunks(told) if piece is not None]
 
 
 def test_a_short_list_is_handed_on_as_it_came() -> None:
-    book, told = Book(), read(1, *rows(range(5)))
+    book, told = DeliveredState(), read(1, *rows(range(5)))
     assert handed(book, told) == [told]
     drained = read(2, *rows(range(1), lifecycle="DRAINING"), whole=False)
     assert handed(book, drained) == [drained]
 
 
 def test_a_long_list_comes_in_pieces_and_what_has_gone_comes_first() -> None:
-    book = Book()
+    book = DeliveredState()
     first = handed(book, read(1, *rows(range(1000))))
-    assert [len(piece.entries) for piece in first] == [SLICE] * 5
-    assert [piece.more for piece in first] == [True] * 4 + [False]
+    assert [len(piece.entries) for piece in first] == [CHUNK_ENTRIES] * 5
+    assert [piece.has_more for piece in first] == [True] * 4 + [False]
     second = handed(book, read(2, *rows(range(500, 990)), *rows(range(990, 1100), port=2)))
     told = [(entry.server, entry.readiness) for piece in second for entry in piece.entries]
     gone = [server for server, readiness in told if readiness is Readiness.GONE]
@@ -132,24 +141,24 @@
 
 
 def test_a_long_list_without_news_is_handed_on_as_an_empty_one() -> None:
-    book = Book()
+    book = DeliveredState()
     handed(book, read(1, *rows(range(1000))))
     (piece,) = handed(book, read(2, *rows(range(1000))))
-    assert (piece.entries, piece.more, piece.version) == ((), False, 2)
+    assert (piece.entries, piece.has_more, piece.version) == ((), False, 2)
 
 
 def test_a_server_that_was_left_out_is_told_again() -> None:
     """Two servers at one address: the older one is taken back, and may be the one that lives."""
-    book = Book()
+    book = DeliveredState()
     handed(book, read(1, *rows(range(1000))))
     book.forget(b"s7")
     (piece,) = handed(book, read(2, *rows(range(1000))))
     assert [entry.server for entry in piece.entries] == [b"s7"]
 
 
-def follow(known: dict[bytes, tuple[object, object]], told: Listing) -> None:
+def follow(known: dict[bytes, tuple[object, object]], told: EndpointUpdate) -> None:
     """What is known once this has been told: the plain way."""
-    if told.whole:
+    if told.is_snapshot:
         known.clear()
     for entry in told.entries:
         if entry.readiness is Readiness.READY:
@@ -167,7 +176,7 @@
 @given(LISTS)
 def test_pieces_lead_where_the_lists_lead(changes: list[tuple[bool, list[tuple[int, int]]]]) -> None:
     """Whatever comes, who follows the pieces knows the same servers as who follows the lists."""
-    book = Book()
+    book = DeliveredState()
     plain: dict[bytes, tuple[object, object]] = {}
     followed: dict[bytes, tuple[object, object]] = {}
 
@@ -180,8 +189,8 @@
         told = read(version, *({**base, **edited}.values() if whole else edited.values()), whole=whole)
         follow(plain, told)
         pieces = handed(book, told)
-        assert all(len(piece.entries) <= SLICE or piece is told for piece in pieces)
-        assert [piece.more for piece in pieces] == [True] * (len(pieces) - 1) + [False]
+        assert all(len(piece.entries) <= CHUNK_ENTRIES or piece is told for piece in pieces)
+        assert [piece.has_more for piece in pieces] == [True] * (len(pieces) - 1) + [False]
         for piece in pieces:
             follow(followed, piece)
         assert followed == plain
@@ -190,21 +199,21 @@
 # ---------------------------------------------------------------- the module
 
 
-def feed(balancer: Balancer, pieces: Iterator[Listing | None], now: float = 1.0) -> None:
+def feed(balancer: Balancer, pieces: Iterator[EndpointUpdate | None], now: float = 1.0) -> None:
     for piece in pieces:
         if piece is not None:
-            balancer.handle(piece.event(), now)
+            balancer.handle(piece.to_event(), now)
 
 
 def test_newcomers_of_one_list_stand_alike_however_it_was_cut() -> None:
     """Each counted against all that were there, the first of ten thousand would get fourteen times the last
     one's share."""
     settings = Settings(classes=(RequestClass("r", 1000, 3000),))
-    book, balancer = Book(), Balancer(settings, seed=1)
-    feed(balancer, book.pieces(read(1, *rows(range(1000)))))
+    book, balancer = DeliveredState(), Balancer(settings, seed=1)
+    feed(balancer, book.chunks(read(1, *rows(range(1000)))))
     p = balancer.automaton.p
     assert len(p) == 1000 and max(p) - min(p) < 1e-12 and sum(p) == pytest.approx(1.0)
-    feed(balancer, book.pieces(read(2, *rows(range(3000)))))
+    feed(balancer, book.chunks(read(2, *rows(range(3000)))))
     shares = dict(zip(balancer.automaton.servers, balancer.automaton.p, strict=True))
     old = [shares[b"s%d" % n] for n in range(1000)]
     new = [shares[b"s%d" % n] for n in range(1000, 3000)]
@@ -216,15 +225,15 @@
 def test_a_list_in_pieces_costs_the_module_by_the_piece() -> None:
     """Counted in nodes of the tree that are touched: no piece sums the whole fleet anew."""
     settings = Settings(classes=(RequestClass("r", 1000, 3000),))
-    book, balancer = Book(), Balancer(settings, seed=1)
-    feed(balancer, book.pieces(read(1, *rows(range(4000)))))
+    book, balancer = DeliveredState(), Balancer(settings, seed=1)
+    feed(balancer, book.chunks(read(1, *rows(range(4000)))))
     steps = [sum(weights.steps for weights in balancer.automaton.shares.groups)]
-    for piece in book.pieces(read(2, *rows(range(2000, 6000)))):
+    for piece in book.chunks(read(2, *rows(range(2000, 6000)))):
         if piece is not None:
-            balancer.handle(piece.event(), 2.0)
+            balancer.handle(piece.to_event(), 2.0)
             steps.append(sum(weights.steps for weights in balancer.automaton.shares.groups))
     assert len(steps) == 1 + 20
-    assert max(b - a for a, b in zip(steps, steps[1:], strict=False)) < SLICE * 8 * 13
+    assert max(b - a for a, b in zip(steps, steps[1:], strict=False)) < CHUNK_ENTRIES * 8 * 13
     assert len(balancer.automaton.servers) == 4000
 
 
@@ -250,9 +259,9 @@
         await asyncio.sleep(0)
 
 
-def _servers(node: Node) -> Servers:
-    assert isinstance(node._servers, Servers)
-    return node._servers
+def _servers(node: Node) -> HttpUpstream:
+    assert isinstance(node._upstream, HttpUpstream)
+    return node._upstream
 
 
 def _listed(node: Node) -> int:
@@ -372,11 +381,11 @@
         for version, (whole, edits) in enumerate(changes)
     ]
     ends = []
-    for course in (listings, merged(listings)):
+    for course in (listings, merge_updates(listings)):
         known: dict[bytes, tuple[object, object]] = {}
         for told in course:
             follow(known, told)
         ends.append(known)
     assert ends[0] == ends[1]
-    assert len(merged(listings)) <= 2
-    assert not listings or merged(listings)[-1].version == listings[-1].version
+    assert len(merge_updates(listings)) <= 2
+    assert not listings or merge_updates(listings)[-1].version == listings[-1].version
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -24,8 +24,8 @@
     ServerList,
     SetTimer,
 )
-from leadrudder.node.callers import MOST_PIPELINED
-from leadrudder.node.contract import Ask, Attempt, Done
+from leadrudder.node.callers import MAX_PIPELINED_REQUESTS
+from leadrudder.node.contract import Attempt, AttemptCallback, ClientRequest
 from tests.stubs import (
     HOST,
     PATIENCE_S,
@@ -58,7 +58,7 @@
 
 
 def test_a_served_request_passes_through_unchanged(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("leadrudder.node.servers.REST_S", 0.0)
+    monkeypatch.setattr("leadrudder.node.servers.QUIET_BEFORE_REUSE_S", 0.0)
 
     async def main() -> None:
         async with StubServer([reply("200 OK", BODY)]) as server, world(row("a", server.address)) as w:
@@ -126,7 +126,7 @@
     The first answer takes long: a server that was not heard of for longer than answers take gets a request
     that may not be repeated on a new connection, and a busy machine may pause for longer than a quick one.
     """
-    monkeypatch.setattr("leadrudder.node.servers.REST_S", 0.0)
+    monkeypatch.setattr("leadrudder.node.servers.QUIET_BEFORE_REUSE_S", 0.0)
     behaviours = [after(0.25, reply("200 OK")), reset]
 
     async def main() -> None:
@@ -143,7 +143,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A vanished machine leaves its connections open and silent; only a new one tells that it is gone."""
-    monkeypatch.setattr("leadrudder.node.servers.REST_S", 0.0)
+    monkeypatch.setattr("leadrudder.node.servers.QUIET_BEFORE_REUSE_S", 0.0)
 
     async def main() -> None:
         async with (
@@ -178,7 +178,7 @@
                 await asyncio.sleep(0)
             server.release.set()
             await asyncio.wait_for(server.left.wait(), PATIENCE_S)
-            assert not w.node._requests and not w.node._calls
+            assert not w.node._requests and not w.node._attempts
 
     run(main())
 
@@ -229,15 +229,15 @@
 ) -> None:
     async def main() -> None:
         async with StubServer([silent]) as server, world(row("a", server.address)) as w:
-            events, node, now, handed = _record(w.node._balancer), w.node, w.node._clock.now, w.node._post
+            events, node, now, handed = _record(w.node._balancer), w.node, w.node._clock.now, w.node._dispatch
             pause_ms = 0.0
 
-            def post(event: Event) -> None:
+            def dispatch(event: Event) -> None:
                 nonlocal pause_ms
                 pause_ms += 60.0 if isinstance(event, Arrival) else 0.0
                 handed(event)
 
-            monkeypatch.setattr(node, "_post", post)
+            monkeypatch.setattr(node, "_dispatch", dispatch)
             monkeypatch.setattr(node._clock, "now", lambda: now() + pause_ms)
             assert (await (await w.caller()).ask("book", deadline="0.3")).status == 502
             (arrival,) = (event for event in events if isinstance(event, Arrival))
@@ -249,7 +249,7 @@
 def test_a_module_whose_call_was_lost_is_woken_before_it_is_overruled() -> None:
     async def main() -> None:
         async with StubServer([silent]) as server, world(row("a", server.address)) as w:
-            w.node._on[SetTimer] = lambda action: None
+            w.node._action_handlers[SetTimer] = lambda action: None
             assert (await (await w.caller()).ask("book", deadline="0.3")).status == 502
             server.release.set()
 
@@ -259,12 +259,14 @@
 def test_an_attempt_whose_time_was_set_late_ends_before_the_guard_answers() -> None:
     async def main() -> None:
         async with StubServer([silent]) as server, world(row("a", server.address)) as w:
-            attempt = w.node._servers.attempt
+            attempt = w.node._upstream.attempt
 
-            def after_a_pause(server: bytes, ask: Ask, timeout_s: float, done: Done) -> Attempt:
+            def after_a_pause(
+                server: bytes, ask: ClientRequest, timeout_s: float, done: AttemptCallback
+            ) -> Attempt:
                 return attempt(server, ask, timeout_s + 0.1, done)  # its timer counts from after the pause
 
-            w.node._servers.attempt = after_a_pause  # type: ignore[method-assign]
+            w.node._upstream.attempt = after_a_pause  # type: ignore[method-assign]
             assert (await (await w.caller()).ask("book", deadline="0.3")).status == 502
             server.release.set()
 
@@ -313,7 +315,7 @@
                 assert not inside, "an event came while the module was deciding"
                 inside, seen = True, seen + 1
                 if seen == 1:
-                    w.node._post(RequestGone(99))
+                    w.node._dispatch(RequestGone(99))
                 actions = handle(event, now)
                 inside = False
                 return actions
@@ -603,7 +605,7 @@
             server.release.set()
             assert (await first.answer()).body == b"first"
             assert (await first.ask("book", name="one")).body == b"second"
-            assert not w.node._held
+            assert not w.node._id_uses
 
     run(main())
 
@@ -617,7 +619,7 @@
             caller.writer.write(b"nonsense\r\n\r\n" * 5)
             assert (await caller.answer()).status == 400
             assert await caller.ended(), "more than one answer"
-            assert not w.node._requests and not w.node._held
+            assert not w.node._requests and not w.node._id_uses
             server.release.set()
 
     run(main())
@@ -634,7 +636,7 @@
                 caller.setblocking(False)
                 loop = asyncio.get_running_loop()
                 await loop.sock_connect(caller, w.address)
-                (connection,) = await _when(lambda: list(w.node._callers._open))
+                (connection,) = await _when(lambda: list(w.node._listener._open))
                 transport = connection._transport
                 assert transport is not None
                 os_socket = transport.get_extra_info("socket")
@@ -667,7 +669,7 @@
             caller.writer.write(b"".join(request("look") for _ in range(300)))
             assert (await caller.answer()).status == 400
             assert await caller.ended()
-            assert sum(isinstance(event, Arrival) for event in taken) <= MOST_PIPELINED
+            assert sum(isinstance(event, Arrival) for event in taken) <= MAX_PIPELINED_REQUESTS
             server.release.set()
 
     run(main())
@@ -702,7 +704,7 @@
         ):
             usual = await w.caller()
             assert (await usual.ask("look")).status == 200
-            most = w.node._callers._most
+            most = w.node._listener._most
             once = [await w.caller() for _ in range(most - 1)]
             for caller in once:
                 assert (await caller.ask(target="/ready")).status == 200
@@ -711,7 +713,7 @@
             newcomer = await w.caller()
             assert (await newcomer.ask("look")).status == 200, "refused, though others could make way"
             assert (await usual.ask("look")).status == 200
-            assert len(w.node._callers._open) <= most
+            assert len(w.node._listener._open) <= most
 
     run(main())
 
@@ -743,7 +745,7 @@
 
     async def main() -> None:
         async with StubServer([silent, reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            w.node._callers._most_bytes = 150
+            w.node._listener._most_bytes = 150
             first = await w.caller()
             first.writer.write(request("book", body=b"x" * 100))
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
@@ -832,7 +834,7 @@
     async def main() -> None:
         async with StubServer([silent]) as server, world(row("a", server.address), sockets=64) as w:
             w.node._balancer.handle = lambda event, now: []  # type: ignore[method-assign]
-            most = w.node._callers._most
+            most = w.node._listener._most
             idle = await w.caller()
             assert (await idle.ask(target="/ready")).status == 200
             busy = [await w.caller() for _ in range(most)]
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -24,9 +24,9 @@
     ServerList,
     Settings,
 )
-from leadrudder.node.lists import Naming
-from leadrudder.node.reports import MOST_KEPT, ReportReader
-from leadrudder.node.servers import Servers
+from leadrudder.node.lists import DiscoveryDecoder
+from leadrudder.node.reports import MAX_CACHED_REPORTS, LoadReportParser
+from leadrudder.node.servers import HttpUpstream
 from leadrudder.state.records import ClassHealth, Server, Turn
 from leadrudder.state.reports import FRESH_MS, LOG_EACH_MS, Reports
 from tests.stubs import StubServer, listing, reply, row, run
@@ -181,8 +181,8 @@
     ],
 )
 def test_a_report_is_read_in_the_order_of_the_settings(told: bytes | None, read: tuple[float, ...]) -> None:
-    assert ReportReader(COLUMNS).read(told) == read
-    assert ReportReader(()).read(told) == ()
+    assert LoadReportParser(COLUMNS).parse(told) == read
+    assert LoadReportParser(()).parse(told) == ()
 
 
 @pytest.mark.parametrize(
@@ -201,15 +201,15 @@
     ],
 )
 def test_what_cannot_be_read_is_handed_on_as_no_figures(told: bytes) -> None:
-    read = ReportReader(COLUMNS).read(told)
+    read = LoadReportParser(COLUMNS).parse(told)
     assert len(read) == 2 and all(math.isnan(figure) for figure in read)
 
 
 def test_what_is_kept_of_reports_is_bounded() -> None:
-    reader = ReportReader(COLUMNS)
-    for i in range(3 * MOST_KEPT):
-        assert reader.read(b'{"util":0.5,"inflight":%d}' % i) == (0.5, float(i))
-    assert len(reader._kept) == MOST_KEPT
+    reader = LoadReportParser(COLUMNS)
+    for i in range(3 * MAX_CACHED_REPORTS):
+        assert reader.parse(b'{"util":0.5,"inflight":%d}' % i) == (0.5, float(i))
+    assert len(reader._kept) == MAX_CACHED_REPORTS
 
 
 @pytest.mark.parametrize("status", ["200 OK", "503 Service Unavailable"])
@@ -217,8 +217,8 @@
     async def main() -> None:
         extra = 'X-Load: {"util":0.25,"inflight":3}\r\n'
         async with StubServer([reply(status, extra=extra)]) as server:
-            servers = Servers(connect_s=1.0, idle_s=5.0, most_open=4, columns=COLUMNS)
-            servers.update(Naming((), ()).read(listing(1, row("a", server.address))))
+            servers = HttpUpstream(connect_s=1.0, idle_s=5.0, most_open=4, columns=COLUMNS)
+            servers.update(DiscoveryDecoder((), ()).decode(listing(1, row("a", server.address))))
             ended: asyncio.Future[tuple[float, ...]] = asyncio.get_running_loop().create_future()
             servers.probe(b"a", 5.0, lambda _, __, report=(), /: ended.set_result(report))
             assert await asyncio.wait_for(ended, 10.0) == (0.25, 3.0)
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from leadrudder.node.config import ConfigError, load
-from leadrudder.node.routes import Route, class_of, covers
+from leadrudder.node.config import ConfigError, load_config
+from leadrudder.node.routes import Route, match_class, path_covers
 from tests.stubs import StubServer, reply, reset, row, run, world
 from tests.test_config import _config, _environment
 
@@ -39,12 +39,14 @@
 def test_the_first_route_that_takes_a_request_names_its_class(
     method: bytes, path: bytes, index: int | None
 ) -> None:
-    assert class_of(ROUTES, method, path) == index
+    assert match_class(ROUTES, method, path) == index
 
 
 def test_a_wide_path_covers_itself_and_what_is_below() -> None:
-    assert covers("/a/*", "/a") and covers("/a/*", "/a/b") and covers("/a/*", "/a/*")
-    assert not covers("/a/*", "/ab") and not covers("/a", "/a/b") and not covers("/a/b", "/a/*")
+    assert path_covers("/a/*", "/a") and path_covers("/a/*", "/a/b") and path_covers("/a/*", "/a/*")
+    assert (
+        not path_covers("/a/*", "/ab") and not path_covers("/a", "/a/b") and not path_covers("/a/b", "/a/*")
+    )
 
 
 def _answer(routes: Sequence[Route], *args: Any, **kwargs: Any) -> tuple[int, int]:
@@ -119,7 +121,7 @@
 )
 def test_routes_that_cannot_be_used_are_named(routes: Any, says: str, tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match=says):
-        load(_environment(tmp_path, _config(routes=routes)))
+        load_config(_environment(tmp_path, _config(routes=routes)))
 
 
 def test_routes_of_the_file_are_read_in_order(tmp_path: Path) -> None:
@@ -127,5 +129,5 @@
         {"method": "POST", "path": "/varaus/*", "class": "book"},
         {"method": "GET", "path": "/*", "class": "look"},
     ]
-    config = load(_environment(tmp_path, _config(routes=raw)))
+    config = load_config(_environment(tmp_path, _config(routes=raw)))
     assert config.routes == (Route("POST", "/varaus/*", BOOK), Route("GET", "/*", LOOK))
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -12,9 +12,9 @@
 import pytest
 
 from leadrudder.interface import Outcome
-from leadrudder.node.http import Message
-from leadrudder.node.lists import Naming
-from leadrudder.node.servers import Call, Servers
+from leadrudder.node.http import HttpMessage
+from leadrudder.node.lists import DiscoveryDecoder
+from leadrudder.node.servers import HttpUpstream, UpstreamCall
 from tests.stubs import HOST, PATIENCE_S, Behaviour, StubServer, listing, raw, reply, reset, row, run, silent
 
 REQUEST = b"GET /api/x HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -24,16 +24,16 @@
 class Attempts:
     """Calls to one server and their outcomes."""
 
-    def __init__(self, servers: Servers) -> None:
+    def __init__(self, servers: HttpUpstream) -> None:
         self.servers = servers
         self.ended: list[Outcome] = []
 
     def begin(
         self, timeout_s: float = PATIENCE_S, server: bytes = b"a"
-    ) -> tuple[Call, asyncio.Future[tuple[Outcome, bytes]]]:
+    ) -> tuple[UpstreamCall, asyncio.Future[tuple[Outcome, bytes]]]:
         future: asyncio.Future[tuple[Outcome, bytes]] = asyncio.get_running_loop().create_future()
 
-        def done(outcome: Outcome, answer: Message | None) -> None:
+        def done(outcome: Outcome, answer: HttpMessage | None) -> None:
             self.ended.append(outcome)
             future.set_result((outcome, answer.body if answer is not None else b""))
 
@@ -45,8 +45,8 @@
 
 @contextlib.asynccontextmanager
 async def attempts(address: str, *, most_open: int = 100, idle_s: float = 30.0) -> AsyncIterator[Attempts]:
-    servers = Servers(connect_s=0.15, idle_s=idle_s, most_open=most_open)
-    servers.update(Naming((), ()).read(listing(1, row("a", address))))
+    servers = HttpUpstream(connect_s=0.15, idle_s=idle_s, most_open=most_open)
+    servers.update(DiscoveryDecoder((), ()).decode(listing(1, row("a", address))))
     try:
         yield Attempts(servers)
     finally:
@@ -139,7 +139,7 @@
 def test_an_unknown_server_never_ran() -> None:
     async def main() -> None:
         async with attempts(f"{HOST}:1") as a:
-            a.servers.update(Naming((), ()).read(listing(2)))
+            a.servers.update(DiscoveryDecoder((), ()).decode(listing(2)))
             assert await a.outcome() == (Outcome.CONNECT_FAILED, b"")
 
     run(main())
@@ -150,8 +150,8 @@
         async with StubServer([silent]) as server, attempts(server.address) as a:
             call, future = a.begin()
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
-            call.give_up(Outcome.CANCELLED)
-            call.give_up(Outcome.TIMEOUT)
+            call.cancel(Outcome.CANCELLED)
+            call.cancel(Outcome.TIMEOUT)
             server.release.set()
             await asyncio.wait_for(server.left.wait(), PATIENCE_S)
             assert (await future)[0] is Outcome.CANCELLED
@@ -205,7 +205,7 @@
 
 def test_a_connection_with_something_unread_is_not_used_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """What came in after the answer and was not read yet would be taken for the next answer."""
-    monkeypatch.setattr("leadrudder.node.servers.REST_S", 0.0)
+    monkeypatch.setattr("leadrudder.node.servers.QUIET_BEFORE_REUSE_S", 0.0)
 
     async def main() -> None:
         behaviours = [reply("200 OK", b"1"), reply("200 OK", b"2")]
@@ -226,7 +226,9 @@
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, attempts(server.address) as a:
             _, future = a.begin()
-            a.servers.update(Naming((), ()).read(listing(2, row("a", server.address, "DRAINING"))))
+            a.servers.update(
+                DiscoveryDecoder((), ()).decode(listing(2, row("a", server.address, "DRAINING")))
+            )
             assert await future == (Outcome.MOOT, b"")
             await asyncio.wait_for(server.left.wait(), PATIENCE_S)
             assert not server.received
@@ -236,16 +238,16 @@
 
 def test_a_new_server_at_an_old_address_takes_it_over(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against calls meant for the old server that would meet the new and cold one."""
-    monkeypatch.setattr("leadrudder.node.servers.REST_S", 0.0)
+    monkeypatch.setattr("leadrudder.node.servers.QUIET_BEFORE_REUSE_S", 0.0)
 
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, attempts(server.address) as a:
             new = row("b", server.address, started=5.0)
-            assert a.servers.update(Naming((), ()).read(listing(2, new, reset=False))) == [b"a"]
+            assert a.servers.update(DiscoveryDecoder((), ()).decode(listing(2, new, reset=False))) == [b"a"]
             assert await a.outcome() == (Outcome.CONNECT_FAILED, b"")
             assert (await a.begin(server=b"b")[1])[0] is Outcome.OK
             stale = listing(3, row("a", server.address), new)
-            assert a.servers.update(Naming((), ()).read(stale)) == [b"a"]
+            assert a.servers.update(DiscoveryDecoder((), ()).decode(stale)) == [b"a"]
             assert (await a.begin(server=b"b")[1])[0] is Outcome.OK
             assert server.opened == 1
 
@@ -265,8 +267,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A request that crosses the server's close may have run: a booking is lost with it."""
-    monkeypatch.setattr("leadrudder.node.servers.REST_S", 0.0)
-    monkeypatch.setattr("leadrudder.node.servers.TRUST_LEAST_S", 0.0)
+    monkeypatch.setattr("leadrudder.node.servers.QUIET_BEFORE_REUSE_S", 0.0)
+    monkeypatch.setattr("leadrudder.node.servers.MIN_TRUSTED_IDLE_S", 0.0)
 
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, attempts(server.address) as a:
@@ -302,7 +304,7 @@
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
             a.servers.close_idle(b"a")
             assert not future.done()
-            call.give_up(Outcome.CANCELLED)
+            call.cancel(Outcome.CANCELLED)
             server.release.set()
 
     run(main())
@@ -315,13 +317,15 @@
             StubServer([silent]) as two,
             attempts(one.address, most_open=1) as a,
         ):
-            a.servers.update(Naming((), ()).read(listing(2, row("a", one.address), row("b", two.address))))
+            a.servers.update(
+                DiscoveryDecoder((), ()).decode(listing(2, row("a", one.address), row("b", two.address)))
+            )
             await a.outcome()
             call, future = a.begin(server=b"b")
             await asyncio.wait_for(two.got.wait(), PATIENCE_S)
             assert await a.outcome() == (Outcome.CONNECT_FAILED, b"")
             assert not future.done()
-            call.give_up(Outcome.CANCELLED)
+            call.cancel(Outcome.CANCELLED)
             two.release.set()
 
     run(main())
--- a/tests/tool/test_check.py
+++ b/tests/tool/test_check.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from leadrudder.cli import main
-from leadrudder.node.config import ConfigError, load
+from leadrudder.node.config import ConfigError, load_config
 from leadrudder.settings import SettingsError
 from leadrudder.tool import source
 from leadrudder.tool.check import Checked, check, check_sources
@@ -37,7 +37,7 @@
     def wall(self) -> float:
         return 0.0
 
-    def unread(self, transport: object) -> bool:
+    def has_unread_input(self, transport: object) -> bool:
         return False
 
 
@@ -45,7 +45,7 @@
     """A node takes what is rendered of each accepted file."""
     for file in done.files:
         for node in render(file):
-            config = load({**node.environment, "NODE_CONFIG": "x"}, _OneFile(json.dumps(node.config)))
+            config = load_config({**node.environment, "NODE_CONFIG": "x"}, _OneFile(json.dumps(node.config)))
             assert config.name == node.name
             assert len(config.settings.classes) >= 1
 
