--- a/leadrudder/node/__init__.py
+++ b/leadrudder/node/__init__.py
@@ -1,1 +1,1 @@
-"""The real node: the decision module on sockets."""
+"""The proxy node: the balancer on real sockets."""
--- a/leadrudder/node/callers.py
+++ b/leadrudder/node/callers.py
@@ -1,4 +1,4 @@
-"""The listening side: requests in, exactly one answer out, and /ready."""
+"""The HTTP listener for clients: requests in, exactly one response each out, and /ready."""
 
 from __future__ import annotations
 
@@ -38,61 +38,63 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PIPELINED_REQUESTS = 16  # requests that a connection may have open; usual callers have one
-PACE_PIPELINED = 2  # with as many open it is read no further: what comes then waits in the network
-LONGEST_DEADLINE_S = 3600.0
-HINT_MOST_US = 1e9
-SWEEP_S = 0.25
-# A usual caller connects because it has a request.  One that has not sent a whole one by now is answered or
-# closed: with the sweep's and the network's time that is within the 3 s that it is owed.
-FIRST_S = 2.25
-REQUEST_S = 10.0  # for a later request to come in whole
-UNREAD_S = 10.0  # for a caller to read its answer
-# Between requests: a caller that asked for nothing that servers do is closed as soon as the protocol lets us,
-# as such connections are kept for good; one of a usual caller's is worth a handshake.
-IDLE_ONCE_S = 2.25
-IDLE_S = 60.0
-STUCK_S = 0.5  # when there is no room, a request that has not come in whole by now makes way
-LINGER_S = 0.5  # after an early answer the caller may read it: closing on its unread input resets at once
-IGNORED_MOST = 256 * 1024
-FULL_RETRY_S = 0.5
-OVERFLOW_PART = 0.1  # of the limit: newcomers that are answered 503 where nobody can make way
-
-_DECIMAL = re.compile(rb"[0-9]{1,12}(\.[0-9]{1,12})?")  # float() takes far more than the protocol has
+MAX_PIPELINED_REQUESTS = 16  # open requests on one connection; ordinary clients have one
+PAUSE_READING_REQUESTS = 2  # with this many open the connection is not read; input waits in the network
+MAX_DEADLINE_S = 3600.0
+MAX_COST_HINT_US = 1e9
+SWEEP_INTERVAL_S = 0.25
+# An ordinary client connects because it has a request.  One that has not sent a complete request by then is
+# answered or closed; with the sweep interval and network time that is within the 3 s that clients are owed.
+FIRST_REQUEST_TIMEOUT_S = 2.25
+REQUEST_TIMEOUT_S = 10.0  # for a later request to arrive completely
+WRITE_TIMEOUT_S = 10.0  # for a client to read its response
+# Between requests: a connection that never brought a request for the servers is closed as early as the
+# protocol allows, because such connections tend to be held for ever.  One that did is worth keeping, since it
+# saves a handshake.
+UNPROVEN_IDLE_TIMEOUT_S = 2.25
+IDLE_TIMEOUT_S = 60.0
+EVICTABLE_AFTER_S = 0.5  # at the limit, a connection whose request is incomplete for longer may be evicted
+LINGER_S = 0.5  # time to read an early response: closing with unread input resets the connection at once
+MAX_DISCARDED_BYTES = 256 * 1024
+OVERLOAD_RETRY_AFTER_S = 0.5
+OVERFLOW_FRACTION = 0.1  # of the limit: extra connections that get a 503 when none can be evicted
+
+# float() accepts far more than the protocol does.
+_DECIMAL_PATTERN = re.compile(rb"[0-9]{1,12}(\.[0-9]{1,12})?")
 
 
 class HttpExchange:
-    """One request of a caller's and the place of its one answer."""
+    """One client request and the slot for its single response."""
 
-    __slots__ = ("_connection", "close", "gone", "on_disconnect", "output", "size")
+    __slots__ = ("_connection", "body_bytes", "close", "disconnected", "on_disconnect", "output")
 
     def __init__(self, connection: ClientConnection, close: bool) -> None:
         self._connection = connection
         self.close = close
-        self.gone = False
-        self.size = 0  # bytes of its body, counted while it is open
+        self.disconnected = False
+        self.body_bytes = 0  # counted against the listener's limit while the request is open
         self.output: bytes | None = None
         self.on_disconnect: Callable[[], None] | None = None
 
     def send(self, status: int, body: bytes = b"", extra: bytes = b"") -> None:
-        """Send the answer; nothing goes to a caller that has left, and no second answer to anybody."""
-        if self.gone or self.output is not None:
+        """Send the response, unless the client has left or one has been sent already."""
+        if self.disconnected or self.output is not None:
             return
-        # Nothing may follow an answer that closes: with more requests behind it this one leaves open.
-        self.close = self.close or (self._connection.callers.closing and self._connection.is_last(self))
-        self._connection.callers.release(self)
+        # No response may follow one that closes, so with requests queued this one keeps the connection open.
+        self.close = self.close or (self._connection.listener.draining and self._connection.is_last(self))
+        self._connection.listener.release(self)
         self.output = render_response(status, body, extra, close=self.close)
         self._connection.flush()
 
-    # What the core tells.
+    # The contract's Exchange, called by the node.
 
     def complete(self, response: UpstreamResponse) -> None:
-        kind = response.content_type
-        self.send(200, response.body, b"Content-Type: %s\r\n" % kind if kind else b"")
+        content_type = response.content_type
+        self.send(200, response.body, b"Content-Type: %s\r\n" % content_type if content_type else b"")
 
     def refuse(self, retry_after_ms: float) -> None:
-        after = b"Retry-After: %.3f\r\n" % (retry_after_ms / 1000.0) if retry_after_ms else b""
-        self.send(503, extra=after)
+        retry_after_header = b"Retry-After: %.3f\r\n" % (retry_after_ms / 1000.0) if retry_after_ms else b""
+        self.send(503, extra=retry_after_header)
 
     def fail(self) -> None:
         self.send(502)
@@ -102,89 +104,93 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection of a caller's; answers go out in the order of the requests."""
+    """One client connection; responses go out in the order of the requests."""
 
-    def __init__(self, callers: HttpListener) -> None:
-        self.callers = callers
-        self.since = 0.0  # when it was opened, last became idle, or stopped reading
+    def __init__(self, listener: HttpListener) -> None:
+        self.listener = listener
+        self.since_s = 0.0  # when it was opened, last became idle, or stopped reading
         self._answered = False
-        self._usual = False  # it has brought a request that was taken
+        self._accepted_request = False  # it has brought a valid request for the servers
         self._reader = HttpParser(self._on_request, requests=True)
         self._transport: asyncio.Transport | None = None
         self._exchanges: deque[HttpExchange] = deque()
-        self._deaf = False  # its last request has come: what follows is not read
-        self._over = False  # it has had its last answer
-        self._choked = False  # the caller does not read what it gets
-        self._ignored = 0  # bytes read away
+        self._input_closed = False  # its last request has arrived; further input is discarded
+        self._response_ended = False  # its last response has been written
+        self._write_paused = False  # the client does not read its responses
+        self._discarded_bytes = 0  # input read and thrown away
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass
-        self.since = self.callers.now()
-        self.callers.opened(self)
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports are not a subclass
+        self.since_s = self.listener.now()
+        self.listener.opened(self)
 
     def idle(self) -> bool:
-        """Between requests: may be closed, as the caller sends a crossing request anew."""
-        return not self._exchanges and not self._reader.within and not self._over
+        """Between requests: may be closed, since clients resend a request that crosses the close."""
+        return not self._exchanges and not self._reader.in_message and not self._response_ended
 
     def is_last(self, exchange: HttpExchange) -> bool:
         return bool(self._exchanges) and self._exchanges[-1] is exchange
 
-    def owes(self) -> bool:
-        """Whether an answer, or a part of one, is still to be sent, or a request is coming in."""
-        return self._unsent() or bool(self._exchanges) or (self._reader.within and not self._over)
+    def has_pending_work(self) -> bool:
+        """Whether a response, or part of one, is still to be sent, or a request is arriving."""
+        return (
+            self._has_unsent_output()
+            or bool(self._exchanges)
+            or (self._reader.in_message and not self._response_ended)
+        )
 
-    def may_go(self, now: float) -> tuple[int, float] | None:
-        """How readily this makes way for a newcomer, the least first; None if it must not.
+    def eviction_rank(self, now: float) -> tuple[int, float] | None:
+        """Eviction order when a new connection needs room, lowest first; None if this one must stay.
 
-        Guards against usual callers being refused while the table is full of connections of no use.  Those
-        that never brought a request go before usual callers: a crowd of them is no reason to make a usual one
-        open a new connection.
+        Keeps ordinary clients from being refused while the table is full of useless connections.  Connections
+        that never brought a request go before those that did, so that a crowd of them does not force ordinary
+        clients to reconnect.
         """
-        if self._over:
-            return None if self._unsent() else (0, self.since)
+        if self._response_ended:
+            return None if self._has_unsent_output() else (0, self.since_s)
         if self.idle():
-            return (2 if self._usual else 1, self.since)
-        if self._reader.within and not self._exchanges and now - self.since > STUCK_S:
-            return (3, self.since)
+            return (2 if self._accepted_request else 1, self.since_s)
+        if self._reader.in_message and not self._exchanges and now - self.since_s > EVICTABLE_AFTER_S:
+            return (3, self.since_s)
         return None
 
-    def make_way(self) -> None:
-        """Close: at once where the last answer is out, else when what was written has been sent."""
-        if self._over:
+    def evict(self) -> None:
+        """Close, at once if the last response has been sent, else after flushing what was written."""
+        if self._response_ended:
             self.drop()
         else:
             self.close()
 
-    def check(self, now: float) -> None:
-        """End what has been waited for long enough."""
-        waited = now - self.since
-        if self._choked or self._over:
-            if waited > UNREAD_S:
+    def check_timeouts(self, now: float) -> None:
+        """Reject or close the connection if one of its timeouts has passed."""
+        waited_s = now - self.since_s
+        if self._write_paused or self._response_ended:
+            if waited_s > WRITE_TIMEOUT_S:
                 self.drop()
         elif self._exchanges:
             return
-        elif self._reader.within:
-            if waited > (REQUEST_S if self._usual else FIRST_S):
-                self._answer_early(408)
-        elif waited > (IDLE_S if self._usual else IDLE_ONCE_S):
+        elif self._reader.in_message:
+            if waited_s > (REQUEST_TIMEOUT_S if self._accepted_request else FIRST_REQUEST_TIMEOUT_S):
+                self._reject(408)
+        elif waited_s > (IDLE_TIMEOUT_S if self._accepted_request else UNPROVEN_IDLE_TIMEOUT_S):
             self.close()
 
     def data_received(self, data: bytes) -> None:
-        if self._deaf:
-            # Reading on tells when the caller leaves; but nobody is worth reading megabytes away for.
-            self._ignored += len(data)
-            self._pace()
+        if self._input_closed:
+            # Reading on detects when the client leaves, but only up to a limit of discarded bytes.
+            self._discarded_bytes += len(data)
+            self._update_reading()
             return
         if self._answered and self.idle():
-            self.since = self.callers.now()
+            self.since_s = self.listener.now()
         try:
             self._reader.feed(data)
         except HttpMessageError as error:
-            self._answer_early(error.status)
+            self._reject(error.status)
         except Exception:
-            log.exception("fault while a request was taken")
-            self._answer_early(500)
-        self._pace()
+            log.exception("unexpected error while reading a request")
+            self._reject(500)
+        self._update_reading()
 
     def _on_request(self, message: HttpMessage) -> None:
         exchange = HttpExchange(self, not message.keep_alive)
@@ -194,64 +200,64 @@
         try:
             if len(self._exchanges) > MAX_PIPELINED_REQUESTS:
                 raise HttpMessageError(400, "too many requests in a row")
-            self._usual |= self.callers.route(message, exchange)
+            self._accepted_request |= self.listener.handle_request(message, exchange)
         except HttpMessageError as error:
-            self._answer_early(error.status)
+            self._reject(error.status)
         except Exception:
-            # A fault in one request must cost that request alone, and still be answered.
-            log.exception("fault in a request")
+            # An error in one request must affect that request only, and still be answered.
+            log.exception("unexpected error while handling a request")
             exchange.send(500)
 
-    def _answer_early(self, status: int) -> None:
-        """Answer what cannot be taken at once, whatever waits on this connection, then close."""
+    def _reject(self, status: int) -> None:
+        """Answer invalid input at once, ahead of anything pending on this connection, then close."""
         self._stop_reading()
-        if self._over:
+        if self._response_ended:
             return
-        self._leave()
+        self._abandon_exchanges()
         exchange = HttpExchange(self, True)
         self._exchanges.append(exchange)
         exchange.send(status)
 
     def flush(self) -> None:
-        """Send what is due: answers in order, up to the first that is not there yet."""
+        """Send responses in order, up to the first that is not ready yet."""
         transport = self._transport
         while self._exchanges and self._exchanges[0].output is not None and transport is not None:
             exchange = self._exchanges.popleft()
             assert exchange.output is not None
             transport.write(exchange.output)
-            self.since = self.callers.now()
+            self.since_s = self.listener.now()
             self._answered = True
             if exchange.close:
-                self._end()
+                self._end_responses()
                 return
-        self._pace()
+        self._update_reading()
 
     def _stop_reading(self) -> None:
-        """No further request is taken: neither from what is being parsed nor from what comes."""
-        self._deaf = True
+        """Accept no further request, neither from the input being parsed nor from later input."""
+        self._input_closed = True
         self._reader.stop()
 
-    def _end(self) -> None:
-        """Close after the last answer, once the caller has had the time to read it."""
+    def _end_responses(self) -> None:
+        """Close after the last response, once the client has had time to read it."""
         assert self._transport is not None
-        self._over = True
+        self._response_ended = True
         self._stop_reading()
-        self._leave()
+        self._abandon_exchanges()
         if self._transport.can_write_eof():
             self._transport.write_eof()
         self._linger()
 
     def _linger(self) -> None:
-        """Close in a while, or wait on if the answer has not left by then: to abort would cut it off."""
-        asyncio.get_running_loop().call_later(LINGER_S, self._linger_on)
+        """Close after LINGER_S, or later if output is still unsent, since aborting would cut it off."""
+        asyncio.get_running_loop().call_later(LINGER_S, self._finish_linger)
 
-    def _linger_on(self) -> None:
-        if self._unsent():
+    def _finish_linger(self) -> None:
+        if self._has_unsent_output():
             self._linger()
         else:
             self.drop()
 
-    def _unsent(self) -> bool:
+    def _has_unsent_output(self) -> bool:
         return self._transport is not None and self._transport.get_write_buffer_size() > 0
 
     def drop(self) -> None:
@@ -259,7 +265,7 @@
             self._transport.abort()
 
     def close(self) -> None:
-        self._over = True
+        self._response_ended = True
         if self._transport is not None:
             self._transport.close()
 
@@ -268,74 +274,78 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
-        self.callers.closed(self)
-        self._leave()
+        self.listener.closed(self)
+        self._abandon_exchanges()
 
-    def _leave(self) -> None:
-        """Nobody waits for the remaining requests."""
+    def _abandon_exchanges(self) -> None:
+        """Give up the remaining requests, for which nobody waits any more."""
         exchanges, self._exchanges = self._exchanges, deque()
         for exchange in exchanges:
-            exchange.gone = True
-            self.callers.release(exchange)
+            exchange.disconnected = True
+            self.listener.release(exchange)
             if exchange.on_disconnect is not None and exchange.output is None:
                 exchange.on_disconnect()
 
     def pause_writing(self) -> None:
-        self._choked = True
-        self._pace()
+        self._write_paused = True
+        self._update_reading()
 
     def resume_writing(self) -> None:
-        self._choked = False
-        self._pace()
+        self._write_paused = False
+        self._update_reading()
 
-    def _pace(self) -> None:
-        """Read only as long as answers have somewhere to go: bounds what one caller can make us hold."""
+    def _update_reading(self) -> None:
+        """Read only while responses can be written, which bounds what one client can make the node buffer."""
         if self._transport is None or self._transport.is_closing():
             return
-        if self._choked or self._ignored > IGNORED_MOST or len(self._exchanges) >= PACE_PIPELINED:
+        if (
+            self._write_paused
+            or self._discarded_bytes > MAX_DISCARDED_BYTES
+            or len(self._exchanges) >= PAUSE_READING_REQUESTS
+        ):
             self._transport.pause_reading()
         elif not self._transport.is_reading():
             self._transport.resume_reading()
 
 
 class HttpListener:
-    """The listening socket and all connections of callers."""
+    """The listening socket and all client connections."""
 
     def __init__(
         self,
         settings: Settings,
-        take: Callable[[ClientRequest, Exchange], None],
-        ready: Callable[[], bool],
-        most: int,
-        most_bytes: int,
+        submit: Callable[[ClientRequest, Exchange], None],
+        is_ready: Callable[[], bool],
+        max_connections: int,
+        max_body_bytes: int,
         platform: Platform = SYSTEM,
         routes: Sequence[Route] = (),
     ) -> None:
-        self.closing = False
-        self.now = platform.monotonic  # the loop's own time is too coarse to tell which is idle longest
-        self.last_activity = 0.0  # when a connection or a request last came
+        self.draining = False
+        self.now = platform.monotonic  # the loop's time is too coarse to find the longest idle
+        self.last_activity = 0.0  # when a connection or a request last arrived
         self._settings = settings
-        self._classes = {c.name.encode(): i for i, c in enumerate(settings.classes)}
+        self._class_indices = {c.name.encode(): i for i, c in enumerate(settings.classes)}
         self._routes = routes
-        self._tenants = {t.name.encode(): i for i, t in enumerate(settings.tenants)}
+        self._tenant_indices = {t.name.encode(): i for i, t in enumerate(settings.tenants)}
         self._required = [
             REQUEST_ID_HEADER,
             DEADLINE_HEADER,
             *([] if routes else [CLASS_HEADER]),
-            *([TENANT_HEADER] if self._tenants else []),
+            *([TENANT_HEADER] if self._tenant_indices else []),
         ]
-        self._take = take
-        self._ready = ready
-        self._most = most
-        self._most_bytes = most_bytes
-        self._bytes = 0
+        self._submit = submit
+        self._is_ready = is_ready
+        self._max_connections = max_connections
+        self._max_body_bytes = max_body_bytes
+        self._body_bytes = 0
         self._loop = asyncio.get_running_loop()
-        self._open: dict[ClientConnection, None] = {}  # a set with an order: the same at every play
+        self._connections: dict[ClientConnection, None] = {}  # an ordered set, for repeatable runs
         self._server: asyncio.Server | None = None
-        self._sweeper = self._loop.call_later(SWEEP_S, self._sweep)
+        self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     async def listen(self, address: tuple[str, int]) -> tuple[str, int]:
-        """Listen on this address only; returns it with the port that was bound."""
+        """Listen on this address only; returns it with the bound port."""
         host, port = address
         self._server = await self._loop.create_server(
             lambda: ClientConnection(self), host, port, backlog=1024, reuse_address=True
@@ -347,84 +357,94 @@
         return self._server is not None and self._server.is_serving()
 
     def opened(self, connection: ClientConnection) -> None:
-        self._open[connection] = None
+        self._connections[connection] = None
         self.last_activity = self.now()
-        if len(self._open) > self._most and not self._shed_one(connection) and self._overflows():
+        if (
+            len(self._connections) > self._max_connections
+            and not self._evict_one(connection)
+            and self._beyond_overflow()
+        ):
             connection.drop()
 
     def closed(self, connection: ClientConnection) -> None:
-        self._open.pop(connection, None)
+        self._connections.pop(connection, None)
 
-    def crowded(self) -> bool:
-        """More connections than the limit, and none idle to close: what comes now is refused."""
-        return len(self._open) > self._most
+    def over_limit(self) -> bool:
+        """More connections than the limit, and none to evict: new requests are refused."""
+        return len(self._connections) > self._max_connections
 
     def release(self, exchange: HttpExchange) -> None:
-        """The body of a request that is over no longer counts."""
-        self._bytes -= exchange.size
-        exchange.size = 0
+        """Stop counting the body of a finished request."""
+        self._body_bytes -= exchange.body_bytes
+        exchange.body_bytes = 0
 
-    def _overflows(self) -> bool:
-        """Beyond this a newcomer is closed unheard: descriptors must not run out."""
-        return len(self._open) > self._most * (1.0 + OVERFLOW_PART)
+    def _beyond_overflow(self) -> bool:
+        """Whether new connections must be closed without a response, so that descriptors do not run out."""
+        return len(self._connections) > self._max_connections * (1.0 + OVERFLOW_FRACTION)
 
-    def _shed_one(self, newest: ClientConnection) -> bool:
-        """Close the connection that makes way most readily, if there is one."""
+    def _evict_one(self, newest: ClientConnection) -> bool:
+        """Evict the connection with the lowest eviction rank, if there is one."""
         now = self.now()
-        ranks = [(rank, c) for c in self._open if c is not newest and (rank := c.may_go(now)) is not None]
-        if not ranks:
+        candidates = [
+            (rank, c)
+            for c in self._connections
+            if c is not newest and (rank := c.eviction_rank(now)) is not None
+        ]
+        if not candidates:
             return False
-        _, connection = min(ranks, key=lambda pair: pair[0])
-        self._open.pop(connection, None)
-        connection.make_way()
+        _, connection = min(candidates, key=lambda pair: pair[0])
+        self._connections.pop(connection, None)
+        connection.evict()
         return True
 
     def _sweep(self) -> None:
-        self._sweeper = self._loop.call_later(SWEEP_S, self._sweep)
+        self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self.now()
-        for connection in list(self._open):
-            connection.check(now)
+        for connection in list(self._connections):
+            connection.check_timeouts(now)
 
     def drain(self) -> None:
-        """From now on every answer closes its connection, and idle ones are closed at once."""
-        self.closing = True
-        for connection in [c for c in self._open if c.idle()]:
+        """From now on every response closes its connection, and idle connections are closed at once."""
+        self.draining = True
+        for connection in [c for c in self._connections if c.idle()]:
             connection.close()
 
     def busy(self) -> bool:
-        """Whether a caller is still owed something, or is sending."""
-        return any(c.owes() for c in self._open)
+        """Whether a client is still owed a response, or is sending a request."""
+        return any(c.has_pending_work() for c in self._connections)
 
     def close(self) -> None:
-        self._sweeper.cancel()
+        self._sweep_timer.cancel()
         if self._server is not None:
             self._server.close()
-        for connection in list(self._open):
+        for connection in list(self._connections):
             connection.drop()
 
     # Requests.
 
-    def route(self, message: HttpMessage, exchange: HttpExchange) -> bool:
-        """Take one whole request and tell whether it is one for the servers; MessageError if it is none that
-        a node serves."""
+    def handle_request(self, message: HttpMessage, exchange: HttpExchange) -> bool:
+        """Handle one complete request and return whether it was one for the servers.
+
+        Raises HttpMessageError for a request that the node does not serve.
+        """
         self.last_activity = self.now()
         path = message.target.partition(b"?")[0]
         if path == b"/ready":
             if message.method != b"GET":
                 raise HttpMessageError(400, "method")
-            exchange.send(200 if self._ready() and not self.closing else 503)
+            exchange.send(200 if self._is_ready() and not self.draining else 503)
             return False
         if not self._routes and path != b"/api" and not path.startswith(b"/api/"):
             raise HttpMessageError(404, "path")
-        ask = self._to_client_request(message, path)
-        if self.crowded() or self._bytes + len(message.body) > self._most_bytes:
+        client_request = self._to_client_request(message, path)
+        if self.over_limit() or self._body_bytes + len(message.body) > self._max_body_bytes:
             exchange.close = True
-            exchange.send(503, extra=b"Retry-After: %.3f\r\n" % FULL_RETRY_S)
+            exchange.send(503, extra=b"Retry-After: %.3f\r\n" % OVERLOAD_RETRY_AFTER_S)
             return True
-        exchange.size = len(message.body)
-        self._bytes += exchange.size
+        exchange.body_bytes = len(message.body)
+        self._body_bytes += exchange.body_bytes
         try:
-            self._take(ask, exchange)
+            self._submit(client_request, exchange)
         except DuplicateRequestId as error:
             raise HttpMessageError(409, str(error)) from None
         return True
@@ -432,23 +452,23 @@
     def _to_client_request(self, message: HttpMessage, path: bytes) -> ClientRequest:
         headers = message.headers
         for name in self._required:
-            if not headers.get(name) or name in message.repeated:
+            if not headers.get(name) or name in message.repeated_headers:
                 raise HttpMessageError(400, f"{name.decode()} is missing or repeated")
         if not TOKEN_PATTERN.fullmatch(headers[REQUEST_ID_HEADER]):
             raise HttpMessageError(400, "bad id")
         class_index = self._class_index(message, path)
-        tenant = self._tenants.get(headers[TENANT_HEADER]) if self._tenants else 0
+        tenant = self._tenant_indices.get(headers[TENANT_HEADER]) if self._tenant_indices else 0
         if class_index is None or tenant is None:
             raise HttpMessageError(400, "unknown class or tenant")
         self._check_method(message, self._settings.classes[class_index].effect)
         hint = headers.get(COST_HINT_HEADER)
-        item = path.removeprefix(b"/api").removeprefix(b"/")
+        key_path = path.removeprefix(b"/api").removeprefix(b"/")
         return ClientRequest(
             id=headers[REQUEST_ID_HEADER],
             class_index=class_index,
             tenant=tenant,
-            key=int.from_bytes(blake2b(item, digest_size=8).digest(), "big") if item else 0,
-            budget_ms=1000.0 * _number(headers[DEADLINE_HEADER], "deadline", LONGEST_DEADLINE_S),
+            key=int.from_bytes(blake2b(key_path, digest_size=8).digest(), "big") if key_path else 0,
+            budget_ms=1000.0 * _number(headers[DEADLINE_HEADER], "deadline", MAX_DEADLINE_S),
             cost_hint_ms=_hint_ms(hint),
             is_repeat=headers.get(RETRY_HEADER) == b"1",
             call=HttpRequest(
@@ -461,47 +481,47 @@
         )
 
     def _class_index(self, message: HttpMessage, path: bytes) -> int | None:
-        """By its route where there are routes, else as the request says; None for an unknown one.
+        """The class by route if routes are configured, else by header; None if unknown.
 
-        A request that says another class than its route is turned down: what the operator's file forbids to
-        repeat must not be repeated because an application mistook its class.
+        A request whose header contradicts its route is rejected: a class that the operator forbids to repeat
+        must not be repeated because an application sent the wrong class.
         """
-        told = message.headers.get(CLASS_HEADER)
-        named = None if told is None else self._classes.get(told)
+        stated = message.headers.get(CLASS_HEADER)
+        stated_index = None if stated is None else self._class_indices.get(stated)
         if not self._routes:
-            return named
-        routed = match_class(self._routes, message.method, path.removeprefix(b"/api"))
-        if routed is None:
+            return stated_index
+        routed_index = match_class(self._routes, message.method, path.removeprefix(b"/api"))
+        if routed_index is None:
             raise HttpMessageError(404, "no route")
-        if (told is not None and named != routed) or CLASS_HEADER in message.repeated:
+        if (stated is not None and stated_index != routed_index) or CLASS_HEADER in message.repeated_headers:
             raise HttpMessageError(400, "class does not fit the route")
-        return routed
+        return routed_index
 
     @staticmethod
     def _check_method(message: HttpMessage, effect: Effect) -> None:
-        """The method and the key must say of the effect what the class says: rule 2 rests on it."""
+        """Reject a method or key that contradicts the class's effect: retries are decided by that effect."""
         keyed = IDEMPOTENCY_KEY_HEADER in message.headers
         safe = effect is Effect.SAFE
         if (
             message.method != (b"GET" if safe else b"POST")
             or keyed != (effect is Effect.KEYED)
             or (safe and message.body)
-            or IDEMPOTENCY_KEY_HEADER in message.repeated
+            or IDEMPOTENCY_KEY_HEADER in message.repeated_headers
             or (keyed and not TOKEN_PATTERN.fullmatch(message.headers[IDEMPOTENCY_KEY_HEADER]))
         ):
             raise HttpMessageError(400, "method or key does not fit the class")
 
 
 def _hint_ms(text: bytes | None) -> float | None:
-    """A hint is a guess: one that cannot be read is none, and no reason to turn the request down."""
+    """The cost hint, or None.  A hint is only a guess, so an unreadable one does not reject the request."""
     try:
-        return None if text is None else _number(text, "cost hint", HINT_MOST_US) / 1000.0
+        return None if text is None else _number(text, "cost hint", MAX_COST_HINT_US) / 1000.0
     except HttpMessageError:
         return None
 
 
-def _number(text: bytes, what: str, most: float) -> float:
-    value = float(text) if _DECIMAL.fullmatch(text) else 0.0
-    if not 0.0 < value <= most:
-        raise HttpMessageError(400, f"bad {what}")
+def _number(text: bytes, field_name: str, maximum: float) -> float:
+    value = float(text) if _DECIMAL_PATTERN.fullmatch(text) else 0.0
+    if not 0.0 < value <= maximum:
+        raise HttpMessageError(400, f"bad {field_name}")
     return value
--- a/leadrudder/node/config.py
+++ b/leadrudder/node/config.py
@@ -1,5 +1,4 @@
-"""What a node is told at its start: the environment and the configuration file, checked, with errors that
-name the field."""
+"""A node's configuration, read from the environment and the configuration file; errors name the field."""
 
 from __future__ import annotations
 
@@ -15,19 +14,19 @@
 from leadrudder.settings import SettingsError, read_settings
 
 _DEFAULT_CONN_IDLE_MS = 15_000.0
-# With fewer no request can be served.  A tight limit is the platform's to set, and no reason not to start:
-# a node that wanted 64 MB at the least did not come up on a machine of 48.
-_LEAST_SOCKETS = 16
+# With fewer sockets no request can be served.  Otherwise tight limits do not prevent a start: a minimum of
+# 64 MB kept nodes from starting on a machine with 48 MB.
+_MIN_SOCKETS = 16
 _SEED_MASK = 2**64 - 1
 
 
 class ConfigError(Exception):
-    """A configuration that cannot be used; its text names the field."""
+    """An unusable configuration; the message names the field."""
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the platform allows one node."""
+    """The resources that the platform allows one node."""
 
     memory_mb: int
     sockets: int
@@ -35,9 +34,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a node knows when it starts."""
+    """Everything a node is configured with at startup."""
 
-    path: str  # of the file, which is read again at SIGHUP
+    path: str  # of the configuration file, which is read again on SIGHUP
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
@@ -45,51 +44,51 @@
     limits: Limits
     settings: Settings
     decoder: DiscoveryDecoder
-    known: EndpointUpdate | None
+    initial_endpoints: EndpointUpdate | None
     conn_idle_ms: float
-    routes: tuple[Route, ...] = ()  # none: requests name their class themselves
+    routes: tuple[Route, ...] = ()  # empty: requests carry their class in a header
 
 
 def load_config(environment: Mapping[str, str], platform: Platform = SYSTEM) -> Config:
-    """The configuration of this process."""
-    path = _variable(environment, "NODE_CONFIG")
-    raw = _read_file(path, platform)
-    settings_raw = _member(raw, "settings", dict)
+    """Load and validate the configuration of this process."""
+    path = _required_variable(environment, "NODE_CONFIG")
+    raw = _read_json_file(path, platform)
+    settings_raw = _required_member(raw, "settings", dict)
     values = dict(flatten(settings_raw))
     try:
         settings = read_settings(values)
     except (SettingsError, ImpossibleSettings) as error:
         raise ConfigError(str(error)) from None
-    decoder = DiscoveryDecoder(_names(settings_raw, "azs"), _names(settings_raw, "models"))
-    limits = _member(raw, "limits", dict)
+    decoder = DiscoveryDecoder(_read_names(settings_raw, "azs"), _read_names(settings_raw, "models"))
+    limits = _required_member(raw, "limits", dict)
     return Config(
         path=path,
-        name=environment.get("NODE_NAME") or _member(raw, "name", str),
-        listen=_address(environment, raw, "NODE_LISTEN", "listen"),
-        discovery=_address(environment, raw, "NODE_DISCOVERY", "discovery"),
-        seed=_seed(_member(raw, "seed", str)),
-        limits=Limits(_limit(limits, "memory_mb", 1), _limit(limits, "sockets", _LEAST_SOCKETS)),
+        name=environment.get("NODE_NAME") or _required_member(raw, "name", str),
+        listen=_read_address(environment, raw, "NODE_LISTEN", "listen"),
+        discovery=_read_address(environment, raw, "NODE_DISCOVERY", "discovery"),
+        seed=_parse_seed(_required_member(raw, "seed", str)),
+        limits=Limits(_read_limit(limits, "memory_mb", 1), _read_limit(limits, "sockets", _MIN_SOCKETS)),
         settings=settings,
         decoder=decoder,
-        known=_known(raw.get("known"), decoder),
-        conn_idle_ms=_conn_idle(values),
-        routes=_routes(raw.get("routes", []), settings),
+        initial_endpoints=_decode_initial_endpoints(raw.get("known"), decoder),
+        conn_idle_ms=_read_conn_idle_ms(values),
+        routes=_read_routes(raw.get("routes", []), settings),
     )
 
 
 def read_discovery_address(path: str, platform: Platform = SYSTEM) -> tuple[str, int]:
-    """Where discovery is by the file as it stands now; the environment names the address of the start."""
-    return _address({}, _read_file(path, platform), "discovery", "discovery")
+    """Discovery's address in the file as it is now; the environment applies only at startup."""
+    return _read_address({}, _read_json_file(path, platform), "discovery", "discovery")
 
 
-def _variable(environment: Mapping[str, str], name: str) -> str:
+def _required_variable(environment: Mapping[str, str], name: str) -> str:
     value = environment.get(name, "")
     if not value:
         raise ConfigError(f"{name} is not set")
     return value
 
 
-def _read_file(path: str, platform: Platform) -> dict[str, Any]:
+def _read_json_file(path: str, platform: Platform) -> dict[str, Any]:
     try:
         raw = json.loads(platform.read_text(path))
     except (OSError, ValueError) as error:
@@ -99,31 +98,31 @@
     return raw
 
 
-def _member(raw: Mapping[str, Any], name: str, kind: type) -> Any:
+def _required_member(raw: Mapping[str, Any], name: str, expected_type: type) -> Any:
     value = raw.get(name)
-    if not isinstance(value, kind):
-        raise ConfigError(f"{name} is missing or not of type {kind.__name__}: {value!r}")
+    if not isinstance(value, expected_type):
+        raise ConfigError(f"{name} is missing or not of type {expected_type.__name__}: {value!r}")
     return value
 
 
-def _limit(raw: Mapping[str, Any], name: str, least: int) -> int:
+def _read_limit(raw: Mapping[str, Any], name: str, minimum: int) -> int:
     value: object = raw.get(name)
-    if not isinstance(value, int | float) or isinstance(value, bool) or not least <= value < float("inf"):
-        raise ConfigError(f"limits.{name} is not a number of at least {least}: {value!r}")
+    if not isinstance(value, int | float) or isinstance(value, bool) or not minimum <= value < float("inf"):
+        raise ConfigError(f"limits.{name} is not a number of at least {minimum}: {value!r}")
     return int(value)
 
 
-def _seed(text: str) -> int:
+def _parse_seed(text: str) -> int:
     try:
         return int(text, 16) & _SEED_MASK
     except ValueError:
         raise ConfigError(f"seed is not a hexadecimal number: {text!r}") from None
 
 
-def _address(
+def _read_address(
     environment: Mapping[str, str], raw: Mapping[str, Any], variable: str, member: str
 ) -> tuple[str, int]:
-    text = environment.get(variable) or _member(raw, member, str)
+    text = environment.get(variable) or _required_member(raw, member, str)
     try:
         return parse_address(text)
     except ValueError:
@@ -131,7 +130,7 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Host and port of 'host:port'; ValueError where there is none."""
+    """Host and port of 'host:port'; raises ValueError for any other text."""
     host, _, port = text.rpartition(":")
     number = int(port)
     if not host or not 0 <= number < 65536:
@@ -139,7 +138,7 @@
     return host, number
 
 
-def _known(raw: Any, decoder: DiscoveryDecoder) -> EndpointUpdate | None:
+def _decode_initial_endpoints(raw: Any, decoder: DiscoveryDecoder) -> EndpointUpdate | None:
     if raw is None:
         return None
     try:
@@ -148,34 +147,34 @@
         raise ConfigError(f"known: {error}") from None
 
 
-def _routes(raw: Any, settings: Settings) -> tuple[Route, ...]:
-    """Of a sidecar's node: which class a request is of by its method and path."""
+def _read_routes(raw: Any, settings: Settings) -> tuple[Route, ...]:
+    """The routes of a sidecar's node, which give requests their class by method and path."""
     if not isinstance(raw, list):
         raise ConfigError(f"routes is not a list: {raw!r}")
-    classes = {kind.name: i for i, kind in enumerate(settings.classes)}
+    class_indices = {request_class.name: i for i, request_class in enumerate(settings.classes)}
     routes = []
     for i, item in enumerate(raw):
         if not isinstance(item, dict):
             raise ConfigError(f"routes.{i} is not an object: {item!r}")
-        method, path, name = (_member(item, key, str) for key in ("method", "path", "class"))
-        if name not in classes:
+        method, path, name = (_required_member(item, key, str) for key in ("method", "path", "class"))
+        if name not in class_indices:
             raise ConfigError(f"routes.{i}.class is no class of the settings: {name!r}")
-        routes.append(Route(method, path, classes[name]))
+        routes.append(Route(method, path, class_indices[name]))
     return tuple(routes)
 
 
-def _conn_idle(values: Mapping[str, str]) -> float:
+def _read_conn_idle_ms(values: Mapping[str, str]) -> float:
     text = values.get("policyLimits.connIdleMs", str(_DEFAULT_CONN_IDLE_MS))
     try:
-        idle = float(text)
+        idle_ms = float(text)
     except ValueError:
-        idle = -1.0
-    if not 0 < idle < float("inf"):
+        idle_ms = -1.0
+    if not 0 < idle_ms < float("inf"):
         raise ConfigError(f"settings: policyLimits.connIdleMs is out of range: {text}")
-    return idle
+    return idle_ms
 
 
-def _names(settings: Mapping[str, Any], key: str) -> tuple[str, ...]:
+def _read_names(settings: Mapping[str, Any], key: str) -> tuple[str, ...]:
     value = settings.get(key, [])
     if not isinstance(value, list):
         raise ConfigError(f"settings: {key} is not a list: {value!r}")
@@ -183,7 +182,7 @@
 
 
 def flatten(value: Any, path: str = "") -> Iterator[tuple[str, str]]:
-    """Nested JSON as the path to value pairs of the simulator's first message."""
+    """Flatten nested JSON into pairs of dotted path and value, as in the simulator's first message."""
     if isinstance(value, dict):
         for name, member in value.items():
             yield from flatten(member, f"{path}.{name}" if path else name)
--- a/leadrudder/node/contract.py
+++ b/leadrudder/node/contract.py
@@ -1,10 +1,10 @@
-"""What the core of a node, its fronts and its upstreams owe each other, whatever protocol they speak.
+"""The protocol-independent contract between a node's core, its frontends and its upstream.
 
-A front reads a caller's request, says what it is (Ask), and gives the core a place for its one answer
-(Exchange). The core decides by the decision module alone, and hands each attempt to the node's upstream,
-which says once how it ended (Done): an Outcome, which tells whether the request was written and whether it
-may have run, and for one that was served what the server answered. Nobody else keeps a table of requests,
-answers a caller, or repeats anything.
+A frontend reads a request, describes it (ClientRequest) and passes the core a slot for its single response
+(Exchange). The core follows the balancer's decisions and passes each attempt to the node's upstream, which
+reports once how it ended (AttemptCallback): an Outcome, which tells whether the request was written and may
+have run, and the response if the request was served. Only the core keeps a table of requests, responds to
+clients and retries.
 """
 
 from __future__ import annotations
@@ -18,34 +18,34 @@
 from leadrudder.node.reports import LoadReport
 
 
-class DuplicateRequestId(Exception):  # noqa: N818 - it names what is wrong with a request
-    """A request with this id is open, or an attempt of it is out: servers could not tell the two apart."""
+class DuplicateRequestId(Exception):  # noqa: N818 - named for what is wrong with the request
+    """The id belongs to an open request or an in-flight attempt; servers could not tell the two apart."""
 
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A request of an HTTP caller's, as it is passed on."""
+    """An HTTP client's request, as it is forwarded."""
 
     method: bytes
     target: bytes
-    key: bytes | None = None  # its Idempotency-Key
+    key: bytes | None = None  # the Idempotency-Key header
     content_type: bytes | None = None
     body: bytes = b""
 
     @property
     def size(self) -> int:
-        """Bytes that are held while it is open."""
+        """Bytes that it occupies while it is open."""
         return len(self.body)
 
 
 @dataclass(frozen=True, slots=True)
 class RpcCall:
-    """A MessagePack-RPC call, as it is passed on: the parameters in the bytes in which they came."""
+    """A MessagePack-RPC call, as it is forwarded, with the parameters in their original encoding."""
 
     method: str
     params: bytes  # one MessagePack array
     notification: bool = False
-    key: str | None = None  # what its caller told as the key, for servers that take it elsewhere
+    key: str | None = None  # the client's idempotency key, for servers that expect it elsewhere
 
     @property
     def size(self) -> int:
@@ -54,13 +54,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A valid request in the terms of the settings."""
+    """A validated request, in the terms of the settings."""
 
-    id: bytes  # the caller's, passed on unchanged
+    id: bytes  # the client's, forwarded unchanged
     class_index: int
     tenant: int
-    key: int  # what it is about, 0 for nothing
-    budget_ms: float  # what its caller will wait
+    key: int  # hash of the item it addresses; 0 for none
+    budget_ms: float  # how long the client will wait
     cost_hint_ms: float | None
     is_repeat: bool
     call: HttpRequest | RpcCall
@@ -68,66 +68,66 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamResponse:
-    """What a server answered to a request that it served."""
+    """A server's response to a request that it served."""
 
     body: bytes
     content_type: bytes | None = None
-    packed: bool = False  # the body is one MessagePack value, as an RPC server gave it
+    packed: bool = False  # the body is one MessagePack value from an RPC server
 
 
 class Exchange(Protocol):
-    """The place of a request's one answer.  A second one, and one to a caller that has left, goes nowhere."""
+    """The slot for a request's single response.  Later ones, and any after a disconnect, are discarded."""
 
-    on_disconnect: Callable[[], None] | None  # called once if the caller leaves before its answer
+    on_disconnect: Callable[[], None] | None  # called once if the client leaves before its response
 
-    def complete(self, answer: UpstreamResponse) -> None:
-        """A server's answer, unchanged."""
+    def complete(self, response: UpstreamResponse) -> None:
+        """Respond with a server's response, unchanged."""
 
     def refuse(self, retry_after_ms: float) -> None:
-        """Not served, and trying again is harmless; 0: no time is told."""
+        """Respond that the request never ran and may be retried; 0: without a retry time."""
 
     def fail(self) -> None:
-        """Not served, and nothing is promised."""
+        """Respond that the request was not served and may have run."""
 
     def fail_internally(self) -> None:
-        """The node itself could not deal with it."""
+        """Respond that the node itself failed to handle the request."""
 
 
 class Frontend(Protocol):
-    """A side towards callers beside the HTTP one."""
+    """A client-facing protocol in addition to the HTTP listener."""
 
-    last_activity: float  # when a connection or a call last came, on the loop's clock
+    last_activity: float  # when a connection or a call last arrived, on the loop's clock
 
     def drain(self) -> None:
-        """The node is ending: take nothing new, and close what is idle."""
+        """Prepare for shutdown: accept nothing new and close idle connections."""
 
     def busy(self) -> bool:
-        """Whether a caller is still owed something."""
+        """Whether a client is still owed a response."""
 
     def close(self) -> None:
-        """Leave nothing open."""
+        """Close every connection."""
 
 
 class Attempt(Protocol):
-    """An attempt, or a probe, that is out."""
+    """An attempt or a probe in flight."""
 
     def cancel(self, outcome: Outcome) -> None:
-        """Stop waiting: it ends now, with this outcome, unless it has ended."""
+        """Stop waiting: end it now with this outcome, unless it has already ended."""
 
 
 class AttemptCallback(Protocol):
-    """Called once with how an attempt or a probe ended; report: what the server told of its load with it."""
+    """Called once when an attempt or a probe ends.  report: the load that the server reported with it."""
 
     def __call__(
-        self, outcome: Outcome, answer: UpstreamResponse | None, report: LoadReport = (), /
+        self, outcome: Outcome, response: UpstreamResponse | None, report: LoadReport = (), /
     ) -> None: ...
 
 
 class Upstream(Protocol):
-    """The connections to all servers.  Nothing is ever sent twice by one."""
+    """The connections to all servers.  An upstream never resends anything by itself."""
 
-    def update(self, listing: EndpointUpdate) -> list[ServerId]:
-        """Follow a list; returns the servers whose address is another's now."""
+    def update(self, update: EndpointUpdate) -> list[ServerId]:
+        """Apply an endpoint update; returns the servers whose address now belongs to another server."""
 
     def has_endpoints(self) -> bool: ...
 
@@ -135,18 +135,18 @@
         """How many connections to servers are open."""
 
     def attempt(
-        self, server: ServerId, ask: ClientRequest, timeout_s: float, done: AttemptCallback
+        self, server: ServerId, client_request: ClientRequest, timeout_s: float, done: AttemptCallback
     ) -> Attempt:
-        """Start one attempt; its outcome comes by done, once, at the earliest after this returns.
+        """Start one attempt; done is called once with its outcome, never before this returns.
 
-        CONNECT_FAILED, MOOT and FULL: the server never ran it.  OK comes with an answer.  All others: it was
+        CONNECT_FAILED, MOOT and FULL: the server never ran it.  OK comes with a response.  All others: it was
         written, at least in part, and may have run.
         """
 
     def probe(self, server: ServerId, timeout_s: float, done: AttemptCallback) -> Attempt: ...
 
     def close_idle(self, server: ServerId) -> None:
-        """Close connections to a server on which nothing is out."""
+        """Close a server's connections that carry no request."""
 
     def close(self) -> None:
-        """Leave nothing open."""
+        """Close every connection."""
--- a/leadrudder/node/dialling.py
+++ b/leadrudder/node/dialling.py
@@ -1,8 +1,8 @@
-"""Opening connections within a time, so that no protocol is left believing in a connection that is not there.
+"""Opens connections with a timeout, without leaving a protocol attached to a connection that is gone.
 
-Where a process is behind, the time for a connection can run out in the same turn of the event loop in which
-it comes up. The protocol has been told of it then, or is about to be, and uvloop closes the connection
-without telling the protocol: it would count as up for ever, and every write would fail.
+In an overloaded process the timeout can pass in the same iteration of the event loop in which the connection
+is established. The protocol then has been told of the connection, or is about to be, and uvloop closes it
+without calling connection_lost: it would count as open for ever, and every write would fail.
 """
 
 from __future__ import annotations
@@ -13,28 +13,30 @@
 
 
 class DialedProtocol(Protocol):
-    """A protocol whose connection is opened by us."""
+    """A protocol for outgoing connections."""
 
     def on_connect_failed(self) -> None:
-        """The dial has failed: a connection that came up has ended, and one that still does is closed."""
+        """Handle a failed connect: an established connection is gone, and a later one must be closed."""
 
 
 ProtocolT = TypeVar("ProtocolT", bound="DialedProtocol")
 
 
-async def open_connection(make: Callable[[], ProtocolT], host: str, port: int, within_s: float) -> ProtocolT:
-    """The protocol of a connection that stands.  OSError or TimeoutError where none comes up in time."""
-    made: list[ProtocolT] = []
+async def open_connection(
+    create_protocol: Callable[[], ProtocolT], host: str, port: int, timeout_s: float
+) -> ProtocolT:
+    """Connect and return the protocol; raises OSError or TimeoutError if that fails or takes too long."""
+    protocols: list[ProtocolT] = []
 
-    def remembered() -> ProtocolT:
-        made.append(make())
-        return made[-1]
+    def create_and_record() -> ProtocolT:
+        protocols.append(create_protocol())
+        return protocols[-1]
 
     try:
-        async with asyncio.timeout(within_s):
-            await asyncio.get_running_loop().create_connection(remembered, host, port)  # type: ignore[type-var]
+        async with asyncio.timeout(timeout_s):
+            await asyncio.get_running_loop().create_connection(create_and_record, host, port)  # type: ignore[type-var]
     except BaseException:
-        for each in made:
-            each.on_connect_failed()
+        for protocol in protocols:
+            protocol.on_connect_failed()
         raise
-    return made[-1]
+    return protocols[-1]
--- a/leadrudder/node/discovery.py
+++ b/leadrudder/node/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: whole lists and watches, turned into ServerList events and addresses."""
+"""The discovery client: watches the endpoint list and delivers its updates."""
 
 from __future__ import annotations
 
@@ -27,25 +27,25 @@
 
 log = logging.getLogger(__name__)
 
-SILENCE_S = 7.0  # a watch sends an empty line every 2 s: after three missing ones its machine is cut off
-# Pauses before a watch that broke is begun anew: the local agent's, and the one where discovery has moved to.
-REWATCH_S = 0.5  # the longest first one
-REWATCH_MOST_S = 2.0
-MOVE_PART = 0.1  # of the time to fail a call, over which the nodes that are told to move spread
-LINES_A_SECOND = 100.0  # beyond so many, lines are gathered for this long and followed together
-GATHER_S = 0.05
-LINES_MOST = 5000  # that wait to be read; with more the watch is read no further
-MAX_LINE = 4 * 1024 * 1024  # a list of some ten thousand servers
+WATCH_SILENCE_TIMEOUT_S = 7.0  # a watch sends an empty line every 2 s; three missing ones mean a cut link
+# Delays before a broken watch is retried: the local agent's, and one at discovery's new address.
+FIRST_RETRY_DELAY_S = 0.5  # upper bound of the first, randomised delay
+MAX_RETRY_DELAY_S = 2.0
+MOVE_SPREAD_FRACTION = 0.1  # of the call timeout, over which the nodes spread when discovery moves
+MAX_LINES_PER_S = 100.0  # above this rate, lines are collected and applied in batches
+BATCH_INTERVAL_S = 0.05
+MAX_PENDING_LINES = 5000  # with more lines waiting, the watch is not read
+MAX_LINE_BYTES = 4 * 1024 * 1024  # a list of some ten thousand servers
 
 
 class _Watch(asyncio.Protocol):
-    """One watch on one connection: whole lines out, then one call to ended, unless it was closed before."""
+    """One watch on one connection: delivers complete lines, then calls on_ended once unless closed before."""
 
     def __init__(
         self,
         address: tuple[str, int],
         version: int,
-        call_s: float,
+        call_timeout_s: float,
         on_line: Callable[[_Watch, bytes], None],
         on_ended: Callable[[_Watch], None],
     ) -> None:
@@ -58,45 +58,45 @@
         self._on_line = on_line
         self._on_ended = on_ended
         self._parser = httptools.HttpResponseParser(self)
-        self._rest = b""
-        self.heard = False  # a line has come
-        self._over = False
+        self._partial_line = b""
+        self.received_line = False
+        self._closed = False
         self._transport: asyncio.Transport | None = None
         self._loop = asyncio.get_running_loop()
-        self._timer = self._loop.call_later(call_s, self._end)
-        self._opening = self._loop.create_task(self._open(host, port))
+        self._timer = self._loop.call_later(call_timeout_s, self._end)
+        self._connect_task = self._loop.create_task(self._connect(host, port))
 
-    async def _open(self, host: str, port: int) -> None:
+    async def _connect(self, host: str, port: int) -> None:
         try:
             await self._loop.create_connection(lambda: self, host, port)
         except OSError:
             self._end()
 
     def pause(self) -> None:
-        """Read no further for now: what comes waits in the network."""
-        if not self._over and self._transport is not None:
+        """Stop reading for now, so that input waits in the network."""
+        if not self._closed and self._transport is not None:
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        if not self._over and self._transport is not None and not self._transport.is_closing():
+        if not self._closed and self._transport is not None and not self._transport.is_closing():
             self._transport.resume_reading()
 
     def close(self) -> None:
-        """Drop it without a word."""
-        self._over = True
+        """Drop the watch without calling on_ended."""
+        self._closed = True
         self._timer.cancel()
-        self._opening.cancel()
+        self._connect_task.cancel()
         if self._transport is not None:
             self._transport.abort()
 
     def _end(self) -> None:
-        if not self._over:
+        if not self._closed:
             self.close()
             self._on_ended(self)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass
-        if self._over:
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports are not a subclass
+        if self._closed:
             self._transport.abort()
         else:
             self._transport.write(self._request)
@@ -105,8 +105,8 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            if not self._over:
-                log.warning("discovery: the answer cannot be read: %s", error)
+            if not self._closed:
+                log.warning("discovery: malformed HTTP response: %s", error)
                 self._end()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -116,17 +116,17 @@
         if self._parser.get_status_code() != 200:
             self._end()
 
-    def on_body(self, part: bytes) -> None:
-        *whole, self._rest = (self._rest + part).split(b"\n")
-        for line in whole:
-            if self._over:
+    def on_body(self, data: bytes) -> None:
+        *complete_lines, self._partial_line = (self._partial_line + data).split(b"\n")
+        for line in complete_lines:
+            if self._closed:
                 return
-            # A cut link says nothing: without a word in this time the watch has failed.
+            # A cut link gives no error, so a watch that stays silent for this long has failed.
             self._timer.cancel()
-            self._timer = self._loop.call_later(SILENCE_S, self._end)
+            self._timer = self._loop.call_later(WATCH_SILENCE_TIMEOUT_S, self._end)
             self._on_line(self, line)
-        if len(self._rest) > MAX_LINE:
-            log.warning("discovery: a line of more than %d bytes", MAX_LINE)
+        if len(self._partial_line) > MAX_LINE_BYTES:
+            log.warning("discovery: line longer than %d bytes", MAX_LINE_BYTES)
             self._end()
 
     def on_message_complete(self) -> None:
@@ -134,11 +134,11 @@
 
 
 class DiscoveryClient:
-    """Keeps at most one watch; tells of each list, and once of each call or watch that failed.
+    """Keeps one watch; delivers each update, and reports each failed call or watch once.
 
-    Where lists are pushed the watch is on the machine's own agent: it costs nothing, is kept up without
-    being asked for, and its breaks say nothing of the list.  When discovery moves, the watch on the new
-    address is up before the old one is dropped; a failure is told only when neither is left.
+    In pushed mode the watch is on the machine's local agent: it costs nothing, is kept up without being
+    requested, and its failures are not reported since they say nothing about the list.  When discovery moves,
+    the old watch is dropped only once the new one delivers; a failure is reported only when neither is left.
     """
 
     def __init__(
@@ -147,84 +147,89 @@
         decoder: DiscoveryDecoder,
         *,
         pushed: bool,
-        call_s: float,
-        on_list: Callable[[EndpointUpdate], None],
-        on_failed: Callable[[], None],
+        call_timeout_s: float,
+        on_update: Callable[[EndpointUpdate], None],
+        on_failure: Callable[[], None],
         rng: random.Random,
     ) -> None:
-        """rng: of the node's own seed, so that nodes are not in step."""
+        """rng: seeded per node, so that nodes do not act in step."""
         self._address = address
         self._decoder = decoder
         self._pushed = pushed
-        self._call_s = call_s
-        self._on_list = on_list
-        self._on_failed = on_failed
+        self._call_timeout_s = call_timeout_s
+        self._on_update = on_update
+        self._on_failure = on_failure
         self._loop = asyncio.get_running_loop()
         self._rng = rng
-        self._backoff = Backoff(rng, REWATCH_S, REWATCH_MOST_S)
+        self._backoff = Backoff(rng, FIRST_RETRY_DELAY_S, MAX_RETRY_DELAY_S)
         self._version = 0
-        self._wanted = False  # a list has been asked for
+        self._subscribed = False
         self._watch: _Watch | None = None
-        self._successor: _Watch | None = None  # at the address that discovery moved to, until it speaks
+        self._successor: _Watch | None = None  # at discovery's new address, until it delivers
         self._timer: asyncio.TimerHandle | None = None
-        self._book = DeliveredState()
-        self._reading: Generator[None, None, None] | None = None  # a long line
-        self._lines: deque[tuple[_Watch, bytes]] = deque()  # what has come and is not read
-        self._rate = TokenBucket.full(LINES_A_SECOND)
-        self._gathering: asyncio.TimerHandle | None = None
-        self._flooded = -1.0  # when lines were last gathered
+        self._delivered = DeliveredState()
+        self._long_line_reader: Generator[None, None, None] | None = None
+        self._pending_lines: deque[tuple[_Watch, bytes]] = deque()  # received and not read yet
+        self._line_rate = TokenBucket.full(MAX_LINES_PER_S)
+        self._batch_timer: asyncio.TimerHandle | None = None
+        self._last_batched_at_s = -1.0
 
-    def begin_with(self, known: EndpointUpdate) -> None:
-        """The list that is known at the start has been handed on by its owner."""
-        self._book.record(known)
+    def set_initial(self, initial: EndpointUpdate) -> None:
+        """Record the list known at startup, which the owner has applied itself."""
+        self._delivered.record(initial)
 
     def forget(self, server: ServerId) -> None:
-        """A server of the list was left out by the owner: the next list that names it tells of it again."""
-        self._book.forget(server)
+        """Forget a server that the owner dropped, so that the next list that names it reports it again."""
+        self._delivered.forget(server)
 
     def start(self, version: int | None) -> None:
-        """Begin from the version of the known list; None: there is none, and it is asked for at once.
+        """Start from the version of the initial list; with None there is none, and one is requested at once.
 
-        The module spreads the nodes' first calls, which only those that know a list can wait for.
+        The balancer spreads the nodes' first calls over time, but only nodes that have a list can wait.
         """
         self._version = version or 0
         if self._pushed or version is None:
             self.subscribe()
 
     def subscribe(self) -> None:
-        """Watch from the last version on; replaces a watch that is still there."""
-        self._leave()
-        self._wanted = True
-        self._watch = self._begin()
+        """Watch from the last version on, replacing any present watch."""
+        self._drop_watches()
+        self._subscribed = True
+        self._watch = self._start_watch()
 
     def move(self, address: tuple[str, int]) -> None:
-        """Discovery has another address: watch it there, and leave the old watch when it speaks."""
+        """Watch discovery at a new address, and drop the old watch once the new one delivers."""
         if address == self._address:
             return
         self._address = address
         if self._successor is not None:
             self._successor.close()
             self._successor = None
-        if self._wanted:
-            # Also where the last call failed: the pause after that was for the old address.  All nodes are
-            # told at once, and discovery answers one call after another.
+        if self._subscribed:
+            # This also applies after a failed call, whose retry delay was meant for the old address.  It
+            # is spread because all nodes learn of the move at once and discovery answers calls one by one.
             self._backoff.reset()
-            self._later(0.0 if self._pushed else self._rng.uniform(0.0, MOVE_PART * self._call_s))
+            self._schedule_successor(
+                0.0 if self._pushed else self._rng.uniform(0.0, MOVE_SPREAD_FRACTION * self._call_timeout_s)
+            )
 
     def close(self) -> None:
-        """The end: drop all without a word."""
-        self._leave()
-        self._lines.clear()
-        if self._gathering is not None:
-            self._gathering.cancel()
-        if self._reading is not None:
-            self._reading.close()
-            self._reading = None
+        """Stop, without reporting anything further."""
+        self._drop_watches()
+        self._pending_lines.clear()
+        if self._batch_timer is not None:
+            self._batch_timer.cancel()
+        if self._long_line_reader is not None:
+            self._long_line_reader.close()
+            self._long_line_reader = None
             gc.enable()
 
-    def _leave(self) -> None:
-        """Drop the watch without a word.  A list that it has brought whole is still read to its end: one that
-        always breaks behind a long list would else never be followed."""
+    def _drop_watches(self) -> None:
+        """Drop the watches without reporting it.
+
+        A long list that has arrived completely is still read to its end: otherwise a watch that always breaks
+        after a long list would never make progress.
+        """
         for watch in (self._watch, self._successor):
             if watch is not None:
                 watch.close()
@@ -233,138 +238,138 @@
             self._timer.cancel()
             self._timer = None
 
-    def _later(self, pause_s: float) -> None:
-        """Try the address that discovery has moved to."""
+    def _schedule_successor(self, delay_s: float) -> None:
+        """Schedule a watch at discovery's new address."""
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self._loop.call_later(pause_s, self._succeed)
+        self._timer = self._loop.call_later(delay_s, self._start_successor)
 
-    def _begin(self) -> _Watch:
-        return _Watch(self._address, self._version, self._call_s, self._line, self._ended)
+    def _start_watch(self) -> _Watch:
+        return _Watch(self._address, self._version, self._call_timeout_s, self._on_line, self._on_watch_ended)
 
-    def _succeed(self) -> None:
+    def _start_successor(self) -> None:
         self._timer = None
-        self._successor = self._begin()
+        self._successor = self._start_watch()
 
-    def _line(self, watch: _Watch, line: bytes) -> None:
+    def _on_line(self, watch: _Watch, line: bytes) -> None:
         if watch is self._successor:
             if self._watch is not None:
                 self._watch.close()
             self._watch, self._successor = watch, None
-        first, watch.heard = not watch.heard, True
-        if first:
+        first_line, watch.received_line = not watch.received_line, True
+        if first_line:
             self._backoff.reset()
         if not line.strip():
-            if first:
-                # Nothing has changed since the version asked for. Untold, the module took the call for one
-                # without a reply, and asked anew every second for as long as nothing changed.
-                self._on_list(EndpointUpdate(self._version, False, (), {}))
+            if first_line:
+                # Nothing has changed since the requested version.  Report that: otherwise the balancer takes
+                # the call for unanswered and subscribes again every second for as long as nothing changes.
+                self._on_update(EndpointUpdate(self._version, False, (), {}))
             return
-        self._lines.append((watch, line))
-        if len(self._lines) > LINES_MOST:
-            watch.pause()  # the rest waits in the network
-        if self._reading is None and self._gathering is None:
-            if self._rate.take(1000.0 * self._loop.time()):
-                self._read_lines()
+        self._pending_lines.append((watch, line))
+        if len(self._pending_lines) > MAX_PENDING_LINES:
+            watch.pause()
+        if self._long_line_reader is None and self._batch_timer is None:
+            if self._line_rate.take(1000.0 * self._loop.time()):
+                self._read_pending()
             else:
-                if self._loop.time() - self._flooded > 1.0:  # once for each flood
-                    log.warning("discovery: more than %d lines a second: taken together", LINES_A_SECOND)
-                self._flooded = self._loop.time()
-                self._gathering = self._loop.call_later(GATHER_S, self._gathered)
-
-    def _gathered(self) -> None:
-        """A flood of lines is followed as one change each time: work is bounded by time, not by lines."""
-        self._gathering = None
-        many, self._lines = list(self._lines), deque()
-        together: list[EndpointUpdate] = []
-        for i, (watch, line) in enumerate(many):
-            if len(line) > SHORT_LINE_BYTES:  # a long one stands for itself, and what follows it waits
-                self._lines.extend(many[i:])
+                if self._loop.time() - self._last_batched_at_s > 1.0:  # once per burst
+                    log.warning("discovery: more than %d lines per second; batching updates", MAX_LINES_PER_S)
+                self._last_batched_at_s = self._loop.time()
+                self._batch_timer = self._loop.call_later(BATCH_INTERVAL_S, self._apply_batch)
+
+    def _apply_batch(self) -> None:
+        """Apply the collected lines as one change, so that a burst costs work by time and not by line."""
+        self._batch_timer = None
+        lines, self._pending_lines = list(self._pending_lines), deque()
+        updates: list[EndpointUpdate] = []
+        for i, (watch, line) in enumerate(lines):
+            if len(line) > SHORT_LINE_BYTES:  # long lines are read on their own, in order
+                self._pending_lines.extend(lines[i:])
                 break
             try:
-                together.append(run_to_end(self._decoder.decode_text(line.decode())))
+                updates.append(run_to_end(self._decoder.decode_text(line.decode())))
             except (ValueError, EndpointListError) as error:
-                self._bad_line(watch, error)
-        for listing in merge_updates(together):
-            for piece in self._book.chunks(listing):
-                if piece is not None:
-                    self._on_list(piece)
-            self._version = listing.version
-        if many:
-            many[-1][0].resume()
-        self._read_lines()
-
-    def _read_lines(self) -> None:
-        while self._lines and self._reading is None:
-            self._take(*self._lines.popleft())
-
-    def _take(self, watch: _Watch, line: bytes) -> None:
-        """Read a line: a short one at once, a long one slice by slice, while the node goes on."""
-        slices = self._follow(watch, line)
+                self._on_bad_line(watch, error)
+        for update in merge_updates(updates):
+            for chunk in self._delivered.chunks(update):
+                if chunk is not None:
+                    self._on_update(chunk)
+            self._version = update.version
+        if lines:
+            lines[-1][0].resume()
+        self._read_pending()
+
+    def _read_pending(self) -> None:
+        while self._pending_lines and self._long_line_reader is None:
+            self._read_line(*self._pending_lines.popleft())
+
+    def _read_line(self, watch: _Watch, line: bytes) -> None:
+        """Read a line: a short one at once, a long one in steps between which the node does other work."""
+        steps = self._apply_line(watch, line)
         if len(line) <= SHORT_LINE_BYTES:
-            for _ in slices:
+            for _ in steps:
                 pass
             return
-        self._reading = slices
-        # Ten thousand servers are a hundred thousand new objects: a full collection among them held up the
-        # loop for 40 ms in the middle of the list.
+        self._long_line_reader = steps
+        # Ten thousand servers make a hundred thousand new objects.  A full garbage collection in the middle
+        # of such a list blocked the loop for 40 ms.
         gc.disable()
         watch.pause()
-        self._loop.call_soon(self._read_on, watch)
+        self._loop.call_soon(self._continue_long_line, watch)
 
-    def _read_on(self, watch: _Watch) -> None:
-        if self._reading is None:
-            return  # closed meanwhile
+    def _continue_long_line(self, watch: _Watch) -> None:
+        if self._long_line_reader is None:
+            return  # closed in the meantime
         try:
-            next(self._reading)
+            next(self._long_line_reader)
         except StopIteration:
-            self._read_next(watch)
+            self._finish_long_line(watch)
         except Exception:
-            log.exception("fault while a list was followed")  # and the lists behind it still count
-            self._read_next(watch)
+            log.exception("discovery: failed to apply an update")  # later updates are still applied
+            self._finish_long_line(watch)
         else:
-            self._loop.call_soon(self._read_on, watch)
+            self._loop.call_soon(self._continue_long_line, watch)
 
-    def _read_next(self, watch: _Watch) -> None:
-        """A long line is done: on with what came behind it."""
-        self._reading = None
-        gc.freeze()  # what a list brought lives until another takes it away, and is counted out of use then
+    def _finish_long_line(self, watch: _Watch) -> None:
+        """End a long line and go on with the lines after it."""
+        self._long_line_reader = None
+        gc.freeze()  # the list's objects live until replaced, and reference counting frees them then
         gc.enable()
         watch.resume()
-        self._read_lines()
+        self._read_pending()
 
-    def _follow(self, watch: _Watch, line: bytes) -> Generator[None, None, None]:
-        """Read one line and hand on what it changes, in slices."""
+    def _apply_line(self, watch: _Watch, line: bytes) -> Generator[None, None, None]:
+        """Read one line and deliver its changes, yielding between chunks."""
         try:
-            listing = yield from self._decoder.decode_text(line.decode())
+            update = yield from self._decoder.decode_text(line.decode())
         except (ValueError, EndpointListError) as error:
-            self._bad_line(watch, error)
+            self._on_bad_line(watch, error)
             return
-        for piece in self._book.chunks(listing):
-            if piece is not None:
-                self._on_list(piece)
+        for chunk in self._delivered.chunks(update):
+            if chunk is not None:
+                self._on_update(chunk)
             yield
-        # Only now: a list that was not followed to its end is asked for again.
-        self._version = listing.version
+        # Set last, so that a list that was not applied completely is requested again.
+        self._version = update.version
 
-    def _bad_line(self, watch: _Watch, error: Exception) -> None:
+    def _on_bad_line(self, watch: _Watch, error: Exception) -> None:
         log.warning("discovery: bad line: %s", error)
         watch.close()
         if watch in (self._watch, self._successor):
-            self._ended(watch)
+            self._on_watch_ended(watch)
 
-    def _ended(self, watch: _Watch) -> None:
+    def _on_watch_ended(self, watch: _Watch) -> None:
         if watch is self._successor:
             self._successor = None
-            if self._watch is not None:  # it still holds: time for another try
-                self._later(self._backoff.pause())
+            if self._watch is not None:  # the old watch is still up, so retry later
+                self._schedule_successor(self._backoff.pause())
                 return
         elif watch is self._watch:
             self._watch = None
-            if self._successor is not None:  # the one that closes after a move; the other is on its way
+            if self._successor is not None:  # the old watch closed after a move; the new one is starting
                 return
-        self._leave()
+        self._drop_watches()
         if self._pushed:
             self._timer = self._loop.call_later(self._backoff.pause(), self.subscribe)
         else:
-            self._on_failed()
+            self._on_failure()
--- a/leadrudder/node/http.py
+++ b/leadrudder/node/http.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 framing in both directions: bounded messages in, bytes out.
+"""HTTP/1.1 framing in both directions: size-limited messages in, bytes out.
 
-Parsing is httptools'; this adds the size limits and the bookkeeping that tells a whole message from a part.
+httptools does the parsing; this adds the size limits and tells complete messages from partial ones.
 """
 
 from __future__ import annotations
@@ -16,9 +16,7 @@
 
 MAX_BODY_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 16 * 1024
-TOKEN_PATTERN = re.compile(
-    rb"[!-~]{1,256}"
-)  # an id or a key is passed on as it came: nothing but plain characters
+TOKEN_PATTERN = re.compile(rb"[!-~]{1,256}")  # ids and keys are forwarded unchanged, so only printable ASCII
 
 REQUEST_ID_HEADER = b"x-request-id"
 CLASS_HEADER = b"x-class"
@@ -31,7 +29,7 @@
 LOAD_HEADER = b"x-load"
 CONTENT_TYPE_HEADER = b"content-type"
 
-_REASONS = {
+_REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -45,7 +43,7 @@
 
 
 class HttpMessageError(Exception):
-    """A message that cannot be taken; a request of this form is answered with the status."""
+    """A message that is not accepted; such a request is answered with the status."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -54,25 +52,25 @@
 
 @dataclass(slots=True)
 class HttpMessage:
-    """A whole request or answer."""
+    """A complete request or response."""
 
     target: bytes = b""  # of a request
     method: bytes = b""
     status: int = 0
     headers: dict[bytes, bytes] = field(default_factory=dict)
-    repeated: set[bytes] = field(default_factory=set)
+    repeated_headers: set[bytes] = field(default_factory=set)
     body: bytes = b""
     keep_alive: bool = False
 
 
-class _StopParsing(Exception):  # noqa: N818 - a signal, not an error
-    """Ends the parsing of a piece of input from within."""
+class _StopParsing(Exception):  # noqa: N818 - control flow, not an error
+    """Aborts the parsing of the current input from within a callback."""
 
 
 class HttpParser:
-    """Feeds bytes to httptools and hands on whole messages, within the size limits.
+    """Feeds bytes to httptools and delivers complete messages, within the size limits.
 
-    The limits are kept here because the parser itself would collect a header or a body without end.
+    The limits are enforced here because httptools itself accepts headers and bodies of any size.
     """
 
     __slots__ = (
@@ -86,7 +84,7 @@
         "_parser",
         "_size",
         "_stopped",
-        "surplus",
+        "has_surplus",
     )
 
     def __init__(self, on_message: Callable[[HttpMessage], None], *, requests: bool) -> None:
@@ -101,22 +99,22 @@
         self._body: list[bytes] = []
         self._size = 0
         self._stopped = False
-        self.surplus = False  # more has come than was wanted
+        self.has_surplus = False  # input has arrived after the last wanted message
 
     @property
-    def within(self) -> bool:
-        """Whether a message has begun and is not whole yet."""
+    def in_message(self) -> bool:
+        """Whether a message has begun and is not complete yet."""
         return self._message is not None
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes; MessageError if they cannot belong to a message that is taken."""
+        """Parse input; raises HttpMessageError if it cannot be part of an accepted message."""
         if not self._in_body:
             self._head_left -= len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if self._stopped:
-                self.surplus = True
+                self.has_surplus = True
                 return
             if self._failure is None:
                 raise HttpMessageError(400, f"malformed message: {error}") from None
@@ -126,14 +124,14 @@
             raise HttpMessageError(400, "the head is too large")
 
     def stop(self) -> None:
-        """Begin no further message, also not one that is in the same piece of input."""
+        """Begin no further message, not even one in the same input."""
         self._stopped = True
 
     def resume(self) -> None:
-        """Take messages again, after a stop that cut none off."""
+        """Accept messages again, after a stop that discarded no input."""
         self._stopped = False
 
-    # What httptools calls.
+    # Callbacks of httptools.
 
     def on_message_begin(self) -> None:
         if self._stopped:
@@ -142,20 +140,20 @@
         self._body.clear()
         self._size = 0
 
-    def on_url(self, part: bytes) -> None:
+    def on_url(self, data: bytes) -> None:
         if self._message is not None:
-            self._message.target += part
-            self._measure(len(part))
+            self._message.target += data
+            self._measure(len(data))
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self._message is None:
             return
         self._measure(len(name) + len(value))
         if self._in_body:
-            return  # a trailer: what decided how the message is taken stands in its head
+            return  # a trailer; only header fields decide how a message is handled
         name = name.lower()
         if name in self._message.headers:
-            self._message.repeated.add(name)
+            self._message.repeated_headers.add(name)
         self._message.headers[name] = value
 
     def on_headers_complete(self) -> None:
@@ -173,15 +171,15 @@
             message.status = parser.get_status_code()
 
     def _check_length(self, message: HttpMessage) -> None:
-        """The length must be told, in one of the two ways that this node reads.
+        """Reject a message without a supported length, either Content-Length or chunked encoding.
 
-        The parser refuses both at once and numbers that are none.  An answer that lasts until the end of the
-        connection is not taken: one that was cut off looks the same.
+        The parser itself rejects invalid numbers, and both headers together.  A response that ends with the
+        connection is not accepted, because a truncated one looks the same.
         """
         length = message.headers.get(b"content-length")
-        coding = message.headers.get(b"transfer-encoding")
-        if coding is not None:
-            if length is not None or coding.lower() != b"chunked":
+        transfer_encoding = message.headers.get(b"transfer-encoding")
+        if transfer_encoding is not None:
+            if length is not None or transfer_encoding.lower() != b"chunked":
                 self._fail(400, "the length is told in no way that is read here")
         elif length is not None:
             if int(length) > MAX_BODY_BYTES:
@@ -189,11 +187,11 @@
         elif isinstance(self._parser, httptools.HttpResponseParser) and self._parser.get_status_code() == 200:
             self._fail(400, "the length is not told")
 
-    def on_body(self, part: bytes) -> None:
-        self._size += len(part)
+    def on_body(self, data: bytes) -> None:
+        self._size += len(data)
         if self._size > MAX_BODY_BYTES:
             self._fail(413, "the body is too large")
-        self._body.append(part)
+        self._body.append(data)
 
     def on_message_complete(self) -> None:
         message = self._message
@@ -203,12 +201,14 @@
         message.body = b"".join(self._body)
         self._body.clear()
         message.keep_alive = self._parser.should_keep_alive()
-        if not 100 <= message.status < 200:  # an interim answer is no answer, and counts with the next head
+        if (
+            not 100 <= message.status < 200
+        ):  # interim responses are skipped and count towards the next head's size
             self._head_left, self._head_size = MAX_HEAD_BYTES, 0
             self._on_message(message)
 
     def _measure(self, size: int) -> None:
-        """A head that came whole in one piece is measured here, before it is taken."""
+        """Enforce the head limit for a head that arrived in a single input together with more."""
         self._head_size += size
         if self._head_size > MAX_HEAD_BYTES:
             self._fail(400, "the head is too large")
@@ -219,20 +219,22 @@
         raise _StopParsing
 
 
-def render_response(status: int, body: bytes = b"", extra: bytes = b"", *, close: bool = False) -> bytes:
-    """An answer to a caller; extra holds whole header lines."""
+def render_response(
+    status: int, body: bytes = b"", extra_headers: bytes = b"", *, close: bool = False
+) -> bytes:
+    """A response to a client; extra_headers holds complete header lines."""
     return b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s%s\r\n%s" % (
         status,
-        _REASONS[status],
+        _REASON_PHRASES[status],
         len(body),
-        extra,
+        extra_headers,
         b"Connection: close\r\n" if close else b"",
         body,
     )
 
 
 def render_request_head(name: bytes, call: HttpRequest, host: bytes) -> bytes:
-    """The part of an attempt's head that is the same for each attempt: all but the deadline."""
+    """The part of a request head that all attempts share: everything but the deadline."""
     lines = [b"%s %s HTTP/1.1\r\nHost: %s\r\nX-Request-Id: %s\r\n" % (call.method, call.target, host, name)]
     if call.key is not None:
         lines.append(b"Idempotency-Key: %s\r\n" % call.key)
--- a/leadrudder/node/lists.py
+++ b/leadrudder/node/lists.py
@@ -1,8 +1,9 @@
-"""Lists of servers as discovery words them, read in slices, and what a whole list changes.  No I/O.
+"""Decodes discovery's endpoint lists step by step, and reduces a full list to its changes.  No I/O.
 
-A list of ten thousand servers takes a quarter of a second to read and to follow; done in one go, every
-request of the node would wait for it.  What is long is therefore read by a generator that stops after every
-SLICE entries, and handed on in pieces of as many: first what drains or has gone, since rules hang on it.
+Reading and applying a list of ten thousand servers takes a quarter of a second.  Done in one go, it would
+delay every request of the node.  A long list is therefore read by a generator that yields after every
+CHUNK_ENTRIES entries, and delivered in chunks of that size.  Draining and removed servers come first, because
+sending to them is forbidden.
 """
 
 from __future__ import annotations
@@ -20,187 +21,193 @@
 
 log = logging.getLogger(__name__)
 
-CHUNK_ENTRIES = 200  # entries; reading or following as many takes a few milliseconds
-SHORT_LINE_BYTES = 64 * 1024  # a line of fewer bytes is read in one go
+CHUNK_ENTRIES = 200  # reading or applying this many takes a few milliseconds
+SHORT_LINE_BYTES = 64 * 1024  # a shorter line is read in one go
 
-_LIFECYCLES = {
+_READINESS_BY_LIFECYCLE = {
     "SERVING": Readiness.READY,
     "DRAINING": Readiness.DRAINING,
     "DELETED": Readiness.GONE,
 }
-_SPACE = re.compile(r"[ \t\n\r]*")
-_decoder = json.JSONDecoder()
+_WHITESPACE_PATTERN = re.compile(r"[ \t\n\r]*")
+_JSON_DECODER = json.JSONDecoder()
 
 Address = tuple[str, int]
 
 
 class EndpointListError(Exception):
-    """A list from discovery that cannot be read; its text names the field."""
+    """An endpoint list that cannot be decoded; the message names the field."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """A list or a change of it, in the module's form, and where its servers listen."""
+    """A full endpoint list or a change to it, in the balancer's form, with the servers' addresses."""
 
     version: int
     is_snapshot: bool
     entries: tuple[ServerEntry, ...]
     addresses: dict[ServerId, Address]
-    has_more: bool = False  # further pieces of the same list follow
+    has_more: bool = False  # further chunks of the same list follow
 
     def to_event(self, *, cached: bool = False) -> ServerList:
-        """What the module is told."""
+        """The event for the balancer."""
         kind = ListKind.CACHED if cached else ListKind.FULL if self.is_snapshot else ListKind.CHANGES
         return ServerList(kind, self.entries, self.version, self.has_more)
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryDecoder:
-    """Turns discovery's names of zones, machine types and cells into the module's numbers."""
+    """Decodes discovery's lists, with names of zones, machine types and cells as the balancer's numbers."""
 
     zones: tuple[str, ...]
     models: tuple[str, ...]
 
-    def decode(self, raw: Any) -> EndpointUpdate:
-        """One object of discovery's; ListError if it is not one."""
-        return run_to_end(self.decode_members(_members_of(raw)))
+    def decode(self, value: Any) -> EndpointUpdate:
+        """Decode a parsed JSON object; raises EndpointListError if it is not a valid list."""
+        return run_to_end(self.decode_members(_iter_parsed_members(value)))
 
     def decode_text(self, text: str) -> Generator[None, None, EndpointUpdate]:
-        """The same of its text, a slice at a time; ListError also for what is no JSON."""
+        """Decode JSON text step by step; raises EndpointListError also for invalid JSON."""
         return self.decode_members(iter_members(text))
 
-    def decode_members(self, parts: Iterable[tuple[str, Any]]) -> Generator[None, None, EndpointUpdate]:
-        """From the members of the object, those of 'instances' one by one."""
-        told: dict[str, Any] = {}
+    def decode_members(self, members: Iterable[tuple[str, Any]]) -> Generator[None, None, EndpointUpdate]:
+        """Decode from the object's members, with one member per item of 'instances'."""
+        fields: dict[str, Any] = {}
         entries: list[ServerEntry] = []
         addresses: dict[ServerId, Address] = {}
         try:
-            for key, value in parts:
+            for key, value in members:
                 if key != "instances":
-                    told[key] = value
+                    fields[key] = value
                     continue
-                entry = self._entry(value)
+                entry = self._decode_entry(value)
                 entries.append(entry)
                 host, _, port = value["hostPort"].rpartition(":")
                 addresses[entry.server] = (host, int(port))
                 if len(entries) % CHUNK_ENTRIES == 0:
                     yield
-            _tell_oddities(entries, len(addresses))
-            return EndpointUpdate(int(told["generation"]), bool(told["reset"]), tuple(entries), addresses)
+            _log_oddities(entries, len(addresses))
+            return EndpointUpdate(int(fields["generation"]), bool(fields["reset"]), tuple(entries), addresses)
         except KeyError as error:
             raise EndpointListError(f"{error} is missing or unknown") from None
         except (TypeError, ValueError, AttributeError, RecursionError) as error:
-            raise EndpointListError(f"not a list of servers: {error}") from None
+            raise EndpointListError(f"not a valid endpoint list: {error}") from None
 
-    def _entry(self, item: dict[str, Any]) -> ServerEntry:
+    def _decode_entry(self, item: dict[str, Any]) -> ServerEntry:
         return ServerEntry(
             server=item["instanceId"].encode(),
-            readiness=_LIFECYCLES[item["lifecycle"]],
+            readiness=_READINESS_BY_LIFECYCLE[item["lifecycle"]],
             capacity_hint=float(item.get("weight", 1.0)),
-            kind=_number(self.models, item.get("machineType", "")),
-            zone=_place(self.zones, item.get("zone")),
-            cell=_place((), item.get("cell")),
+            kind=_name_number(self.models, item.get("machineType", "")),
+            zone=_location_number(self.zones, item.get("zone")),
+            cell=_location_number((), item.get("cell")),
             started_ms=float(item.get("startedAtMs", 0)),
         )
 
 
-def run_to_end(slices: Generator[None, None, EndpointUpdate]) -> EndpointUpdate:
-    """What a reading in slices comes to, in one go."""
+def run_to_end(steps: Generator[None, None, EndpointUpdate]) -> EndpointUpdate:
+    """Run a step-by-step decoding to its end and return the result."""
     while True:
         try:
-            next(slices)
+            next(steps)
         except StopIteration as end:
             return cast(EndpointUpdate, end.value)
 
 
-def _members_of(raw: Any) -> Iterator[tuple[str, Any]]:
-    for item in raw["instances"]:
+def _iter_parsed_members(value: Any) -> Iterator[tuple[str, Any]]:
+    for item in value["instances"]:
         yield "instances", item
-    yield from ((key, raw[key]) for key in ("generation", "reset"))
+    yield from ((key, value[key]) for key in ("generation", "reset"))
 
 
 def iter_members(text: str) -> Iterator[tuple[str, Any]]:
-    """The members of a JSON object, and of its array 'instances' item by item; ValueError if it is none.
+    """The members of a JSON object, with the array 'instances' item by item.
 
-    Values are read by the standard library: what it takes is what json.loads takes.  A member that is there
-    twice counts as the last says, but items of both arrays are told.
+    Raises ValueError if the text is not such an object.  Values are parsed by the standard library, exactly
+    as json.loads would.  Of a repeated member the last value counts, but the items of all arrays are yielded.
     """
-    at = _after(text, 0, "{")
-    listed = False
-    while text[at : at + 1] != "}":
-        key, at = _value(text, at)
+    position = _skip_token(text, 0, "{")
+    found_instances = False
+    while text[position : position + 1] != "}":
+        key, position = _read_value(text, position)
         if not isinstance(key, str):
-            raise ValueError(f"a name is no string at {at}")
-        at = _after(text, at, ":")
-        if key == "instances" and text[at : at + 1] == "[":
-            listed = True
-            at = yield from _items(text, at + 1)
+            raise ValueError(f"member name is not a string at offset {position}")
+        position = _skip_token(text, position, ":")
+        if key == "instances" and text[position : position + 1] == "[":
+            found_instances = True
+            position = yield from _iter_instances(text, position + 1)
         else:
-            value, at = _value(text, at)
+            value, position = _read_value(text, position)
             yield key, value
-        at = _separator(text, at, "}")
-    if text[_skip(text, at + 1) :]:
-        raise ValueError(f"more than one value at {at}")
-    if not listed:
+        position = _skip_comma(text, position, "}")
+    if text[_skip_whitespace(text, position + 1) :]:
+        raise ValueError(f"more than one value at offset {position}")
+    if not found_instances:
         raise KeyError("instances")
 
 
-def _items(text: str, at: int) -> Generator[tuple[str, Any], None, int]:
-    """The items of the array that begins here; returns where it ends."""
-    at = _skip(text, at)
-    while text[at : at + 1] != "]":
-        item, at = _value(text, at)
+def _iter_instances(text: str, position: int) -> Generator[tuple[str, Any], None, int]:
+    """The items of the array whose first item starts at position; returns the offset after the array."""
+    position = _skip_whitespace(text, position)
+    while text[position : position + 1] != "]":
+        item, position = _read_value(text, position)
         yield "instances", item
-        at = _separator(text, at, "]")
-    return _skip(text, at + 1)
+        position = _skip_comma(text, position, "]")
+    return _skip_whitespace(text, position + 1)
 
 
-def _separator(text: str, at: int, closing: str) -> int:
-    """Past a comma, or at the end of what is read."""
-    if text[at : at + 1] == closing:
-        return at
-    at = _after(text, at, ",")
-    if text[at : at + 1] == closing:
-        raise ValueError(f"nothing after the comma at {at}")
-    return at
+def _skip_comma(text: str, position: int, closing: str) -> int:
+    """The offset after a comma, or the given one if the closing bracket is there."""
+    if text[position : position + 1] == closing:
+        return position
+    position = _skip_token(text, position, ",")
+    if text[position : position + 1] == closing:
+        raise ValueError(f"nothing after the comma at offset {position}")
+    return position
 
 
-def _value(text: str, at: int) -> tuple[Any, int]:
-    value, at = _decoder.raw_decode(text, at)
-    return value, _skip(text, at)
+def _read_value(text: str, position: int) -> tuple[Any, int]:
+    value, position = _JSON_DECODER.raw_decode(text, position)
+    return value, _skip_whitespace(text, position)
 
 
-def _skip(text: str, at: int) -> int:
-    match = _SPACE.match(text, at)
-    return match.end() if match else at
+def _skip_whitespace(text: str, position: int) -> int:
+    match = _WHITESPACE_PATTERN.match(text, position)
+    return match.end() if match else position
 
 
-def _after(text: str, at: int, sign: str) -> int:
-    at = _skip(text, at)
-    if text[at : at + 1] != sign:
-        raise ValueError(f"no {sign} at {at}")
-    return _skip(text, at + 1)
+def _skip_token(text: str, position: int, token: str) -> int:
+    position = _skip_whitespace(text, position)
+    if text[position : position + 1] != token:
+        raise ValueError(f"missing {token} at offset {position}")
+    return _skip_whitespace(text, position + 1)
 
 
-def _tell_oddities(entries: list[ServerEntry], different: int) -> None:
-    """One line for what a list says twice or cannot mean; the module takes the last, and bounds weights."""
-    again = len(entries) - different
-    if again:
-        log.warning("discovery: %d entries of a list repeat others; the last counts", again)
-    odd = sum(1 for entry in entries if not 0.0 < entry.capacity_hint < math.inf)
-    if odd:
-        log.warning("discovery: %d entries have a weight that is no positive number; the least counts", odd)
+def _log_oddities(entries: list[ServerEntry], distinct_servers: int) -> None:
+    """Log one line each for repeated servers and invalid weights.
+
+    The balancer uses the last entry of a server, and the lowest allowed weight for an invalid one.
+    """
+    repeated = len(entries) - distinct_servers
+    if repeated:
+        log.warning("discovery: %d entries repeat a server; using the last one", repeated)
+    bad_weights = sum(1 for entry in entries if not 0.0 < entry.capacity_hint < math.inf)
+    if bad_weights:
+        log.warning(
+            "discovery: %d entries have a weight that is not a positive number; using the minimum",
+            bad_weights,
+        )
 
 
-def _place(names: tuple[str, ...], name: Any) -> int:
-    """A zone or a cell; one that is not told is none, and not the same as another's that is not told."""
-    return UNTOLD if name is None or name == "" else _number(names, name)
+def _location_number(names: tuple[str, ...], name: Any) -> int:
+    """The number of a zone or cell; UNTOLD if the entry has none, which never counts as the same location."""
+    return UNTOLD if name is None or name == "" else _name_number(names, name)
 
 
-def _number(names: tuple[str, ...], name: Any) -> int:
-    """A name that the settings do not list still tells its servers from the others.
+def _name_number(names: tuple[str, ...], name: Any) -> int:
+    """The number of a name; a name that the settings do not list still gets one of its own.
 
-    Its number is computed and not remembered: over a long day new names must not add up.
+    That number is computed instead of stored, so that new names do not accumulate over time.
     """
     if isinstance(name, int):
         return name
@@ -209,89 +216,90 @@
     return len(names) + crc32(str(name).encode())
 
 
-def merge_updates(listings: Iterable[EndpointUpdate]) -> list[EndpointUpdate]:
-    """Changes that follow each other as one, in which a server's last entry holds; a whole list by itself."""
-    told: list[EndpointUpdate] = []
-    for listing in listings:
-        if listing.is_snapshot:
-            told = [listing]  # what came before it is void
-        elif not told or told[-1].is_snapshot:
-            told.append(listing)
+def merge_updates(updates: Iterable[EndpointUpdate]) -> list[EndpointUpdate]:
+    """Merge consecutive changes into one, where a server's last entry wins; a full list stays separate."""
+    merged: list[EndpointUpdate] = []
+    for update in updates:
+        if update.is_snapshot:
+            merged = [update]  # a full list replaces everything before it
+        elif not merged or merged[-1].is_snapshot:
+            merged.append(update)
         else:
-            last = told.pop()
-            entries = {entry.server: entry for entry in (*last.entries, *listing.entries)}
-            addresses = {**last.addresses, **listing.addresses}
-            told.append(EndpointUpdate(listing.version, False, tuple(entries.values()), addresses))
-    return told
+            last = merged.pop()
+            entries = {entry.server: entry for entry in (*last.entries, *update.entries)}
+            addresses = {**last.addresses, **update.addresses}
+            merged.append(EndpointUpdate(update.version, False, tuple(entries.values()), addresses))
+    return merged
 
 
 class DeliveredState:
-    """What has been handed on of the list, so that a long list is followed by what it changes, in pieces.
+    """The endpoints delivered so far, by which a long list is reduced to its changes, in chunks.
 
-    A short one is handed on as it came.
+    A short list is delivered as it came.
     """
 
     def __init__(self) -> None:
         self._entries: dict[ServerId, ServerEntry] = {}
         self._addresses: dict[ServerId, Address] = {}
 
-    def chunks(self, listing: EndpointUpdate) -> Iterator[EndpointUpdate | None]:
-        """The list in pieces, to be handed on in this order; None where there is only time to be left to
-        others."""
-        if len(listing.entries) <= CHUNK_ENTRIES and len(self._entries) <= CHUNK_ENTRIES:
-            self._note(listing)
-            yield listing
+    def chunks(self, update: EndpointUpdate) -> Iterator[EndpointUpdate | None]:
+        """The chunks of an update, to be delivered in this order; None only yields to other work."""
+        if len(update.entries) <= CHUNK_ENTRIES and len(self._entries) <= CHUNK_ENTRIES:
+            self._apply(update)
+            yield update
             return
-        gone, rest = [], []
-        latest = {entry.server: entry for entry in listing.entries}
+        not_ready, ready = [], []
+        latest = {entry.server: entry for entry in update.entries}
         for i, entry in enumerate(latest.values()):
-            if self._says_nothing(entry, listing):
+            if self._is_unchanged(entry, update):
                 pass
             elif entry.readiness is Readiness.READY:
-                rest.append(entry)
+                ready.append(entry)
             else:
-                gone.append(entry)
+                not_ready.append(entry)
             if i % CHUNK_ENTRIES == CHUNK_ENTRIES - 1:
                 yield None
-        missing = [server for server in self._entries if server not in latest] if listing.is_snapshot else []
+        missing = [server for server in self._entries if server not in latest] if update.is_snapshot else []
         for i, server in enumerate(missing):
-            gone.append(ServerEntry(server, Readiness.GONE))
+            not_ready.append(ServerEntry(server, Readiness.GONE))
             if i % CHUNK_ENTRIES == CHUNK_ENTRIES - 1:
                 yield None
-        yield from self._cut(listing, gone + rest)
+        yield from self._split(update, not_ready + ready)
 
-    def record(self, listing: EndpointUpdate) -> None:
-        """A list that was handed on as it is: the one known at the start."""
-        self._note(listing)
+    def record(self, update: EndpointUpdate) -> None:
+        """Record a list that was delivered as it is, such as the one known at startup."""
+        self._apply(update)
 
     def forget(self, server: ServerId) -> None:
-        """What was handed on of it was taken back: it is told again by the next list that names it."""
+        """Forget a server whose delivery was undone; the next list that names it delivers it again."""
         self._entries.pop(server, None)
         self._addresses.pop(server, None)
 
-    def _says_nothing(self, entry: ServerEntry, listing: EndpointUpdate) -> bool:
-        """Whether an entry is known as it is."""
+    def _is_unchanged(self, entry: ServerEntry, update: EndpointUpdate) -> bool:
+        """Whether the same entry and address have been delivered already."""
         server = entry.server
-        return self._entries.get(server) == entry and self._addresses[server] == listing.addresses[server]
+        return self._entries.get(server) == entry and self._addresses[server] == update.addresses[server]
 
-    def _cut(self, listing: EndpointUpdate, entries: list[ServerEntry]) -> Iterator[EndpointUpdate]:
-        """Pieces of the changes; an empty one if there are none: that the list has come is news as well."""
+    def _split(self, update: EndpointUpdate, entries: list[ServerEntry]) -> Iterator[EndpointUpdate]:
+        """Chunks of the changes; one empty chunk if there are none, since the list's arrival counts too."""
         last = max(0, len(entries) - 1) // CHUNK_ENTRIES * CHUNK_ENTRIES
-        for at in range(0, last + 1, CHUNK_ENTRIES):
-            part = entries[at : at + CHUNK_ENTRIES]
-            addresses = {e.server: listing.addresses[e.server] for e in part if e.server in listing.addresses}
-            piece = EndpointUpdate(listing.version, False, tuple(part), addresses, at < last)
-            self._note(piece)
-            yield piece
-
-    def _note(self, listing: EndpointUpdate) -> None:
-        if listing.is_snapshot:
+        for position in range(0, last + 1, CHUNK_ENTRIES):
+            entries_part = entries[position : position + CHUNK_ENTRIES]
+            addresses = {
+                e.server: update.addresses[e.server] for e in entries_part if e.server in update.addresses
+            }
+            chunk = EndpointUpdate(update.version, False, tuple(entries_part), addresses, position < last)
+            self._apply(chunk)
+            yield chunk
+
+    def _apply(self, update: EndpointUpdate) -> None:
+        if update.is_snapshot:
             self._entries.clear()
             self._addresses.clear()
-        for entry in listing.entries:
+        for entry in update.entries:
             if entry.readiness is Readiness.READY:
                 self._entries[entry.server] = entry
-                self._addresses[entry.server] = listing.addresses[entry.server]
+                self._addresses[entry.server] = update.addresses[entry.server]
             else:
                 self._entries.pop(entry.server, None)
                 self._addresses.pop(entry.server, None)
--- a/leadrudder/node/peers.py
+++ b/leadrudder/node/peers.py
@@ -1,4 +1,4 @@
-"""The servers that a list has named, by id and by address: what every upstream follows alike.  No I/O."""
+"""The table of listed servers, by id and by address, which all upstreams share.  No I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ListedEndpoint(Protocol):
-    """A server process as it is listed."""
+    """A server process from the endpoint list."""
 
     address: Address
     started_ms: float
@@ -23,52 +23,59 @@
 class EndpointTable(Generic[EndpointT]):
     """The listed servers of one upstream.
 
-    make: a peer by its name, address and start; dropped: called with each that is listed no more as it was.
+    create: makes an endpoint from its name, address and start time.  on_dropped: called with each endpoint
+    that is no longer listed as it was.
     """
 
     def __init__(
-        self, make: Callable[[str, Address, float], EndpointT], dropped: Callable[[ServerId, EndpointT], None]
+        self,
+        create: Callable[[str, Address, float], EndpointT],
+        on_dropped: Callable[[ServerId, EndpointT], None],
     ) -> None:
         self.endpoints: dict[ServerId, EndpointT] = {}
-        self._make = make
-        self._dropped = dropped
+        self._create = create
+        self._on_dropped = on_dropped
         self._by_address: dict[Address, ServerId] = {}
 
-    def update(self, listing: EndpointUpdate) -> list[ServerId]:
-        """Follow the list: with another address or start time old connections lead to a dead process.
+    def update(self, update: EndpointUpdate) -> list[ServerId]:
+        """Apply an update; a server with a new address or start time becomes a new endpoint.
 
-        Returns the servers whose address is another's now.  What is sent there by the old name would meet the
-        new server, which is cold.
+        Its old connections lead to a dead process.  Returns the servers whose address now belongs to another
+        server: a request sent there under the old name would reach the new, cold server.
         """
-        if listing.is_snapshot:
-            named = {entry.server for entry in listing.entries}
-            for server in [server for server in self.endpoints if server not in named]:
+        if update.is_snapshot:
+            listed = {entry.server for entry in update.entries}
+            for server in [server for server in self.endpoints if server not in listed]:
                 self._drop(server)
         replaced: list[ServerId] = []
-        for entry in listing.entries:
+        for entry in update.entries:
             if entry.readiness is not Readiness.READY:
                 self._drop(entry.server)
                 continue
-            address = listing.addresses[entry.server]
-            rival = self._by_address.get(address)
-            if rival is not None and rival != entry.server:
-                older = entry.server if self.endpoints[rival].started_ms > entry.started_ms else rival
-                self._drop(older)
-                replaced.append(older)
-                if older == entry.server:
+            address = update.addresses[entry.server]
+            other_server = self._by_address.get(address)
+            if other_server is not None and other_server != entry.server:
+                outdated = (
+                    entry.server
+                    if self.endpoints[other_server].started_ms > entry.started_ms
+                    else other_server
+                )
+                self._drop(outdated)
+                replaced.append(outdated)
+                if outdated == entry.server:
                     continue
-            peer = self.endpoints.get(entry.server)
-            if peer is None or peer.address != address or peer.started_ms != entry.started_ms:
+            endpoint = self.endpoints.get(entry.server)
+            if endpoint is None or endpoint.address != address or endpoint.started_ms != entry.started_ms:
                 self._drop(entry.server)
                 name = entry.server.decode(errors="replace")
-                self.endpoints[entry.server] = self._make(name, address, entry.started_ms)
+                self.endpoints[entry.server] = self._create(name, address, entry.started_ms)
                 self._by_address[address] = entry.server
         return replaced
 
     def _drop(self, server: ServerId) -> None:
-        peer = self.endpoints.pop(server, None)
-        if peer is not None:
-            peer.current = False
-            if self._by_address.get(peer.address) == server:
-                del self._by_address[peer.address]
-            self._dropped(server, peer)
+        endpoint = self.endpoints.pop(server, None)
+        if endpoint is not None:
+            endpoint.current = False
+            if self._by_address.get(endpoint.address) == server:
+                del self._by_address[endpoint.address]
+            self._on_dropped(server, endpoint)
--- a/leadrudder/node/platform.py
+++ b/leadrudder/node/platform.py
@@ -1,8 +1,8 @@
-"""The seam to the machine: what a node needs of it beside asyncio's event loop.
+"""The platform interface: what a node needs from its machine besides asyncio's event loop.
 
-Timers, connections, listening and signals come from the running loop. Its interface has no fine clock, no
-calendar, no way to look at what waits unread on a connection, and no files; those come from here. The
-simulation gives a node a loop and a platform of its own, and nothing in the node knows the difference.
+Timers, connections, listening sockets and signals come from the running loop. The loop offers no fine-grained
+clock, no wall clock, no check for unread input on a connection, and no files; those come from here. The
+simulation gives a node its own loop and platform, and the node cannot tell the difference.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 
 
 class Platform(Protocol):
-    """What a node asks its machine for."""
+    """The services that a node uses from its machine."""
 
     def monotonic(self) -> float:
-        """Seconds that only advance, finer than the loop's own time."""
+        """Monotonic time in seconds, finer than the loop's own time."""
 
     def wall(self) -> float:
         """Unix time in seconds."""
 
     def has_unread_input(self, transport: asyncio.Transport) -> bool:
-        """Whether bytes, or the peer's end, have come in on a connection and were not handed on yet."""
+        """Whether bytes or the peer's close have arrived on a connection and were not processed yet."""
 
     def read_text(self, path: str) -> str:
-        """The contents of a file in UTF-8; OSError or ValueError where there is none."""
+        """The contents of a UTF-8 file; raises OSError or ValueError if it cannot be read."""
 
 
 class SystemPlatform:
-    """The machine itself."""
+    """The real machine."""
 
     monotonic = staticmethod(time.monotonic)
     wall = staticmethod(time.time)
--- a/leadrudder/node/reports.py
+++ b/leadrudder/node/reports.py
@@ -1,7 +1,7 @@
-"""The load reports that servers put into answers: X-Load, as a JSON object of a few figures.
+"""Parses the load reports in servers' responses: the X-Load header, a JSON object of a few numbers.
 
-What can't be read is handed on as figures that are none, so that it is the decisions' to say so, once for all
-servers and for every protocol.
+An unreadable report is passed on as NaN values, so that the balancer logs it once for all servers and
+protocols.
 """
 
 from __future__ import annotations
@@ -18,47 +18,47 @@
 
 
 class LoadReportParser:
-    """Reads the columns that the settings name, in their order.
+    """Parses the columns that the settings name, in their order.
 
-    A server tells the same until it has measured anew, a second or so: what was read lately is kept.
+    Servers repeat a report until their next measurement, about a second later, so recent ones are cached.
     """
 
     def __init__(self, columns: tuple[str, ...]) -> None:
-        self._columns = [_names(column) for column in columns]
-        self._none = (math.nan,) * len(columns)
-        self._kept: dict[bytes, LoadReport] = {}
+        self._columns = [_accepted_names(column) for column in columns]
+        self._unreadable = (math.nan,) * len(columns)
+        self._cache: dict[bytes, LoadReport] = {}
 
     def parse(self, value: bytes | None) -> LoadReport:
-        """The figures; empty where there is no report or none is wanted, NaN each where it can't be read."""
+        """The values; empty if there is no report or no column is configured, all NaN if it is unreadable."""
         if value is None or not self._columns:
             return ()
-        report = self._kept.get(value)
+        report = self._cache.get(value)
         if report is None:
             report = self._parse_json(value)
-            if len(self._kept) >= MAX_CACHED_REPORTS:
-                del self._kept[next(iter(self._kept))]
-            self._kept[value] = report
+            if len(self._cache) >= MAX_CACHED_REPORTS:
+                del self._cache[next(iter(self._cache))]
+            self._cache[value] = report
         return report
 
     def _parse_json(self, value: bytes) -> LoadReport:
         if len(value) > MAX_REPORT_BYTES:
-            return self._none
+            return self._unreadable
         try:
-            told = json.loads(value)
+            fields = json.loads(value)
         except (ValueError, RecursionError):
-            return self._none
-        if not isinstance(told, dict):
-            return self._none
-        figures = [next((told[n] for n in names if n in told), None) for names in self._columns]
-        if not all(isinstance(f, int | float) and not isinstance(f, bool) for f in figures):
-            return self._none
+            return self._unreadable
+        if not isinstance(fields, dict):
+            return self._unreadable
+        values = [next((fields[n] for n in names if n in fields), None) for names in self._columns]
+        if not all(isinstance(f, int | float) and not isinstance(f, bool) for f in values):
+            return self._unreadable
         try:
-            return tuple(float(f) for f in figures if f is not None)
+            return tuple(float(f) for f in values if f is not None)
         except OverflowError:
-            return self._none
+            return self._unreadable
 
 
-def _names(column: str) -> tuple[str, ...]:
-    """How servers may name a figure: as the settings do first."""
+def _accepted_names(column: str) -> tuple[str, ...]:
+    """The names under which servers may report a column, the configured one first."""
     others = next((names for names in (UTILISATION, HELD, QUEUED) if column in names), ())
     return column, *(name for name in others if name != column)
--- a/leadrudder/rpc/attach.py
+++ b/leadrudder/rpc/attach.py
@@ -54,7 +54,7 @@
     if rpc.terms is not None:
         node = Node(config, upstream=RpcServers(rpc.terms, calls.as_rpc, calls.body))
     else:
-        servers = create_http_upstream(config, kind=HttpForCalls)
+        servers = create_http_upstream(config, upstream_type=HttpForCalls)
         assert isinstance(servers, HttpForCalls)
         servers.calls = calls
         node = Node(config, upstream=servers)
--- a/leadrudder/simulation/world.py
+++ b/leadrudder/simulation/world.py
@@ -417,8 +417,8 @@
                 "requests of the module": len(node._balancer._requests),
                 "attempts of the module": len(node._balancer._attempts),
                 "waiting requests": len(node._balancer._queue),
-                "bytes of bodies": node._listener._bytes,
-                "callers' connections": len(node._listener._open),
+                "bytes of bodies": node._listener._body_bytes,
+                "callers' connections": len(node._listener._connections),
                 "servers' connections": node._upstream.open_connection_count(),
                 "tasks": max(0, len(loop.tasks()) - 1),  # its main one
                 "timers": max(0, loop.timers - TIMERS_AT_REST),
--- a/leadrudder/station/outbound.py
+++ b/leadrudder/station/outbound.py
@@ -166,7 +166,7 @@
             if waited > 1000.0 * UNREAD_S:
                 self.drop()
         elif self._reader.begun:
-            if waited > max(limits.head_wait_ms, limits.idle_ms if self._reader.within else 0.0):
+            if waited > max(limits.head_wait_ms, limits.idle_ms if self._reader.in_message else 0.0):
                 self._refuse(408, "the request did not come in whole")
         elif waited > limits.idle_ms or self._outbound.closing:
             self._transport.close()
@@ -256,15 +256,15 @@
         path, _, _ = message.target.partition(b"?")
         host = headers.get(b"host", b"")
         attempt_id = headers.get(b"attempt-id", b"")
-        if not host or b"host" in message.repeated or not message.target.startswith(b"/"):
+        if not host or b"host" in message.repeated_headers or not message.target.startswith(b"/"):
             return self._plain(write, 400)
-        if not _TOKEN.fullmatch(attempt_id) or b"attempt-id" in message.repeated:
+        if not _TOKEN.fullmatch(attempt_id) or b"attempt-id" in message.repeated_headers:
             return self._plain(write, 400)
         route = self._find(host.decode("latin-1"), path.decode("latin-1"))
         if route is None:
             return self._plain(write, 404) if self.informed else self._plain(write, 503, COME_BACK)
         told = headers.get(b"time-left")
-        if told is not None and (not _NUMBER.fullmatch(told) or b"time-left" in message.repeated):
+        if told is not None and (not _NUMBER.fullmatch(told) or b"time-left" in message.repeated_headers):
             return self._plain(write, 400)
         late_s = self._late_s()
         left_ms = min(route.give_up_ms, float(told) if told is not None else route.give_up_ms)
--- a/leadrudder/station/server.py
+++ b/leadrudder/station/server.py
@@ -48,15 +48,15 @@
         self._wanted = b""
         super().__init__(peer, servers)
 
-    def reader(self) -> HttpParser:
-        return WholeReader(self._on_answer, requests=False, body_most=ANSWER_MOST)
+    def create_parser(self) -> HttpParser:
+        return WholeReader(self._on_response, requests=False, body_most=ANSWER_MOST)
 
-    def carry(self, call: UpstreamCall) -> None:
+    def send(self, call: UpstreamCall) -> None:
         assert isinstance(call.render, Going)
         self._wanted = call.render.attempt_id
-        super().carry(call)
+        super().send(call)
 
-    def _on_answer(self, message: HttpMessage) -> None:
+    def _on_response(self, message: HttpMessage) -> None:
         told = message.headers.get(ATTEMPT_ID)
         if self._wanted and told != self._wanted:
             if told is None:
@@ -65,7 +65,7 @@
             return
         if self._tainted:
             message.keep_alive = False
-        super()._on_answer(message)
+        super()._on_response(message)
 
 
 class OwnServer(HttpUpstream):
@@ -74,7 +74,9 @@
     connection = OwnConnection
 
     def __init__(self, address: Address, most_open: int, platform: Platform = SYSTEM) -> None:
-        super().__init__(connect_s=CONNECT_S, idle_s=IDLE_S, most_open=most_open, platform=platform)
+        super().__init__(
+            connect_timeout_s=CONNECT_S, idle_timeout_s=IDLE_S, max_connections=most_open, platform=platform
+        )
         self._address = address
 
     def is_now(self, server: str) -> None:
--- a/tests/mesh/test_outbound.py
+++ b/tests/mesh/test_outbound.py
@@ -247,7 +247,7 @@
         call = mock.Mock()
         call.render, call.deadline = Going(b"x2", b"GET / HTTP/1.1\r\n", b""), 101.0
         call.end = lambda outcome, message=None: self.ended.append((outcome, message and message.body))
-        self.connection.carry(call)
+        self.connection.send(call)
 
     @staticmethod
     def answer(attempt: bytes, body: bytes) -> bytes:
--- a/tests/rpc/stubs.py
+++ b/tests/rpc/stubs.py
@@ -187,7 +187,7 @@
             limits=Limits(192, 1024),
             settings=read_settings(dict(flatten(settings(guarantees={"mustAskInMs": 60_000.0})))),
             decoder=decoder,
-            known=decoder.decode(listing(1, *rows)),
+            initial_endpoints=decoder.decode(listing(1, *rows)),
             conn_idle_ms=30_000.0,
         )
         file = {**FILE, **({} if http else {"upstream": upstream or {}}), **changes}
--- a/tests/rpc/test_differential.py
+++ b/tests/rpc/test_differential.py
@@ -132,7 +132,7 @@
         limits=Limits(192, 1024),
         settings=made,
         decoder=decoder,
-        known=decoder.decode(listing(1, *rows)),
+        initial_endpoints=decoder.decode(listing(1, *rows)),
         conn_idle_ms=30_000.0,
     )
     node = Node(config, clock, upstream=upstream)
--- a/tests/simulation/plants.py
+++ b/tests/simulation/plants.py
@@ -62,7 +62,7 @@
 
 def drains_overlooked(patch: pytest.MonkeyPatch) -> None:
     """A draining server counts as ready."""
-    patch.setitem(lists._LIFECYCLES, "DRAINING", Readiness.READY)
+    patch.setitem(lists._READINESS_BY_LIFECYCLE, "DRAINING", Readiness.READY)
 
 
 def group_forgotten(patch: pytest.MonkeyPatch) -> None:
@@ -90,7 +90,7 @@
         original(self, outcome, answer)
 
     patch.setattr(servers.UpstreamCall, "end", end)
-    patch.setattr(Node, "_overdue", lambda self, request: None)
+    patch.setattr(Node, "_on_overdue", lambda self, request: None)
 
 
 def surplus_taken_for_an_answer(patch: pytest.MonkeyPatch) -> None:
@@ -101,7 +101,7 @@
 def reused_after_surplus(patch: pytest.MonkeyPatch) -> None:
     """A connection that brought more than its answer in one piece is kept, and the surplus thrown away."""
     patch.setattr(
-        HttpParser, "surplus", property(lambda self: False, lambda self, value: None), raising=False
+        HttpParser, "has_surplus", property(lambda self: False, lambda self, value: None), raising=False
     )
 
 
@@ -145,7 +145,7 @@
         connection = self.connection
         if not self.ended and connection is not None:
             connection._call = None
-            connection._servers.rest(connection)
+            connection._upstream.release(connection)
         self.end(outcome)
 
     patch.setattr(servers.UpstreamCall, "cancel", cancel)
@@ -165,7 +165,7 @@
     original = HttpExchange.send
 
     def answer(self: HttpExchange, status: int, body: bytes = b"", extra: bytes = b"") -> None:
-        self._connection.callers.__dict__.setdefault("kept", []).append(self)
+        self._connection.listener.__dict__.setdefault("kept", []).append(self)
         original(self, status, body, extra)
 
     patch.setattr(HttpExchange, "send", answer)
@@ -176,7 +176,7 @@
     original = HttpExchange.send
 
     def answer(self: HttpExchange, status: int, body: bytes = b"", extra: bytes = b"") -> None:
-        first = self.output is None and not self.gone
+        first = self.output is None and not self.disconnected
         original(self, status, body, extra)
         if first and status == 503 and self.output is not None:
             transport = self._connection._transport
@@ -206,9 +206,9 @@
     """The end of a node leaves connections that are coming up to themselves."""
 
     def close(self: servers.HttpUpstream) -> None:
-        self._sweeper.cancel()
-        for connection in list(self._open):
-            connection.abandon()
+        self._sweep_timer.cancel()
+        for connection in list(self._connections):
+            connection.drop()
 
     patch.setattr(servers.HttpUpstream, "close", close)
 
@@ -260,13 +260,13 @@
 
 def silent_watch_asked_anew(patch: pytest.MonkeyPatch) -> None:
     """As it was: a watch without news counts as a call without a reply, and is replaced every second."""
-    original = discovery.DiscoveryClient._line
+    original = discovery.DiscoveryClient._on_line
 
-    def line(self: discovery.DiscoveryClient, watch: discovery._Watch, text: bytes) -> None:
-        watch.heard = True
+    def on_line(self: discovery.DiscoveryClient, watch: discovery._Watch, text: bytes) -> None:
+        watch.received_line = True
         original(self, watch, text)
 
-    patch.setattr(discovery.DiscoveryClient, "_line", line)
+    patch.setattr(discovery.DiscoveryClient, "_on_line", on_line)
 
 
 def reports_read_unguarded(patch: pytest.MonkeyPatch) -> None:
--- a/tests/stubs.py
+++ b/tests/stubs.py
@@ -354,7 +354,7 @@
             limits=Limits(192, sockets),
             settings=read_settings(dict(flatten(settings(**changes)))),
             decoder=decoder,
-            known=decoder.decode(listing(1, *rows)) if known else None,
+            initial_endpoints=decoder.decode(listing(1, *rows)) if known else None,
             conn_idle_ms=30_000.0,
             routes=routes,
         )
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -54,8 +54,8 @@
     assert config.settings.classes[1].effect is Effect.KEYED
     assert config.settings.ask_for_list and config.settings.may_probe
     assert config.settings.tenants[0].name == "acme"
-    assert config.known is not None
-    event = config.known.to_event(cached=True)
+    assert config.initial_endpoints is not None
+    event = config.initial_endpoints.to_event(cached=True)
     assert (event.kind, event.version) == (ListKind.CACHED, 41)
     entry = event.entries[0]
     assert (entry.server, entry.readiness, entry.started_ms) == (b"s-1", Readiness.DRAINING, 12.0)
@@ -134,8 +134,8 @@
     listed = DiscoveryDecoder(("hall",), ("std",)).decode(listing(7, *rows))
     assert [entry.server for entry in listed.entries] == [b"a", b"b", b"a"]
     assert [record.getMessage() for record in caplog.records] == [
-        "discovery: 1 entries of a list repeat others; the last counts",
-        "discovery: 1 entries have a weight that is no positive number; the least counts",
+        "discovery: 1 entries repeat a server; using the last one",
+        "discovery: 1 entries have a weight that is not a positive number; using the minimum",
     ]
 
 
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -265,7 +265,7 @@
 
 
 def _listed(node: Node) -> int:
-    return len(_servers(node)._peers)
+    return len(_servers(node)._endpoints)
 
 
 def test_a_node_goes_on_while_it_reads_a_long_list() -> None:
@@ -294,7 +294,7 @@
                     answered_between = (await caller.ask(target="/ready")).status == 200
                 await asyncio.sleep(0)
             assert turns > 1 and answered_between
-            assert _listed(w.node) == 3000 and b"live" not in _servers(w.node)._peers
+            assert _listed(w.node) == 3000 and b"live" not in _servers(w.node)._endpoints
 
     run(main())
 
@@ -333,8 +333,8 @@
         async with world(known=False, registryMode="pushed", guarantees=PATIENT) as w:
             watch = await w.discovery.watch()
             tell(watch, listing(5, *rows(range(3000))))
-            await _until(lambda: w.node._discovery._reading is not None)
-        assert w.node._discovery._reading is None and w.node._discovery._version == 0
+            await _until(lambda: w.node._discovery._long_line_reader is not None)
+        assert w.node._discovery._long_line_reader is None and w.node._discovery._version == 0
 
     run(main())
 
@@ -363,7 +363,7 @@
             await _until(lambda: _listed(w.node) == 3)
 
     run(main())
-    floods = [r for r in caplog.records if "taken together" in r.getMessage()]
+    floods = [r for r in caplog.records if "batching updates" in r.getMessage()]
     assert 1 <= len(floods) <= 3
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -262,9 +262,11 @@
             attempt = w.node._upstream.attempt
 
             def after_a_pause(
-                server: bytes, ask: ClientRequest, timeout_s: float, done: AttemptCallback
+                server: bytes, client_request: ClientRequest, timeout_s: float, done: AttemptCallback
             ) -> Attempt:
-                return attempt(server, ask, timeout_s + 0.1, done)  # its timer counts from after the pause
+                return attempt(
+                    server, client_request, timeout_s + 0.1, done
+                )  # its timer counts from after the pause
 
             w.node._upstream.attempt = after_a_pause  # type: ignore[method-assign]
             assert (await (await w.caller()).ask("book", deadline="0.3")).status == 502
@@ -636,22 +638,24 @@
                 caller.setblocking(False)
                 loop = asyncio.get_running_loop()
                 await loop.sock_connect(caller, w.address)
-                (connection,) = await _when(lambda: list(w.node._listener._open))
+                (connection,) = await _when(lambda: list(w.node._listener._connections))
                 transport = connection._transport
                 assert transport is not None
                 os_socket = transport.get_extra_info("socket")
                 os_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
                 await loop.sock_sendall(caller, request("look", extra="Connection: close\r\n"))
-                await _when(lambda: connection._over)
-                assert connection._unsent(), "the test needs an answer that does not fit the buffers"
+                await _when(lambda: connection._response_ended)
+                assert (
+                    connection._has_unsent_output()
+                ), "the test needs an answer that does not fit the buffers"
                 lingered = []
-                linger_on = connection._linger_on
+                finish_linger = connection._finish_linger
 
                 def counted() -> None:
                     lingered.append(1)
-                    linger_on()
+                    finish_linger()
 
-                monkeypatch.setattr(connection, "_linger_on", counted)
+                monkeypatch.setattr(connection, "_finish_linger", counted)
                 await _when(lambda: len(lingered) > 2)
                 got = b""
                 while part := await loop.sock_recv(caller, 4096):
@@ -681,8 +685,8 @@
 def test_a_request_that_does_not_come_is_not_waited_for(
     begun: bytes, status: int | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("leadrudder.node.callers.FIRST_S", 0.05)
-    monkeypatch.setattr("leadrudder.node.callers.IDLE_ONCE_S", 0.05)
+    monkeypatch.setattr("leadrudder.node.callers.FIRST_REQUEST_TIMEOUT_S", 0.05)
+    monkeypatch.setattr("leadrudder.node.callers.UNPROVEN_IDLE_TIMEOUT_S", 0.05)
 
     async def main() -> None:
         async with StubServer([silent]) as server, world(row("a", server.address)) as w:
@@ -704,7 +708,7 @@
         ):
             usual = await w.caller()
             assert (await usual.ask("look")).status == 200
-            most = w.node._listener._most
+            most = w.node._listener._max_connections
             once = [await w.caller() for _ in range(most - 1)]
             for caller in once:
                 assert (await caller.ask(target="/ready")).status == 200
@@ -713,7 +717,7 @@
             newcomer = await w.caller()
             assert (await newcomer.ask("look")).status == 200, "refused, though others could make way"
             assert (await usual.ask("look")).status == 200
-            assert len(w.node._listener._open) <= most
+            assert len(w.node._listener._connections) <= most
 
     run(main())
 
@@ -745,7 +749,7 @@
 
     async def main() -> None:
         async with StubServer([silent, reply("200 OK")]) as server, world(row("a", server.address)) as w:
-            w.node._listener._most_bytes = 150
+            w.node._listener._max_body_bytes = 150
             first = await w.caller()
             first.writer.write(request("book", body=b"x" * 100))
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
@@ -823,7 +827,7 @@
             caller.writer.write(request("book", deadline="30"))
             await asyncio.wait_for(server.got.wait(), PATIENCE_S)
             w.node.terminate()
-            w.node._fail_rest()
+            w.node._fail_remaining()
             assert (await caller.answer()).status == 500
             server.release.set()
 
@@ -834,7 +838,7 @@
     async def main() -> None:
         async with StubServer([silent]) as server, world(row("a", server.address), sockets=64) as w:
             w.node._balancer.handle = lambda event, now: []  # type: ignore[method-assign]
-            most = w.node._listener._most
+            most = w.node._listener._max_connections
             idle = await w.caller()
             assert (await idle.ask(target="/ready")).status == 200
             busy = [await w.caller() for _ in range(most)]
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -209,7 +209,7 @@
     reader = LoadReportParser(COLUMNS)
     for i in range(3 * MAX_CACHED_REPORTS):
         assert reader.parse(b'{"util":0.5,"inflight":%d}' % i) == (0.5, float(i))
-    assert len(reader._kept) == MAX_CACHED_REPORTS
+    assert len(reader._cache) == MAX_CACHED_REPORTS
 
 
 @pytest.mark.parametrize("status", ["200 OK", "503 Service Unavailable"])
@@ -217,7 +217,9 @@
     async def main() -> None:
         extra = 'X-Load: {"util":0.25,"inflight":3}\r\n'
         async with StubServer([reply(status, extra=extra)]) as server:
-            servers = HttpUpstream(connect_s=1.0, idle_s=5.0, most_open=4, columns=COLUMNS)
+            servers = HttpUpstream(
+                connect_timeout_s=1.0, idle_timeout_s=5.0, max_connections=4, load_columns=COLUMNS
+            )
             servers.update(DiscoveryDecoder((), ()).decode(listing(1, row("a", server.address))))
             ended: asyncio.Future[tuple[float, ...]] = asyncio.get_running_loop().create_future()
             servers.probe(b"a", 5.0, lambda _, __, report=(), /: ended.set_result(report))
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -44,8 +44,12 @@
 
 
 @contextlib.asynccontextmanager
-async def attempts(address: str, *, most_open: int = 100, idle_s: float = 30.0) -> AsyncIterator[Attempts]:
-    servers = HttpUpstream(connect_s=0.15, idle_s=idle_s, most_open=most_open)
+async def attempts(
+    address: str, *, max_connections: int = 100, idle_timeout_s: float = 30.0
+) -> AsyncIterator[Attempts]:
+    servers = HttpUpstream(
+        connect_timeout_s=0.15, idle_timeout_s=idle_timeout_s, max_connections=max_connections
+    )
     servers.update(DiscoveryDecoder((), ()).decode(listing(1, row("a", address))))
     try:
         yield Attempts(servers)
@@ -211,10 +215,10 @@
         behaviours = [reply("200 OK", b"1"), reply("200 OK", b"2")]
         async with StubServer(behaviours) as server, attempts(server.address) as a:
             assert await a.outcome() == (Outcome.OK, b"1")
-            (connection,) = a.servers._open
-            assert connection.quiet()
+            (connection,) = a.servers._connections
+            assert connection.is_quiet()
             os.write(server.writers[0].get_extra_info("socket").fileno(), b"HTTP/1.1 500 No\r\n")
-            while connection.quiet():
+            while connection.is_quiet():
                 time.sleep(0)  # the loop must not get to read it
             assert await a.outcome() == (Outcome.OK, b"2")
             assert server.opened == 2
@@ -256,7 +260,7 @@
 
 def test_idle_connections_close_well_before_the_server_would() -> None:
     async def main() -> None:
-        async with StubServer([reply("200 OK")]) as server, attempts(server.address, idle_s=0.0) as a:
+        async with StubServer([reply("200 OK")]) as server, attempts(server.address, idle_timeout_s=0.0) as a:
             await a.outcome()
             await asyncio.wait_for(server.left.wait(), PATIENCE_S)
 
@@ -272,22 +276,22 @@
 
     async def main() -> None:
         async with StubServer([reply("200 OK")]) as server, attempts(server.address) as a:
-            (peer,) = a.servers._peers.values()
-            told = peer.trusted_s
+            (peer,) = a.servers._endpoints.values()
+            told = peer.trusted_idle_s
             await a.outcome()
             server.writers[0].close()
-            while a.servers._open:
+            while a.servers._connections:
                 await asyncio.sleep(0)
-            assert peer.trusted_s < told
-            peer.trusted_s = 0.0
+            assert peer.trusted_idle_s < told
+            peer.trusted_idle_s = 0.0
             await a.outcome()
-            while a.servers._loop.time() <= next(iter(a.servers._idle)).idle_since:
+            while a.servers._loop.time() <= next(iter(a.servers._idle)).idle_since_s:
                 await asyncio.sleep(0)
             await a.outcome()
             assert server.opened == 3, "an older connection than the server keeps was used"
-            peer.trusted_s = told / 2
+            peer.trusted_idle_s = told / 2
             a.servers._sweep()
-            assert told / 2 < peer.trusted_s < told, "it is trusted again in time"
+            assert told / 2 < peer.trusted_idle_s < told, "it is trusted again in time"
 
     run(main())
 
@@ -315,7 +319,7 @@
         async with (
             StubServer([reply("200 OK")]) as one,
             StubServer([silent]) as two,
-            attempts(one.address, most_open=1) as a,
+            attempts(one.address, max_connections=1) as a,
         ):
             a.servers.update(
                 DiscoveryDecoder((), ()).decode(listing(2, row("a", one.address), row("b", two.address)))
