--- a/leadrudder/__main__.py
+++ b/leadrudder/__main__.py
@@ -1,4 +1,4 @@
-"""python -m leadrudder: one real node; its environment says where it listens and whom it serves."""
+"""python -m leadrudder: runs one proxy node, configured through its environment."""
 
 from __future__ import annotations
 
@@ -15,55 +15,55 @@
 from leadrudder.node.node import Node
 
 
-async def _serve(config: Config, rpc: str) -> None:
-    """rpc: the path of the operator's file for MessagePack-RPC; empty: off, and nothing of it is imported."""
-    if rpc:
+async def _serve(config: Config, rpc_path: str) -> None:
+    """rpc_path: the MessagePack-RPC configuration file; if empty, RPC is off and its code is not imported."""
+    if rpc_path:
         from leadrudder.rpc import attach
         from leadrudder.rpc.config import RpcConfigError, read
 
         try:
-            node = await attach.start(config, read(rpc, config.settings))
+            node = await attach.start(config, read(rpc_path, config.settings))
         except RpcConfigError as error:
             raise ConfigError(f"NODE_RPC: {error}") from None
     else:
         node = Node(config)
-        # What exists now lives as long as the node: leave it out of every later collection.
+        # Objects that exist now live as long as the node, so exclude them from garbage collection.
         gc.freeze()
         await node.start()
     await node.wait()
 
 
-class _RateLimit(logging.Filter):
-    """Lets through so many lines a second, and says once how many it left out.
+class _LogRateLimit(logging.Filter):
+    """Limits the rate of log lines, and reports with the next line how many were left out.
 
-    Guards against a node that is busy, or blocked, with writing what bad peers make it say.
+    Keeps misbehaving peers from making a node busy or blocked with logging.
     """
 
-    def __init__(self, a_second: float = 20.0, at_once: float = 100.0) -> None:
+    def __init__(self, lines_per_s: float = 20.0, burst: float = 100.0) -> None:
         super().__init__()
-        self._a_second, self._at_once = a_second, at_once
-        self._tokens, self._at, self._left_out = at_once, time.monotonic(), 0
+        self._lines_per_s, self._burst = lines_per_s, burst
+        self._tokens, self._refilled_at_s, self._suppressed = burst, time.monotonic(), 0
 
     def filter(self, record: logging.LogRecord) -> bool:
         now = time.monotonic()
-        self._tokens = min(self._at_once, self._tokens + self._a_second * (now - self._at))
-        self._at = now
+        self._tokens = min(self._burst, self._tokens + self._lines_per_s * (now - self._refilled_at_s))
+        self._refilled_at_s = now
         if self._tokens < 1.0:
-            self._left_out += 1
+            self._suppressed += 1
             return False
         self._tokens -= 1.0
-        if self._left_out:
-            record.msg = f"({self._left_out} lines left out) {record.msg}"
-            self._left_out = 0
+        if self._suppressed:
+            record.msg = f"({self._suppressed} lines left out) {record.msg}"
+            self._suppressed = 0
         return True
 
 
 def main() -> int:
-    """Exit code 0 after SIGTERM, 2 with one plain line on standard error for a bad configuration."""
-    # Until the node listens there is nothing to be done again; the default would end the process.
+    """Exit code 0 after SIGTERM; 2, with one line on standard error, for a bad configuration."""
+    # Before the node listens there is nothing to reload, and SIGHUP's default would end the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
-    logging.getLogger().handlers[0].addFilter(_RateLimit())
+    logging.getLogger().handlers[0].addFilter(_LogRateLimit())
     try:
         config = load_config(os.environ)
         uvloop.run(_serve(config, os.environ.get("NODE_RPC", "")))
--- a/tests/rpc/mixed.py
+++ b/tests/rpc/mixed.py
@@ -15,7 +15,7 @@
 import msgpack
 
 from tests.rpc.stubs import RpcCaller, RpcPeer, RpcServer, RpcWorld, rpc_world
-from tests.stubs import Caller, row
+from tests.stubs import StubClient, row
 
 CLASSES = ("look", "move", "book")
 SERVERS = 6
@@ -127,9 +127,9 @@
 async def _http_caller(w: RpcWorld, names: list[str], tally: Tally) -> None:
     assert w.node._listener._server is not None
     address = w.node._listener._server.sockets[0].getsockname()[:2]
-    caller = await Caller.connect(address)
+    caller = await StubClient.connect(address)
     for name in names:
-        answer = await caller.ask(name.partition("-")[0], name=name, deadline="1.5")
+        answer = await caller.ask(name.partition("-")[0], request_id=name, deadline="1.5")
         how = {200: "served", 503: "refused", 502: "failed"}[answer.status]
         if how == "served":
             assert answer.body == msgpack.packb(name)
--- a/tests/rpc/stubs.py
+++ b/tests/rpc/stubs.py
@@ -18,7 +18,7 @@
 from leadrudder.rpc.config import parse
 from leadrudder.rpc.front import RpcFront
 from leadrudder.settings import read_settings
-from tests.stubs import HOST, PATIENCE_S, StubDiscovery, listing, settings
+from tests.stubs import HOST, WAIT_TIMEOUT_S, StubDiscovery, listing, settings
 
 METHODS = [
     {"name": "look", "class": "look"},
@@ -48,7 +48,7 @@
         while True:
             for message in self._unpacker:
                 return list(message)
-            data = await asyncio.wait_for(self.reader.read(65536), PATIENCE_S)
+            data = await asyncio.wait_for(self.reader.read(65536), WAIT_TIMEOUT_S)
             if not data:
                 raise ConnectionError("ended")
             self._unpacker.feed(data)
@@ -92,7 +92,7 @@
     async def seen(self, calls: int) -> None:
         """Wait until so many calls have come."""
         async with self.came:
-            await asyncio.wait_for(self.came.wait_for(lambda: len(self.calls) >= calls), PATIENCE_S)
+            await asyncio.wait_for(self.came.wait_for(lambda: len(self.calls) >= calls), WAIT_TIMEOUT_S)
 
     async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         peer = RpcPeer(reader, writer)
@@ -200,4 +200,4 @@
             yield RpcWorld(node, discovery, bound if isinstance(bound, str) else bound[:2])
         finally:
             node.stop()
-            await asyncio.wait_for(serving, PATIENCE_S)
+            await asyncio.wait_for(serving, WAIT_TIMEOUT_S)
--- a/tests/rpc/test_differential.py
+++ b/tests/rpc/test_differential.py
@@ -17,7 +17,7 @@
 from leadrudder.rpc.mapping import Calls
 from leadrudder.settings import read_settings
 from tests.rpc.stubs import FILE, RpcCaller
-from tests.stubs import HOST, Caller, listing, row, run, settings
+from tests.stubs import HOST, StubClient, listing, row, run, settings
 
 CALLS = 400
 
@@ -154,7 +154,7 @@
     rpc_address = await front.listen((HOST, 0))
     ends: list[str] = []
     timers = Timers(node, clock, upstream)
-    caller: Any = await (RpcCaller.connect(rpc_address) if rpc else Caller.connect(http_address))
+    caller: Any = await (RpcCaller.connect(rpc_address) if rpc else StubClient.connect(http_address))
     for i in range(CALLS):
         clock.seconds += course.uniform(0.0, 0.03)
         timers.fire(1000.0 * clock.seconds)
@@ -166,7 +166,9 @@
             _, error, _ = await timers.answered(asyncio.ensure_future(caller.answer()))
             ends.append("served" if error is None else error["code"])
         else:
-            answer = await timers.answered(asyncio.ensure_future(caller.ask(kind, name=name, target="/api")))
+            answer = await timers.answered(
+                asyncio.ensure_future(caller.ask(kind, request_id=name, target="/api"))
+            )
             ends.append({200: "served", 503: "refused", 502: "failed"}[answer.status])
     caller.close()
     node.stop()
--- a/tests/rpc/test_front.py
+++ b/tests/rpc/test_front.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.rpc.stubs import METHODS, RpcCaller, RpcPeer, RpcServer, RpcWorld, rpc_world, serve
-from tests.stubs import HOST, Caller, StubServer, reply, row, run
+from tests.stubs import HOST, StubClient, StubServer, reply, row, run
 
 
 async def held(server: RpcServer, peer: RpcPeer, message: list[Any]) -> None:
@@ -316,8 +316,8 @@
 
         async with RpcServer(bins) as server, rpc_world(row("a", server.address)) as w:
             assert w.node._listener._server is not None
-            http = await Caller.connect(w.node._listener._server.sockets[0].getsockname()[:2])
-            answer = await http.ask("book", body=b"hello", name="h1")
+            http = await StubClient.connect(w.node._listener._server.sockets[0].getsockname()[:2])
+            answer = await http.ask("book", body=b"hello", request_id="h1")
             assert (answer.status, answer.body) == (200, b"plain")
             target, body, told = server.calls[0][3]
             assert (target, body, told["id"]) == ("/api/7f3a9c21e0b4d655", b"hello", "h1")
--- a/tests/rpc/test_upstream.py
+++ b/tests/rpc/test_upstream.py
@@ -15,7 +15,7 @@
 from leadrudder.rpc.framing import pack
 from leadrudder.rpc.upstream import RpcServers, Terms
 from tests.rpc.stubs import RpcPeer, RpcServer, rpc_world, serve
-from tests.stubs import PATIENCE_S, StubServer, listing, reply, row, run
+from tests.stubs import WAIT_TIMEOUT_S, StubServer, listing, reply, row, run
 
 NAMING = DiscoveryDecoder((), ())
 QUICK = 30.0  # seconds that nobody waits for
@@ -55,7 +55,7 @@
         """How all calls ended, in their order."""
         while len(self.ended) < len(self.calls):
             self._changed.clear()
-            await asyncio.wait_for(self._changed.wait(), PATIENCE_S)
+            await asyncio.wait_for(self._changed.wait(), WAIT_TIMEOUT_S)
         return [self.ended[i][0] for i in range(len(self.calls))]
 
     async def until(self, condition: Any) -> None:
@@ -63,7 +63,7 @@
             while not condition():
                 await asyncio.sleep(0)
 
-        await asyncio.wait_for(wait(), PATIENCE_S)
+        await asyncio.wait_for(wait(), WAIT_TIMEOUT_S)
 
     def connections(self) -> list[Any]:
         return [c for peer in self.upstream._table.endpoints.values() for c in peer.connections]
--- a/tests/stubs.py
+++ b/tests/stubs.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback sockets for what surrounds a node: servers, discovery and callers."""
+"""Stub servers, discovery and clients for a node, on loopback sockets."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 from leadrudder.settings import read_settings
 
 HOST = "127.0.0.1"
-PATIENCE_S = 20.0  # for what must come; reached only by a failing test
+WAIT_TIMEOUT_S = 20.0  # for expected events; reached only by a failing test
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
-    """Run a test on the loop that the node runs on."""
+    """Run a test on the node's kind of event loop."""
 
     async def bounded() -> None:
-        await asyncio.wait_for(main, 3 * PATIENCE_S)
+        await asyncio.wait_for(main, 3 * WAIT_TIMEOUT_S)
 
     uvloop.run(bounded())
 
 
 def settings(**changes: Any) -> dict[str, Any]:
-    """The settings of a small site, nested as in a node's configuration."""
+    """Settings of a small deployment, nested as in a node's configuration file."""
     return {
         "azs": ["hall"],
         "balancers": 1,
@@ -72,7 +72,7 @@
 
 @dataclass
 class Received:
-    """A request as it came in."""
+    """A request as the server received it."""
 
     method: str
     target: str
@@ -81,18 +81,18 @@
 
 
 async def read_head(reader: asyncio.StreamReader) -> tuple[str, dict[str, str]]:
-    """First line and headers, the names in lower case."""
+    """The first line, and the headers with lower-case names."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     first, *lines = head.rstrip("\r\n").split("\r\n")
     pairs = (line.split(":", 1) for line in lines)
     return first, {name.lower(): value.strip() for name, value in pairs}
 
 
-Behaviour = Callable[["StubServer", Received, asyncio.StreamWriter], Awaitable[None]]
+ServerBehaviour = Callable[["StubServer", Received, asyncio.StreamWriter], Awaitable[None]]
 
 
-def reply(status: str, body: bytes = b"", extra: str = "") -> Behaviour:
-    """Answer with this."""
+def reply(status: str, body: bytes = b"", extra: str = "") -> ServerBehaviour:
+    """Send this response."""
 
     async def behave(_: StubServer, __: Received, writer: asyncio.StreamWriter) -> None:
         head = f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n{extra}\r\n"
@@ -101,8 +101,8 @@
     return behave
 
 
-def raw(text: bytes, *, close: bool = False, times: int = 1) -> Behaviour:
-    """Write these bytes, whatever they are."""
+def raw(text: bytes, *, close: bool = False, times: int = 1) -> ServerBehaviour:
+    """Write these bytes as they are."""
 
     async def behave(_: StubServer, __: Received, writer: asyncio.StreamWriter) -> None:
         writer.write(text * times)
@@ -112,8 +112,8 @@
     return behave
 
 
-def held(behaviour: Behaviour) -> Behaviour:
-    """Do that, but only when the server's release is set."""
+def after_release(behaviour: ServerBehaviour) -> ServerBehaviour:
+    """Behave so once the server's release event is set."""
 
     async def behave(server: StubServer, received: Received, writer: asyncio.StreamWriter) -> None:
         await server.release.wait()
@@ -122,8 +122,8 @@
     return behave
 
 
-def after(seconds: float, then: Behaviour) -> Behaviour:
-    """Work on it for so long first."""
+def after_delay(seconds: float, then: ServerBehaviour) -> ServerBehaviour:
+    """Behave so after a delay."""
 
     async def behave(server: StubServer, received: Received, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(seconds)
@@ -133,25 +133,25 @@
 
 
 async def reset(_: StubServer, __: Received, writer: asyncio.StreamWriter) -> None:
-    """Break the connection."""
+    """Reset the connection."""
     writer.transport.abort()
 
 
-async def silent(server: StubServer, _: Received, __: asyncio.StreamWriter) -> None:
-    """Say nothing until told to."""
+async def never_reply(server: StubServer, _: Received, __: asyncio.StreamWriter) -> None:
+    """Send nothing until the server's release event is set."""
     await server.release.wait()
 
 
 @dataclass
 class StubServer:
-    """A server that does as told, in order; the last behaviour stays."""
+    """A server with one behaviour per request, in order; the last one repeats."""
 
-    behaviours: list[Behaviour]
+    behaviours: list[ServerBehaviour]
     address: str = ""
     received: list[Received] = field(default_factory=list)
     release: asyncio.Event = field(default_factory=asyncio.Event)
-    got: asyncio.Event = field(default_factory=asyncio.Event)  # a request has come
-    left: asyncio.Event = field(default_factory=asyncio.Event)  # a connection has ended
+    request_received: asyncio.Event = field(default_factory=asyncio.Event)  # set by any request
+    connection_closed: asyncio.Event = field(default_factory=asyncio.Event)  # set when any connection ends
     opened: int = 0
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
 
@@ -164,8 +164,8 @@
         self._server.close()
 
     def vanish(self) -> None:
-        """Open connections stay open and say nothing, new ones do not come up."""
-        self.behaviours[:] = [silent]
+        """Leave open connections open but silent, and accept no new ones."""
+        self.behaviours[:] = [never_reply]
         self._server.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -178,15 +178,15 @@
                 body = await reader.readexactly(int(headers.get("content-length", 0)))
                 request = Received(method, target, headers, body)
                 self.received.append(request)
-                self.got.set()
+                self.request_received.set()
                 behave = self.behaviours.pop(0) if len(self.behaviours) > 1 else self.behaviours[0]
                 await behave(self, request, writer)
-        self.left.set()
+        self.connection_closed.set()
         writer.close()
 
 
 def row(name: str, address: str, lifecycle: str = "SERVING", started: float = 0) -> dict[str, Any]:
-    """A server as discovery lists it."""
+    """A server's entry in discovery's list."""
     return {
         "instanceId": name,
         "hostPort": address,
@@ -208,12 +208,12 @@
 
 @dataclass
 class StubDiscovery:
-    """Discovery's watch: every one that is opened is handed out in turn."""
+    """A discovery service that hands the test each watch that is opened."""
 
     address: str = ""
     targets: list[str] = field(default_factory=list)
     watches: asyncio.Queue[asyncio.StreamWriter] = field(default_factory=asyncio.Queue)
-    left: asyncio.Event = field(default_factory=asyncio.Event)  # a watch has ended
+    connection_closed: asyncio.Event = field(default_factory=asyncio.Event)  # set when any watch ends
 
     async def __aenter__(self) -> StubDiscovery:
         self._server = await asyncio.start_server(self._serve, HOST, 0)
@@ -230,89 +230,89 @@
         self.watches.put_nowait(writer)
         with contextlib.suppress(ConnectionError):
             await reader.read()
-        self.left.set()
+        self.connection_closed.set()
 
     async def watch(self) -> asyncio.StreamWriter:
-        """The next watch that a node opens."""
-        return await asyncio.wait_for(self.watches.get(), PATIENCE_S)
+        """Wait for the next watch that a node opens."""
+        return await asyncio.wait_for(self.watches.get(), WAIT_TIMEOUT_S)
 
 
-def tell(watch: asyncio.StreamWriter, line: dict[str, Any] | bytes) -> None:
-    """Write one line of a watch."""
+def send_line(watch: asyncio.StreamWriter, line: dict[str, Any] | bytes) -> None:
+    """Write one line to a watch."""
     text = (line if isinstance(line, bytes) else json.dumps(line).encode()) + b"\n"
     watch.write(b"%x\r\n%s\r\n" % (len(text), text))
 
 
-# ---------------------------------------------------------------- callers
+# ---------------------------------------------------------------- clients
 
 
 @dataclass
-class Answer:
+class ClientResponse:
     status: int
     headers: dict[str, str]
     body: bytes
 
 
-class Caller:
-    """One connection to a node."""
+class StubClient:
+    """A client with one connection to a node."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
     @classmethod
-    async def connect(cls, address: tuple[str, int]) -> Caller:
+    async def connect(cls, address: tuple[str, int]) -> StubClient:
         return cls(*await asyncio.open_connection(*address))
 
-    async def answer(self) -> Answer:
-        return await asyncio.wait_for(self._answer(), PATIENCE_S)
+    async def answer(self) -> ClientResponse:
+        return await asyncio.wait_for(self._answer(), WAIT_TIMEOUT_S)
 
-    async def _answer(self) -> Answer:
+    async def _answer(self) -> ClientResponse:
         first, headers = await read_head(self.reader)
         body = await self.reader.readexactly(int(headers["content-length"]))
-        return Answer(int(first.split(" ")[1]), headers, body)
+        return ClientResponse(int(first.split(" ")[1]), headers, body)
 
-    async def ask(self, *args: Any, **kwargs: Any) -> Answer:
+    async def ask(self, *args: Any, **kwargs: Any) -> ClientResponse:
         self.writer.write(request(*args, **kwargs))
         return await self.answer()
 
     async def ended(self) -> bool:
-        """Wait for the node's end of the connection."""
+        """Wait until the node closes the connection; whether it did so without further output."""
         with contextlib.suppress(ConnectionError):
-            return await asyncio.wait_for(self.reader.read(), PATIENCE_S) == b""
+            return await asyncio.wait_for(self.reader.read(), WAIT_TIMEOUT_S) == b""
         return True
 
     def close(self) -> None:
         self.writer.transport.abort()
 
 
-_names = itertools.count(1)
-_METHODS = {"look": "GET", "move": "POST", "book": "POST"}
+_request_ids = itertools.count(1)
+_METHOD_BY_CLASS = {"look": "GET", "move": "POST", "book": "POST"}
 
 
 def request(
-    kind: str = "look",
+    class_name: str = "look",
     *,
     target: str = "/api/7f3a9c21e0b4d655",
     method: str | None = None,
     body: bytes = b"",
     deadline: str = "3.0",
-    name: str = "",
-    drop: tuple[str, ...] = (),
+    request_id: str = "",
+    omitted_headers: tuple[str, ...] = (),
     extra: str = "",
 ) -> bytes:
-    """A caller's request; drop leaves headers out, extra adds lines."""
+    """A client's request; omitted_headers are left out, extra adds header lines."""
     headers = {
-        "X-Request-Id": name or f"{next(_names):016x}",
-        "X-Class": kind,
+        "X-Request-Id": request_id or f"{next(_request_ids):016x}",
+        "X-Class": class_name,
         "X-Tenant": "acme",
         "X-Deadline": deadline,
     }
-    if kind == "move":
+    if class_name == "move":
         headers["Idempotency-Key"] = "5c0f6e1a2b3d4c59"
-    method = method or _METHODS.get(kind, "GET")
+    method = method or _METHOD_BY_CLASS.get(class_name, "GET")
     if body or method == "POST":
         headers["Content-Length"] = str(len(body))
-    lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items() if name not in drop)
+    lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items() if name not in omitted_headers)
     return f"{method} {target} HTTP/1.1\r\nHost: api.internal\r\n{lines}{extra}\r\n".encode() + body
 
 
@@ -320,28 +320,28 @@
 
 
 @dataclass
-class World:
-    """A node and what surrounds it."""
+class NodeUnderTest:
+    """A running node with its stub discovery."""
 
     node: Node
     address: tuple[str, int]
     discovery: StubDiscovery
     serving: asyncio.Task[None]
 
-    async def caller(self) -> Caller:
-        return await Caller.connect(self.address)
+    async def client(self) -> StubClient:
+        return await StubClient.connect(self.address)
 
 
 @contextlib.asynccontextmanager
-async def world(
+async def running_node(
     *rows: dict[str, Any],
     sockets: int = 256,
     known: bool = True,
     path: str = "",
     routes: tuple[Route, ...] = (),
     **changes: Any,
-) -> AsyncIterator[World]:
-    """A node that knows these servers; changes go into its settings."""
+) -> AsyncIterator[NodeUnderTest]:
+    """A running node that knows these servers; changes are merged into its settings."""
     decoder = DiscoveryDecoder(("hall",), ("std",))
     async with StubDiscovery() as discovery:
         host, _, port = discovery.address.rpartition(":")
@@ -362,7 +362,7 @@
         address = await node.start()
         serving = asyncio.create_task(node.wait())
         try:
-            yield World(node, address, discovery, serving)
+            yield NodeUnderTest(node, address, discovery, serving)
         finally:
             node.stop()
-            await asyncio.wait_for(serving, PATIENCE_S)
+            await asyncio.wait_for(serving, WAIT_TIMEOUT_S)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""What a node is told, and what it says when that cannot be used."""
+"""A node's configuration: how it is read, and the errors for invalid input."""
 
 from __future__ import annotations
 
@@ -46,9 +46,9 @@
     return {"NODE_NAME": "n3", "NODE_LISTEN": "127.0.0.1:0", "NODE_CONFIG": str(path)}
 
 
-def test_environment_and_file_become_settings(tmp_path: Path) -> None:
+def test_environment_and_file_are_read_into_the_configuration(tmp_path: Path) -> None:
     config = load_config(_environment(tmp_path, _config()))
-    assert config.listen == ("127.0.0.1", 0), "the environment goes before the file"
+    assert config.listen == ("127.0.0.1", 0), "the environment overrides the file"
     assert config.discovery == ("127.0.0.1", 8500)
     assert config.seed == 0x8C1F30D27A5BE964
     assert config.settings.classes[1].effect is Effect.KEYED
@@ -76,19 +76,19 @@
         ({"known": {"generation": 1}}, "known"),
     ],
 )
-def test_a_bad_configuration_names_the_field(tmp_path: Path, changes: dict[str, Any], field: str) -> None:
+def test_invalid_configuration_names_the_field(tmp_path: Path, changes: dict[str, Any], field: str) -> None:
     with pytest.raises(ConfigError, match=field):
         load_config(_environment(tmp_path, _config(**changes)))
 
 
-def test_a_missing_file_names_the_variable(tmp_path: Path) -> None:
+def test_missing_file_names_the_variable(tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match="NODE_CONFIG"):
         load_config({"NODE_CONFIG": str(tmp_path / "none.json")})
     with pytest.raises(ConfigError, match="NODE_CONFIG"):
         load_config({})
 
 
-def test_tight_limits_are_taken_as_they_are(tmp_path: Path) -> None:
+def test_tight_limits_are_accepted(tmp_path: Path) -> None:
     limits = {"cores": 0.5, "memory_mb": 48.0, "sockets": 32}
     got = load_config(_environment(tmp_path, _config(limits=limits))).limits
     assert (got.memory_mb, got.sockets) == (48, 32)
@@ -105,12 +105,12 @@
         {"generation": 1, "reset": True, "instances": [row("a", "nowhere")]},
     ],
 )
-def test_a_bad_list_is_an_error_of_its_own(raw: Any) -> None:
+def test_invalid_list_raises_endpoint_list_error(raw: Any) -> None:
     with pytest.raises(EndpointListError):
         DiscoveryDecoder((), ()).decode(raw)
 
 
-def test_names_become_their_place_in_the_settings() -> None:
+def test_names_are_decoded_to_their_index_in_the_settings() -> None:
     decoder = DiscoveryDecoder(("north", "south"), ("std", "slow"))
     rows = [{**row("a", "h:1"), "zone": "south", "machineType": kind} for kind in ("slow", "odd", "std")]
     entries = decoder.decode(listing(1, *rows)).entries
@@ -119,8 +119,8 @@
     assert (entries[0].kind, entries[2].kind) == (1, 0)
 
 
-def test_the_clock_reads_unix_time_and_ignores_a_step_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Start times of servers are Unix time; a set-back system clock must not make a cold server colder."""
+def test_clock_reads_unix_time_and_ignores_a_step_back(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Servers' start times are Unix time; a clock set back must not make a server look newer than it is."""
     clock = Clock()
     assert abs(clock.now() - 1000.0 * time.time()) < 1000.0
     before = clock.now()
@@ -128,20 +128,22 @@
     assert clock.now() >= before
 
 
-def test_a_list_with_oddities_is_taken_and_told_in_a_line_each(caplog: pytest.LogCaptureFixture) -> None:
+def test_odd_list_is_accepted_with_one_warning_per_kind(caplog: pytest.LogCaptureFixture) -> None:
     rows = [row("a", "127.0.0.1:1"), row("b", "127.0.0.1:2"), row("a", "127.0.0.1:3", "DRAINING")]
     rows[1]["weight"] = float("inf")
-    listed = DiscoveryDecoder(("hall",), ("std",)).decode(listing(7, *rows))
-    assert [entry.server for entry in listed.entries] == [b"a", b"b", b"a"]
+    update = DiscoveryDecoder(("hall",), ("std",)).decode(listing(7, *rows))
+    assert [entry.server for entry in update.entries] == [b"a", b"b", b"a"]
     assert [record.getMessage() for record in caplog.records] == [
         "discovery: 1 entries repeat a server; using the last one",
         "discovery: 1 entries have a weight that is not a positive number; using the minimum",
     ]
 
 
-def test_a_list_without_zones_and_cells_tells_no_place() -> None:
-    """Two servers without a zone were taken for two of one zone, and a keyed request went from one to the
-    other: its effect may happen twice."""
+def test_list_without_zones_and_cells_has_no_locations() -> None:
+    """Guards against treating two servers without a zone as members of the same zone.
+
+    A keyed request was then retried from one on the other, and its effect could happen twice.
+    """
     rows = [row("a", "127.0.0.1:1"), row("b", "127.0.0.1:2"), row("c", "127.0.0.1:3")]
     del rows[0]["zone"], rows[0]["cell"]
     rows[1]["zone"] = ""
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -25,7 +25,7 @@
 )
 from leadrudder.node.node import Node
 from leadrudder.node.servers import HttpUpstream
-from tests.stubs import StubServer, listing, reply, row, run, tell, world
+from tests.stubs import StubServer, listing, reply, row, run, running_node, send_line
 
 NAMING = DiscoveryDecoder(("hall",), ("std",))
 PATIENT = {"mustAskInMs": 60_000.0}  # a watch that is slow to speak is not given up by the node meanwhile
@@ -274,24 +274,26 @@
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(known=False, registryMode="pushed", guarantees=PATIENT) as w,
+            running_node(known=False, registryMode="pushed", guarantees=PATIENT) as w,
         ):
             watch = await w.discovery.watch()
-            tell(watch, listing(1, row("live", server.address)))
+            send_line(watch, listing(1, row("live", server.address)))
             await _until(lambda: _listed(w.node) == 1)
             turns = 0
             answered_between = False
-            caller = await w.caller()
+            client = await w.client()
             many = rows(range(3000), port=9)
             for r in many:
                 r["startedAtMs"] = 0
-            tell(watch, listing(2, *many, row("live", server.address)))
-            tell(watch, listing(3, *rows(range(1)), row("live", server.address, "DRAINING"), reset=False))
+            send_line(watch, listing(2, *many, row("live", server.address)))
+            send_line(
+                watch, listing(3, *rows(range(1)), row("live", server.address, "DRAINING"), reset=False)
+            )
             await _until(lambda: _listed(w.node) > 1)
             while w.node._discovery._version < 3:
                 turns += 1
                 if turns == 1:
-                    answered_between = (await caller.ask(target="/ready")).status == 200
+                    answered_between = (await client.ask(target="/ready")).status == 200
                 await asyncio.sleep(0)
             assert turns > 1 and answered_between
             assert _listed(w.node) == 3000 and b"live" not in _servers(w.node)._endpoints
@@ -301,9 +303,9 @@
 
 def test_a_long_list_is_followed_though_its_watch_ends_behind_it() -> None:
     async def main() -> None:
-        async with world(known=False, registryMode="pushed", guarantees=PATIENT) as w:
+        async with running_node(known=False, registryMode="pushed", guarantees=PATIENT) as w:
             watch = await w.discovery.watch()
-            tell(watch, listing(5, *rows(range(3000))))
+            send_line(watch, listing(5, *rows(range(3000))))
             watch.close()
             await _until(lambda: w.node._discovery._version == 5)
             assert _listed(w.node) == 3000
@@ -313,14 +315,14 @@
 
 def test_a_long_line_that_is_no_list_changes_nothing_and_the_watch_is_made_anew() -> None:
     async def main() -> None:
-        async with world(known=False, registryMode="pushed", guarantees=PATIENT) as w:
+        async with running_node(known=False, registryMode="pushed", guarantees=PATIENT) as w:
             events = _lists_told(w.node)
             watch = await w.discovery.watch()
             text = json.dumps(listing(5, *rows(range(3000)))).encode()
-            tell(watch, text[:-1] + b"]")
+            send_line(watch, text[:-1] + b"]")
             again = await w.discovery.watch()
             assert _listed(w.node) == 0 and not events
-            tell(again, listing(6, *rows(range(3000))))
+            send_line(again, listing(6, *rows(range(3000))))
             await _until(lambda: w.node._discovery._version == 6)
             assert _listed(w.node) == 3000
             assert {event.kind for event in events} == {ListKind.CHANGES}
@@ -330,9 +332,9 @@
 
 def test_a_node_that_ends_while_it_reads_leaves_nothing_behind() -> None:
     async def main() -> None:
-        async with world(known=False, registryMode="pushed", guarantees=PATIENT) as w:
+        async with running_node(known=False, registryMode="pushed", guarantees=PATIENT) as w:
             watch = await w.discovery.watch()
-            tell(watch, listing(5, *rows(range(3000))))
+            send_line(watch, listing(5, *rows(range(3000))))
             await _until(lambda: w.node._discovery._long_line_reader is not None)
         assert w.node._discovery._long_line_reader is None and w.node._discovery._version == 0
 
@@ -343,23 +345,23 @@
     """One line of the log, work that is bounded by time, and the last entry of each server holds."""
 
     async def main() -> None:
-        async with world(known=False, registryMode="pushed", guarantees=PATIENT) as w:
+        async with running_node(known=False, registryMode="pushed", guarantees=PATIENT) as w:
             events = _lists_told(w.node)
             watch = await w.discovery.watch()
-            tell(watch, listing(1, *rows(range(20))))
+            send_line(watch, listing(1, *rows(range(20))))
             lines = [
                 listing(2 + i, *rows(range(i % 20, i % 20 + 1), lifecycle=states), reset=False)
                 for i in range(10_000)
                 for states in ("DRAINING" if i // 20 % 2 else "SERVING",)
             ]
             for line in lines:
-                tell(watch, line)
+                send_line(watch, line)
             await _until(lambda: w.node._discovery._version == 10_001)
             assert _listed(w.node) == 0, "the last entry of each is a drain"
             assert len(events) < 1000
-            caller = await w.caller()
-            assert (await caller.ask(target="/ready")).status == 503
-            tell(watch, listing(10_002, *rows(range(3)), reset=False))
+            client = await w.client()
+            assert (await client.ask(target="/ready")).status == 503
+            send_line(watch, listing(10_002, *rows(range(3)), reset=False))
             await _until(lambda: _listed(w.node) == 3)
 
     run(main())
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Classes by route: the decision alone, and a node that goes by it."""
+"""Request classes by route: the matching alone, and in a node."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from leadrudder.node.config import ConfigError, load_config
 from leadrudder.node.routes import Route, match_class, path_covers
-from tests.stubs import StubServer, reply, reset, row, run, world
+from tests.stubs import StubServer, reply, reset, row, run, running_node
 from tests.test_config import _config, _environment
 
 LOOK, MOVE, BOOK = range(3)
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize(
-    ("method", "path", "index"),
+    ("method", "path", "expected"),
     [
         (b"POST", b"/varaus/17", BOOK),
         (b"POST", b"/varaus", BOOK),
@@ -36,78 +36,76 @@
         (b"post", b"/varaus/17", None),
     ],
 )
-def test_the_first_route_that_takes_a_request_names_its_class(
-    method: bytes, path: bytes, index: int | None
-) -> None:
-    assert match_class(ROUTES, method, path) == index
+def test_first_matching_route_decides_the_class(method: bytes, path: bytes, expected: int | None) -> None:
+    assert match_class(ROUTES, method, path) == expected
 
 
-def test_a_wide_path_covers_itself_and_what_is_below() -> None:
+def test_subtree_path_covers_itself_and_everything_below() -> None:
     assert path_covers("/a/*", "/a") and path_covers("/a/*", "/a/b") and path_covers("/a/*", "/a/*")
     assert (
         not path_covers("/a/*", "/ab") and not path_covers("/a", "/a/b") and not path_covers("/a/b", "/a/*")
     )
 
 
-def _answer(routes: Sequence[Route], *args: Any, **kwargs: Any) -> tuple[int, int]:
-    """The status of the answer, and how many requests came to the server."""
-    told: list[tuple[int, int]] = []
+def _send_request(routes: Sequence[Route], *args: Any, **kwargs: Any) -> tuple[int, int]:
+    """The status of the response, and the number of requests that reached the server."""
+    results: list[tuple[int, int]] = []
 
     async def main() -> None:
         async with (
             StubServer([reply("200 OK")]) as server,
-            world(row("a", server.address), routes=tuple(routes)) as w,
+            running_node(row("a", server.address), routes=tuple(routes)) as w,
         ):
-            answer = await (await w.caller()).ask(*args, **kwargs)
-            told.append((answer.status, len(server.received)))
+            answer = await (await w.client()).ask(*args, **kwargs)
+            results.append((answer.status, len(server.received)))
 
     run(main())
-    return told[0]
+    return results[0]
 
 
 @pytest.mark.parametrize(("kind", "target"), [("book", "/varaus/17?x=1"), ("move", "/siirto/17")])
-def test_a_request_without_a_class_is_treated_as_its_routes(kind: str, target: str) -> None:
-    """A booking that breaks off is not sent again, a change is."""
-    told: list[tuple[int, int]] = []
+def test_request_without_a_class_header_gets_its_routes_class(kind: str, target: str) -> None:
+    """After a reset an unsafe request is not retried, a keyed one is."""
+    results: list[tuple[int, int]] = []
 
     async def main() -> None:
         async with (
             StubServer([reset]) as one,
             StubServer([reset]) as other,
-            world(row("a", one.address), row("b", other.address), routes=ROUTES) as w,
+            running_node(row("a", one.address), row("b", other.address), routes=ROUTES) as w,
         ):
-            answer = await (await w.caller()).ask(kind, target=target, drop=("X-Class",))
-            told.append((answer.status, len(one.received) + len(other.received)))
+            answer = await (await w.client()).ask(kind, target=target, omitted_headers=("X-Class",))
+            results.append((answer.status, len(one.received) + len(other.received)))
 
     run(main())
-    assert told[0] == (502, 1) if kind == "book" else told[0][1] > 1, told
+    assert results[0] == (502, 1) if kind == "book" else results[0][1] > 1, results
 
 
-def test_a_class_that_is_not_the_routes_reaches_no_server() -> None:
-    """A booking that calls itself a look-up, or a change, would be repeated."""
-    assert _answer(ROUTES, "move", target="/varaus/17") == (400, 0)
-    assert _answer(ROUTES, "look", method="POST", target="/varaus/17") == (400, 0)
-    assert _answer(ROUTES, "none", method="POST", target="/varaus/17") == (400, 0)
+def test_class_header_that_contradicts_the_route_is_rejected() -> None:
+    """An unsafe request that claims to be safe or keyed could be repeated."""
+    assert _send_request(ROUTES, "move", target="/varaus/17") == (400, 0)
+    assert _send_request(ROUTES, "look", method="POST", target="/varaus/17") == (400, 0)
+    assert _send_request(ROUTES, "none", method="POST", target="/varaus/17") == (400, 0)
     extra = "X-Class: move\r\n"
-    assert _answer(ROUTES, "book", target="/varaus/17", extra=extra) == (400, 0)
+    assert _send_request(ROUTES, "book", target="/varaus/17", extra=extra) == (400, 0)
 
 
-def test_a_request_that_no_route_takes_is_answered_404() -> None:
-    assert _answer(ROUTES, "book", target="/muu") == (404, 0)
+def test_request_without_a_matching_route_gets_404() -> None:
+    assert _send_request(ROUTES, "book", target="/muu") == (404, 0)
 
 
-def test_a_key_that_does_not_fit_the_routes_class_is_turned_down() -> None:
-    assert _answer(ROUTES, "move", target="/varaus/17", drop=("X-Class",)) == (400, 0)
+def test_key_that_contradicts_the_routes_class_is_rejected() -> None:
+    assert _send_request(ROUTES, "move", target="/varaus/17", omitted_headers=("X-Class",)) == (400, 0)
 
 
-def test_without_routes_requests_name_their_class_as_before() -> None:
-    assert _answer((), "book") == (200, 1)
-    assert _answer((), "book", drop=("X-Class",)) == (400, 0)
-    assert _answer((), "book", target="/varaus/17") == (404, 0)
+def test_without_routes_the_class_header_decides() -> None:
+    assert _send_request((), "book") == (200, 1)
+    assert _send_request((), "book", omitted_headers=("X-Class",)) == (400, 0)
+    assert _send_request((), "book", target="/varaus/17") == (404, 0)
 
 
 @pytest.mark.parametrize(
-    ("routes", "says"),
+    ("routes", "expected_error"),
     [
         ({}, "routes is not a list"),
         (["x"], "routes.0 is not an object"),
@@ -119,12 +117,12 @@
         ),
     ],
 )
-def test_routes_that_cannot_be_used_are_named(routes: Any, says: str, tmp_path: Path) -> None:
-    with pytest.raises(ConfigError, match=says):
+def test_invalid_route_is_named_in_the_error(routes: Any, expected_error: str, tmp_path: Path) -> None:
+    with pytest.raises(ConfigError, match=expected_error):
         load_config(_environment(tmp_path, _config(routes=routes)))
 
 
-def test_routes_of_the_file_are_read_in_order(tmp_path: Path) -> None:
+def test_routes_are_read_in_file_order(tmp_path: Path) -> None:
     raw = [
         {"method": "POST", "path": "/varaus/*", "class": "book"},
         {"method": "GET", "path": "/*", "class": "look"},
--- a/tests/test_run.py
+++ b/tests/test_run.py
@@ -1,4 +1,4 @@
-"""The commands of deploy/balancer.toml, as the platform starts them."""
+"""The run command of deploy/balancer.toml, started as the platform does."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 import tomllib
 from pathlib import Path
 
-from leadrudder.__main__ import _RateLimit
+from leadrudder.__main__ import _LogRateLimit
 from tests.stubs import (
     HOST,
-    PATIENCE_S,
-    Caller,
+    WAIT_TIMEOUT_S,
+    StubClient,
     StubDiscovery,
     StubServer,
     listing,
@@ -40,7 +40,7 @@
     )
 
 
-def test_run_serves_a_request_follows_sighup_and_ends_with_0_on_sigterm(tmp_path: Path) -> None:
+def test_run_command_serves_follows_sighup_and_exits_with_0_on_sigterm(tmp_path: Path) -> None:
     async def main() -> None:
         async with StubServer([reply("200 OK", b"served")]) as server, StubDiscovery() as discovery:
             config = tmp_path / "config.json"
@@ -60,39 +60,39 @@
                 }
             )
             assert process.stderr is not None
-            line = (await asyncio.wait_for(process.stderr.readline(), PATIENCE_S)).decode()
+            line = (await asyncio.wait_for(process.stderr.readline(), WAIT_TIMEOUT_S)).decode()
             found = re.search(r"listens on ([\d.]+):(\d+)", line)
             assert found, line
-            caller = await Caller.connect((found[1], int(found[2])))
-            assert (await caller.ask(target="/ready")).status == 200
-            assert (await caller.ask("look")).body == b"served"
+            client = await StubClient.connect((found[1], int(found[2])))
+            assert (await client.ask(target="/ready")).status == 200
+            assert (await client.ask("look")).body == b"served"
             async with StubDiscovery() as moved:
                 await discovery.watch()
                 config.write_text(json.dumps({**raw, "discovery": moved.address}))
                 process.send_signal(signal.SIGHUP)
                 await moved.watch()
-                assert (await caller.ask("look")).body == b"served"
+                assert (await client.ask("look")).body == b"served"
             process.send_signal(signal.SIGTERM)
-            _, log = await asyncio.wait_for(process.communicate(), PATIENCE_S)
+            _, log = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT_S)
             assert process.returncode == 0, log.decode()
 
     run(main())
 
 
-def test_a_bad_configuration_is_one_line_and_exit_code_2(tmp_path: Path) -> None:
+def test_invalid_configuration_prints_one_line_and_exits_with_2(tmp_path: Path) -> None:
     async def main() -> None:
         config = tmp_path / "config.json"
         config.write_text("{}")
         process = await _start({"NODE_NAME": "n0", "NODE_CONFIG": str(config)})
-        _, error = await asyncio.wait_for(process.communicate(), PATIENCE_S)
+        _, error = await asyncio.wait_for(process.communicate(), WAIT_TIMEOUT_S)
         assert process.returncode == 2
         assert error.decode() == "leadrudder: settings is missing or not of type dict: None\n"
 
     run(main())
 
 
-def test_a_flood_of_log_lines_is_cut_and_counted() -> None:
-    limit = _RateLimit(a_second=0.0, at_once=3.0)
+def test_log_rate_limit_suppresses_and_counts_lines() -> None:
+    limit = _LogRateLimit(lines_per_s=0.0, burst=3.0)
 
     def record() -> logging.LogRecord:
         return logging.LogRecord("x", logging.WARNING, "", 0, "server %s", ("a",), None)
--- a/tests/tool/test_sidecar.py
+++ b/tests/tool/test_sidecar.py
@@ -20,7 +20,7 @@
 from leadrudder.tool.sidecar.machine import Machine, machine_lacks
 from leadrudder.tool.sidecar.pauses import LONGEST_S, PROVEN_S, Pauses
 from leadrudder.tool.sidecar.supervisor import exit_code
-from tests.stubs import HOST, PATIENCE_S, StubDiscovery, StubServer, listing, reply, row, run, tell
+from tests.stubs import HOST, WAIT_TIMEOUT_S, StubDiscovery, StubServer, listing, reply, row, run, send_line
 
 FILE = """\
 version = 1
@@ -68,18 +68,18 @@
 
     async def list_server(self) -> None:
         """Tell the next watch that a node opens of the server."""
-        tell(await self.discovery.watch(), listing(1, row("a", self.server.address)))
+        send_line(await self.discovery.watch(), listing(1, row("a", self.server.address)))
 
     async def line(self) -> str:
         assert self.process.stdout is not None
-        return (await asyncio.wait_for(self.process.stdout.readline(), PATIENCE_S)).decode().strip()
+        return (await asyncio.wait_for(self.process.stdout.readline(), WAIT_TIMEOUT_S)).decode().strip()
 
     async def pid(self) -> int:
         """Of the application, once it runs."""
         return int((await self.line()).split()[1])
 
     async def code(self) -> int:
-        return await asyncio.wait_for(self.process.wait(), PATIENCE_S)
+        return await asyncio.wait_for(self.process.wait(), WAIT_TIMEOUT_S)
 
     def children(self) -> list[int]:
         """All processes whose parent is the sidecar."""
@@ -127,7 +127,7 @@
     over = asyncio.Event()
     loop.add_reader(descriptor, over.set)
     try:
-        await asyncio.wait_for(over.wait(), PATIENCE_S)
+        await asyncio.wait_for(over.wait(), WAIT_TIMEOUT_S)
     finally:
         loop.remove_reader(descriptor)
         os.close(descriptor)
