--- a/leadrudder/data_plane/inbound.py
+++ b/leadrudder/data_plane/inbound.py
@@ -8,7 +8,7 @@
 from leadrudder.data_plane.admission_control import Gate
 from leadrudder.data_plane.server_connections import NOT_RUN, SEAL, Going, OwnServer
 from leadrudder.interface import Outcome
-from leadrudder.node.servers import Call
+from leadrudder.node.servers import UpstreamCall
 from leadrudder.protocol.mesh_pb2 import Delivery, Waybill
 from leadrudder.protocol.outcome import Ran, Verdict
 from leadrudder.transport.http import WholeMessage
@@ -68,7 +68,7 @@
 
         A run that may be repeated is broken off then; one that may not goes on to its end.
         """
-        call: Call | None = None
+        call: UpstreamCall | None = None
 
         def refuse(verdict: Verdict) -> None:
             deliver(
@@ -85,7 +85,7 @@
             if queued is not None:
                 self.gate.withdraw(queued)
             if call is not None and client_left and not waybill.once:
-                call.give_up(Outcome.CANCELLED)
+                call.cancel(Outcome.CANCELLED)
 
         if self._lent(waybill):
             refuse(Verdict(Ran.NEVER, "lent"))
@@ -95,7 +95,7 @@
             self._look_again()
         return withdraw
 
-    def _run(self, waybill: Waybill, deliver: Deliver) -> Call:
+    def _run(self, waybill: Waybill, deliver: Deliver) -> UpstreamCall:
         began = self._loop.time()
         length = b""
         if waybill.body or waybill.method not in (b"GET", b"HEAD", b"DELETE"):
--- a/leadrudder/data_plane/outbound.py
+++ b/leadrudder/data_plane/outbound.py
@@ -15,7 +15,7 @@
 from leadrudder.data_plane.client_patience import ClientPatience
 from leadrudder.data_plane.inbound import passed_on
 from leadrudder.data_plane.load_balancer import RETRY_LEAST_MS, Errand
-from leadrudder.node.http import Message, MessageError
+from leadrudder.node.http import HttpMessage, HttpMessageError
 from leadrudder.observability.loop_lag import BEHIND_S
 from leadrudder.protocol.outcome import Reply, Verdict
 from leadrudder.transport.http import WholeMessage, WholeReader, rendered
@@ -73,7 +73,7 @@
             self._since = self._outbound.now()
         try:
             self._reader.feed(data)
-        except MessageError as error:
+        except HttpMessageError as error:
             self._refuse(error.status, str(error))
         if not self._outbound.hold(self, self._reader.body_size) and not self._over:
             self._refuse(503, "no memory for the body now", COME_BACK)
@@ -104,7 +104,7 @@
         self._outbound.clients.pop(self, None)
         self._leave()
 
-    def _on_request(self, message: Message) -> None:
+    def _on_request(self, message: HttpMessage) -> None:
         if self._over:
             return
         place = Place(close=not message.keep_alive)
@@ -166,7 +166,7 @@
             if waited > 1000.0 * UNREAD_S:
                 self.drop()
         elif self._reader.begun:
-            if waited > max(limits.head_wait_ms, limits.idle_ms if self._reader.within else 0.0):
+            if waited > max(limits.head_wait_ms, limits.idle_ms if self._reader.in_message else 0.0):
                 self._refuse(408, "the request did not come in whole")
         elif waited > limits.idle_ms or self._outbound.closing:
             self._transport.close()
@@ -253,18 +253,18 @@
         """
         self.last_heard = self.now()
         headers = message.headers
-        path, _, _ = message.start.partition(b"?")
+        path, _, _ = message.target.partition(b"?")
         host = headers.get(b"host", b"")
         attempt_id = headers.get(b"attempt-id", b"")
-        if not host or b"host" in message.repeated or not message.start.startswith(b"/"):
+        if not host or b"host" in message.repeated_headers or not message.target.startswith(b"/"):
             return self._plain(write, 400)
-        if not _TOKEN.fullmatch(attempt_id) or b"attempt-id" in message.repeated:
+        if not _TOKEN.fullmatch(attempt_id) or b"attempt-id" in message.repeated_headers:
             return self._plain(write, 400)
         route = self._find(host.decode("latin-1"), path.decode("latin-1"))
         if route is None:
             return self._plain(write, 404) if self.informed else self._plain(write, 503, COME_BACK)
         told = headers.get(b"time-left")
-        if told is not None and (not _NUMBER.fullmatch(told) or b"time-left" in message.repeated):
+        if told is not None and (not _NUMBER.fullmatch(told) or b"time-left" in message.repeated_headers):
             return self._plain(write, 400)
         late_s = self._late_s()
         left_ms = min(route.give_up_ms, float(told) if told is not None else route.give_up_ms)
@@ -288,7 +288,7 @@
 
         errand = Errand(
             method=message.method,
-            target=message.start,
+            target=message.target,
             fields=passed_on(message, _OURS) + self._calling,
             body=message.body,
             attempt_id=attempt_id,
--- a/leadrudder/rpc/attach.py
+++ b/leadrudder/rpc/attach.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable
 
 from leadrudder.node.config import Config
-from leadrudder.node.contract import Ask, Done, HttpCall
-from leadrudder.node.node import Node, http_servers
-from leadrudder.node.servers import Call as HttpAttempt
-from leadrudder.node.servers import Servers
+from leadrudder.node.contract import AttemptCallback, ClientRequest, HttpRequest
+from leadrudder.node.node import Node, create_http_upstream
+from leadrudder.node.servers import HttpUpstream
+from leadrudder.node.servers import UpstreamCall as HttpAttempt
 from leadrudder.rpc.config import RpcConfig, RpcConfigError
 from leadrudder.rpc.front import RpcFront
 from leadrudder.rpc.mapping import CallMapper
@@ -26,14 +26,16 @@
     return lambda: b"%s-%x-%x" % (start_token, config.seed, next(counter))
 
 
-class HttpUpstreamForRpc(Servers):
+class HttpUpstreamForRpc(HttpUpstream):
     """HTTP connections to servers, for a node with MessagePack-RPC callers."""
 
     call_mapper: CallMapper
 
-    def attempt(self, server: bytes, ask: Ask, timeout_s: float, done: Done) -> HttpAttempt:
-        call: HttpCall = self.call_mapper.to_http(ask)
-        http_ask = Ask(
+    def attempt(
+        self, server: bytes, ask: ClientRequest, timeout_s: float, done: AttemptCallback
+    ) -> HttpAttempt:
+        call: HttpRequest = self.call_mapper.to_http(ask)
+        http_ask = ClientRequest(
             ask.id,
             ask.class_index,
             ask.tenant,
@@ -59,12 +61,12 @@
     if rpc.upstream is not None:
         node = Node(config, upstream=RpcUpstream(rpc.upstream, call_mapper.to_rpc, call_mapper.http_body))
     else:
-        servers = http_servers(config, kind=HttpUpstreamForRpc)
+        servers = create_http_upstream(config, upstream_type=HttpUpstreamForRpc)
         assert isinstance(servers, HttpUpstreamForRpc)
         servers.call_mapper = call_mapper
         node = Node(config, upstream=servers)
-    front = RpcFront(call_mapper, node.take, rpc.front_limits)
-    node.add_front(front)
+    front = RpcFront(call_mapper, node.submit, rpc.front_limits)
+    node.add_frontend(front)
     await node.start()
     for address in rpc.listen:
         try:
--- a/leadrudder/rpc/front.py
+++ b/leadrudder/rpc/front.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import cast
 
-from leadrudder.node.contract import Answer, Ask, DuplicateId, Exchange
+from leadrudder.node.contract import ClientRequest, DuplicateRequestId, Exchange, UpstreamResponse
 from leadrudder.rpc import errors
 from leadrudder.rpc.framing import (
     NIL,
@@ -51,14 +51,14 @@
 class RpcExchange:
     """One open call and its single response; a notification ends the same way, without a response."""
 
-    __slots__ = ("_connection", "_msgid", "ended", "on_gone", "size")
+    __slots__ = ("_connection", "_msgid", "ended", "on_disconnect", "size")
 
     def __init__(self, connection: CallerConnection, msgid: int | None, size: int) -> None:
         self._connection = connection
         self._msgid = msgid
         self.size = size
         self.ended = False  # the response was sent, or the caller left
-        self.on_gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
 
     def _respond(self, error: bytes, result: bytes = NIL) -> None:
         if self.ended:
@@ -66,24 +66,24 @@
         self.ended = True
         self._connection.respond(self, self._msgid, error, result)
 
-    def served(self, answer: Answer) -> None:
+    def complete(self, answer: UpstreamResponse) -> None:
         self._respond(NIL, self._connection.front.call_mapper.rpc_result(answer))
 
-    def refused(self, retry_after_ms: float) -> None:
+    def refuse(self, retry_after_ms: float) -> None:
         self._respond(errors.encode_error(errors.REFUSED, "not served; safe to retry", retry_after_ms))
 
-    def failed(self) -> None:
+    def fail(self) -> None:
         self._respond(errors.encode_error(errors.FAILED, "not served; the call may have run"))
 
-    def fault(self) -> None:
+    def fail_internally(self) -> None:
         self._respond(errors.encode_error(errors.FAULT, "internal error in the node"))
 
     def caller_left(self) -> None:
         """The caller left before its response; tell the core."""
         if not self.ended:
             self.ended = True
-            if self.on_gone is not None:
-                self.on_gone()
+            if self.on_disconnect is not None:
+                self.on_disconnect()
 
 
 class CallerConnection(asyncio.Protocol):
@@ -242,13 +242,13 @@
     """The listening sockets and all caller connections."""
 
     def __init__(
-        self, call_mapper: CallMapper, submit: Callable[[Ask, Exchange], None], limits: FrontLimits
+        self, call_mapper: CallMapper, submit: Callable[[ClientRequest, Exchange], None], limits: FrontLimits
     ) -> None:
         self.call_mapper = call_mapper
         self.limits = limits
         self.closing = False
         self.dispatching = False  # a call is being passed to the core
-        self.last_heard = 0.0
+        self.last_activity = 0.0
         self._submit = submit
         self._loop = asyncio.get_running_loop()
         self.now = self._loop.time
@@ -272,7 +272,7 @@
         return bound
 
     def connection_opened(self, connection: CallerConnection) -> None:
-        self.last_heard = self.now()
+        self.last_activity = self.now()
         self._connections[connection] = None
         if len(self._connections) > self.limits.connections:
             connection.abort()  # file descriptors are limited
@@ -284,7 +284,7 @@
 
     def handle_call(self, message: Request | Notification, exchange: RpcExchange) -> None:
         """Pass one call to the core, or answer it at once with an error."""
-        self.last_heard = self.now()
+        self.last_activity = self.now()
         connection = exchange._connection
         full = (
             self._open_calls >= self.limits.open_all
@@ -294,19 +294,19 @@
         self._held_bytes += exchange.size
         connection.open_notifications += isinstance(message, Notification)
         if full or self.closing:
-            exchange.refused(OVERLOAD_RETRY_AFTER_MS)
+            exchange.refuse(OVERLOAD_RETRY_AFTER_MS)
             return
         was_dispatching, self.dispatching = self.dispatching, True
         try:
             self._submit(self.call_mapper.parse_call(message), exchange)
         except CallRejected as rejection:
             exchange._respond(errors.encode_error(rejection.code, str(rejection)))
-        except DuplicateId as error:
+        except DuplicateRequestId as error:
             exchange._respond(errors.encode_error(errors.DUPLICATE, str(error)))
         except Exception:
             # An internal error must affect only this call, which still gets a response.
             log.exception("internal error while dispatching a call")
-            exchange.fault()
+            exchange.fail_internally()
         finally:
             self.dispatching = was_dispatching
 
@@ -325,7 +325,7 @@
         for connection in list(self._connections):
             connection.check_timeouts(now)
 
-    def wind_down(self) -> None:
+    def drain(self) -> None:
         """Stop listening, refuse new calls, and close each connection once it has no open call."""
         self.closing = True
         for server in self._servers:
--- a/leadrudder/rpc/mapping.py
+++ b/leadrudder/rpc/mapping.py
@@ -13,8 +13,8 @@
 from typing import Any
 
 from leadrudder.interface import Effect, Settings
-from leadrudder.node.contract import Answer, Ask, HttpCall, RpcCall
-from leadrudder.node.http import TOKEN
+from leadrudder.node.contract import ClientRequest, HttpRequest, RpcCall, UpstreamResponse
+from leadrudder.node.http import TOKEN_PATTERN
 from leadrudder.rpc.errors import BAD_REQUEST, UNKNOWN_METHOD
 from leadrudder.rpc.framing import REQUEST as REQUEST_KIND
 from leadrudder.rpc.framing import (
@@ -95,7 +95,7 @@
 
     # Calls from a caller.
 
-    def parse_call(self, call: Request | Notification) -> Ask:
+    def parse_call(self, call: Request | Notification) -> ClientRequest:
         """Parse a call from an RPC caller; CallRejected if it is not acceptable."""
         method = self._methods.get(call.method)
         if method is None:
@@ -108,7 +108,7 @@
             )
         if "key" in metadata:
             _parse_token(metadata["key"], "key")
-        return Ask(
+        return ClientRequest(
             id=_parse_token(metadata["id"], "id") if "id" in metadata else self._generate_id(),
             class_index=method.class_index,
             tenant=self._tenant_index(metadata.get("tenant", self._defaults.tenant)),
@@ -156,7 +156,7 @@
 
     # Calls to a server.
 
-    def to_rpc(self, ask: Ask) -> RpcCall:
+    def to_rpc(self, ask: ClientRequest) -> RpcCall:
         """For an RPC server: an RPC call unchanged, an HTTP request as [target, body, metadata map]."""
         if isinstance(ask.call, RpcCall):
             return ask.call
@@ -169,20 +169,20 @@
             metadata["key"] = call.key.decode("ascii")
         return RpcCall(method.name, pack([call.target.decode("latin-1"), call.body, metadata]))
 
-    def to_http(self, ask: Ask) -> HttpCall:
+    def to_http(self, ask: ClientRequest) -> HttpRequest:
         """For an HTTP server: params as the request body, or in the query of a GET, which has no body."""
-        if isinstance(ask.call, HttpCall):
+        if isinstance(ask.call, HttpRequest):
             return ask.call
         call = ask.call
         target = self._methods[call.method].target or b"/api/" + call.method.encode()
         if self._settings.classes[ask.class_index].effect is Effect.SAFE:
-            return HttpCall(b"GET", target + b"?params=" + urlsafe_b64encode(call.params).rstrip(b"="))
+            return HttpRequest(b"GET", target + b"?params=" + urlsafe_b64encode(call.params).rstrip(b"="))
         key = None if call.key is None else call.key.encode()
-        return HttpCall(b"POST", target, key, MSGPACK_CONTENT_TYPE, call.params)
+        return HttpRequest(b"POST", target, key, MSGPACK_CONTENT_TYPE, call.params)
 
     # Answers.
 
-    def rpc_result(self, answer: Answer) -> bytes:
+    def rpc_result(self, answer: UpstreamResponse) -> bytes:
         """The result of an RPC response: an RPC result unchanged, an HTTP body by its content type."""
         if answer.packed or (answer.content_type == MSGPACK_CONTENT_TYPE and self._is_value(answer.body)):
             return answer.body
@@ -195,13 +195,13 @@
         return len(messages) == 1 and reader.failure is None and not reader.held()
 
     @staticmethod
-    def http_body(answer: Answer) -> Answer:
+    def http_body(answer: UpstreamResponse) -> UpstreamResponse:
         """The body of an HTTP answer: the content of a binary result, any other result as MessagePack."""
         if not answer.packed:
             return answer
         if answer.body[:1] in (b"\xc4", b"\xc5", b"\xc6"):
-            return Answer(unpack(answer.body))
-        return Answer(answer.body, MSGPACK_CONTENT_TYPE)
+            return UpstreamResponse(unpack(answer.body))
+        return UpstreamResponse(answer.body, MSGPACK_CONTENT_TYPE)
 
 
 def _decode_item(params: bytes, item: tuple[int, int]) -> Any:
@@ -221,7 +221,7 @@
         text = value.encode("ascii") if isinstance(value, str) else b""
     except UnicodeEncodeError:
         text = b""
-    if not TOKEN.fullmatch(text):
+    if not TOKEN_PATTERN.fullmatch(text):
         raise CallRejected(BAD_REQUEST, f"{field_name} is not a valid token")
     return text
 
--- a/leadrudder/rpc/upstream.py
+++ b/leadrudder/rpc/upstream.py
@@ -15,11 +15,11 @@
 from typing import cast
 
 from leadrudder.interface import Outcome, ServerId
-from leadrudder.node.contract import Answer, Ask, Done, HttpCall, RpcCall
-from leadrudder.node.dialling import connect
-from leadrudder.node.lists import Address, Listing
-from leadrudder.node.peers import PeerTable
-from leadrudder.node.reports import Report
+from leadrudder.node.contract import AttemptCallback, ClientRequest, HttpRequest, RpcCall, UpstreamResponse
+from leadrudder.node.dialling import open_connection
+from leadrudder.node.lists import Address, EndpointUpdate
+from leadrudder.node.peers import EndpointTable
+from leadrudder.node.reports import LoadReport
 from leadrudder.rpc.errors import ErrorFormat, outcome_of_error
 from leadrudder.rpc.framing import (
     MAX_MSGID,
@@ -59,7 +59,7 @@
     __slots__ = ("_on_done", "_timer", "connection", "finished", "make_frame", "msgid", "peer", "written")
 
     def __init__(
-        self, peer: Peer | None, make_frame: Callable[[int], bytes], timeout_s: float, done: Done
+        self, peer: Peer | None, make_frame: Callable[[int], bytes], timeout_s: float, done: AttemptCallback
     ) -> None:
         self.peer = peer
         self.make_frame = make_frame  # encodes the call for a msgid
@@ -70,7 +70,7 @@
         self._on_done = done
         self._timer = asyncio.get_running_loop().call_later(timeout_s, self._time_out)
 
-    def finish(self, outcome: Outcome, answer: Answer | None = None) -> None:
+    def finish(self, outcome: Outcome, answer: UpstreamResponse | None = None) -> None:
         """Report the outcome; only the first one counts."""
         if self.finished:
             return
@@ -78,7 +78,7 @@
         self._timer.cancel()
         self._on_done(outcome, answer)
 
-    def give_up(self, outcome: Outcome) -> None:
+    def cancel(self, outcome: Outcome) -> None:
         """Abandon the call, not its connection: a late answer is dropped, its msgid reserved until then."""
         if self.finished:
             return
@@ -89,7 +89,7 @@
         self.finish(outcome)
 
     def _time_out(self) -> None:
-        self.give_up(Outcome.TIMEOUT if self.written else Outcome.CONNECT_FAILED)
+        self.cancel(Outcome.TIMEOUT if self.written else Outcome.CONNECT_FAILED)
 
 
 @dataclass(slots=True, eq=False)
@@ -123,7 +123,7 @@
         self._transport: asyncio.Transport | None = None
         self._dial_abandoned = False
 
-    def give_up_dial(self) -> None:
+    def on_connect_failed(self) -> None:
         """The connect timeout expired: unregister the connection, and close it if it is established later."""
         self._dial_abandoned = True
         self.fail(Outcome.CONNECT_FAILED)
@@ -218,7 +218,7 @@
             return False
         del self.calls[message.msgid]
         outcome = outcome_of_error(message.error, self._servers.config.error_format)
-        answer = Answer(message.result, packed=True) if outcome is Outcome.OK else None
+        answer = UpstreamResponse(message.result, packed=True) if outcome is Outcome.OK else None
         self._call_finished()
         call.finish(outcome, answer)
         return True
@@ -281,22 +281,22 @@
     def __init__(
         self,
         config: UpstreamConfig,
-        to_rpc: Callable[[Ask], RpcCall],
-        to_http_body: Callable[[Answer], Answer],
+        to_rpc: Callable[[ClientRequest], RpcCall],
+        to_http_body: Callable[[UpstreamResponse], UpstreamResponse],
     ) -> None:
         """to_rpc converts a request for these servers, to_http_body their answers for HTTP callers."""
         self.config = config
         self._to_rpc = to_rpc
         self._to_http_body = to_http_body
         self._loop = asyncio.get_running_loop()
-        self._table: PeerTable[Peer] = PeerTable(Peer, self._peer_removed)
+        self._table: EndpointTable[Peer] = EndpointTable(Peer, self._peer_removed)
         self._connections: dict[UpstreamConnection, None] = {}
         self._connect_tasks: dict[asyncio.Task[None], None] = {}
         self._timeout_timer = self._loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self._check_timeouts)
 
     # Server list.
 
-    def update(self, listing: Listing) -> list[ServerId]:
+    def update(self, listing: EndpointUpdate) -> list[ServerId]:
         """Apply a server list; returns the servers whose address now belongs to another server."""
         return self._table.update(listing)
 
@@ -307,21 +307,23 @@
         for connection in list(peer.connections):
             connection.drain()
 
-    def any_listed(self) -> bool:
-        return bool(self._table.peers)
+    def has_endpoints(self) -> bool:
+        return bool(self._table.endpoints)
 
-    def open_connections(self) -> int:
+    def open_connection_count(self) -> int:
         return len(self._connections)
 
     # Calls.
 
-    def attempt(self, server: ServerId, ask: Ask, timeout_s: float, done: Done) -> UpstreamCall:
+    def attempt(
+        self, server: ServerId, ask: ClientRequest, timeout_s: float, done: AttemptCallback
+    ) -> UpstreamCall:
         """Start one attempt of a request. A notification counts as served once it is written."""
         call = self._to_rpc(ask)
-        if isinstance(ask.call, HttpCall):
+        if isinstance(ask.call, HttpRequest):
             on_done = done
 
-            def done(outcome: Outcome, answer: Answer | None, report: Report = (), /) -> None:
+            def done(outcome: Outcome, answer: UpstreamResponse | None, report: LoadReport = (), /) -> None:
                 on_done(outcome, None if answer is None else self._to_http_body(answer))
 
         if call.notification:
@@ -331,7 +333,7 @@
         )
 
     def _send_notification(
-        self, server: ServerId, call: RpcCall, timeout_s: float, done: Done
+        self, server: ServerId, call: RpcCall, timeout_s: float, done: AttemptCallback
     ) -> UpstreamCall:
         """Send a notification, which has no response: it finishes once its bytes are passed to the socket."""
 
@@ -346,16 +348,16 @@
     def _notification_sent(call: UpstreamCall) -> None:
         if not call.finished and call.connection is not None:
             call.connection.calls.pop(call.msgid, None)
-            call.finish(Outcome.OK, Answer(b"\xc0", packed=True))
+            call.finish(Outcome.OK, UpstreamResponse(b"\xc0", packed=True))
 
-    def probe(self, server: ServerId, timeout_s: float, done: Done) -> UpstreamCall:
+    def probe(self, server: ServerId, timeout_s: float, done: AttemptCallback) -> UpstreamCall:
         """Check the health of a server: by the configured method, otherwise by opening a connection."""
         if self.config.probe:
             method = self.config.probe
             return self._start_call(
                 server, lambda msgid: encode_request(msgid, method, b"\x90"), timeout_s, done
             )
-        peer = self._table.peers.get(server)
+        peer = self._table.endpoints.get(server)
         call = UpstreamCall(None, lambda _: b"", timeout_s, done)
         if peer is None:
             self._loop.call_soon(call.finish, Outcome.CONNECT_FAILED)
@@ -364,9 +366,9 @@
         return call
 
     def _start_call(
-        self, server: ServerId, make_frame: Callable[[int], bytes], timeout_s: float, done: Done
+        self, server: ServerId, make_frame: Callable[[int], bytes], timeout_s: float, done: AttemptCallback
     ) -> UpstreamCall:
-        peer = self._table.peers.get(server)
+        peer = self._table.endpoints.get(server)
         call = UpstreamCall(peer, make_frame, timeout_s, done)
         max_waiting = MAX_WAITING_WINDOWS * self.config.window * self.config.connections
         if peer is None or len(peer.waiting) >= max_waiting:
@@ -408,7 +410,7 @@
     async def _connect(self, peer: Peer, probe: UpstreamCall | None) -> None:
         host, port = peer.address
         try:
-            await connect(lambda: UpstreamConnection(peer, self), host, port, self.config.connect_s)
+            await open_connection(lambda: UpstreamConnection(peer, self), host, port, self.config.connect_s)
         except (OSError, TimeoutError):
             peer.connecting -= 1
             self._connect_failed(peer, probe)
@@ -446,7 +448,7 @@
                 self._loop.call_soon(self.dispatch_waiting, peer)
 
     def close_idle(self, server: ServerId) -> None:
-        peer = self._table.peers.get(server)
+        peer = self._table.endpoints.get(server)
         for connection in list(peer.connections) if peer is not None else ():
             if not connection.calls:
                 connection.abort()
@@ -470,7 +472,7 @@
         self._timeout_timer.cancel()
         for task in list(self._connect_tasks):
             task.cancel()
-        for peer in self._table.peers.values():
+        for peer in self._table.endpoints.values():
             waiting, peer.waiting = list(peer.waiting), deque()
             for call in waiting:
                 call.finish(Outcome.CONNECT_FAILED)
--- a/tests/rpc/mixed.py
+++ b/tests/rpc/mixed.py
@@ -15,7 +15,7 @@
 import msgpack
 
 from tests.rpc.stubs import RpcCaller, RpcEnvironment, RpcServer, RpcStream, rpc_environment
-from tests.stubs import Caller, row
+from tests.stubs import StubClient, row
 
 CLASSES = ("look", "move", "book")
 SERVERS = 6
@@ -125,11 +125,11 @@
 
 
 async def _http_caller(env: RpcEnvironment, names: list[str], tally: Tally) -> None:
-    assert env.node._callers._server is not None
-    address = env.node._callers._server.sockets[0].getsockname()[:2]
-    caller = await Caller.connect(address)
+    assert env.node._listener._server is not None
+    address = env.node._listener._server.sockets[0].getsockname()[:2]
+    caller = await StubClient.connect(address)
     for name in names:
-        answer = await caller.ask(name.partition("-")[0], name=name, deadline="1.5")
+        answer = await caller.ask(name.partition("-")[0], request_id=name, deadline="1.5")
         ending = {200: "served", 503: "refused", 502: "failed"}[answer.status]
         if ending == "served":
             assert answer.body == msgpack.packb(name)
--- a/tests/rpc/stubs.py
+++ b/tests/rpc/stubs.py
@@ -11,14 +11,14 @@
 
 import msgpack
 
-from leadrudder.node.config import Config, Limits, flat
-from leadrudder.node.lists import Naming
+from leadrudder.node.config import Config, Limits, flatten
+from leadrudder.node.lists import DiscoveryDecoder
 from leadrudder.node.node import Node
 from leadrudder.rpc import attach
 from leadrudder.rpc.config import parse_rpc_config
 from leadrudder.rpc.front import RpcFront
 from leadrudder.settings import read_settings
-from tests.stubs import HOST, PATIENCE_S, StubDiscovery, listing, settings
+from tests.stubs import HOST, WAIT_TIMEOUT_S, StubDiscovery, listing, settings
 
 METHODS = [
     {"name": "look", "class": "look"},
@@ -48,7 +48,7 @@
         while True:
             for message in self._unpacker:
                 return list(message)
-            data = await asyncio.wait_for(self.reader.read(65536), PATIENCE_S)
+            data = await asyncio.wait_for(self.reader.read(65536), WAIT_TIMEOUT_S)
             if not data:
                 raise ConnectionError("the connection was closed")
             self._unpacker.feed(data)
@@ -92,7 +92,9 @@
     async def wait_for_calls(self, count: int) -> None:
         """Wait until this many calls have arrived."""
         async with self.calls_changed:
-            await asyncio.wait_for(self.calls_changed.wait_for(lambda: len(self.calls) >= count), PATIENCE_S)
+            await asyncio.wait_for(
+                self.calls_changed.wait_for(lambda: len(self.calls) >= count), WAIT_TIMEOUT_S
+            )
 
     async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         peer = RpcStream(reader, writer)
@@ -164,7 +166,7 @@
 
     def __init__(self, node: Node, discovery: StubDiscovery, address: tuple[str, int] | str) -> None:
         self.node, self.discovery, self.address = node, discovery, address
-        front = node._fronts[0]
+        front = node._frontends[0]
         assert isinstance(front, RpcFront)
         self.front = front
 
@@ -177,7 +179,7 @@
     *rows: dict[str, Any], upstream: dict[str, Any] | None = None, http: bool = False, **changes: Any
 ) -> AsyncIterator[RpcEnvironment]:
     """A node that knows these servers; http: they speak HTTP; changes: tables of the operator's file."""
-    naming = Naming(("hall",), ("std",))
+    decoder = DiscoveryDecoder(("hall",), ("std",))
     async with StubDiscovery() as discovery:
         host, _, port = discovery.address.rpartition(":")
         config = Config(
@@ -187,19 +189,19 @@
             discovery=(host, int(port)),
             seed=7,
             limits=Limits(192, 1024),
-            settings=read_settings(dict(flat(settings(guarantees={"mustAskInMs": 60_000.0})))),
-            naming=naming,
-            known=naming.read(listing(1, *rows)),
+            settings=read_settings(dict(flatten(settings(guarantees={"mustAskInMs": 60_000.0})))),
+            decoder=decoder,
+            initial_endpoints=decoder.decode(listing(1, *rows)),
             conn_idle_ms=30_000.0,
         )
         operator_file = {**OPERATOR_FILE, **({} if http else {"upstream": upstream or {}}), **changes}
         node = await attach.start_node(config, parse_rpc_config(operator_file, config.settings))
         serving = asyncio.create_task(node.wait())
-        front = node._fronts[0]
+        front = node._frontends[0]
         assert isinstance(front, RpcFront)
         bound = front._servers[0].sockets[0].getsockname()
         try:
             yield RpcEnvironment(node, discovery, bound if isinstance(bound, str) else bound[:2])
         finally:
             node.stop()
-            await asyncio.wait_for(serving, PATIENCE_S)
+            await asyncio.wait_for(serving, WAIT_TIMEOUT_S)
--- a/tests/rpc/test_differential.py
+++ b/tests/rpc/test_differential.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from leadrudder.interface import Action, Event, Outcome, ServerId, SetTimer, TimerFired
-from leadrudder.node.config import Config, Limits, flat
-from leadrudder.node.contract import Answer, Ask, Done
-from leadrudder.node.lists import Listing, Naming
+from leadrudder.node.config import Config, Limits, flatten
+from leadrudder.node.contract import AttemptCallback, ClientRequest, UpstreamResponse
+from leadrudder.node.lists import DiscoveryDecoder, EndpointUpdate
 from leadrudder.node.node import Node
 from leadrudder.node.platform import SYSTEM
 from leadrudder.rpc.config import parse_rpc_config
@@ -17,7 +17,7 @@
 from leadrudder.rpc.mapping import CallMapper
 from leadrudder.settings import read_settings
 from tests.rpc.stubs import OPERATOR_FILE, RpcCaller
-from tests.stubs import HOST, Caller, listing, row, run, settings
+from tests.stubs import HOST, StubClient, listing, row, run, settings
 
 CALL_COUNT = 400
 
@@ -34,14 +34,14 @@
     def wall(self) -> float:
         return self.seconds
 
-    unread = staticmethod(SYSTEM.unread)
+    has_unread_input = staticmethod(SYSTEM.has_unread_input)
     read_text = staticmethod(SYSTEM.read_text)
 
 
 class FinishedAttempt:
     """An attempt that finishes before it could be given up."""
 
-    def give_up(self, outcome: Outcome) -> None:
+    def cancel(self, outcome: Outcome) -> None:
         pass
 
 
@@ -54,34 +54,36 @@
         self.attempts: list[tuple[ServerId, bytes, int]] = []
         self.open_attempts = 0
 
-    def attempt(self, server: ServerId, ask: Ask, timeout_s: float, done: Done) -> FinishedAttempt:
+    def attempt(
+        self, server: ServerId, ask: ClientRequest, timeout_s: float, done: AttemptCallback
+    ) -> FinishedAttempt:
         self.attempts.append((server, ask.id, ask.class_index))
         duration_s = self._rng.uniform(0.005, 0.05) * (3.0 if server == b"s1" else 1.0)
         possible_outcomes = [Outcome.OK] * 12 + [Outcome.ERROR, Outcome.RESET, Outcome.FULL, Outcome.SPOILT]
         self._finish_later(self._rng.choice(possible_outcomes), duration_s, done)
         return FinishedAttempt()
 
-    def _finish_later(self, outcome: Outcome, duration_s: float, done: Done) -> None:
+    def _finish_later(self, outcome: Outcome, duration_s: float, done: AttemptCallback) -> None:
         self.open_attempts += 1
 
         def end() -> None:
             self.open_attempts -= 1
             self._clock.seconds += duration_s
-            done(outcome, Answer(b"\xc0", packed=True) if outcome is Outcome.OK else None)
+            done(outcome, UpstreamResponse(b"\xc0", packed=True) if outcome is Outcome.OK else None)
 
         asyncio.get_running_loop().call_soon(end)
 
-    def probe(self, server: ServerId, timeout_s: float, done: Done) -> FinishedAttempt:
+    def probe(self, server: ServerId, timeout_s: float, done: AttemptCallback) -> FinishedAttempt:
         self._finish_later(Outcome.OK, 0.001, done)
         return FinishedAttempt()
 
-    def update(self, listing: Listing) -> list[ServerId]:
+    def update(self, listing: EndpointUpdate) -> list[ServerId]:
         return []
 
-    def any_listed(self) -> bool:
+    def has_endpoints(self) -> bool:
         return True
 
-    def open_connections(self) -> int:
+    def open_connection_count(self) -> int:
         return 0
 
     def close_idle(self, server: ServerId) -> None:
@@ -97,7 +99,7 @@
     def __init__(self, node: Node, clock: ManualClock, upstream: ScriptedUpstream) -> None:
         self._node, self._clock, self._upstream = node, clock, upstream
         self._pending: list[tuple[float, int]] = []
-        node._on[SetTimer] = lambda action: self._pending.append((action.at_ms, action.token))
+        node._action_handlers[SetTimer] = lambda action: self._pending.append((action.at_ms, action.token))
 
     def fire_until(self, until_ms: float) -> None:
         """Fire all timers that are due by then, in order."""
@@ -105,7 +107,7 @@
             at_ms, token = min(self._pending)
             self._pending.remove((at_ms, token))
             self._clock.seconds = max(self._clock.seconds, at_ms / 1000.0)
-            self._node._post(TimerFired(token))
+            self._node._dispatch(TimerFired(token))
 
     async def answered(self, answer: asyncio.Task[Any]) -> Any:
         """Wait for an answer; while the module itself waits, advance the clock to the next timer."""
@@ -122,8 +124,8 @@
     """Make one call after another; returns the events with decisions, the outcomes, and the attempts."""
     clock, rng = ManualClock(), random.Random(seed)
     upstream = ScriptedUpstream(clock, seed)
-    naming = Naming(("hall",), ("std",))
-    node_settings = read_settings(dict(flat(settings(guarantees={"mustAskInMs": 60_000.0}))))
+    decoder = DiscoveryDecoder(("hall",), ("std",))
+    node_settings = read_settings(dict(flatten(settings(guarantees={"mustAskInMs": 60_000.0}))))
     rows = [row(f"s{i}", f"{HOST}:{i + 1}") for i in range(4)]
     config = Config(
         path="",
@@ -133,8 +135,8 @@
         seed=seed,
         limits=Limits(192, 1024),
         settings=node_settings,
-        naming=naming,
-        known=naming.read(listing(1, *rows)),
+        decoder=decoder,
+        initial_endpoints=decoder.decode(listing(1, *rows)),
         conn_idle_ms=30_000.0,
     )
     node = Node(config, clock, upstream=upstream)
@@ -158,14 +160,14 @@
         lambda: b"none",
         rpc_config.front_limits.message,
     )
-    front = RpcFront(call_mapper, node.take, rpc_config.front_limits)
-    node.add_front(front)
+    front = RpcFront(call_mapper, node.submit, rpc_config.front_limits)
+    node.add_frontend(front)
     serving = asyncio.create_task(node.wait())
     http_address = await node.start()
     rpc_address = await front.listen((HOST, 0))
     results: list[str] = []
     timers = ManualTimers(node, clock, upstream)
-    caller: Any = await (RpcCaller.connect(rpc_address) if rpc else Caller.connect(http_address))
+    caller: Any = await (RpcCaller.connect(rpc_address) if rpc else StubClient.connect(http_address))
     for i in range(CALL_COUNT):
         clock.seconds += rng.uniform(0.0, 0.03)
         timers.fire_until(1000.0 * clock.seconds)
@@ -178,7 +180,7 @@
             results.append("served" if error is None else error["code"])
         else:
             answer = await timers.answered(
-                asyncio.ensure_future(caller.ask(method, name=name, target="/api"))
+                asyncio.ensure_future(caller.ask(method, request_id=name, target="/api"))
             )
             results.append({200: "served", 503: "refused", 502: "failed"}[answer.status])
     caller.close()
--- a/tests/rpc/test_front.py
+++ b/tests/rpc/test_front.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.rpc.stubs import METHODS, RpcCaller, RpcEnvironment, RpcServer, RpcStream, rpc_environment, serve
-from tests.stubs import HOST, Caller, StubServer, reply, row, run
+from tests.stubs import HOST, StubClient, StubServer, reply, row, run
 
 
 async def serve_on_release(server: RpcServer, peer: RpcStream, message: list[Any]) -> None:
@@ -128,7 +128,7 @@
             assert (await other.answer())[1] is None
             while env.front._open_calls:
                 await asyncio.sleep(0)
-            assert env.front._held_bytes == 0 and not env.node._held
+            assert env.front._held_bytes == 0 and not env.node._id_uses
 
     run(main())
 
@@ -270,7 +270,7 @@
             assert (await caller.answer())[1] is None
             with pytest.raises(ConnectionError):
                 await caller.read()
-            await asyncio.wait_for(env.node._done.wait(), 10.0)
+            await asyncio.wait_for(env.node._stopped.wait(), 10.0)
 
     run(main())
 
@@ -307,7 +307,7 @@
             caller = await env.caller()
             caller.send(0, 1, "move", params)
             await server.wait_for_calls(1)
-            assert list(env.node._held) == [b"own"]
+            assert list(env.node._id_uses) == [b"own"]
             assert server.calls[0][3] == params
             server.release.set()
             assert (await caller.answer())[1] is None
@@ -321,9 +321,9 @@
             peer.send(1, message[1], None, b"plain")
 
         async with RpcServer(answer_binary) as server, rpc_environment(row("a", server.address)) as env:
-            assert env.node._callers._server is not None
-            http = await Caller.connect(env.node._callers._server.sockets[0].getsockname()[:2])
-            answer = await http.ask("book", body=b"hello", name="h1")
+            assert env.node._listener._server is not None
+            http = await StubClient.connect(env.node._listener._server.sockets[0].getsockname()[:2])
+            answer = await http.ask("book", body=b"hello", request_id="h1")
             assert (answer.status, answer.body) == (200, b"plain")
             target, body, metadata = server.calls[0][3]
             assert (target, body, metadata["id"]) == ("/api/7f3a9c21e0b4d655", b"hello", "h1")
--- a/tests/rpc/test_upstream.py
+++ b/tests/rpc/test_upstream.py
@@ -9,15 +9,15 @@
 import pytest
 
 from leadrudder.interface import Outcome
-from leadrudder.node.contract import Answer, Ask, RpcCall
-from leadrudder.node.lists import Naming
-from leadrudder.node.reports import Report
+from leadrudder.node.contract import ClientRequest, RpcCall, UpstreamResponse
+from leadrudder.node.lists import DiscoveryDecoder
+from leadrudder.node.reports import LoadReport
 from leadrudder.rpc.framing import pack
 from leadrudder.rpc.upstream import RpcUpstream, UpstreamConfig
 from tests.rpc.stubs import RpcServer, RpcStream, rpc_environment, serve
-from tests.stubs import PATIENCE_S, StubServer, listing, reply, row, run
+from tests.stubs import WAIT_TIMEOUT_S, StubServer, listing, reply, row, run
 
-NAMING = Naming((), ())
+NAMING = DiscoveryDecoder((), ())
 UNUSED_TIMEOUT_S = 30.0  # never expires within a test
 
 
@@ -32,8 +32,8 @@
     def __init__(self, *servers: RpcServer, **config: Any) -> None:
         self.upstream = RpcUpstream(UpstreamConfig(**config), lambda ask: _rpc(ask), lambda answer: answer)
         self.rows = [row(f"s{i}", server.address) for i, server in enumerate(servers)]
-        self.upstream.update(NAMING.read(listing(1, *self.rows)))
-        self.ended: dict[int, tuple[Outcome, Answer | None]] = {}
+        self.upstream.update(NAMING.decode(listing(1, *self.rows)))
+        self.ended: dict[int, tuple[Outcome, UpstreamResponse | None]] = {}
         self.calls: list[Any] = []
         self._changed = asyncio.Event()
 
@@ -46,9 +46,11 @@
     ) -> int:
         number = len(self.calls)
         params = pack([number, b"x" * size])
-        ask = Ask(b"%d" % number, 0, 0, 0, 1000.0, None, False, RpcCall("look", params, notification))
+        ask = ClientRequest(
+            b"%d" % number, 0, 0, 0, 1000.0, None, False, RpcCall("look", params, notification)
+        )
 
-        def done(outcome: Outcome, answer: Answer | None, report: Report = (), /) -> None:
+        def done(outcome: Outcome, answer: UpstreamResponse | None, report: LoadReport = (), /) -> None:
             assert number not in self.ended, "the call ended twice"
             self.ended[number] = outcome, answer
             self._changed.set()
@@ -61,7 +63,7 @@
         """Wait for all calls; returns their outcomes in order."""
         while len(self.ended) < len(self.calls):
             self._changed.clear()
-            await asyncio.wait_for(self._changed.wait(), PATIENCE_S)
+            await asyncio.wait_for(self._changed.wait(), WAIT_TIMEOUT_S)
         return [self.ended[i][0] for i in range(len(self.calls))]
 
     async def wait_until(self, condition: Any) -> None:
@@ -69,13 +71,13 @@
             while not condition():
                 await asyncio.sleep(0)
 
-        await asyncio.wait_for(wait(), PATIENCE_S)
+        await asyncio.wait_for(wait(), WAIT_TIMEOUT_S)
 
     def connections(self) -> list[Any]:
-        return [c for peer in self.upstream._table.peers.values() for c in peer.connections]
+        return [c for peer in self.upstream._table.endpoints.values() for c in peer.connections]
 
 
-def _rpc(ask: Ask) -> RpcCall:
+def _rpc(ask: ClientRequest) -> RpcCall:
     assert isinstance(ask.call, RpcCall)
     return ask.call
 
@@ -89,7 +91,7 @@
             await server.wait_for_calls(6)
             assert len(server.peers) == 2
             assert sorted(len(c.calls) for c in harness.connections()) == [3, 3]
-            assert len(harness.upstream._table.peers[b"s0"].waiting) == 4
+            assert len(harness.upstream._table.endpoints[b"s0"].waiting) == 4
             assert all(len({m[1] for m in server.calls}) >= 3 for _ in range(1))
             for peer in server.peers:
                 peer.close()
@@ -127,7 +129,7 @@
             harness = UpstreamHarness(server, connections=1, window=2)
             harness.start_call()
             await server.wait_for_calls(1)
-            harness.calls[0].give_up(Outcome.CANCELLED)
+            harness.calls[0].cancel(Outcome.CANCELLED)
             (connection,) = harness.connections()
             assert connection.late_msgids == {1}
             connection._last_msgid = 0  # as after four billion calls
@@ -150,7 +152,7 @@
             for i in range(4):
                 harness.start_call()
                 await server.wait_for_calls(i + 1)
-                harness.calls[i].give_up(Outcome.CANCELLED)
+                harness.calls[i].cancel(Outcome.CANCELLED)
             (full,) = harness.connections()
             assert len(full.late_msgids) == 4 and full.free_slots() == 0
             harness.start_call()
@@ -235,7 +237,7 @@
                     break
             queued = [harness.start_call(size=60_000) for _ in range(3)] if connection._write_paused else []
             await harness.wait_until(
-                lambda: not harness.upstream._table.peers[b"s0"].waiting or not connection._write_paused
+                lambda: not harness.upstream._table.endpoints[b"s0"].waiting or not connection._write_paused
             )
             written = [call.written for call in harness.calls]
             server.peers[0].close()
@@ -289,7 +291,7 @@
                 harness.start_call()
             await server.wait_for_calls(100)
             drained = row("s0", server.address, "DRAINING")
-            harness.upstream.update(NAMING.read(listing(2, drained, reset=False)))
+            harness.upstream.update(NAMING.decode(listing(2, drained, reset=False)))
             harness.start_call()
             await harness.wait_until(lambda: len(harness.ended) == 21)
             assert {harness.ended[i][0] for i in range(100, 120)} == {Outcome.MOOT}
