--- a/leadrudder/rpc/framing.py
+++ b/leadrudder/rpc/framing.py
@@ -99,7 +99,7 @@
             raw, raw=False, strict_map_key=False, unicode_errors="surrogateescape", object_pairs_hook=MapPairs
         )
     except (msgpack.exceptions.UnpackException, ValueError, TypeError, RecursionError) as error:
-        raise ValueError(f"not a valid value: {error}") from None
+        raise ValueError(f"no value: {error}") from None
 
 
 class _ValueScanner:
@@ -161,7 +161,7 @@
         items = length if counted == _ITEMS else 2 * length if counted == _PAIRS else 0
         # Every item takes at least one byte, so the header alone shows that a container exceeds the limit.
         if self.position + size + body + items > self._limits.size:
-            raise FramingError("message is too large")
+            raise FramingError("the message is too large")
         if self.position == self.start:
             self.is_array = counted == _ITEMS
         self.position += size
@@ -169,7 +169,7 @@
         if not items:
             return False
         if self._depth + len(self._items_left) >= self._limits.depth:
-            raise FramingError("message is too deep")
+            raise FramingError("the message is too deep")
         self._items_left.append(items)
         return True
 
@@ -205,7 +205,7 @@
         return 0, 0, _BYTES
     header_format = _HEADER_FORMATS.get(first_byte)
     if header_format is None:
-        raise FramingError("invalid first byte of a value")
+        raise FramingError("a byte that begins no value")
     return header_format
 
 
@@ -305,9 +305,9 @@
             self._msgid = msgid
         elif self._kind != RESPONSE and field == self._field_count - 2:
             if not isinstance(self._decode_field(scanner), str):
-                raise FramingError("method is not a string")
+                raise FramingError("the method is no string")
         elif self._kind != RESPONSE and field == self._field_count - 1 and not scanner.is_array:
-            raise FramingError("params is not an array")
+            raise FramingError("the params are no array")
 
     def _decode_field(self, scanner: _ValueScanner) -> Any:
         try:
--- a/leadrudder/rpc/front.py
+++ b/leadrudder/rpc/front.py
@@ -70,13 +70,13 @@
         self._respond(NIL, self._connection.front.call_mapper.rpc_result(answer))
 
     def refused(self, retry_after_ms: float) -> None:
-        self._respond(errors.encode_error(errors.REFUSED, "not served; safe to retry", retry_after_ms))
+        self._respond(errors.encode_error(errors.REFUSED, "not served; may be tried again", retry_after_ms))
 
     def failed(self) -> None:
-        self._respond(errors.encode_error(errors.FAILED, "not served; the call may have run"))
+        self._respond(errors.encode_error(errors.FAILED, "not served; it may have run"))
 
     def fault(self) -> None:
-        self._respond(errors.encode_error(errors.FAULT, "internal error in the node"))
+        self._respond(errors.encode_error(errors.FAULT, "the node could not deal with it"))
 
     def caller_left(self) -> None:
         """The caller left before its response; tell the core."""
@@ -142,7 +142,7 @@
                 self._write(
                     encode_response(
                         message.msgid,
-                        errors.encode_error(errors.DUPLICATE, "msgid is already in use on this connection"),
+                        errors.encode_error(errors.DUPLICATE, "msgid is open"),
                         NIL,
                     )
                 )
--- a/leadrudder/rpc/mapping.py
+++ b/leadrudder/rpc/mapping.py
@@ -99,13 +99,11 @@
         """Parse a call from an RPC caller; CallRejected if it is not acceptable."""
         method = self._methods.get(call.method)
         if method is None:
-            raise CallRejected(UNKNOWN_METHOD, "method is not mapped on this node")
+            raise CallRejected(UNKNOWN_METHOD, "no such method is mapped here")
         metadata = self._read_metadata(call)
         effect = self._settings.classes[method.class_index].effect
         if ("key" in metadata) != (effect is Effect.KEYED):
-            raise CallRejected(
-                BAD_REQUEST, "a key is required for a keyed class and not allowed for any other"
-            )
+            raise CallRejected(BAD_REQUEST, "a key is told where, and only where, the class asks for one")
         if "key" in metadata:
             _parse_token(metadata["key"], "key")
         return Ask(
@@ -144,14 +142,14 @@
             return 0
         index = self._tenants.get(name) if isinstance(name, str) else None
         if index is None:
-            raise CallRejected(BAD_REQUEST, "tenant is unknown or missing")
+            raise CallRejected(BAD_REQUEST, "the tenant is unknown or not told")
         return index
 
     @staticmethod
     def _deadline_s(value: Any) -> float:
         number = _finite_number(value)
         if number is None or not 0.0 < number <= MAX_DEADLINE_S:
-            raise CallRejected(BAD_REQUEST, "deadline is missing or not a valid number of seconds")
+            raise CallRejected(BAD_REQUEST, "the deadline is no number of seconds, or not told")
         return number
 
     # Calls to a server.
@@ -208,7 +206,7 @@
     try:
         return unpack(params[item[0] : item[1]])
     except (ValueError, FramingError):
-        raise CallRejected(BAD_REQUEST, "call metadata cannot be decoded") from None
+        raise CallRejected(BAD_REQUEST, "what the call tells of itself cannot be read") from None
 
 
 def _text_or_empty(value: Any) -> str:
@@ -222,7 +220,7 @@
     except UnicodeEncodeError:
         text = b""
     if not TOKEN.fullmatch(text):
-        raise CallRejected(BAD_REQUEST, f"{field_name} is not a valid token")
+        raise CallRejected(BAD_REQUEST, f"the {field_name} is no string of plain characters")
     return text
 
 
