--- a/leadrudder/looks.py
+++ b/leadrudder/looks.py
@@ -1,4 +1,4 @@
-"""What one draw of a server has in view.  A record: it decides nothing."""
+"""The inputs of one server selection.  A plain record without logic."""
 
 from __future__ import annotations
 
@@ -9,18 +9,20 @@
 
 
 @dataclass(slots=True)
-class Look:
-    """What is the same for all servers while one is drawn for a request."""
+class DrawContext:
+    """Values shared by all servers while one is selected for a request."""
 
     request: Request
-    mean: float  # of all averages
-    calm: float  # the calmest mean latency
-    total: int  # calls out
-    late: float  # what an attempt may take before it is late
-    flow: float | None = None  # to a warm server; counted once, and only if a server is cold
-    risky: bool = field(init=False)
-    tried: set[ServerId] = field(init=False)
+    mean_latency_ms: float  # of the latency averages of all servers
+    calm_latency_ms: float  # lowest mean latency, without queueing
+    total_outstanding: int  # calls in flight
+    late_after_ms: float  # age after which an attempt is late
+    warm_server_flow: float | None = (
+        None  # work per ms to a warm server; computed once, and only if a server is cold
+    )
+    may_have_run: bool = field(init=False)
+    tried_servers: set[ServerId] = field(init=False)
 
     def __post_init__(self) -> None:
-        self.risky = self.request.risky() is not None
-        self.tried = {a.entry.server for a in self.request.attempts}
+        self.may_have_run = self.request.first_possible_run() is not None
+        self.tried_servers = {a.entry.server for a in self.request.attempts}
--- a/leadrudder/policy/admission.py
+++ b/leadrudder/policy/admission.py
@@ -1,4 +1,4 @@
-"""What is turned away: the limit of calls out, and who may use the last of it."""
+"""Admission control: the limit of calls in flight, and the part reserved for requests of higher worth."""
 
 from __future__ import annotations
 
@@ -9,59 +9,67 @@
 from leadrudder.state.records import Turn
 from leadrudder.state.reports import Reports
 
-KEPT = 0.2  # of the limit, the more the less a request is worth: for what is worth most, under strain
-KEPT_FROM = 0.7  # and from this strain on, rising: with less than that it only keeps places empty
-KEPT_HOPELESS = 0.5  # and this much, while strained, for what can still come in time
+# Under strain, share of the limit that is closed to requests of the lowest worth; in proportion for others.
+RESERVED_SHARE = 0.2
+RESERVE_ABOVE_STRAIN = 0.7  # from here the reservation grows; below, it would only leave slots idle
+# Under strain, share of the limit that is closed to requests which cannot be answered in time any more.
+HOPELESS_RESERVED_SHARE = 0.5
 
 
 class Admission:
-    """Calls out against their limit, which leadrudder/recovery/ sets by what it knows of the strain."""
+    """Compares the calls in flight with their limit, which leadrudder/recovery/ derives from the strain."""
 
     def __init__(self, settings: Settings, turn: Turn, reports: Reports, limit: Limit | None = None) -> None:
-        self._top = max(c.worth for c in settings.classes) or 1.0
+        self._max_worth = max(c.worth for c in settings.classes) or 1.0
         self._settings = settings
         self._turn = turn
-        # What all nodes of the front admit is split over them.  Further in each node stands for itself: what
-        # it sends was admitted at the front, and a call held back there costs all the work done for it.
-        self._sharers = 1 if settings.stage else settings.balancers
-        self._arms = 0.0  # warm servers that stand behind the limit
+        # The capacity is divided among the nodes of the first tier.  Inner tiers do not divide it: their
+        # calls were admitted at the first tier, and holding one back wastes the work already done for it.
+        self._sharing_nodes = 1 if settings.stage else settings.balancers
+        self._warm_servers = 0.0  # the capacity that the limit is based on
         self.strain = Strain(settings, turn, reports)
         self.limit: Limit = Knee(settings, turn) if limit is None else limit
         self._shedding = False
 
-    def bear(self, capacity: float) -> None:
-        """The fleet bears as much as so many warm servers: the limit and what it rests on move along."""
-        if capacity == self._arms or not capacity:
+    def set_capacity(self, capacity: float) -> None:
+        """Sets the capacity of the fleet, in warm servers, and scales the limit and the strain with it."""
+        if capacity == self._warm_servers or not capacity:
             return
-        by = capacity / self._arms if self._arms else 1.0
-        self._arms = capacity
-        self.strain.moved(by)
-        self.limit.moved(by, capacity, capacity / self._sharers)
+        factor = capacity / self._warm_servers if self._warm_servers else 1.0
+        self._warm_servers = capacity
+        self.strain.moved(factor)
+        self.limit.moved(factor, capacity, capacity / self._sharing_nodes)
 
     def has_room(self, request: Request, out: int) -> bool:
-        """Whether the limit of calls out leaves room for this request.
+        """Whether the limit of calls in flight admits this request.
 
-        At the front a part is kept for what is worth more, as trunk reservation does: without it a request
-        of the least worth takes the place that comes free a moment before one of the most asks for it.
+        The first tier reserves a part for requests of higher worth (trunk reservation): otherwise a request
+        of the lowest worth takes the slot that is freed just before one of the highest worth arrives.
 
-        Where many nodes share few calls it is a few calls or less than one: each request carries the chance
-        that settles the fraction.
+        Where many nodes share few calls, the limit of a node is a few calls or less than one: the request's
+        random draw decides about the fraction.
         """
-        kept = KEPT * (1.0 - min(request.value.worth / self._top, 1.0)) if not self._settings.stage else 0.0
-        kept *= min(max((self.strain.value - KEPT_FROM) / (1.0 - KEPT_FROM), 0.0), 1.0)
-        if request.value.hopeless and self.strain.value > 1.0:
-            kept = KEPT_HOPELESS
-        return out + request.chance < self.limit.value * (1.0 - kept)
+        reserved = (
+            RESERVED_SHARE * (1.0 - min(request.appraisal.worth / self._max_worth, 1.0))
+            if not self._settings.stage
+            else 0.0
+        )
+        reserved *= min(
+            max((self.strain.value - RESERVE_ABOVE_STRAIN) / (1.0 - RESERVE_ABOVE_STRAIN), 0.0), 1.0
+        )
+        if request.appraisal.hopeless and self.strain.value > 1.0:
+            reserved = HOPELESS_RESERVED_SHARE
+        return out + request.admission_draw < self.limit.value * (1.0 - reserved)
 
-    def feel(self, latency_share: float, out: int, patience: float) -> None:
-        """An answer or a call given up: its latency as a part of its aim, the calls out, the mean latency."""
+    def record_latency(self, latency_share: float, out: int, mean_latency_ms: float) -> None:
+        """Records an answered or abandoned call; latency_share: its latency as a fraction of the target."""
         strain = self.strain
         strain.feel(latency_share, out)
-        self.limit.feel(strain, latency_share, out, patience)
+        self.limit.feel(strain, latency_share, out, mean_latency_ms)
         shedding = strain.value > 1.0
         if shedding != self._shedding:
             self._shedding = shedding
             text = f"admission limit {'on' if shedding else 'off'}: {self.limit.value:.1f} calls"
             text += f", strain {strain.value:.2f}"
-            text += f", mean latency {strain.level:.0f} ms, calmest {strain.calm:.0f} ms"
+            text += f", mean latency {strain.level:.0f} ms, lowest {strain.calm:.0f} ms"
             self._turn.log(text)
--- a/leadrudder/policy/automaton.py
+++ b/leadrudder/policy/automaton.py
@@ -1,7 +1,7 @@
-"""The two-time-scale learning automaton: which server the next call is drawn for, and what is learned of it.
+"""The two-time-scale learning automaton that selects the server of the next call and learns from its latency.
 
-The paper's, with its floored draws: only the chosen server's average moves, and its payoff is judged against
-the mean of all averages.
+It follows the paper, with floored probabilities: only the average of the selected server is updated, and its
+payoff is judged against the mean of all averages.
 """
 
 from __future__ import annotations
@@ -12,45 +12,47 @@
 from leadrudder.state.estimators import Column
 from leadrudder.state.weights import GroupedWeights, Newcomers, Weights, floored
 
-# The automaton.  A copy sees few calls over many servers, so both steps are far above the paper's.
-ALPHA = 0.15  # an average spans about seven of its server's calls
-THETA_SHARE = 0.06  # theta = this / r; with the floor the walk of equals stays under a sixth of a share
-# N nodes share the calls, so each learns at an N-th of the rate, while the walks of their vectors cancel out
-# in what a server gets from all of them.  theta = this * N / r keeps that sum as steady as three nodes at
-# the share above keep it; over K listed kinds in place of r servers the same holds.
-THETA_NODES = 0.02
-ALPHA_NODES = ALPHA / 3  # per node, for the same reason
-ALPHA_MOST = 0.5  # an average of a sparse view still spans two calls
-THETA_MOST = 0.1  # of alpha: the averages must stay well ahead of the shares of servers
-THETA_KIND_MOST = 1 / 3  # of alpha: the shares of kinds rest on the averages of many servers
-FLOOR_SHARE = 0.4  # p_min = this / r; also pulls shares that latency cannot tell apart back to uniform
-NEWCOMER_SHARE = 1.0  # of the mean share: a newcomer starts as all do; what a cold one gets is capacity.py's
-CHARGE_CAP = 3.0  # a failure enters an average at no more than this many means: silence lifts no threshold
-KINDS_MOST = 32  # listed kinds that are told from each other
+# A node sees few calls over many servers, so both step sizes are far above those of the paper.
+ALPHA = 0.15  # a latency average spans about seven calls of its server
+# theta = THETA_SHARE / r.  With the floor, the random walk of equal servers stays within a sixth of a share.
+THETA_SHARE = 0.06
+# N nodes share the calls, so each learns at an N-th of the rate, while the random walks of their vectors
+# cancel out in the sum that a server receives.  theta = THETA_PER_NODE * N / r keeps that sum as steady as
+# three nodes with THETA_SHARE do.  The same holds for K listed kinds in place of r servers.
+THETA_PER_NODE = 0.02
+ALPHA_PER_NODE = ALPHA / 3  # for the same reason
+MAX_ALPHA = 0.5  # with few calls per server an average still spans two of them
+MAX_THETA_PER_ALPHA = 0.1  # the averages must converge well before the shares of servers
+MAX_KIND_THETA_PER_ALPHA = 1 / 3  # the share of a kind rests on the averages of many servers
+FLOOR_SHARE = 0.4  # p_min = this / r; also pulls shares of servers with equal latency back to uniform
+NEWCOMER_SHARE = 1.0  # share of a new server, relative to the mean; capacity.py limits a cold one
+MAX_FAILURE_MEANS = 3.0  # cap on a failure's latency, in means, so that a hang does not lift the threshold
+MAX_KINDS = 32  # listed kinds with a share of their own
 
 
 class Automaton:
-    """A floored probability vector over servers and a latency average for each.
+    """A probability vector over servers with a floor, and a latency average for each.
 
-    A payoff moves all other shares by one affine map, which Weights keeps apart from the shares: learning and
-    drawing cost O(log r).  Servers of one listed kind share a map; the draw takes a kind first.
+    A payoff changes all other shares by one affine map, which Weights stores separately from the shares, so
+    that learning and drawing cost O(log r).  Servers of one listed kind share a map; a draw selects the kind
+    first.
     """
 
     def __init__(self, nodes: int = 1, floor_share: float = FLOOR_SHARE) -> None:
         self.servers: list[ServerId] = []
-        self.averages = Column([])  # None: not called yet, counts as the mean of the others
-        self.alpha = min(max(ALPHA, ALPHA_NODES * nodes), ALPHA_MOST)
-        self.theta = 0.0  # the steps are set with the servers
-        self.theta_kind = 0.0  # 0 where all are listed as of one kind
+        self.averages = Column([])  # None: not called yet; counts as the mean of the others
+        self.alpha = min(max(ALPHA, ALPHA_PER_NODE * nodes), MAX_ALPHA)
+        self.theta = 0.0  # set together with the servers
+        self.theta_kind = 0.0  # 0 if all servers are of one listed kind
         self._nodes = nodes
         self._floor = floor_share
-        self.newcomers = Newcomers(NEWCOMER_SHARE)  # of the list at hand
-        self.shares = GroupedWeights([], [])  # the vector, by kinds
-        self._kinds: dict[int, int] = {}  # listed kinds, and the group of each
+        self.newcomers = Newcomers(NEWCOMER_SHARE)  # of the current list
+        self.shares = GroupedWeights([], [])  # the probability vector, grouped by kind
+        self._kinds: dict[int, int] = {}  # listed kind -> index of its group
 
     @property
     def p(self) -> list[float]:
-        """All shares: O(r), for those who want to see them."""
+        """All shares.  O(r): for inspection only."""
         return self.shares.all()
 
     def mean(self) -> float | None:
@@ -58,13 +60,14 @@
         return self.averages.mean()
 
     def learn(self, i: int, latency: float) -> bool:
-        """An answered call: move its server's average, and the vector if the call paid off.
+        """Records an answered call: updates the average, and the vector if the latency is below the
+        threshold.
 
-        i: the server's index; less than 0 for one that is listed no more.
+        Returns whether it was.  i: the server's index; negative if it is no longer listed.
         """
         if i < 0:
             return False
-        threshold = self._move(i, latency)
+        threshold = self._update_average(i, latency)
         if latency >= threshold:
             return False
         r, theta = len(self.servers), self.theta
@@ -72,16 +75,16 @@
         self.shares.all_times(1.0 - theta, theta * p_min)
         self.shares.add(i, theta * (1.0 - (r - 1) * p_min - p_min))
         if self.theta_kind:
-            self._favour_kind(self.shares.groups[self.shares.group_of(i)], p_min)
+            self._raise_kind_shares(self.shares.groups[self.shares.group_of(i)], p_min)
         if self.shares.worn():
-            self._renew()
+            self._renormalize()
         return True
 
-    def _favour_kind(self, kind: Weights, p_min: float) -> None:
-        """A payoff speaks for the servers listed as of the same kind, too: their shares grow in proportion.
+    def _raise_kind_shares(self, kind: Weights, p_min: float) -> None:
+        """A payoff also raises the shares of the other servers of the same kind, in proportion.
 
-        Guards against a fleet in which a node's calls to any one server are too few to tell slow machines
-        from fast ones before the slow are driven into the ground, seen within four seconds at full size.
+        In a large fleet a node makes too few calls to each server to tell slow hardware from fast before the
+        slow servers are overloaded, which took less than four seconds at full size.
         """
         theta, same = self.theta_kind, kind.mass()
         lost = theta * (1.0 - same - p_min * (len(self.servers) - len(kind.values)))
@@ -91,16 +94,16 @@
             else:
                 other.all_times(1.0 - theta, theta * p_min)
 
-    def charge(self, i: int, latency: float) -> None:
-        """A failed call: a miss.  A fast error must not look quick, nor a silence lift the threshold."""
+    def learn_failure(self, i: int, latency: float) -> None:
+        """Records a failed call, which never pays off.  A fast error counts as the mean, a hang is capped."""
         mean = self.mean()
         if i >= 0 and mean is not None:
-            self._move(i, min(max(latency, mean), CHARGE_CAP * mean))
+            self._update_average(i, min(max(latency, mean), MAX_FAILURE_MEANS * mean))
 
-    def _move(self, i: int, latency: float) -> float:
-        """Move the chosen server's average only; returns the threshold for this call."""
+    def _update_average(self, i: int, latency: float) -> float:
+        """Updates the average of the selected server; returns the payoff threshold for this call."""
         mean = self.mean()
-        if mean is None:  # the first answer of all is every server's starting value
+        if mean is None:  # the first answer initializes all averages
             self.averages = Column([latency] * len(self.servers))
             return latency
         old = self.averages.values[i]
@@ -108,12 +111,12 @@
         self.averages.set(i, start + self.alpha * (latency - start))
         return self.mean() or latency
 
-    def _renew(self) -> None:
-        """Take out what rounding has summed up: all anew, to 1 in all and at the floor or above."""
+    def _renormalize(self) -> None:
+        """Removes accumulated rounding errors: the shares sum up to 1 again and respect the floor."""
         self.shares.replace(floored(self.p, self._floor / len(self.servers)))
 
     def resize(self, weights: Mapping[ServerId, float], kinds: Mapping[ServerId, int] | None = None) -> None:
-        """Take in a new set of servers: the others keep their ratios, a newcomer gets a modest share."""
+        """Replaces the set of servers: those that stay keep their ratios, a new one gets NEWCOMER_SHARE."""
         index = {s: i for i, s in enumerate(self.servers)}
         stay = [s for s in self.servers if s in weights]
         ratios: list[float] = [self.shares.weight(index[s]) for s in stay]
@@ -123,27 +126,27 @@
         self.newcomers.begin(len(stay), sum(weights[s] for s in new))
         self.servers = stay + new
         self.averages = Column(averages + [None] * len(new))
-        # A payoff looks at all kinds: a list that names very many has the last of them in one.
+        # A payoff costs O(kinds), so the kinds beyond MAX_KINDS share one group.
         named = [kinds[s] if kinds else 0 for s in self.servers]
-        self._kinds = {kind: min(at, KINDS_MOST - 1) for at, kind in enumerate(dict.fromkeys(named))}
+        self._kinds = {kind: min(at, MAX_KINDS - 1) for at, kind in enumerate(dict.fromkeys(named))}
         groups = [self._kinds[kind] for kind in named]
         ratios += [unit * weights[s] for s in new]
         self.shares = GroupedWeights(floored(ratios, self._floor / max(1, len(ratios))), groups)
-        self._set_steps()
+        self._set_step_sizes()
 
     def join(self, server: ServerId, weight: float, kind: int) -> None:
-        """One more server, of this weight against the mean of the others: the others keep their ratios."""
+        """Adds one server, with a weight relative to the mean of the others, which keep their ratios."""
         r = len(self.servers) + 1
         new = min(max(self.newcomers.share(weight), self._floor / r), 1 / 2)
         self.servers.append(server)
         self.averages.append(None)
         self.shares.all_times(1.0 - new)
-        group = self._kinds.setdefault(kind, min(len(self._kinds), KINDS_MOST - 1))
+        group = self._kinds.setdefault(kind, min(len(self._kinds), MAX_KINDS - 1))
         self.shares.append(new, group)
-        self._hold_floor(min(new, (1.0 - new) * self._floor / (r - 1)))
+        self._apply_floor(min(new, (1.0 - new) * self._floor / (r - 1)))
 
     def leave(self, i: int) -> None:
-        """One server goes, and the last takes its index: the others keep their ratios."""
+        """Removes one server; the last one takes over its index, and the others keep their ratios."""
         self.newcomers.leave()
         r, mine, last = len(self.servers) - 1, self.shares.weight(i), self.servers.pop()
         self.shares.remove(i)
@@ -152,18 +155,18 @@
             self.servers[i] = last
         if r:
             self.shares.all_times(1.0 / (1.0 - mine))
-            self._hold_floor(self._floor / (r + 1) / (1.0 - mine))
+            self._apply_floor(self._floor / (r + 1) / (1.0 - mine))
 
-    def _hold_floor(self, least: float) -> None:
-        """The floor has moved with r, and no share is under the least."""
+    def _apply_floor(self, least: float) -> None:
+        """Applies the floor that follows from the new r; least: lower bound of the present shares."""
         self.shares.draw_to_mean(self._floor / len(self.servers), least)
         if self.shares.worn():
-            self._renew()
-        self._set_steps()
+            self._renormalize()
+        self._set_step_sizes()
 
-    def _set_steps(self) -> None:
-        of_nodes, different = THETA_NODES * self._nodes, len(self._kinds)
+    def _set_step_sizes(self) -> None:
+        of_nodes, different = THETA_PER_NODE * self._nodes, len(self._kinds)
         if self.servers:
-            self.theta = min(max(THETA_SHARE, of_nodes) / len(self.servers), THETA_MOST * self.alpha)
-            step = min(of_nodes / min(different, KINDS_MOST), THETA_KIND_MOST * self.alpha)
+            self.theta = min(max(THETA_SHARE, of_nodes) / len(self.servers), MAX_THETA_PER_ALPHA * self.alpha)
+            step = min(of_nodes / min(different, MAX_KINDS), MAX_KIND_THETA_PER_ALPHA * self.alpha)
             self.theta_kind = step if different > 1 else 0.0
--- a/leadrudder/policy/decide.py
+++ b/leadrudder/policy/decide.py
@@ -1,8 +1,9 @@
-"""Every decision of leadrudder, event by event: events in, actions out, as leadrudder/interface.py has them.
+"""The decisions of one node: takes the events of leadrudder/interface.py and returns its actions.
 
-The ordinary path is a learning automaton (automaton.py).  What surrounds it only says which servers may be
-drawn, when, and what follows from an outcome; docs/design/node.md lists those exceptions and when each one
-acts.  No clock and no global random source: time comes with each event, chance from the seed.
+Servers are selected by a learning automaton (automaton.py).  The code around it decides which servers are
+eligible, when requests are dispatched and how outcomes are handled; docs/design/node.md lists these
+exceptions and their conditions.  There is no clock and no global random source: each event carries the time,
+and all randomness derives from the seed.
 """
 
 from __future__ import annotations
@@ -15,9 +16,9 @@
 
 from leadrudder import interface as api
 from leadrudder.interface import Outcome
-from leadrudder.looks import Look
+from leadrudder.looks import DrawContext
 from leadrudder.policy.admission import Admission
-from leadrudder.policy.attempts import Attempt, Request, may_go_on, permitted
+from leadrudder.policy.attempts import Attempt, Request, any_server_permitted, permitted
 from leadrudder.policy.health import Health
 from leadrudder.policy.placement import Placement
 from leadrudder.recovery.limit import Limit
@@ -27,103 +28,117 @@
 from leadrudder.state.timers import Timers
 from leadrudder.state.worth import Worth
 
-FULL_PAUSE = 0.02  # a server that was full rests for this part of the aim, twice as long each time until it
-FULL_DOUBLINGS = 5  # answers again: one that drains turns calls away for seconds before the list tells
-LATE_REST = 2.0  # one that gave no other answer during a call that ends late rests this many times as long
+# Backoff of a server that refused a call as full, as a fraction of the latency target; doubled with each
+# further refusal until it answers, because a draining server refuses calls for seconds before the list says
+# so.
+FULL_BACKOFF_AIMS = 0.02
+MAX_FULL_BACKOFF_DOUBLINGS = 5
+LATE_REST_FACTOR = 2.0  # rest, in durations of a late call during which the server answered nothing else
 
-# A server that turned a call away gets fewer at once; the ceiling rises by this much for each full turn.
-CEILING_DOWN = 0.9
-CEILING_UP = 0.25
+# Per-server concurrency limit: decreased on a refused call, increased additively per window of answered
+# calls.
+CONCURRENCY_DECREASE_FACTOR = 0.9
+CONCURRENCY_INCREASE = 0.25
 
-HOLD = 0.1  # part of the aim that a request may wait here for a place: a refused client tries again in time
-RECHECK = 0.02  # part of the aim between looks at waiting requests
+# Longest wait in the queue, as a fraction of the latency target: a client that is refused then can still
+# retry.
+MAX_QUEUE_WAIT_AIMS = 0.1
+QUEUE_RECHECK_AIMS = 0.02  # interval between checks of the queue, as a fraction of the latency target
 
-RETRY_EARN = 0.1  # retries and second copies for each arrival
-RETRY_MOST = 10.0
+RETRY_TOKENS_PER_ARRIVAL = 0.1  # retry budget: retries and hedges per arriving request
+MAX_RETRY_TOKENS = 10.0
 
-HEDGE, LIST, RETURN, RECHECKED = range(4)  # kinds of timers
+TIMER_HEDGE, TIMER_SERVER_LIST, TIMER_REINSTATE, TIMER_QUEUE = range(4)
 
 
 class Balancer:
-    """The decisions of one node.  Feed it events in order; carry out the actions it returns."""
+    """The decisions of one node.  Pass it events in order, and carry out the returned actions in order."""
 
     def __init__(self, settings: api.Settings, seed: int, limit: Limit | None = None) -> None:
         self.settings = settings
         self._turn = Turn(random.Random(seed))
-        self._timers = Timers(lambda kind, of: kind == HEDGE and of not in self._requests)
-        self._calls = ListCalls(settings, self._turn.rng)
-        self._fleet = Placement(settings, self._turn)
-        self.automaton = self._fleet.automaton
+        self._timers = Timers(lambda kind, of: kind == TIMER_HEDGE and of not in self._requests)
+        self._list_calls = ListCalls(settings, self._turn.rng)
+        self._placement = Placement(settings, self._turn)
+        self.automaton = self._placement.automaton
         self._health = Health(
-            settings, self._turn, self._fleet, lambda when, server: self._timers.at(when, RETURN, server)
+            settings,
+            self._turn,
+            self._placement,
+            lambda when, server: self._timers.at(when, TIMER_REINSTATE, server),
         )
-        self._admission = Admission(settings, self._turn, self._fleet.reports, limit)
+        self._admission = Admission(settings, self._turn, self._placement.reports, limit)
         self._requests: dict[api.RequestId, Request] = {}
         self._attempts: dict[tuple[api.RequestId, int], tuple[Server, Attempt]] = {}
-        self._queue: list[tuple[float, int, Request]] = []  # by worth, then age
-        self._seq = 0
-        self._aim = min(c.aim_ms for c in settings.classes)
-        self._patience = Patience()
-        self._class_patience = [Patience() for _ in settings.classes]
+        self._queue: list[tuple[float, int, Request]] = []  # by worth, then by age
+        self._sequence = 0
+        self._shortest_aim_ms = min(c.aim_ms for c in settings.classes)
+        self._latency = Patience()
+        self._class_latency = [Patience() for _ in settings.classes]
         self._worth = Worth(settings)
-        self._retry_tokens = RETRY_MOST / 2
-        self._recheck_at = math.inf
-        self._on: dict[type, Callable[[Any], None]] = {
-            api.AttemptEnded: self._on_ended,
+        self._retry_tokens = MAX_RETRY_TOKENS / 2
+        self._queue_timer_at = math.inf
+        self._handlers: dict[type, Callable[[Any], None]] = {
+            api.AttemptEnded: self._on_attempt_ended,
             api.Arrival: self._on_arrival,
-            api.TimerFired: self._on_timer,
-            api.ServerList: self._on_list,
-            api.RequestGone: self._on_gone,
+            api.TimerFired: self._on_timer_fired,
+            api.ServerList: self._on_server_list,
+            api.RequestGone: self._on_request_gone,
             api.ProbeEnded: self._health.on_probe,
-            api.AnswerStarted: self._on_started,
+            api.AnswerStarted: self._on_answer_started,
         }
 
     def handle(self, event: api.Event, now: float) -> list[api.Action]:
-        """The actions that follow from one event."""
+        """Returns the actions that follow from one event."""
         turn = self._turn
         turn.actions, turn.now = [], now
-        self._fleet.begin()
-        on_event = self._on.get(type(event))
+        self._placement.recheck_due()
+        on_event = self._handlers.get(type(event))
         if on_event is not None:
             on_event(event)
-        self._admission.bear(self._fleet.capacity.total())
-        self._drain()
+        self._admission.set_capacity(self._placement.capacity.total())
+        self._dispatch_queue()
         if (wake := self._timers.wake()) is not None:
             turn.actions.append(api.SetTimer(*wake))
         return turn.actions
 
-    def _on_timer(self, event: api.TimerFired) -> None:
+    def _on_timer_fired(self, event: api.TimerFired) -> None:
         self._timers.fired(event.token)
         for kind, subject in self._timers.due(self._turn.now):
-            if kind == RECHECKED:
-                self._recheck_at = math.inf
+            if kind == TIMER_QUEUE:
+                self._queue_timer_at = math.inf
                 for _, _, waiting in list(self._queue):
-                    if waiting.hold_until <= self._turn.now:
-                        self._expire(waiting)
-            elif kind == LIST:
-                if (again := self._calls.due(self._turn.now)) is not None:
+                    if waiting.wait_until <= self._turn.now:
+                        self._on_wait_expired(waiting)
+            elif kind == TIMER_SERVER_LIST:
+                if (again := self._list_calls.due(self._turn.now)) is not None:
                     self._turn.actions.append(api.Subscribe())
-                    self._timers.at(again, LIST)
+                    self._timers.at(again, TIMER_SERVER_LIST)
             elif isinstance(subject, bytes):
-                if subject in self._fleet.servers:  # else it has gone meanwhile
-                    self._health.try_return(self._fleet.servers[subject])
+                if subject in self._placement.servers:  # otherwise it was removed meanwhile
+                    self._health.try_reinstate(self._placement.servers[subject])
             elif isinstance(subject, int):
-                request = self._requests.get(subject)  # None: a timer of a request that has finished
-                if request is not None and request.out and not request.waiting and not request.started:
+                request = self._requests.get(subject)  # None: the request has finished
+                if (
+                    request is not None
+                    and request.outstanding
+                    and not request.queued
+                    and not request.answer_started
+                ):
                     self._hedge(request)
 
-    def _on_list(self, event: api.ServerList) -> None:
-        failed = self._calls.failed
-        look = self._calls.told(event.kind, self._turn.now)
-        if look is not None:
-            self._timers.at(look, LIST)
+    def _on_server_list(self, event: api.ServerList) -> None:
+        failed = self._list_calls.failed
+        call_at = self._list_calls.told(event.kind, self._turn.now)
+        if call_at is not None:
+            self._timers.at(call_at, TIMER_SERVER_LIST)
         if event.kind is api.ListKind.FAILED:
             if not failed:
                 self._turn.log("server list lost: a call failed or the subscription broke")
             return
-        if failed and not self._calls.failed:
-            self._turn.log(f"server list found again after {failed} failed calls")
-        self._fleet.take(event)
+        if failed and not self._list_calls.failed:
+            self._turn.log(f"server list restored after {failed} failed calls")
+        self._placement.apply_list(event)
 
     def _on_arrival(self, event: api.Arrival) -> None:
         settings, now = self.settings, self._turn.now
@@ -132,268 +147,280 @@
         if event.request in self._requests:
             raise api.UnexpectedEvent(f"request {event.request} arrived twice")
         kind = settings.classes[event.class_index]
-        self._seq += 1
-        chance, deadline = self._turn.rng.random(), now + event.budget_ms
-        value = self._worth.appraise(event, now)
-        request = Request(event.request, kind, event.class_index, now, deadline, value, self._seq, chance)
+        self._sequence += 1
+        admission_draw, deadline = self._turn.rng.random(), now + event.budget_ms
+        appraisal = self._worth.appraise(event, now)
+        request = Request(
+            event.request, kind, event.class_index, now, deadline, appraisal, self._sequence, admission_draw
+        )
         self._requests[request.id] = request
-        self._retry_tokens = min(RETRY_MOST, self._retry_tokens + RETRY_EARN)
-        # At the front a request waits a part of its aim; further in, its work so far would be lost.
-        hold = HOLD * kind.aim_ms if settings.stage == 0 else 0.5 * event.budget_ms
-        self._wait(request, min(hold, 0.5 * event.budget_ms))
-
-    def _wait(self, request: Request, hold: float) -> None:
-        request.hold_until, request.waiting = self._turn.now + hold, True
-        insort(self._queue, (-request.value.worth, request.seq, request))
-
-    def _leave_queue(self, request: Request) -> None:
-        if request.waiting:
-            request.waiting = False
-            self._queue.remove((-request.value.worth, request.seq, request))
-
-    def _drain(self) -> None:
-        """Place what waits, the most worthy first."""
+        self._retry_tokens = min(MAX_RETRY_TOKENS, self._retry_tokens + RETRY_TOKENS_PER_ARRIVAL)
+        # At the first tier the wait is a fraction of the latency target; in inner tiers a refusal would waste
+        # the work already done, so a request waits for up to half of its budget.
+        wait_ms = MAX_QUEUE_WAIT_AIMS * kind.aim_ms if settings.stage == 0 else 0.5 * event.budget_ms
+        self._enqueue(request, min(wait_ms, 0.5 * event.budget_ms))
+
+    def _enqueue(self, request: Request, wait_ms: float) -> None:
+        request.wait_until, request.queued = self._turn.now + wait_ms, True
+        insort(self._queue, (-request.appraisal.worth, request.sequence, request))
+
+    def _dequeue(self, request: Request) -> None:
+        if request.queued:
+            request.queued = False
+            self._queue.remove((-request.appraisal.worth, request.sequence, request))
+
+    def _dispatch_queue(self) -> None:
+        """Sends queued requests, those of the highest worth first."""
         i = tries = 0
         while i < len(self._queue) and tries < 3:
             request = self._queue[i][2]
             if not self._admission.has_room(request, len(self._attempts)):
-                break  # and none of less worth by the luck of its chance
-            if self._place(request, False):
+                break  # requests of lower worth must not pass on a luckier admission draw
+            if self._try_place(request, False):
                 continue
             tries += 1
             i += 1
         if self._queue:
-            look = min(self._turn.now + RECHECK * self._aim, min(q[2].hold_until for q in self._queue))
-            if look < self._recheck_at:
-                self._recheck_at = look
-                self._timers.at(look, RECHECKED)
-
-    def _expire(self, request: Request) -> None:
-        """A request has waited long enough: a last attempt anywhere the rules allow, or an answer."""
-        if self._admission.has_room(request, len(self._attempts)) and self._place(request, True):
+            recheck_at = min(
+                self._turn.now + QUEUE_RECHECK_AIMS * self._shortest_aim_ms,
+                min(q[2].wait_until for q in self._queue),
+            )
+            if recheck_at < self._queue_timer_at:
+                self._queue_timer_at = recheck_at
+                self._timers.at(recheck_at, TIMER_QUEUE)
+
+    def _on_wait_expired(self, request: Request) -> None:
+        """At the end of the wait: one attempt at any server that the rules allow, or else a final answer."""
+        if self._admission.has_room(request, len(self._attempts)) and self._try_place(request, True):
             return
-        self._finish(request)
+        self._end_unserved(request)
 
-    def _place(self, request: Request, last_resort: bool) -> bool:
+    def _try_place(self, request: Request, last_resort: bool) -> bool:
         calm, out = self._admission.strain.calm, len(self._attempts)
-        look = Look(request, self.automaton.mean() or 0.0, calm, out, self._patience.late())
-        server = self._fleet.pick(look, last_resort)
+        context = DrawContext(request, self.automaton.mean() or 0.0, calm, out, self._latency.late())
+        server = self._placement.choose_server(context, last_resort)
         return server is not None and self._send(request, server)
 
     def _send(self, request: Request, server: Server) -> bool:
-        """Send an attempt.  Rules 1 to 3 are enforced here; Capacity.allows has kept rule 4."""
+        """Sends an attempt.  Enforces rules 1 to 3; rule 4 was enforced by Capacity.allows."""
         now, settings = self._turn.now, self.settings
-        left = request.deadline - now
+        remaining_ms = request.deadline - now
         if (
             self._requests.get(request.id) is not request
-            or request.started
-            or left <= settings.tick_ms
+            or request.answer_started
+            or remaining_ms <= settings.tick_ms
             or len(request.attempts) >= settings.max_attempts
             or not server.listed
             or not permitted(request, server.entry, settings, now)
         ):
             return False
-        self._leave_queue(request)
+        self._dequeue(request)
         number = len(request.attempts)
-        attempt = Attempt(server.entry, now, request.value.units, request.class_index)
+        attempt = Attempt(server.entry, now, request.appraisal.units, request.class_index)
         server.engage()
         server.classes[request.class_index].out += 1
         request.attempts.append(attempt)
-        request.out += 1
+        request.outstanding += 1
         server.out[request.id, number] = now
         self._attempts[request.id, number] = (server, attempt)
-        self._fleet.sent(server, request.value.units)
+        self._placement.on_sent(server, request.appraisal.units)
         self._admission.strain.sent()
-        self._watch(request)
-        if self._doubts(request, server):
+        self._set_hedge_timer(request)
+        if self._needs_new_connection(request, server):
             self._turn.actions.append(api.CloseIdle(server.entry.server))
         self._turn.actions.append(api.Send(request.id, server.entry.server))
         return True
 
-    def _doubts(self, request: Request, server: Server) -> bool:
-        """Whether a request that may not be repeated goes out on a new connection.
+    def _needs_new_connection(self, request: Request, server: Server) -> bool:
+        """Whether a request that must not be repeated needs a new connection.
 
-        It is not entrusted to an idle one of a server unheard of for longer than answers take: a machine that
-        has vanished swallows what is written to it, and each node of a tier lost a booking to find that out.
-        A new connection that does not come up proves that nothing ran.  It could hurt where handshakes cost
-        as much as the work: not while latencies are past their part of the aim (overload 0.87 -> 0.72).
+        True if the server has been silent for longer than the mean latency: a host that is gone swallows what
+        is written to an idle connection, and each node of a tier would lose one request.  A failed connect
+        proves that nothing ran.  Handshakes can cost as much as the work itself, so this is off while
+        latencies exceed their target (in the overload case the result fell from 0.87 to 0.72).
         """
-        unheard = self._turn.now - server.heard > self._patience.mean
-        return unheard and self._admission.strain.pressure < 1.0 and not request.repeatable()
+        unheard = self._turn.now - server.heard > self._latency.mean
+        return unheard and self._admission.strain.pressure < 1.0 and not request.may_repeat()
 
-    def _watch(self, request: Request) -> None:
-        """Look again when the attempt is late, if another could still be answered."""
-        patience = self._class_patience[request.class_index]
-        look = self._turn.now + patience.late()
+    def _set_hedge_timer(self, request: Request) -> None:
+        """Sets a timer for when the attempt is late, if another attempt could still be answered in time."""
+        latency = self._class_latency[request.class_index]
+        hedge_at = self._turn.now + latency.late()
         if (
-            request.repeatable()
+            request.may_repeat()
             and len(request.attempts) < self.settings.max_attempts
-            and look + patience.mean < request.deadline
+            and hedge_at + latency.mean < request.deadline
         ):
-            self._timers.at(look, HEDGE, request.id)
+            self._timers.at(hedge_at, TIMER_HEDGE, request.id)
 
     def _hedge(self, request: Request) -> None:
-        """A late attempt gets a second copy, or is withdrawn and repeated where copies are forbidden.
+        """Hedges a late attempt with a second copy, or cancels and retries it where copies are forbidden.
 
-        Only if its server has fallen silent: one that goes on answering others is merely busy with long work,
-        and giving that up would feed the next queue (14% of attempts timed out on a quiet day).  And only
-        while the budget lasts and latencies keep within their part of the aim; else it looks again.
+        Only if the server answers nothing else meanwhile: a server that answers other calls is busy with long
+        work, and abandoning it would load the next queue (14% of attempts timed out on a quiet day).  And
+        only while the retry budget lasts and latencies are within their target; otherwise the timer is set
+        again.
         """
-        late = self._class_patience[request.class_index].late()
-        out = [self._fleet.servers[a.entry.server] for a in request.attempts if a.ended is None]
+        late = self._class_latency[request.class_index].late()
+        out = [self._placement.servers[a.entry.server] for a in request.attempts if a.outcome is None]
         affordable = self._retry_tokens >= 1.0 and self._admission.strain.pressure < 1.0
-        if affordable and all(self._fleet.silent(s, late) for s in out):
+        if affordable and all(self._placement.is_silent(s, late) for s in out):
             if not self.settings.may_duplicate:
-                self._abandon(request, None)
+                self._cancel_attempts(request, None)
                 return
-            if self._place(request, False):
+            if self._try_place(request, False):
                 self._retry_tokens -= 1.0
                 return
-        self._watch(request)
+        self._set_hedge_timer(request)
 
-    def _finish(self, request: Request) -> None:
-        """The final answer to a request that is not served: a refusal where rule 2 allows it."""
+    def _end_unserved(self, request: Request) -> None:
+        """Ends a request that is not served: with a refusal where rule 2 allows it, otherwise as failed."""
         if self._requests.pop(request.id, None) is None:
             return
-        self._leave_queue(request)
-        if request.risky() is not None and not request.harmless():
+        self._dequeue(request)
+        if request.first_possible_run() is not None and not request.client_may_retry():
             self._turn.actions.append(api.Fail(request.id))
         else:
-            wait = min(0.2 * request.kind.aim_ms, self.settings.max_retry_after_ms)
+            wait = min(0.2 * request.request_class.aim_ms, self.settings.max_retry_after_ms)
             room = self._admission.has_room(request, len(self._attempts))
             why = api.Refusal.NOBODY if room else api.Refusal.LIMIT
             why = api.Refusal.TRIED if request.attempts else why
             self._turn.actions.append(api.Refuse(request.id, wait if self.settings.retry_after else 0.0, why))
-        self._abandon(request, None)
+        self._cancel_attempts(request, None)
 
-    def _abandon(self, request: Request, keep: int | None) -> None:
-        """Withdraw attempts that nobody waits for any more."""
-        if not self.settings.may_cancel or not request.out:
+    def _cancel_attempts(self, request: Request, keep: int | None) -> None:
+        """Cancels the attempts still in flight, except the one to keep."""
+        if not self.settings.may_cancel or not request.outstanding:
             return
         for number, attempt in enumerate(request.attempts):
-            if attempt.ended is None and number != keep:
+            if attempt.outcome is None and number != keep:
                 self._turn.actions.append(api.Cancel(request.id, number))
 
-    def _on_ended(self, event: api.AttemptEnded) -> None:
+    def _on_attempt_ended(self, event: api.AttemptEnded) -> None:
         key = (event.request, event.attempt)
         found = self._attempts.pop(key, None)
         if found is None:
-            raise api.UnexpectedEvent(f"attempt {event.attempt} of request {event.request} was not out")
+            raise api.UnexpectedEvent(f"attempt {event.attempt} of request {event.request} is not in flight")
         server, attempt = found
-        attempt.ended = event.outcome
+        attempt.outcome = event.outcome
         del server.out[key]
         server.classes[attempt.class_index].out -= 1
-        self._fleet.reports.take(server, event.load)
-        self._health.count(server, -1)
-        self._judge(server, attempt, event)
-        self._health.count(server, 1)
-        self._fleet.note(server)
+        self._placement.reports.take(server, event.load)
+        self._health.update_totals(server, -1)
+        self._record_outcome(server, attempt, event)
+        self._health.update_totals(server, 1)
+        self._placement.refresh(server)
         request = self._requests.get(event.request)
         if request is None:
             return
-        request.out -= 1
+        request.outstanding -= 1
         if event.finished:
             del self._requests[request.id]
-            self._leave_queue(request)
-            self._abandon(request, event.attempt)
-        elif not request.out and not request.waiting:
-            self._again_or_finish(request, event.outcome)
-
-    def _again_or_finish(self, request: Request, outcome: Outcome) -> None:
-        left = request.deadline - self._turn.now
-        risky = request.risky() is not None
-        mean = self._class_patience[request.class_index].mean
-        costs = risky or outcome is Outcome.FULL  # an attempt that no server saw costs nothing to repeat
+            self._dequeue(request)
+            self._cancel_attempts(request, event.attempt)
+        elif not request.outstanding and not request.queued:
+            self._retry_or_end(request, event.outcome)
+
+    def _retry_or_end(self, request: Request, outcome: Outcome) -> None:
+        remaining_ms = request.deadline - self._turn.now
+        may_have_run = request.first_possible_run() is not None
+        mean = self._class_latency[request.class_index].mean
+        # Repeating an attempt that reached no server costs nothing.
+        needs_token = may_have_run or outcome is Outcome.FULL
         if (
             outcome is not Outcome.REJECTED
             and len(request.attempts) < self.settings.max_attempts
-            and left > max(mean, 2 * self.settings.tick_ms)
-            and (not costs or self._retry_tokens >= 1.0)
-            and may_go_on(request, self._fleet.arms, self.settings, self._turn.now)
+            and remaining_ms > max(mean, 2 * self.settings.tick_ms)
+            and (not needs_token or self._retry_tokens >= 1.0)
+            and any_server_permitted(request, self._placement.arms, self.settings, self._turn.now)
         ):
-            if costs:
+            if needs_token:
                 self._retry_tokens -= 1.0
-            self._wait(request, min(HOLD * request.kind.aim_ms, 0.5 * left))
+            self._enqueue(
+                request, min(MAX_QUEUE_WAIT_AIMS * request.request_class.aim_ms, 0.5 * remaining_ms)
+            )
         else:
-            self._finish(request)
+            self._end_unserved(request)
 
-    def _judge(self, server: Server, attempt: Attempt, event: api.AttemptEnded) -> None:
-        """What an outcome says of its server, its class and the load."""
+    def _record_outcome(self, server: Server, attempt: Attempt, event: api.AttemptEnded) -> None:
+        """Updates the state of the server, the class and the load from an outcome."""
         outcome, elapsed = event.outcome, event.elapsed_ms
         request = self._requests.get(event.request)
-        if elapsed > self._patience.late() and self._turn.now - server.heard >= elapsed:
-            # All that is known of it is this one late outcome: where calls are few, an average of
-            # seven spans most of a minute, and what crowded or stopped the server is still there.
-            self._fleet.rest(server, LATE_REST * elapsed)
+        if elapsed > self._latency.late() and self._turn.now - server.heard >= elapsed:
+            # This late outcome is the only evidence: with few calls an average over seven spans most of a
+            # minute, while the cause of the delay is still present.
+            self._placement.rest_if_spare(server, LATE_REST_FACTOR * elapsed)
         current = attempt.entry.started_ms == server.entry.started_ms
         if outcome is Outcome.OK:
             server.heard = self._turn.now
             server.turned_away = 0
-            server.ceiling += CEILING_UP / server.ceiling
-            self._patience.observe(elapsed)
-            aim = self._aim
+            server.ceiling += CONCURRENCY_INCREASE / server.ceiling
+            self._latency.observe(elapsed)
+            aim = self._shortest_aim_ms
             if request is not None:
-                self._class_patience[request.class_index].observe(elapsed)
-                self._worth.learn(request.class_index, request.value.cost, elapsed)
-                aim = request.kind.aim_ms
-            usual = elapsed / (0.5 + 0.5 * attempt.units)  # half of what the cost hint foretold is taken out
-            self._admission.strain.answered(usual)
-            self._feel(elapsed / aim)
-            self.automaton.learn(server.at, usual)
-            self._health.succeeded(server, server.classes[attempt.class_index])
+                self._class_latency[request.class_index].observe(elapsed)
+                self._worth.learn(request.class_index, request.appraisal.cost, elapsed)
+                aim = request.request_class.aim_ms
+            # Divides by half of the work that the cost hint predicted.
+            normalized = elapsed / (0.5 + 0.5 * attempt.work_units)
+            self._admission.strain.answered(normalized)
+            self._observe_latency(elapsed / aim)
+            self.automaton.learn(server.at, normalized)
+            self._health.on_success(server, server.classes[attempt.class_index])
         elif outcome is Outcome.FULL or (
-            outcome is Outcome.CONNECT_FAILED and self._turn.now - server.heard < self._patience.late()
+            outcome is Outcome.CONNECT_FAILED and self._turn.now - server.heard < self._latency.late()
         ):
-            # A server that answers others but takes no further call, or no further connection, is full, not
-            # dead.  Without a ceiling thousands of calls a second bounced off such servers.
-            server.ceiling = max(1.0, CEILING_DOWN * min(server.ceiling, len(server.out)))
-            pause = FULL_PAUSE * 2.0 ** min(server.turned_away, FULL_DOUBLINGS)
-            self._fleet.rest_until(server, self._turn.now + pause * self._aim)
+            # A server that answers other calls but accepts no further call or connection is full, not down.
+            # Without a concurrency limit, thousands of calls per second were refused by such servers.
+            server.ceiling = max(1.0, CONCURRENCY_DECREASE_FACTOR * min(server.ceiling, len(server.out)))
+            pause = FULL_BACKOFF_AIMS * 2.0 ** min(server.turned_away, MAX_FULL_BACKOFF_DOUBLINGS)
+            self._placement.rest_server_until(server, self._turn.now + pause * self._shortest_aim_ms)
             server.turned_away += 1
-            self.automaton.charge(server.at, elapsed)
-            # The fleet is strained only when more turn calls away than could be left out: servers that
-            # drain in turn were taken for strain.
-            if self._health.many_turn_away(server):
-                self._feel(1.0)
+            self.automaton.learn_failure(server.at, elapsed)
+            # Counts as overload only if more servers are full than may be ejected: a rolling drain is no
+            # overload.
+            if self._health.many_servers_full(server):
+                self._observe_latency(1.0)
         elif outcome in (Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.SPOILT):
             if outcome in (Outcome.ERROR, Outcome.SPOILT):
                 server.heard = self._turn.now
-            self.automaton.charge(server.at, elapsed)
-            self._health.failed(server, attempt.class_index, outcome, current)
+            self.automaton.learn_failure(server.at, elapsed)
+            self._health.on_failure(server, attempt.class_index, outcome, current)
         elif outcome is Outcome.MOOT and event.rest_ms:
-            # Refused beside its server, which is full: a miss, and the next draws are for others meanwhile.
-            self.automaton.charge(server.at, elapsed)
-            self._fleet.rest_until(server, self._turn.now + event.rest_ms)
+            # Refused before it reached its server, which is full: no payoff, and the server rests meanwhile.
+            self.automaton.learn_failure(server.at, elapsed)
+            self._placement.rest_server_until(server, self._turn.now + event.rest_ms)
         elif outcome is Outcome.REJECTED:
-            server.heard = self._turn.now  # the request is at fault, and neither the server nor the load
+            server.heard = self._turn.now  # caused by the request, not by the server or the load
         elif outcome in (Outcome.TIMEOUT, Outcome.CANCELLED):
             if request is None:
-                return  # withdrawn because another copy was quicker
-            # What was given up took at least this long: leaving it out would shorten patience for the next.
-            self._patience.observe(elapsed)
-            self._class_patience[request.class_index].observe(elapsed)
-            self._worth.learn(request.class_index, request.value.cost, elapsed)
-            self._feel(elapsed / request.kind.aim_ms)
-            self.automaton.charge(server.at, elapsed)
-            if current and elapsed >= self._patience.late():
-                self._health.eject(server, outcome)
-
-    def _on_started(self, event: api.AnswerStarted) -> None:
+                return  # cancelled because another copy was answered first
+            # The call would have taken at least this long; leaving it out would bias the latency bound
+            # downwards.
+            self._latency.observe(elapsed)
+            self._class_latency[request.class_index].observe(elapsed)
+            self._worth.learn(request.class_index, request.appraisal.cost, elapsed)
+            self._observe_latency(elapsed / request.request_class.aim_ms)
+            self.automaton.learn_failure(server.at, elapsed)
+            if current and elapsed >= self._latency.late():
+                self._health.add_failure(server, outcome)
+
+    def _on_answer_started(self, event: api.AnswerStarted) -> None:
         found = self._attempts.get((event.request, event.attempt))
         if found is None:
-            raise api.UnexpectedEvent(f"attempt {event.attempt} of request {event.request} was not out")
+            raise api.UnexpectedEvent(f"attempt {event.attempt} of request {event.request} is not in flight")
         found[0].heard = self._turn.now
         request = self._requests.get(event.request)
         if request is not None:
-            request.started = True
-            self._leave_queue(request)
-            self._abandon(request, event.attempt)
+            request.answer_started = True
+            self._dequeue(request)
+            self._cancel_attempts(request, event.attempt)
 
-    def _on_gone(self, event: api.RequestGone) -> None:
+    def _on_request_gone(self, event: api.RequestGone) -> None:
         request = self._requests.pop(event.request, None)
-        if request is not None:  # else it finished a moment ago
-            self._leave_queue(request)
-            self._abandon(request, None)
+        if request is not None:  # otherwise it has just finished
+            self._dequeue(request)
+            self._cancel_attempts(request, None)
 
-    def _feel(self, latency_share: float) -> None:
-        self._admission.feel(latency_share, len(self._attempts), self._patience.mean)
+    def _observe_latency(self, latency_share: float) -> None:
+        self._admission.record_latency(latency_share, len(self._attempts), self._latency.mean)
--- a/leadrudder/policy/health.py
+++ b/leadrudder/policy/health.py
@@ -1,4 +1,4 @@
-"""Health, always against peers: servers that are ejected, and classes that a server is barred from."""
+"""Outlier detection against peers: ejects servers, and bars servers from single request classes."""
 
 from __future__ import annotations
 
@@ -10,163 +10,175 @@
 from leadrudder.state.capacity import EJECT_MOST, can_spare
 from leadrudder.state.records import ClassHealth, Server, Turn
 
-FAIL_STEP = 0.3  # two failures in a row cross FAIL_EJECT, one never does
-SPOILT_STEP = 0.14  # any server spoils an answer now and then: four in a row cross it, three never do
-FAIL_EJECT = 0.45
-FAIL_VS_PEERS = 2.0  # and it must fail at twice the peers' rate, so that a shared cause ejects nobody
-FAIL_CHANCE = 0.001  # a run of a class's failures that peers' usual rate brings this often bars nobody
-USUAL_STEP = 0.05  # that rate spans about twenty answers of each server
-BAR_MOST = 0.5  # and that may be out for one class: these go on serving the others, so no capacity is lost
-# Time out is told in cold times, as what broke a server mostly starts it anew; but where servers warm up in
-# a second, what ails one still lasts for many answers: one that failed a class was tried every second.
-EJECT_AIMS = 4.0
-EJECT_FIRST = 0.2  # first time out, as a part of that; doubles up to EJECT_LONGEST
-EJECT_LONGEST = 1.0
+FAILURE_STEP = 0.3  # of the failure average: two failures in a row reach EJECT_FAILURE_RATE, one does not
+INVALID_ANSWER_STEP = 0.14  # servers send invalid answers at times: four in a row reach it, three do not
+EJECT_FAILURE_RATE = 0.45
+EJECT_PEER_RATIO = 2.0  # minimum ratio to the failure rate of the peers: a shared cause ejects no server
+CHANCE_PROBABILITY = 0.001  # a run of failures that is likelier than this at the peers' rate bars no server
+LONG_TERM_STEP = 0.05  # the peers' rate spans about twenty answers of each server
+MAX_BARRED_SHARE = 0.5  # of servers, for one class; they still serve the others, so no capacity is lost
+# Ejection times are relative to the cold time, as most faults end with a restart; but where servers warm up
+# within a second, a fault still lasts for many answers, and a server that failed a class would be retried
+# every second.
+EJECTION_BASE_AIMS = 4.0  # lower bound of the base, in latency targets
+FIRST_EJECTION_SHARE = 0.2  # first ejection, as a fraction of the base; doubles up to MAX_EJECTION_SHARE
+MAX_EJECTION_SHARE = 1.0
 
 
-def _beyond_chance(rate: float) -> float:
-    """What an average by FAIL_STEP reaches in a run of failures that is no chance at this usual rate."""
-    run = math.log(FAIL_CHANCE) / math.log(rate) if rate > 0.0 else 0.0
-    return 1.0 - math.pow(1.0 - FAIL_STEP, run)
+def _significant_failure_rate(rate: float) -> float:
+    """The failure average after a run of failures that is improbable (CHANCE_PROBABILITY) at this rate."""
+    run = math.log(CHANCE_PROBABILITY) / math.log(rate) if rate > 0.0 else 0.0
+    return 1.0 - math.pow(1.0 - FAILURE_STEP, run)
 
 
 class Health:
-    """The running record of failures over all listed servers."""
+    """Failure averages of all listed servers, with their sums."""
 
     def __init__(
-        self, settings: Settings, turn: Turn, fleet: Placement, return_at: Callable[[float, ServerId], None]
+        self,
+        settings: Settings,
+        turn: Turn,
+        placement: Placement,
+        reinstate_at: Callable[[float, ServerId], None],
     ) -> None:
         self._settings = settings
         self._turn = turn
-        self._fleet = fleet
-        self._return_at = return_at
+        self._placement = placement
+        self._reinstate_at = reinstate_at
         aim = min(c.aim_ms for c in settings.classes)
-        self._recovery = max(settings.cold_ms or 10_000.0, EJECT_AIMS * aim)
-        self._turned = 0  # arms that turned a call away, and served none since
+        self._ejection_base_ms = max(settings.cold_ms or 10_000.0, EJECTION_BASE_AIMS * aim)
+        self._full_servers = 0  # arms that refused a call as full and have not answered since
         self._ejected = 0
-        self._fails = 0.0  # the sum of fail over all arms that are not ejected
-        self._class_fails = [0.0] * len(settings.classes)  # the same of each class, over all arms
-        self._class_usual = [0.0] * len(settings.classes)
-        fleet.count = self.count
+        self._failure_sum = 0.0  # sum of the failure averages of all arms that are not ejected
+        self._class_failure_sums = [0.0] * len(settings.classes)  # per class, over all arms
+        self._class_long_term_sums = [0.0] * len(settings.classes)
+        placement.update_totals = self.update_totals
 
-    def many_turn_away(self, server: Server) -> bool:
-        """Whether more turn calls away than could be left out; the one at hand is not in the sum."""
-        return self._turned + (server.at >= 0) > EJECT_MOST * len(self._fleet.arms)
+    def many_servers_full(self, server: Server) -> bool:
+        """Whether more servers are full than may be ejected, counting this one, which is not in the sum."""
+        return self._full_servers + (server.at >= 0) > EJECT_MOST * len(self._placement.arms)
 
-    def count(self, server: Server, times: int) -> None:
-        """Take a server out of what is summed up over all arms (-1) before it changes, and in again (1)."""
+    def update_totals(self, server: Server, times: int) -> None:
+        """Subtracts a server from the sums over all arms before a change (-1), and adds it afterwards (1)."""
         if server.at < 0:
             return
-        self._turned += times * (server.turned_away > 0)
+        self._full_servers += times * (server.turned_away > 0)
         self._ejected += times * server.ejected
-        self._fails += 0.0 if server.ejected else times * server.fail
+        self._failure_sum += 0.0 if server.ejected else times * server.fail
         for c, health in enumerate(server.classes):
-            self._class_fails[c] += times * health.fail
-            self._class_usual[c] += times * health.usual
+            self._class_failure_sums[c] += times * health.fail
+            self._class_long_term_sums[c] += times * health.usual
 
-    def failed(self, server: Server, class_index: int, outcome: Outcome, current: bool) -> None:
-        """A failed answer or none; current: the server has not been started anew since it was sent."""
+    def on_failure(self, server: Server, class_index: int, outcome: Outcome, current: bool) -> None:
+        """Records a failed attempt; current: the server has not restarted since it was sent."""
         health = server.classes[class_index]
-        health.usual += USUAL_STEP * (1.0 - health.usual)
-        if current and not (outcome is Outcome.ERROR and self._class_failed(server, class_index)):
-            self.eject(server, outcome)
+        health.usual += LONG_TERM_STEP * (1.0 - health.usual)
+        if current and not (outcome is Outcome.ERROR and self._charged_to_class(server, class_index)):
+            self.add_failure(server, outcome)
 
-    def _class_failed(self, server: Server, class_index: int) -> bool:
-        """An error in one class, at a server that serves others: it is held against that class alone.
+    def _charged_to_class(self, server: Server, class_index: int) -> bool:
+        """Whether an error counts against its class only, because the server serves other classes.
 
-        Guards against a server that fails one class and came back after each good trial with another.  An
-        error may come from a tier behind: where peers' answers fail now and then it takes a longer run (two
-        errors in a row barred two healthy servers of five), and whatever fails behind all alike bars none.
+        Otherwise a server that fails one class would return after each successful trial with another class.
+        An error may originate in a tier behind: the higher the error rate of the peers, the longer the run of
+        errors that bars a server (two in a row barred two healthy servers of five), and errors that are alike
+        at all servers bar none.
         """
         health = server.classes[class_index]
         if self._turn.now < health.barred_until:
-            return True  # sent before: the class pays for that already
-        health.fail += FAIL_STEP * (1.0 - health.fail)
-        if not any(h.served and h.fail < FAIL_STEP for h in server.classes if h is not health):
+            return True  # sent before the class was barred
+        health.fail += FAILURE_STEP * (1.0 - health.fail)
+        if not any(h.served and h.fail < FAILURE_STEP for h in server.classes if h is not health):
             return False
-        peers = len(self._fleet.arms) - (server.at >= 0)  # it is not in the sums itself
-        others = (s.classes[class_index] for s in self._fleet.special.values() if s is not server)
-        shut = [h for h in others if not h.open(self._turn.now)]
-        open_peers = peers - len(shut)
-        norm = (self._class_fails[class_index] - sum(h.fail for h in shut)) / peers if peers else 1.0
-        usual = self._class_usual[class_index] - sum(h.usual for h in shut)
-        usual = max(0.0, usual / open_peers) if open_peers else 0.0
+        peers = len(self._placement.arms) - (server.at >= 0)  # it is not included in the sums
+        others = (s.classes[class_index] for s in self._placement.special.values() if s is not server)
+        barred = [h for h in others if not h.open(self._turn.now)]
+        open_peers = peers - len(barred)
+        peer_rate = (
+            (self._class_failure_sums[class_index] - sum(h.fail for h in barred)) / peers if peers else 1.0
+        )
+        class_rate = self._class_long_term_sums[class_index] - sum(h.usual for h in barred)
+        class_rate = max(0.0, class_rate / open_peers) if open_peers else 0.0
         if health.trial or (
-            health.fail >= max(FAIL_EJECT, _beyond_chance(usual))
-            and health.fail >= FAIL_VS_PEERS * norm
-            and can_spare(len(shut), len(self._fleet.arms), BAR_MOST)
+            health.fail >= max(EJECT_FAILURE_RATE, _significant_failure_rate(class_rate))
+            and health.fail >= EJECT_PEER_RATIO * peer_rate
+            and can_spare(len(barred), len(self._placement.arms), MAX_BARRED_SHARE)
         ):
             kind = self._settings.classes[class_index]
-            part = min(EJECT_LONGEST, EJECT_FIRST * 2.0 ** min(health.strikes, 10))
+            share = min(MAX_EJECTION_SHARE, FIRST_EJECTION_SHARE * 2.0 ** min(health.strikes, 10))
             if kind.effect is Effect.UNSAFE:
-                part = EJECT_LONGEST  # a trial of what may not be repeated is a request lost if it fails
-            pause = part * self._recovery * (0.75 + 0.5 * self._turn.rng.random())
-            text = f"server {server.entry.server.hex()} gets no {kind.name} for {pause:.0f} ms"
-            self._turn.log(f"{text}, fail {health.fail:.2f} against {norm:.2f} of its peers")
-            health.barred_until, health.trial, health.fail = self._turn.now + pause, True, FAIL_STEP
+                share = MAX_EJECTION_SHARE  # a failed trial loses a request that must not be repeated
+            pause = share * self._ejection_base_ms * (0.75 + 0.5 * self._turn.rng.random())
+            text = f"server {server.entry.server.hex()} barred from class {kind.name} for {pause:.0f} ms"
+            self._turn.log(f"{text}, failure rate {health.fail:.2f}, peers {peer_rate:.2f}")
+            health.barred_until, health.trial, health.fail = self._turn.now + pause, True, FAILURE_STEP
             health.strikes += 1
-            self._fleet.look_again(server, health.barred_until)
+            self._placement.recheck_at(server, health.barred_until)
         return True
 
-    def succeeded(self, server: Server, health: ClassHealth) -> None:
+    def on_success(self, server: Server, health: ClassHealth) -> None:
         health.served, health.trial = True, False
-        health.fail -= FAIL_STEP * health.fail
-        health.usual -= USUAL_STEP * health.usual
+        health.fail -= FAILURE_STEP * health.fail
+        health.usual -= LONG_TERM_STEP * health.usual
         if health.fail < 0.05:
             health.strikes = 0
-        server.fail -= FAIL_STEP * server.fail
+        server.fail -= FAILURE_STEP * server.fail
         if server.trial:
             server.trial = False
-            self._turn.log(f"server {server.entry.server.hex()} returns after a good trial")
+            self._turn.log(f"server {server.entry.server.hex()} reinstated after a successful trial")
         elif not server.ejected and server.fail < 0.05:
             server.strikes = 0
 
-    def eject(self, server: Server, outcome: Outcome) -> None:
-        """Outlier ejection: against peers, at most a part of the fleet, longer each time."""
-        step = SPOILT_STEP if outcome is Outcome.SPOILT else FAIL_STEP
+    def add_failure(self, server: Server, outcome: Outcome) -> None:
+        """Records a failure of the server and ejects it if it is an outlier, for longer each time."""
+        step = INVALID_ANSWER_STEP if outcome is Outcome.SPOILT else FAILURE_STEP
         server.fail += step * (1.0 - server.fail)
         if server.ejected:
             return
-        peers = len(self._fleet.arms) - (server.at >= 0)  # it is not in the sums itself
-        norm = max(0.0, self._fails) / peers if peers else 1.0
+        peers = len(self._placement.arms) - (server.at >= 0)  # it is not included in the sums
+        peer_rate = max(0.0, self._failure_sum) / peers if peers else 1.0
         if server.trial or (
-            server.fail >= FAIL_EJECT
-            and server.fail >= FAIL_VS_PEERS * norm
-            and can_spare(self._ejected, len(self._fleet.arms))
+            server.fail >= EJECT_FAILURE_RATE
+            and server.fail >= EJECT_PEER_RATIO * peer_rate
+            and can_spare(self._ejected, len(self._placement.arms))
         ):
             server.ejected, server.trial = True, False
             text = f"server {server.entry.server.hex()} ejected: {outcome.value}"
-            self._turn.log(f"{text}, fail {server.fail:.2f} against {norm:.2f} of its peers")
-            # Idle connections may lead to a dead process; a fresh one proves by failing that nothing ran.
+            self._turn.log(f"{text}, failure rate {server.fail:.2f}, peers {peer_rate:.2f}")
+            # Idle connections may belong to a dead process; a failed connect proves that nothing ran.
             self._turn.actions.append(CloseIdle(server.entry.server))
-            self._schedule_return(server)
+            self._schedule_reinstatement(server)
 
-    def _schedule_return(self, server: Server) -> None:
-        pause = self._recovery * min(EJECT_LONGEST, EJECT_FIRST * 2.0 ** min(server.strikes, 10))
+    def _schedule_reinstatement(self, server: Server) -> None:
+        pause = self._ejection_base_ms * min(
+            MAX_EJECTION_SHARE, FIRST_EJECTION_SHARE * 2.0 ** min(server.strikes, 10)
+        )
         server.strikes += 1
-        self._return_at(self._turn.now + pause * (0.75 + 0.5 * self._turn.rng.random()), server.entry.server)
+        self._reinstate_at(
+            self._turn.now + pause * (0.75 + 0.5 * self._turn.rng.random()), server.entry.server
+        )
 
-    def try_return(self, server: Server) -> None:
+    def try_reinstate(self, server: Server) -> None:
         if not server.ejected:
             return
         if self._settings.may_probe and server.listed:
             self._turn.actions.append(Probe(server.entry.server))
         else:
-            self._admit_trial(server)
+            self._start_trial(server)
 
-    def _admit_trial(self, server: Server) -> None:
-        self.count(server, -1)
-        server.ejected, server.trial, server.fail = False, True, FAIL_STEP
-        self.count(server, 1)
-        self._fleet.note(server)
+    def _start_trial(self, server: Server) -> None:
+        self.update_totals(server, -1)
+        server.ejected, server.trial, server.fail = False, True, FAILURE_STEP
+        self.update_totals(server, 1)
+        self._placement.refresh(server)
 
     def on_probe(self, event: ProbeEnded) -> None:
-        server = self._fleet.servers.get(event.server)
-        self._fleet.reports.take(server, event.load)
+        server = self._placement.servers.get(event.server)
+        self._placement.reports.take(server, event.load)
         if server is None or not server.ejected:
-            return  # news of a server that has changed meanwhile
+            return  # the server was removed or reinstated meanwhile
         if event.outcome is Outcome.OK:
-            self._admit_trial(server)
+            self._start_trial(server)
         else:
-            server.strikes = min(server.strikes, 1)  # probes are cheap: keep asking at a steady pace
-            self._schedule_return(server)
+            server.strikes = min(server.strikes, 1)  # probes are cheap: keep the interval short
+            self._schedule_reinstatement(server)
--- a/leadrudder/policy/placement.py
+++ b/leadrudder/policy/placement.py
@@ -1,7 +1,7 @@
-"""Which servers a request may be drawn for: rules 3 and 4, health, home, and what each one bears.
+"""Selects a server for a request, by rules 3 and 4, health, locality, subsetting and load.
 
-A server that is warm, healthy and idle is fit for whatever may go to any server.  All others are special, and
-few; they are kept by change, and looked at when they are drawn.
+A server that is warm, healthy and idle is eligible for any request that may be sent to it.  All others are
+called special; they are few, are tracked incrementally and are examined only when they are drawn.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Sequence
 
 from leadrudder.interface import UNTOLD, Effect, ServerId, ServerList, Settings
-from leadrudder.looks import Look
+from leadrudder.looks import DrawContext
 from leadrudder.policy.attempts import permitted
 from leadrudder.policy.automaton import Automaton
 from leadrudder.state.capacity import Capacity, can_spare
@@ -21,139 +21,144 @@
 from leadrudder.state.rings import Rings
 from leadrudder.state.spread import least_held
 
-PANIC = 0.5  # with more than this part unhealthy, health is ignored: the cause is not the servers
+PANIC_UNHEALTHY_SHARE = 0.5  # with more unhealthy servers health is ignored, as the cause is a shared one
 
-# A node's calls on one server may exceed its share of all calls out by this much before it is skipped.
-BUDGET_TIMES = 1.25
-BUDGET_PLUS = 0.5
+# A node's calls in flight to one server may exceed its share of all calls in flight by this much.
+SHARE_FACTOR = 1.25
+SHARE_SLACK_CALLS = 0.5
 
-WAITING_MOST = 4.0  # calls that may wait at a server, over all nodes, by its average against the calmest
+MAX_WAITING_CALLS = 4.0  # queued at a server, over all nodes; estimated from its mean and the calm latency
 
-# Fleets of more servers than this are not looked through for each request: a draw from all that are open is
-# tried so many times, and a whole look is had only as often as it costs so many servers a request.
-SCAN_MOST = 32
-TRIES = 16
-SCAN_EACH = 64
-PIECEWISE = 8  # a change of less than this part of the list is followed server by server
+# Larger fleets are not scanned for each request: up to MAX_DRAWS servers are drawn from all that are open,
+# and full scans are limited to a mean of SCAN_CREDIT_PER_REQUEST servers per request.
+MAX_SCANNED_SERVERS = 32
+MAX_DRAWS = 16
+SCAN_CREDIT_PER_REQUEST = 64
+INCREMENTAL_CHANGE_DIVISOR = 8  # a change of less than this part of the list is applied server by server
 
-LOCAL_LEAST = 2  # fewer servers than this in the zone are no fleet to keep to
-HOME = 6  # servers that a node keeps to, up to twice as many: of so few half may fail and leave a choice
-HOME_COVER = 3  # nodes that must share each server at the least, for their walks to cancel out
-CROWD = 24  # nodes that may all keep connections to each server: it holds few, in service some 25 a core
+MIN_LOCAL_SERVERS = 2  # with fewer, the node does not restrict itself to its zone or subset
+# Smallest subset of servers that a node uses, the largest being twice that: half may fail and leave a choice.
+MIN_SUBSET_SERVERS = 6
+MIN_NODES_PER_SERVER = 3  # that share each server, so that the random walks of their vectors cancel out
+MAX_FULL_MESH_NODES = 24  # more of them use subsets: a server accepts some 25 connections per core
 
-FORBIDDEN, CLASS_SICK, SICK, BUSY, FIT = range(5)  # how a server stands to a request
+FORBIDDEN, CLASS_UNHEALTHY, UNHEALTHY, BUSY, ELIGIBLE = range(5)  # eligibility of a server for a request
 
 
 class Placement:
-    """The listed servers and the draw among them."""
+    """The listed servers and the selection among them."""
 
     def __init__(self, settings: Settings, turn: Turn) -> None:
         self._settings = settings
         self._turn = turn
         self.automaton = Automaton(settings.balancers, settings.floor_share)
-        self.list = Listed(len(settings.classes))
-        self.servers, self.arms = self.list.servers, self.list.arms  # arms: those listed, by index
-        self._rings: Rings | None = None  # where the node keeps to a home
-        self._homes = 1
-        self._home: set[ServerId] | None = None  # None: it keeps to all that are near
-        self._home_few: list[Server] = []  # where they are few
-        self._near_most = 0  # servers that the node keeps to
-        self._zone = 0  # arms in its zone, or all where crossing has no price
-        self.special: dict[ServerId, Server] = {}  # of the arms; all others are warm, healthy and idle
-        self.count: Callable[[Server, int], None]  # tells health of an arm's leaving (-1) and coming (1)
-        self._due: list[tuple[float, int, Server]] = []  # when to look again whether one still is special
-        self._seq = 0
+        self.listed = Listed(len(settings.classes))
+        self.servers, self.arms = self.listed.servers, self.listed.arms  # arms: the listed servers, by index
+        self._rings: Rings | None = None  # None: the node uses no subset
+        self._subset_count = 1
+        self._subset: set[ServerId] | None = None  # None: all local servers
+        self._subset_servers: list[Server] = []  # empty if the subset exceeds MAX_SCANNED_SERVERS
+        self._subset_size = 0
+        self._local_count = 0  # arms in the own zone, or all if cross-zone calls are free
+        self.special: dict[ServerId, Server] = {}  # arms that are not warm, healthy and idle
+        self.update_totals: Callable[[Server, int], None]  # Health.update_totals
+        self._rechecks: list[tuple[float, int, Server]] = []  # times at which to refresh a server
+        self._recheck_sequence = 0
         self.capacity = Capacity(settings, turn)
         self.reports = Reports(settings, turn)
-        self._more = False  # further pieces of a list follow
-        self._scans = 0.0  # servers that may be looked at beyond those drawn
-        self._panic: list[tuple[bool, int]] = [(False, 0)] * len(settings.classes)  # and decisions since
+        self._more_pieces = False  # the list continues in the next event
+        self._scan_credit = 0.0  # number of servers that may be examined by full scans
+        # For each class: whether it is in panic, and the number of decisions since that was computed.
+        self._panic_cache: list[tuple[bool, int]] = [(False, 0)] * len(settings.classes)
         self._can_repeat = any(c.effect is not Effect.UNSAFE for c in settings.classes)
-        self._most_waiting = max(1.0, WAITING_MOST / (1 if settings.stage else settings.balancers))
+        self._most_waiting = max(1.0, MAX_WAITING_CALLS / (1 if settings.stage else settings.balancers))
 
-    def take(self, event: ServerList) -> None:
-        """A list, or changes of one; what costs more by the piece is done anew as a whole."""
-        pieces, self._more = event.more or self._more, event.more
-        change = self.list.take(event, self._turn.now)
+    def apply_list(self, event: ServerList) -> None:
+        """Applies a server list or changes of one: incrementally, or as a whole where that costs less."""
+        pieces, self._more_pieces = event.more or self._more_pieces, event.more
+        change = self.listed.take(event, self._turn.now)
         for server in change.fresh:
-            self.count(server, -1)
+            self.update_totals(server, -1)
             self.reports.forget(server)
             server.start_anew(self._turn.now, self._turn.rng.random())
-            self.count(server, 1)
-        many = max(len(change.joined), len(change.left)) * PIECEWISE > len(self.arms)
-        # A list that comes in pieces is a long one: each is followed server by server.
-        whole = change.moved or not self.arms or (not pieces and (many or len(self.arms) <= SCAN_MOST))
+            self.update_totals(server, 1)
+        many = max(len(change.joined), len(change.left)) * INCREMENTAL_CHANGE_DIVISOR > len(self.arms)
+        # A list that arrives in pieces is long, so each piece is applied incrementally.
+        whole = (
+            change.moved or not self.arms or (not pieces and (many or len(self.arms) <= MAX_SCANNED_SERVERS))
+        )
         for server in change.left:
-            self._leave(server, whole)
+            self._remove(server, whole)
         if whole:
-            self.list.replace(change.joined)
+            self.listed.replace(change.joined)
             weights = {s.entry.server: s.weight(self._settings.capacity_hints) for s in self.arms}
             self.automaton.resize(weights, {s.entry.server: s.entry.kind for s in self.arms})
-            self._rings, self._zone = None, sum(map(self._is_near, self.arms))
+            self._rings, self._local_count = None, sum(map(self._is_local, self.arms))
         for server in change.joined:
-            self._join(server, whole)
+            self._add(server, whole)
         for server in [*change.changed, *(self.special.values() if whole else ())]:
-            self.note(server)
-        self._choose_home()
-        self._scans, self.reports.servers = float(len(self.arms)), len(self.arms)
+            self.refresh(server)
+        self._choose_subset()
+        self._scan_credit, self.reports.servers = float(len(self.arms)), len(self.arms)
         if not event.more:
             self.automaton.newcomers.begin(len(self.arms))
 
-    def _is_near(self, server: Server) -> bool:
+    def _is_local(self, server: Server) -> bool:
         return not self._settings.cross_zone_price or server.entry.zone in (self._settings.zone, UNTOLD)
 
-    def _leave(self, server: Server, whole: bool) -> None:
-        self.count(server, -1)
+    def _remove(self, server: Server, whole: bool) -> None:
+        self.update_totals(server, -1)
         self.special.pop(server.entry.server, None)
         self.capacity.left(server)
         self.reports.forget(server)
         server.special = False
         if not whole:
             self.automaton.leave(server.at)
-            self.list.leave(server)
-            self._move(server, -1)
+            self.listed.leave(server)
+            self._count_local(server, -1)
 
-    def _join(self, server: Server, whole: bool) -> None:
+    def _add(self, server: Server, whole: bool) -> None:
         if not whole:
-            self.list.join(server)
+            self.listed.join(server)
             weight = server.weight(self._settings.capacity_hints)
             self.automaton.join(server.entry.server, weight, server.entry.kind)
-            self._move(server, 1)
-        self.count(server, 1)
+            self._count_local(server, 1)
+        self.update_totals(server, 1)
         self.capacity.joined(server)
-        self.note(server)
+        self.refresh(server)
 
-    def _move(self, server: Server, by: int) -> None:
-        """One more or less of those that homes are dealt from."""
-        if self._is_near(server):
-            self._zone += by
+    def _count_local(self, server: Server, by: int) -> None:
+        """Counts a local server, and adds it to or removes it from the rings that subsets are chosen from."""
+        if self._is_local(server):
+            self._local_count += by
             if self._rings is not None:
                 (self._rings.add if by > 0 else self._rings.remove)(server.entry.kind, server.entry.server)
 
-    def begin(self) -> None:
-        """At each event: look again at what is due."""
-        while self._due and self._due[0][0] <= self._turn.now:
-            self.note(heapq.heappop(self._due)[2])
+    def recheck_due(self) -> None:
+        """Refreshes the servers whose recheck is due; called at each event."""
+        while self._rechecks and self._rechecks[0][0] <= self._turn.now:
+            self.refresh(heapq.heappop(self._rechecks)[2])
 
-    def sent(self, server: Server, units: float) -> None:
-        """A call goes out to a server."""
+    def on_sent(self, server: Server, units: float) -> None:
+        """Accounts for a call sent to a server."""
         self.capacity.sent(server, units)
-        self.note(server)
+        self.refresh(server)
 
-    def note(self, server: Server) -> None:
-        """After any change of a server: whether it is special, and whether the automaton may draw it at all.
+    def refresh(self, server: Server) -> None:
+        """Updates whether a server is special and may be drawn; called after any change of the server.
 
-        What hangs on time alone is looked at again when it is due; what hangs on the state of all (a share of
-        the calls out, what is silent) concerns servers with calls out only, and those are special.
+        Conditions that depend on time alone are rechecked when they are due.  Conditions that depend on the
+        whole fleet (the share of calls in flight, silence) apply only to servers with calls in flight, which
+        are special.
         """
         i, now, out = server.at, self._turn.now, len(server.out)
         if i < 0:
             return
-        # One that turns calls away bears none: those that drain do so for seconds before the list tells.
-        turns_away = server.turned_away > 0 and not self.reports.on
-        in_use = not (server.ejected or turns_away)
-        if (look := self.capacity.note(server, in_use)) is not None:
-            self.look_again(server, look)
+        # No capacity while it refuses calls: a draining server does so for seconds before the list says so.
+        refuses_calls = server.turned_away > 0 and not self.reports.on
+        in_use = not (server.ejected or refuses_calls)
+        if (due_at := self.capacity.note(server, in_use)) is not None:
+            self.recheck_at(server, due_at)
         special = bool(out) or server.ejected or server.trial or server.due > now
         if special != server.special:
             server.special = special
@@ -164,178 +169,194 @@
         closed = server.ejected or server.rest_until > now or out + 1 > server.ceiling
         self.automaton.shares.set_open(i, not (closed or (server.trial and out > 0)))
 
-    def look_again(self, server: Server, when: float) -> None:
+    def recheck_at(self, server: Server, when: float) -> None:
         server.due = max(server.due, when)
-        self._seq += 1
-        heapq.heappush(self._due, (when, self._seq, server))
+        self._recheck_sequence += 1
+        heapq.heappush(self._rechecks, (when, self._recheck_sequence, server))
 
-    def pick(self, look: Look, last_resort: bool) -> Server | None:
-        """The server drawn for a request; None if no server may take it now."""
+    def choose_server(self, context: DrawContext, last_resort: bool) -> Server | None:
+        """Selects a server for a request; None if no server may take it now."""
         r = len(self.arms)
-        if r > SCAN_MOST:
-            self._scans = min(self._scans + SCAN_EACH, 2.0 * r)
-            panic = not last_resort and self._panics(look)
-            if self._home_few and not last_resort:
-                pool = self._pool(look, panic, self._home_few)
-                if len(pool) >= LOCAL_LEAST:
-                    return self._draw(look, pool)
-            if not panic and (found := self._try(look, last_resort)) is not None:
+        if r > MAX_SCANNED_SERVERS:
+            self._scan_credit = min(self._scan_credit + SCAN_CREDIT_PER_REQUEST, 2.0 * r)
+            panic = not last_resort and self._in_panic(context)
+            if self._subset_servers and not last_resort:
+                pool = self._candidates(context, panic, self._subset_servers)
+                if len(pool) >= MIN_LOCAL_SERVERS:
+                    return self._draw(context, pool)
+            if not panic and (found := self._try_draws(context, last_resort)) is not None:
                 return found
-            if self._scans < r:
+            if self._scan_credit < r:
                 return None
-            self._scans -= r
-        pool = self._near(self._pool(look, last_resort, self.arms))
-        return self._draw(look, pool) if pool else None
-
-    def _draw(self, look: Look, pool: list[int]) -> Server:
-        """By the shares; once all nodes' calls are one for two servers, from those that hold the fewest."""
-        if self._settings.even_spread and 2 * look.total * self._settings.balancers >= len(self.arms):
-            pool = least_held(pool, self.arms, self.automaton.averages.values, look.mean)
+            self._scan_credit -= r
+        pool = self._prefer_local(self._candidates(context, last_resort, self.arms))
+        return self._draw(context, pool) if pool else None
+
+    def _draw(self, context: DrawContext, pool: list[int]) -> Server:
+        """Draws by the shares; from one call per two servers on, among the servers with the fewest calls."""
+        if self._settings.even_spread and 2 * context.total_outstanding * self._settings.balancers >= len(
+            self.arms
+        ):
+            pool = least_held(pool, self.arms, self.automaton.averages.values, context.mean_latency_ms)
         return self.arms[self.automaton.shares.draw(pool, self._turn.rng.random())]
 
-    def _try(self, look: Look, last_resort: bool) -> Server | None:
-        """Draw from all that are open until one is fit, so many times: the same as a draw from the fit."""
-        keep = not self._home_few and len(self.special) + LOCAL_LEAST <= self._near_most < len(self.arms)
-        for _ in range(TRIES):
+    def _try_draws(self, context: DrawContext, last_resort: bool) -> Server | None:
+        """Rejection sampling: draws from the open servers until one is eligible, at most MAX_DRAWS times."""
+        keep = not self._subset_servers and len(self.special) + MIN_LOCAL_SERVERS <= self._subset_size < len(
+            self.arms
+        )
+        for _ in range(MAX_DRAWS):
             i = self.automaton.shares.draw_open(self._turn.rng.random())
             if i is None:
                 return None
             server = self.arms[i]
-            if (keep and not self._kept(server)) or server.entry.server in look.tried:
+            if (keep and not self._in_subset(server)) or server.entry.server in context.tried_servers:
                 continue
             if self.reports.on and not last_resort and self._crowded(server):
                 continue
-            if not server.special and not look.risky:
+            if not server.special and not context.may_have_run:
                 return server
-            if self._standing(look, server) >= (SICK if last_resort else FIT):
+            if self._eligibility(context, server) >= (UNHEALTHY if last_resort else ELIGIBLE):
                 return server
         return None
 
     def _crowded(self, server: Server) -> bool:
         return self.reports.crowded(server, len(self.arms) * self.automaton.shares.weight(server.at))
 
-    def _panics(self, look: Look) -> bool:
-        """Whether too many are unhealthy for health to be a guide; counted as seldom as it costs little."""
-        c = look.request.class_index
-        panic, since = self._panic[c]
-        if since * SCAN_EACH < len(self.special):
-            self._panic[c] = panic, since + 1
+    def _in_panic(self, context: DrawContext) -> bool:
+        """Whether too many servers are unhealthy to go by health; computed rarely enough to cost little."""
+        c = context.request.class_index
+        panic, since = self._panic_cache[c]
+        if since * SCAN_CREDIT_PER_REQUEST < len(self.special):
+            self._panic_cache[c] = panic, since + 1
             return panic
-        late, now = look.late, self._turn.now
-        sick = (
-            s.ejected or not s.classes[c].open(now) or self.silent(s, late) for s in self.special.values()
+        late, now = context.late_after_ms, self._turn.now
+        unhealthy_servers = (
+            s.ejected or not s.classes[c].open(now) or self.is_silent(s, late) for s in self.special.values()
         )
-        self._panic[c] = sum(sick) > PANIC * len(self.arms), 0
-        return self._panic[c][0]
+        self._panic_cache[c] = sum(unhealthy_servers) > PANIC_UNHEALTHY_SHARE * len(self.arms), 0
+        return self._panic_cache[c][0]
 
-    def _pool(self, look: Look, last_resort: bool, among: Sequence[Server]) -> list[int]:
-        """Indices that the draw is conditioned on: allowed by the rules, then healthy and within budget."""
+    def _candidates(self, context: DrawContext, last_resort: bool, among: Sequence[Server]) -> list[int]:
+        """Indices to draw from: the servers that the rules allow, as far as possible healthy and not busy."""
         allowed: list[int] = []
-        fit: list[int] = []
+        eligible: list[int] = []
         unhealthy = 0
-        arms, risky = self.arms, look.risky
+        arms, may_have_run = self.arms, context.may_have_run
         for server in among:
-            standing = self._standing(look, server) if server.special or risky else FIT
-            if standing >= SICK:
+            eligibility = self._eligibility(context, server) if server.special or may_have_run else ELIGIBLE
+            if eligibility >= UNHEALTHY:
                 allowed.append(server.at)
-            if standing == FIT:
-                fit.append(server.at)
-            elif standing in (CLASS_SICK, SICK):
+            if eligibility == ELIGIBLE:
+                eligible.append(server.at)
+            elif eligibility in (CLASS_UNHEALTHY, UNHEALTHY):
                 unhealthy += 1
-        if last_resort or unhealthy > PANIC * len(arms):
-            # Something that all servers share is wrong, or it is now or never: health is no guide.
-            fit = allowed
+        if last_resort or unhealthy > PANIC_UNHEALTHY_SHARE * len(arms):
+            # The cause is shared by all servers, or this is the last attempt: health is ignored.
+            eligible = allowed
         elif self.reports.on:
-            fit = [i for i in fit if not self._crowded(arms[i])] or fit
-        fresh = [i for i in fit if arms[i].entry.server not in look.tried] if look.tried else fit
-        if fresh or (look.request.out and not last_resort):
-            fit = fresh
-        return fit
-
-    def _standing(self, look: Look, server: Server) -> int:
-        """How a server stands to a request: forbidden, or sick, busy or fit for it."""
-        request, now, out = look.request, self._turn.now, len(server.out)
-        if look.risky and not permitted(request, server.entry, self._settings, now):
+            eligible = [i for i in eligible if not self._crowded(arms[i])] or eligible
+        untried = (
+            [i for i in eligible if arms[i].entry.server not in context.tried_servers]
+            if context.tried_servers
+            else eligible
+        )
+        if untried or (context.request.outstanding and not last_resort):
+            eligible = untried
+        return eligible
+
+    def _eligibility(self, context: DrawContext, server: Server) -> int:
+        """Eligibility of a server for a request, one of FORBIDDEN to ELIGIBLE."""
+        request, now, out = context.request, self._turn.now, len(server.out)
+        if context.may_have_run and not permitted(request, server.entry, self._settings, now):
             return FORBIDDEN
         if server.cold:
-            if look.flow is None:
-                look.flow = self.capacity.warm_flow()
-            if not self.capacity.allows(server, request.value.units, look.flow):
+            if context.warm_server_flow is None:
+                context.warm_server_flow = self.capacity.warm_flow()
+            if not self.capacity.allows(server, request.appraisal.units, context.warm_server_flow):
                 return FORBIDDEN
         health = server.classes[request.class_index]
         if (health.trial or server.due > now) and not health.open(now):
-            return CLASS_SICK  # also as a last resort: it would most likely fail, where a refusal is harmless
-        if server.ejected or (out and self.silent(server, look.late)):
-            return SICK
-        if server.trial and (out or (self._can_repeat and not request.repeatable())):
-            return BUSY  # a returning server gets one call at a time, and none that could be lost for good
+            return CLASS_UNHEALTHY  # also for the last attempt, which would most likely fail
+        if server.ejected or (out and self.is_silent(server, context.late_after_ms)):
+            return UNHEALTHY
+        if server.trial and (out or (self._can_repeat and not request.may_repeat())):
+            return BUSY  # a trial is a single call, and one that may be repeated if it fails
         if server.rest_until > now or out + 1 > server.ceiling:
             return BUSY
         if out:
             slow, share = self.automaton.averages.values[server.at], self.automaton.shares.weight(server.at)
-            if slow and out * (1.0 - look.calm / slow) > self._most_waiting:
-                # By Little's law this part of its calls waits there; a server crowded for long turns slow
-                # for long, and its own average tells so before the mean of all does.
+            if slow and out * (1.0 - context.calm_latency_ms / slow) > self._most_waiting:
+                # By Little's law this part of its calls is queued there.  Long queues slow a server down for
+                # a long time, and its own average shows that before the mean over all servers does.
                 return BUSY
-            share = share * look.mean / slow if slow and slow > look.mean else share
-            if out > BUDGET_PLUS + BUDGET_TIMES * share * look.total:
+            share = (
+                share * context.mean_latency_ms / slow if slow and slow > context.mean_latency_ms else share
+            )
+            if out > SHARE_SLACK_CALLS + SHARE_FACTOR * share * context.total_outstanding:
                 return BUSY
-        return FIT
+        return ELIGIBLE
 
-    def _near(self, fit: list[int]) -> list[int]:
-        """The home's servers while two of them are fit, else, where crossing has a price, the zone's."""
-        home = [i for i in fit if self._kept(self.arms[i])]
-        if len(home) >= LOCAL_LEAST:
-            return home
+    def _prefer_local(self, eligible: list[int]) -> list[int]:
+        """The subset if two of it are eligible; otherwise the own zone, if cross-zone calls have a price."""
+        subset = [i for i in eligible if self._in_subset(self.arms[i])]
+        if len(subset) >= MIN_LOCAL_SERVERS:
+            return subset
         if not self._settings.cross_zone_price:
-            return fit
-        own = [i for i in fit if self.arms[i].entry.zone == self._settings.zone]
-        return own if len(own) >= LOCAL_LEAST else fit
+            return eligible
+        own = [i for i in eligible if self.arms[i].entry.zone == self._settings.zone]
+        return own if len(own) >= MIN_LOCAL_SERVERS else eligible
 
-    def _choose_home(self) -> None:
-        """Where many nodes call many servers, each keeps to a home of a few, of every kind in proportion.
+    def _choose_subset(self) -> None:
+        """Deterministic subsetting: where many nodes call many servers, each node uses a subset of all kinds.
 
-        Guards against views too sparse to learn from, and connections that grow with nodes times servers.
+        Otherwise a node has too few calls per server to learn from, and connections grow with nodes times
+        servers.
         """
-        # A power of two: their number, which all homes hang on, must not follow every change of the list.
+        # A power of two, because all subsets depend on their number and must not change with each list.
         nodes = self._settings.balancers
-        homes = 1 << max(0, (self._zone // HOME).bit_length() - 1)
-        if nodes > CROWD:  # larger homes, where nodes are too few to cover all servers by small ones
-            homes = min(homes, 1 << max(0, (nodes // HOME_COVER).bit_length() - 1))
-        self._home, self._home_few, self._near_most = None, [], self._zone
-        if homes == 1 or (nodes <= CROWD and nodes * HOME < HOME_COVER * len(self.arms)):
+        subset_count = 1 << max(0, (self._local_count // MIN_SUBSET_SERVERS).bit_length() - 1)
+        if nodes > MAX_FULL_MESH_NODES:  # larger subsets if the nodes are too few to cover all servers
+            subset_count = min(subset_count, 1 << max(0, (nodes // MIN_NODES_PER_SERVER).bit_length() - 1))
+        self._subset, self._subset_servers, self._subset_size = None, [], self._local_count
+        if subset_count == 1 or (
+            nodes <= MAX_FULL_MESH_NODES
+            and nodes * MIN_SUBSET_SERVERS < MIN_NODES_PER_SERVER * len(self.arms)
+        ):
             self._rings = None
             return
-        if self._rings is None or homes != self._homes:
-            self._rings, self._homes = Rings(self._settings.ordinal, nodes, homes), homes
-            for server in filter(self._is_near, self.arms):
+        if self._rings is None or subset_count != self._subset_count:
+            self._rings, self._subset_count = Rings(self._settings.ordinal, nodes, subset_count), subset_count
+            for server in filter(self._is_local, self.arms):
                 self._rings.add(server.entry.kind, server.entry.server)
-        home = self._rings.dealt()
-        self._home, self._near_most = set(home), len(home)
-        self._home_few = [self.servers[name] for name in home] if len(home) <= SCAN_MOST else []
+        subset = self._rings.dealt()
+        self._subset, self._subset_size = set(subset), len(subset)
+        self._subset_servers = (
+            [self.servers[name] for name in subset] if len(subset) <= MAX_SCANNED_SERVERS else []
+        )
 
-    def _kept(self, server: Server) -> bool:
-        """Whether the node keeps to this server."""
-        return self._is_near(server) if self._home is None else server.entry.server in self._home
+    def _in_subset(self, server: Server) -> bool:
+        """Whether the node uses this server: it is in the subset, or local if there is none."""
+        return self._is_local(server) if self._subset is None else server.entry.server in self._subset
 
-    def silent(self, server: Server, late: float) -> bool:
-        """Attempts overdue against what peers answer in count before they end."""
+    def is_silent(self, server: Server, late: float) -> bool:
+        """Whether calls in flight to the server are overdue; with more of them it is noticed sooner."""
         if not server.out:
             return False
         since = max(next(iter(server.out.values())), server.heard)
         return self._turn.now - since > late / math.sqrt(len(server.out))
 
-    def rest(self, server: Server, span: float) -> None:
-        """Skip a server for a while, unless too many of those that would take its calls are out already.
+    def rest_if_spare(self, server: Server, span: float) -> None:
+        """Skips a server for a while, unless too many of those that would take its calls are unavailable.
 
-        Where crossing zones has a price those are the own zone's, else its calls went across.
+        These are the subset, or the own zone if cross-zone calls have a price.
         """
-        near = self._near_most if self._near_most >= LOCAL_LEAST else len(self.arms)
+        near = self._subset_size if self._subset_size >= MIN_LOCAL_SERVERS else len(self.arms)
         now, whole = self._turn.now, near == len(self.arms)
-        out = (s.ejected or s.rest_until > now for s in self.special.values() if whole or self._kept(s))
+        out = (s.ejected or s.rest_until > now for s in self.special.values() if whole or self._in_subset(s))
         if can_spare(sum(out), near):
-            self.rest_until(server, now + span)
+            self.rest_server_until(server, now + span)
 
-    def rest_until(self, server: Server, until: float) -> None:
+    def rest_server_until(self, server: Server, until: float) -> None:
         server.rest_until = until
-        self.look_again(server, until)
+        self.recheck_at(server, until)
--- a/tests/experiment/test_compare.py
+++ b/tests/experiment/test_compare.py
@@ -51,7 +51,7 @@
     place = "        calm, out = self._admission.strain.calm, len(self._attempts)\n"
     assert text.count(place) == 1
     wait = (
-        f"        if not last_resort and self._turn.now < request.arrived + {held} * self._patience.mean:\n"
+        f"        if not last_resort and self._turn.now < request.arrived_at + {held} * self._latency.mean:\n"
     )
     path.write_text(text.replace(place, f"{wait}            return False\n{place}"))
     return Decisions(f"held {held}", tree)
--- a/tests/plain_automaton.py
+++ b/tests/plain_automaton.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping, Sequence
 
 from leadrudder.interface import ServerId
-from leadrudder.policy.automaton import CHARGE_CAP, FLOOR_SHARE, KINDS_MOST, NEWCOMER_SHARE, Automaton
+from leadrudder.policy.automaton import FLOOR_SHARE, MAX_FAILURE_MEANS, MAX_KINDS, NEWCOMER_SHARE, Automaton
 
 
 class PlainAutomaton:
@@ -40,7 +40,7 @@
         if server not in self.servers:
             return False
         i = self.servers.index(server)
-        threshold = self._move(i, latency)
+        threshold = self._update_average(i, latency)
         if latency >= threshold:
             return False
         theta, r = self._beside.theta, len(self.p)
@@ -58,12 +58,14 @@
             ]
         return True
 
-    def charge(self, server: ServerId, latency: float) -> None:
+    def learn_failure(self, server: ServerId, latency: float) -> None:
         mean = self.mean()
         if server in self.servers and mean is not None:
-            self._move(self.servers.index(server), min(max(latency, mean), CHARGE_CAP * mean))
+            self._update_average(
+                self.servers.index(server), min(max(latency, mean), MAX_FAILURE_MEANS * mean)
+            )
 
-    def _move(self, i: int, latency: float) -> float:
+    def _update_average(self, i: int, latency: float) -> float:
         mean = self.mean()
         if mean is None:
             self.average = [latency] * len(self.average)
@@ -83,7 +85,7 @@
         self.average = averages + [None] * len(new)
         self.p = floored(ratios + [unit * weights[s] for s in new])
         met = list(dict.fromkeys(kinds[s] for s in self.servers))
-        self.kinds = [min(met.index(kinds[s]), KINDS_MOST - 1) for s in self.servers]
+        self.kinds = [min(met.index(kinds[s]), MAX_KINDS - 1) for s in self.servers]
 
 
 def floored(ratios: Sequence[float]) -> list[float]:
--- a/tests/simulation/plants.py
+++ b/tests/simulation/plants.py
@@ -45,19 +45,19 @@
 def reset_taken_for_never_ran(patch: pytest.MonkeyPatch) -> None:
     """An unsafe request goes out again after a reset."""
     harmless = NEVER_RAN | {Outcome.RESET}
-    patch.setattr(Attempt, "may_have_run", lambda self: self.ended is None or self.ended not in harmless)
+    patch.setattr(Attempt, "may_have_run", lambda self: self.outcome is None or self.outcome not in harmless)
 
 
 def refusal_for_everything(patch: pytest.MonkeyPatch) -> None:
     """What may have run is refused, and its caller tries again."""
-    original = Balancer._finish
+    original = Balancer._end_unserved
 
     def finish(self: Balancer, request: Request) -> None:
         original(self, request)
         actions = self._turn.actions
         actions[:] = [Refuse(a.request) if isinstance(a, Fail) else a for a in actions]
 
-    patch.setattr(Balancer, "_finish", finish)
+    patch.setattr(Balancer, "_end_unserved", finish)
 
 
 def drains_overlooked(patch: pytest.MonkeyPatch) -> None:
@@ -70,7 +70,7 @@
     original = attempts.permitted
 
     def permitted(request: Request, entry: ServerEntry, settings: Settings, now: float) -> bool:
-        if request.kind.effect is Effect.KEYED and not request.out:
+        if request.request_class.effect is Effect.KEYED and not request.outstanding:
             return True
         return original(request, entry, settings, now)
 
@@ -191,13 +191,13 @@
 
 def deaf_after_a_failed_list(patch: pytest.MonkeyPatch) -> None:
     """The module is not told that the watch has failed, and asks no more."""
-    original = Balancer._on_list
+    original = Balancer._on_server_list
 
     def on_list(self: Balancer, event: Any) -> None:
         if event.kind is not ListKind.FAILED:
             original(self, event)
 
-    patch.setattr(Balancer, "_on_list", on_list)
+    patch.setattr(Balancer, "_on_server_list", on_list)
 
 
 def connects_left_behind(patch: pytest.MonkeyPatch) -> None:
@@ -226,8 +226,8 @@
 def cold_as_warm(patch: pytest.MonkeyPatch) -> None:
     """A cold server gets whatever comes, and all of it."""
     patch.setattr(Capacity, "allows", lambda *_: True)
-    patch.setattr(placement, "BUDGET_PLUS", 1e9)
-    patch.setattr(placement, "WAITING_MOST", 1e9)
+    patch.setattr(placement, "SHARE_SLACK_CALLS", 1e9)
+    patch.setattr(placement, "MAX_WAITING_CALLS", 1e9)
     patch.setattr(Admission, "has_room", lambda *_: True)
 
 
--- a/tests/test_automaton.py
+++ b/tests/test_automaton.py
@@ -8,7 +8,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from leadrudder.policy.automaton import ALPHA, CHARGE_CAP, FLOOR_SHARE, NEWCOMER_SHARE, THETA_SHARE, Automaton
+from leadrudder.policy.automaton import (
+    ALPHA,
+    FLOOR_SHARE,
+    MAX_FAILURE_MEANS,
+    NEWCOMER_SHARE,
+    THETA_SHARE,
+    Automaton,
+)
 
 NAMES = [bytes([i]) for i in range(40)]
 
@@ -80,10 +87,10 @@
     a = fleet(1, 1, 1)
     a.learn(0, 100.0)
     before = list(a.p)
-    a.charge(1, 1.0)  # a fast error counts as the mean
+    a.learn_failure(1, 1.0)  # a fast error counts as the mean
     assert a.p == before and a.mean() == pytest.approx(100.0)
-    a.charge(1, 1e6)  # a long silence is capped
-    assert a.averages.values[1] == pytest.approx(100 + ALPHA * (CHARGE_CAP * 100 - 100))
+    a.learn_failure(1, 1e6)  # a long silence is capped
+    assert a.averages.values[1] == pytest.approx(100 + ALPHA * (MAX_FAILURE_MEANS * 100 - 100))
 
 
 def test_draw_is_the_vector_conditioned_on_the_eligible() -> None:
@@ -161,7 +168,7 @@
         if what == "learn":
             a.learn(n if n < len(a.servers) else -1, x)
         elif what == "charge":
-            a.charge(n if n < len(a.servers) else -1, x)
+            a.learn_failure(n if n < len(a.servers) else -1, x)
         else:
             a.resize({s: (x if i % 2 else 1.0) for i, s in enumerate(NAMES) if n >> i & 1})
         if a.p:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -151,5 +151,5 @@
         kind = RequestClass("move", 1000, 3000, effect=Effect.KEYED, group=group, window_ms=5000.0)
         for first, second, allowed in ((a, a, False), (a, b, False), (c, c, True)):
             request = Request(1, kind, 0, 0.0, 3000.0, Appraisal(1.0, 1.0, 1.0, False), 1, 0.5)
-            request.attempts.append(Attempt(first, 0.0, ended=Outcome.RESET))
+            request.attempts.append(Attempt(first, 0.0, outcome=Outcome.RESET))
             assert permitted(request, second, Settings(classes=(kind,)), 10.0) is allowed, (group, first)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -28,7 +28,7 @@
     Tenant,
     TimerFired,
 )
-from leadrudder.policy.placement import BUDGET_PLUS, BUDGET_TIMES
+from leadrudder.policy.placement import SHARE_FACTOR, SHARE_SLACK_CALLS
 from tests.checker import Owed, Surrounding
 
 SAFE = RequestClass("r", 1000, 3000)
@@ -93,7 +93,7 @@
         while play.probes:
             play.feed(ProbeEnded(play.probes.pop(), Outcome.OK, 1.0))
         serve(play, 2)
-    assert Probe(bad) in play.log and "server 02 returns after a good trial" in texts(play)
+    assert Probe(bad) in play.log and "server 02 reinstated after a successful trial" in texts(play)
 
 
 def test_a_trial_is_never_a_request_that_may_run_only_once() -> None:
@@ -186,7 +186,7 @@
     play = make(SAFE, UNSAFE)
     serve(play, 60, latency=20.0)
     for quiet, kind, closes in ((5.0, 1, False), (100.0, 0, False), (100.0, 1, True)):
-        for server in play.balancer._fleet.servers.values():
+        for server in play.balancer._placement.servers.values():
             server.heard = play.now - quiet
         mark = len(play.log)
         request = play.arrive(kind)
@@ -203,7 +203,7 @@
         for tried in owed.attempts:
             held[tried.entry.server[0]] += 1
     assert sum(held) == 25
-    assert max(held) <= BUDGET_PLUS + BUDGET_TIMES * 25 / 5 + 1
+    assert max(held) <= SHARE_SLACK_CALLS + SHARE_FACTOR * 25 / 5 + 1
 
 
 def test_a_full_server_gets_a_ceiling_and_is_not_ejected() -> None:
@@ -298,7 +298,7 @@
     assert times[0] - 1000.0 <= 3000.0 and max(gaps) <= 5000.0 and gaps[3] > gaps[0]
     assert texts(play) == ["server list lost: a call failed or the subscription broke"]
     play.feed(ServerList(ListKind.CHANGES))
-    assert texts(play)[-1].startswith("server list found again after")
+    assert texts(play)[-1].startswith("server list restored after")
     asked = play.subscriptions
     for _ in range(2000):
         play.step(10)
@@ -518,7 +518,7 @@
         one(0)
         one(1)
     assert not any("ejected" in text for text in texts(play)), "the whole server was held to account"
-    assert any("server 02 gets no w for" in text for text in texts(play))
+    assert any("server 02 barred from class w for" in text for text in texts(play))
     lost = fell()
     # In 8 s there are two or three trials; a server that is drawn for it would lose dozens.
     assert lost <= 2 + 3
@@ -532,7 +532,7 @@
     play = make(SAFE, UNSAFE, may_probe=True, cold_ms=1000.0)
     bad = bytes([2])
     serve(play, 30)
-    health = play.balancer._fleet.servers[bad].classes[1]
+    health = play.balancer._placement.servers[bad].classes[1]
     while not health.trial:
         request = play.arrive(1)
         play.step(20)
@@ -569,7 +569,7 @@
     for _ in range(2):
         while book(Outcome.ERROR, one) != one:
             pass
-    assert play.balancer._fleet.servers[one].classes[1].open(play.now)
+    assert play.balancer._placement.servers[one].classes[1].open(play.now)
     assert texts(play) == []
 
 
@@ -578,7 +578,7 @@
     play = make(SAFE, UNSAFE, cold_ms=1000.0)
     bad = bytes([2])
     serve(play, 60)
-    health = play.balancer._fleet.servers[bad].classes[1]
+    health = play.balancer._placement.servers[bad].classes[1]
 
     def book(outcome: Outcome) -> None:
         """Bookings until the server has ended one like this."""
@@ -613,18 +613,18 @@
     for generation in range(50):
         play.list_of([ServerEntry(b"%d/%d" % (generation, i)) for i in range(6)])
         serve(play, 3)
-    assert len(play.balancer._fleet.servers) <= 7
+    assert len(play.balancer._placement.servers) <= 7
 
 
 def test_a_server_that_went_while_it_was_left_out_is_not_looked_up() -> None:
     play = make(may_probe=True, cold_ms=1000.0)
     serve(play, 60, bad=bytes([2]))
-    play.balancer._health._schedule_return(play.balancer._fleet.servers[bytes([2])])
+    play.balancer._health._schedule_reinstatement(play.balancer._placement.servers[bytes([2])])
     since = len(play.log)
     play.list_of([ServerEntry(bytes([i])) for i in range(6) if i != 2])
     play.step(5000)
     assert Probe(bytes([2])) not in play.log[since:]
-    assert bytes([2]) not in play.balancer._fleet.servers
+    assert bytes([2]) not in play.balancer._placement.servers
 
 
 def test_one_server_that_turns_all_away_is_left_alone_and_is_no_strain() -> None:
--- a/tests/test_home.py
+++ b/tests/test_home.py
@@ -23,7 +23,7 @@
 
 
 def home(balancer: Balancer) -> set[bytes]:
-    return {s.entry.server for s in balancer._fleet.arms if balancer._fleet._kept(s)}
+    return {s.entry.server for s in balancer._placement.arms if balancer._placement._in_subset(s)}
 
 
 def covered(nodes: int, servers: int) -> Counter[bytes]:
@@ -65,7 +65,7 @@
 
 def test_a_home_lies_in_the_own_zone_where_crossing_has_a_price() -> None:
     balancer = node(7, 400, 60, cross_zone_price=0.02, zone=1)
-    assert {s.entry.zone for s in balancer._fleet.arms if s.entry.server in home(balancer)} == {1}
+    assert {s.entry.zone for s in balancer._placement.arms if s.entry.server in home(balancer)} == {1}
 
 
 def test_a_change_of_the_list_moves_few_servers_of_a_home() -> None:
@@ -80,4 +80,4 @@
     for number, server in enumerate(sorted(home(balancer))):
         row = ServerEntry(server, Readiness.DRAINING)
         balancer.handle(ServerList(ListKind.CHANGES, (row,)), 2.0 + number)
-    assert len(balancer._fleet._near(list(range(len(balancer._fleet.arms))))) >= 2
+    assert len(balancer._placement._prefer_local(list(range(len(balancer._placement.arms))))) >= 2
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -27,9 +27,9 @@
     ServerList,
     Settings,
 )
-from leadrudder.looks import Look
-from leadrudder.policy.automaton import FLOOR_SHARE, KINDS_MOST, Automaton
-from leadrudder.policy.placement import SCAN_EACH, SCAN_MOST, TRIES, Placement
+from leadrudder.looks import DrawContext
+from leadrudder.policy.automaton import FLOOR_SHARE, MAX_KINDS, Automaton
+from leadrudder.policy.placement import MAX_DRAWS, MAX_SCANNED_SERVERS, SCAN_CREDIT_PER_REQUEST, Placement
 from leadrudder.state.capacity import WARMTH_STEPS
 from leadrudder.state.timers import SHED_LEAST
 from tests.checker import Surrounding
@@ -84,8 +84,8 @@
         elif what == "learn":
             assert tree.learn(at(n), x) == plain.learn(NAMES[n], x)
         else:
-            tree.charge(at(n), x)
-            plain.charge(NAMES[n], x)
+            tree.learn_failure(at(n), x)
+            plain.learn_failure(NAMES[n], x)
     assert tree.servers == plain.servers
     assert max(abs(a - b) for a, b in zip(tree.p, plain.p, strict=True)) < 1e-9
     assert tree.mean() == pytest.approx(plain.mean())
@@ -113,7 +113,7 @@
 def test_a_list_of_very_many_kinds_costs_no_more_than_some() -> None:
     a = Automaton(nodes=30)
     a.resize(dict.fromkeys(NAMES, 1.0), {name: i for i, name in enumerate(NAMES)})
-    assert len(a.shares.groups) == KINDS_MOST
+    assert len(a.shares.groups) == MAX_KINDS
     a.learn(0, 100.0)
     assert a.learn(199, 10.0)
     assert sum(a.p) == pytest.approx(1.0) and min(a.p) >= FLOOR_SHARE / 200 * (1 - 1e-9)
@@ -143,11 +143,13 @@
         least = max(capacity.warmth(s) - 1.0 / WARMTH_STEPS, balancer.settings.cold_start_share)
         assert (least - 1e-9 <= s.bears <= capacity.warmth(s) + 1e-9) if not s.ejected else s.bears == 0.0, s
     assert health._ejected == sum(s.ejected for s in arms)
-    assert health._turned == sum(s.turned_away > 0 for s in arms)
-    assert health._fails == pytest.approx(sum(s.fail for s in arms if not s.ejected), abs=1e-9)
+    assert health._full_servers == sum(s.turned_away > 0 for s in arms)
+    assert health._failure_sum == pytest.approx(sum(s.fail for s in arms if not s.ejected), abs=1e-9)
     for c in range(len(balancer.settings.classes)):
-        assert health._class_fails[c] == pytest.approx(sum(s.classes[c].fail for s in arms), abs=1e-9)
-        assert health._class_usual[c] == pytest.approx(sum(s.classes[c].usual for s in arms), abs=1e-9)
+        assert health._class_failure_sums[c] == pytest.approx(sum(s.classes[c].fail for s in arms), abs=1e-9)
+        assert health._class_long_term_sums[c] == pytest.approx(
+            sum(s.classes[c].usual for s in arms), abs=1e-9
+        )
 
 
 EVENTS = st.lists(
@@ -180,7 +182,7 @@
     rng = random.Random(servers)
     entries = {i: ServerEntry(NAMES[i], zone=i % 3, kind=i % 2) for i in range(servers)}
     play.list_of(list(entries.values()))
-    fleet = play.balancer._fleet
+    fleet = play.balancer._placement
     for what, n, more in events:
         if what == "arrive":
             assert isinstance(more, int)
@@ -222,16 +224,16 @@
     return [a.server for a in balancer.handle(Arrival(request, 0, 3000.0), now) if isinstance(a, Send)]
 
 
-def _look(balancer: Balancer, request: int) -> Look:
+def _draw_context(balancer: Balancer, request: int) -> DrawContext:
     mean = balancer.automaton.mean() or 0.0
-    calm, late = balancer._admission.strain.calm, balancer._patience.late()
-    return Look(balancer._requests[request], mean, calm, len(balancer._attempts), late)
+    calm, late = balancer._admission.strain.calm, balancer._latency.late()
+    return DrawContext(balancer._requests[request], mean, calm, len(balancer._attempts), late)
 
 
 def test_draws_that_are_tried_follow_the_vector_conditioned_on_the_fit() -> None:
     """Chi-squared against the pool that a full look gives, at a fixed seed."""
     balancer = _course(60)
-    fleet = balancer._fleet
+    fleet = balancer._placement
     now = 10.0
     for request in range(40):  # calls out make servers special, some of them busy
         now += 1.0
@@ -240,14 +242,14 @@
         server, _ = balancer._attempts[request, 0]
         balancer.handle(AttemptEnded(request, 0, server.entry.server, Outcome.FULL, 3.0, False), now)
     balancer.handle(Arrival(999, 0, 3000.0), now)
-    look = _look(balancer, 0) if 0 in balancer._requests else _look(balancer, 39)
-    look.risky, look.tried = False, set()
-    pool = fleet._pool(look, False, fleet.arms)
+    context = _draw_context(balancer, 0) if 0 in balancer._requests else _draw_context(balancer, 39)
+    context.may_have_run, context.tried_servers = False, set()
+    pool = fleet._candidates(context, False, fleet.arms)
     assert 5 < len(pool) < 60
     counts: Counter[int] = Counter()
     draws = 0
     for _ in range(30_000):
-        found = fleet._try(look, False)
+        found = fleet._try_draws(context, False)
         if found is not None:
             counts[found.at] += 1
             draws += 1
@@ -262,17 +264,17 @@
 def test_a_decision_looks_at_a_few_servers_of_a_large_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
     """Counted: looks at a server a request, at 40 and at 4,000 servers with as many calls out."""
     looks: dict[int, int] = {}
-    original = Placement._standing
+    original = Placement._eligibility
     for servers in (40, 4000):
         balancer = _course(servers)
         counted = 0
 
-        def standing(self: Placement, look: Look, server: object) -> int:
+        def standing(self: Placement, context: DrawContext, server: object) -> int:
             nonlocal counted
             counted += 1
-            return original(self, look, server)  # type: ignore[arg-type]
+            return original(self, context, server)  # type: ignore[arg-type]
 
-        monkeypatch.setattr(Placement, "_standing", standing)
+        monkeypatch.setattr(Placement, "_eligibility", standing)
         now, out = 1.0, []
         for request in range(2000):
             now += 1.0
@@ -282,44 +284,44 @@
                 done, server = out.pop(0)
                 balancer.handle(AttemptEnded(done, 0, server, Outcome.OK, 20.0, True), now)
         looks[servers] = counted
-    assert looks[4000] <= looks[40] <= TRIES * 2000
+    assert looks[4000] <= looks[40] <= MAX_DRAWS * 2000
 
 
 def test_with_all_servers_at_their_ceilings_but_one_that_one_is_drawn_at_once() -> None:
     balancer = _course(2000)
-    fleet = balancer._fleet
+    fleet = balancer._placement
     now = 5.0
     for request, server in enumerate(fleet.arms[:-1]):
         server.ceiling = 1.0
         server.engage()
         server.out[request, 0] = now
-        fleet.note(server)
-    before = fleet._scans
+        fleet.refresh(server)
+    before = fleet._scan_credit
     sent = _sends(balancer, 10**6, now + 1)
     assert sent == [fleet.arms[-1].entry.server]
-    assert fleet._scans >= before - 1, "no whole look was needed"
+    assert fleet._scan_credit >= before - 1, "no whole look was needed"
 
 
 def test_whole_looks_are_rationed_by_what_they_cost() -> None:
     """Nothing is fit: each request must not look through the fleet, nor any be lost."""
     balancer = _course(2000)
-    fleet = balancer._fleet
+    fleet = balancer._placement
     for server in fleet.arms:
         server.rest_until = 1e9
-        fleet.look_again(server, 1e9)
-        fleet.note(server)
+        fleet.recheck_at(server, 1e9)
+        fleet.refresh(server)
     whole = 0
-    original = fleet._pool
+    original = fleet._candidates
 
     def pool(*args: object) -> list[int]:
         nonlocal whole
         whole += 1
         return original(*args)  # type: ignore[arg-type]
 
-    fleet._pool = pool  # type: ignore[method-assign,assignment]
+    fleet._candidates = pool  # type: ignore[method-assign,assignment]
     for request in range(400):
         assert _sends(balancer, request, 2.0 + 0.001 * request) == []
-    assert whole <= 1 + 400 * 3 * SCAN_EACH / 2000 + 1
+    assert whole <= 1 + 400 * 3 * SCAN_CREDIT_PER_REQUEST / 2000 + 1
     assert len(balancer._requests) == 400, "all still wait for a place"
 
 
@@ -358,7 +360,7 @@
             balancer.handle(ServerList(ListKind.FULL, tuple(rows)), now)
         carry(balancer.handle(Arrival(request, 0, 3000.0), now))
         if request % 250 == 0:
-            _scan(balancer._fleet, balancer)
+            _scan(balancer._placement, balancer)
 
     def part(start: float, end: float) -> float:
         hits = [hit for at, hit in sends if start <= at < end]
@@ -379,8 +381,8 @@
         )
         balancer.handle(ServerList(ListKind.FULL, rows), now)
         assert _sends(balancer, turn, now + 1)[0] in {r.server for r in rows}
-        _scan(balancer._fleet, balancer)
-    assert len(balancer._fleet.servers) <= 200 + 12, "what is gone and holds no call is forgotten"
+        _scan(balancer._placement, balancer)
+    assert len(balancer._placement.servers) <= 200 + 12, "what is gone and holds no call is forgotten"
 
 
 def test_one_node_of_a_thousand_meets_its_home_again() -> None:
@@ -398,7 +400,7 @@
             balancer.handle(
                 AttemptEnded(done, 0, server, Outcome.OK, 40.0 if server[-1] % 2 else 20.0, True), now
             )
-    assert len(sent) <= 2 * 6 + 2 <= SCAN_MOST
+    assert len(sent) <= 2 * 6 + 2 <= MAX_SCANNED_SERVERS
     slow = sum(n for server, n in sent.items() if server[-1] % 2)
     assert slow < 0.4 * sum(sent.values())
 
@@ -469,24 +471,24 @@
     assert balancer.automaton.shares.groups is groups, "not built anew"
     assert sum(group.steps for group in groups) - before < 200
     assert len(balancer.automaton.servers) == 5000
-    _scan(balancer._fleet, balancer)
+    _scan(balancer._placement, balancer)
 
 
 def test_homes_follow_single_changes_as_they_would_a_list() -> None:
     one = _course(900, balancers=1000, ordinal=11)
-    names = [s.entry for s in one._fleet.arms]
+    names = [s.entry for s in one._placement.arms]
     rng = random.Random(4)
     for turn in range(300):
         row = rng.choice(names)
         there = rng.random() < 0.5
         row = replace(row, readiness=Readiness.READY if there else Readiness.DRAINING)
         one.handle(ServerList(ListKind.CHANGES, (row,)), 2.0 + turn)
-    listed = tuple(s.entry for s in one._fleet.arms)
+    listed = tuple(s.entry for s in one._placement.arms)
     other = Balancer(one.settings, seed=1)
     other.handle(ServerList(ListKind.FULL, listed), 1.0)
-    assert one._fleet._home == other._fleet._home is not None
-    assert one._fleet._near_most == other._fleet._near_most
-    _scan(one._fleet, one)
+    assert one._placement._subset == other._placement._subset is not None
+    assert one._placement._subset_size == other._placement._subset_size
+    _scan(one._placement, one)
 
 
 def test_memory_follows_what_is_open() -> None:
@@ -501,4 +503,4 @@
             balancer.handle(AttemptEnded(done, 0, server, Outcome.OK, 900.0, True), now)
     assert len(balancer._requests) < 100
     assert len(balancer._timers) <= SHED_LEAST + 1
-    assert len(balancer._fleet._due) < 100
+    assert len(balancer._placement._rechecks) < 100
--- a/tests/test_list_calls.py
+++ b/tests/test_list_calls.py
@@ -42,4 +42,4 @@
     play.list_of([ServerEntry(b"a")], ListKind.CACHED)
     for _ in range(3000):
         play.feed(ServerList(ListKind.FAILED))
-    assert play.balancer._calls._backoff.pause() <= 0.5 * ASKING.must_ask_ms
+    assert play.balancer._list_calls._backoff.pause() <= 0.5 * ASKING.must_ask_ms
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -165,7 +165,7 @@
     balancer = Balancer(Settings(classes=(EFFECTS[0],)), seed=1)
     assert balancer.handle(RequestGone(77), 1.0) == []
     assert balancer.handle(TimerFired(9), 1.0) == []
-    with pytest.raises(UnexpectedEvent, match="was not out"):
+    with pytest.raises(UnexpectedEvent, match="is not in flight"):
         balancer.handle(AttemptEnded(5, 0, b"x", Outcome.OK, 1.0, True), 2.0)
     with pytest.raises(UnexpectedEvent, match="unknown class"):
         balancer.handle(Arrival(6, 9, 100.0), 2.0)
@@ -191,16 +191,18 @@
         play.list_of(rows(3))
         node = play.balancer
         request = node._requests[play.arrive()]
-        other, drained = (s for s in node._fleet.arms if s.entry.server != request.attempts[0].entry.server)
+        other, drained = (
+            s for s in node._placement.arms if s.entry.server != request.attempts[0].entry.server
+        )
         play.list_of([ServerEntry(drained.entry.server, Readiness.DRAINING)], ListKind.CHANGES)
         assert not node._send(request, drained)
         assert node._send(request, other) is duplicate  # a second copy while the first is out
         assert not duplicate or not node._send(request, other)  # and no more than the attempts allowed
         request.deadline = play.now + 1.0
         assert not node._send(request, other)
-        node._finish(request)
+        node._end_unserved(request)
         actions = len(node._turn.actions)
-        node._finish(request)
+        node._end_unserved(request)
         assert len(node._turn.actions) == actions  # one final answer
         assert not node._send(request, other)
 
