--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -129,7 +129,7 @@
     def slow_part(self) -> float:
         """The slow kind's part of the shares of the servers that this node keeps to."""
         automaton = self.node.automaton
-        kept = self.node._placement._subset
+        kept = self.node._fleet._subset
         pairs = [
             (p, int.from_bytes(name, "big") % 2)
             for name, p in zip(automaton.servers, automaton.p, strict=True)
@@ -147,7 +147,7 @@
     last = statistics.fmean(parts[-max(1, len(parts) // 5) :])
     goal = parts[0] + WAY * (last - parts[0])
     learned = next((i for i, part in enumerate(parts) if part <= goal), len(parts))
-    home = it.node._placement._subset
+    home = it.node._fleet._subset
     return Seen(
         len(entries) if home is None else len(home),
         it.most_open,
--- a/leadrudder/__init__.py
+++ b/leadrudder/__init__.py
@@ -1,8 +1,8 @@
-"""leadrudder: a load balancer's decisions, without I/O."""
+"""leadrudder: the decisions of a load balancer, without I/O."""
 
 from leadrudder import compiled
 
-compiled.prefer()  # before any of the modules that it names is imported
+compiled.use_compiled_modules()  # must precede the import of any module in compiled.MODULES
 
 from leadrudder.policy.automaton import Automaton  # noqa: E402
 from leadrudder.policy.decide import Balancer  # noqa: E402
--- a/leadrudder/compile.py
+++ b/leadrudder/compile.py
@@ -1,7 +1,7 @@
-"""python -m leadrudder.compile: compiles the decisions, and says in one line what came of it.
+"""python -m leadrudder.compile: compiles the decision modules with mypyc, and prints the result in one line.
 
-What it needs beside the pinned packages is a C compiler and Python's headers.  Without them the sources are
-interpreted, as leadrudder/compiled.py has it.
+Besides the pinned packages this needs a C compiler and the Python headers.  Without them the sources are
+interpreted (see leadrudder/compiled.py).
 """
 
 from __future__ import annotations
@@ -12,41 +12,49 @@
 import tempfile
 from pathlib import Path
 
-from leadrudder.compiled import MODULES, PACKAGE, SHARED, STAMP, folder, source, stamp
+from leadrudder.compiled import (
+    MODULES,
+    PACKAGE_PATH,
+    SHARED_LIBRARY_PATTERN,
+    STAMP_FILE,
+    build_stamp,
+    compiled_folder,
+    source_path,
+)
 
 
-def build(kept: Path | None = None) -> str:
-    """Compile, unless what is kept is up to date; returns what came of it in one line."""
-    kept = kept or folder()
-    wanted = stamp()
-    if (kept / STAMP).is_file() and (kept / STAMP).read_text() == wanted:
-        return f"compiled modules are up to date: {kept}"
+def build(target_folder: Path | None = None) -> str:
+    """Compiles, unless the compiled modules are up to date; returns the result in one line."""
+    target_folder = target_folder or compiled_folder()
+    expected_stamp = build_stamp()
+    if (target_folder / STAMP_FILE).is_file() and (target_folder / STAMP_FILE).read_text() == expected_stamp:
+        return f"compiled modules are up to date: {target_folder}"
     try:
         with tempfile.TemporaryDirectory() as scratch:
             _compile(Path(scratch))
-            _keep(Path(scratch), kept, wanted)
-    except (Exception, SystemExit) as error:  # mypyc ends the process at what it cannot take
-        # No compiler, no headers, no mypy: whatever it is, the sources still serve.
+            _install(Path(scratch), target_folder, expected_stamp)
+    except (Exception, SystemExit) as error:  # mypyc raises SystemExit on code that it cannot compile
+        # Whatever is missing (compiler, headers, mypy), the sources can still be interpreted.
         return f"not compiled, the sources are interpreted: {type(error).__name__}: {error}"
-    return f"compiled {len(MODULES)} modules into {kept}"
+    return f"compiled {len(MODULES)} modules into {target_folder}"
 
 
 def _compile(scratch: Path) -> None:
-    """The extensions beside copies of their sources."""
+    """Builds the extensions next to copies of their sources."""
     from mypyc.build import mypycify
     from setuptools import Distribution
 
     files = []
     for module in MODULES:
-        target = scratch / "leadrudder" / source(module).relative_to(PACKAGE)
+        target = scratch / "leadrudder" / source_path(module).relative_to(PACKAGE_PATH)
         target.parent.mkdir(parents=True, exist_ok=True)
         (target.parent / "__init__.py").touch()
-        shutil.copyfile(source(module), target)
+        shutil.copyfile(source_path(module), target)
         files.append(str(target.relative_to(scratch)))
-    here, sys_argv = os.getcwd(), sys.argv
+    previous_folder, sys_argv = os.getcwd(), sys.argv
     os.chdir(scratch)
     try:
-        sys.argv = ["setup.py"]  # setuptools looks there
+        sys.argv = ["setup.py"]  # read by setuptools
         extensions = mypycify(files, opt_level="2", debug_level="0")
         distribution = Distribution({"name": "leadrudder-compiled", "ext_modules": extensions})
         command = distribution.get_command_obj("build_ext")
@@ -55,24 +63,24 @@
         command.run()
     finally:
         sys.argv = sys_argv
-        os.chdir(here)
+        os.chdir(previous_folder)
 
 
-def _keep(scratch: Path, kept: Path, wanted: str) -> None:
-    """Put the extensions where they are looked for, whole or not at all."""
-    new = kept.with_name(f"{kept.name}.{os.getpid()}")
-    shutil.rmtree(new, ignore_errors=True)
-    for path in [*scratch.glob(SHARED), *(scratch / "leadrudder").rglob("*.so")]:
-        target = new / path.relative_to(scratch)
+def _install(scratch: Path, target_folder: Path, expected_stamp: str) -> None:
+    """Replaces the folder that the extensions are loaded from, by a complete one."""
+    staging = target_folder.with_name(f"{target_folder.name}.{os.getpid()}")
+    shutil.rmtree(staging, ignore_errors=True)
+    for path in [*scratch.glob(SHARED_LIBRARY_PATTERN), *(scratch / "leadrudder").rglob("*.so")]:
+        target = staging / path.relative_to(scratch)
         target.parent.mkdir(parents=True, exist_ok=True)
         shutil.copyfile(path, target)
-    (new / STAMP).write_text(wanted)
-    shutil.rmtree(kept, ignore_errors=True)
-    new.rename(kept)
+    (staging / STAMP_FILE).write_text(expected_stamp)
+    shutil.rmtree(target_folder, ignore_errors=True)
+    staging.rename(target_folder)
 
 
 def main() -> int:
-    """Exit code 0, also where nothing could be compiled."""
+    """Exit code 0, also if nothing could be compiled."""
     print(build())
     return 0
 
--- a/leadrudder/compiled.py
+++ b/leadrudder/compiled.py
@@ -1,8 +1,8 @@
-"""The decisions compiled to machine code by mypyc, where that was built from the sources as they stand.
+"""Loads the decision modules as compiled by mypyc, if they were built from the current sources.
 
-leadrudder/compile.py puts the modules named here into a folder of the interpreter's own environment (a
-virtual environment's, as a rule).  Where there are none, where a source has changed since, or where the
-environment variable LEADRUDDER_PURE is set, the sources are interpreted: the same code, five times slower.
+leadrudder/compile.py installs the modules listed here into a folder of the interpreter's environment (usually
+a virtual environment).  If they are missing, if a source has changed since, or if the environment variable
+LEADRUDDER_PURE is set, the sources are interpreted: the same behaviour, five times slower.
 """
 
 from __future__ import annotations
@@ -38,36 +38,36 @@
     "state.weights",
     "state.worth",
 )
-PACKAGE = Path(__file__).parent
-PURE = "LEADRUDDER_PURE"
-STAMP = "stamp"
-SHARED = "*__mypyc.*.so"  # what all compiled modules rest on; mypyc names it by what is in it
+PACKAGE_PATH = Path(__file__).parent
+PURE_PYTHON_VARIABLE = "LEADRUDDER_PURE"
+STAMP_FILE = "stamp"
+SHARED_LIBRARY_PATTERN = "*__mypyc.*.so"  # used by all compiled modules; mypyc names it by its contents
 
 
-def folder() -> Path:
-    """Where the compiled modules of this interpreter's environment are kept."""
+def compiled_folder() -> Path:
+    """The folder of the compiled modules in this interpreter's environment."""
     return Path(sys.prefix) / "leadrudder-compiled"
 
 
-def source(module: str) -> Path:
-    return PACKAGE / (module.replace(".", "/") + ".py")
+def source_path(module: str) -> Path:
+    return PACKAGE_PATH / (module.replace(".", "/") + ".py")
 
 
-def stamp() -> str:
-    """What the compiled modules must have been built from: this interpreter, and these sources."""
+def build_stamp() -> str:
+    """Digest of the interpreter version and the sources that the compiled modules must be built from."""
     digest = hashlib.sha256(sys.version.encode())
     for module in MODULES:
-        digest.update(source(module).read_bytes())
+        digest.update(source_path(module).read_bytes())
     return digest.hexdigest()
 
 
-def prefer(kept: Path | None = None) -> bool:
-    """Have the compiled modules found before their sources; False where the sources are to be interpreted.
+def use_compiled_modules(module_folder: Path | None = None) -> bool:
+    """Puts the compiled modules before their sources on the import path; False if there are none to use.
 
-    To be called while no module that is named here has been imported.
+    Must be called before any of MODULES is imported.
     """
-    kept = kept or folder()
-    if os.environ.get(PURE) or not _load_shared(kept):
+    module_folder = module_folder or compiled_folder()
+    if os.environ.get(PURE_PYTHON_VARIABLE) or not _load_shared_library(module_folder):
         return False
     for package in (
         "leadrudder",
@@ -77,16 +77,16 @@
         "leadrudder.state",
     ):
         path = importlib.import_module(package).__path__
-        path.insert(0, str(kept / package.replace(".", "/")))
+        path.insert(0, str(module_folder / package.replace(".", "/")))
     return True
 
 
-def _load_shared(kept: Path) -> bool:
-    """Load what all compiled modules rest on; False where there is none that may be used."""
+def _load_shared_library(module_folder: Path) -> bool:
+    """Loads the library shared by all compiled modules; False if it is missing, outdated or unusable."""
     try:
-        if (kept / STAMP).read_text() != stamp():
-            return False  # the sources have changed: what was built from others must not decide
-        shared = next(kept.glob(SHARED))
+        if (module_folder / STAMP_FILE).read_text() != build_stamp():
+            return False  # the sources have changed since the build
+        shared = next(module_folder.glob(SHARED_LIBRARY_PATTERN))
     except (OSError, StopIteration):
         return False
     name = shared.name.partition(".")[0]
@@ -97,6 +97,6 @@
         module = importlib.util.module_from_spec(spec)
         spec.loader.exec_module(module)
     except ImportError:
-        return False  # built for another machine
+        return False  # built for another platform
     sys.modules[name] = module
     return True
--- a/leadrudder/interface.py
+++ b/leadrudder/interface.py
@@ -1,7 +1,7 @@
 """The interface of the decision module: settings, events and actions.
 
-All times are milliseconds on the caller's clock, which only has to advance.  A server id is opaque
-bytes, a request id an opaque number; the module hands both back as it got them.
+All times are milliseconds on the caller's clock, which must be monotonic.  Server ids are opaque bytes and
+request ids opaque numbers; the module returns both unchanged.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 RequestId = int
 
 
-class UnexpectedEvent(ValueError):  # noqa: N818 - it names an event, not an error of the module's
-    """An event that cannot be true: it names a request, attempt or class that never existed."""
+class UnexpectedEvent(ValueError):  # noqa: N818 - named for the event
+    """An impossible event, such as one for a request, attempt or class that does not exist."""
 
 
-class ImpossibleSettings(ValueError):  # noqa: N818 - named for what it says
-    """Settings that cannot be meant; the text names the field."""
+class ImpossibleSettings(ValueError):  # noqa: N818 - named for the settings
+    """Invalid settings; the message names the field."""
 
 
 def _check(values: object, names: tuple[str, ...], least: float) -> None:
@@ -29,7 +29,7 @@
 
 
 class Effect(Enum):
-    """What a second execution of a request would do."""
+    """Whether a request may be executed twice: always, with deduplication by its key, or never."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -37,7 +37,7 @@
 
 
 class RepeatGroup(Enum):
-    """The servers that together drop repeats of a keyed request."""
+    """The group of servers that deduplicate repeats of a keyed request among them."""
 
     ALL = "all"
     ZONE = "zone"
@@ -45,7 +45,7 @@
 
 
 class Readiness(Enum):
-    """A server's standing on the server list."""
+    """State of a server on the server list."""
 
     GONE = 0
     READY = 1
@@ -53,7 +53,7 @@
 
 
 class ListKind(Enum):
-    """How a server list relates to the one before it."""
+    """How a server list relates to the previous one."""
 
     FAILED = 0
     CHANGES = 1
@@ -62,7 +62,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt or a probe ended."""
+    """Outcome of an attempt or a probe."""
 
     OK = "ok"
     ERROR = "error"
@@ -72,11 +72,11 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     MOOT = "moot"
-    SPOILT = "spoilt"  # what came back was no answer: it may have run, and says little of its server
-    REJECTED = "rejected"  # the server found fault with the request itself: sending it again is of no use
+    SPOILT = "spoilt"  # malformed answer: the request may have run; weak evidence against the server
+    REJECTED = "rejected"  # the server refused the request as invalid, so a retry is useless
 
 
-# These outcomes prove that the attempt never ran.
+# Outcomes that prove that the attempt was not executed.
 NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT})
 
 
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests and what an answer to it is worth."""
+    """A class of requests, with its latency target, deadline, worth and effect."""
 
     name: str
     aim_ms: float
@@ -97,7 +97,7 @@
     window_ms: float = 0.0
     stream: bool = False
     aim_stretch: float = 0.0
-    repeat: bool = True  # False: what may have run is not sent again, even where that would be harmless
+    repeat: bool = True  # False: a request that may have run is not sent again, even if that would be safe
 
     def __post_init__(self) -> None:
         _check(self, ("aim_ms", "deadline_ms"), 1e-6)
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One of those who share the service; quota is summed over all balancers of the first tier."""
+    """A tenant of the service.  The quota applies to the sum over all balancers of the first tier."""
 
     name: str
     fraction: float
@@ -115,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What an instance is told at its start."""
+    """Settings of an instance, fixed at its start."""
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
@@ -148,9 +148,7 @@
     cross_zone_price: float = 0.0
     load_columns: tuple[str, ...] = ()
     floor_share: float = 0.4  # p_min = this / r
-    even_spread: bool = (
-        True  # draw among those that hold the fewest of our calls; False where gates tell who is full
-    )
+    even_spread: bool = True  # draw among servers with the fewest calls; False if gates report full servers
 
     def __post_init__(self) -> None:
         if not self.classes:
@@ -164,12 +162,12 @@
 # ---------------------------------------------------------------- events
 
 
-UNTOLD = -1  # a zone or cell that the list does not name
+UNTOLD = -1  # zone or cell of a server for which the list names none
 
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    """A row of the server list.  started_ms 0 means long ago."""
+    """A row of the server list.  started_ms 0: started long ago."""
 
     server: ServerId
     readiness: Readiness = Readiness.READY
@@ -182,9 +180,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerList:
-    """News of the server list; a server absent from a whole list is gone.
+    """An update of the server list; a server that is absent from a whole list is removed.
 
-    more: further pieces of the same news follow at once.
+    more: further parts of the same update follow immediately.
     """
 
     kind: ListKind
@@ -195,7 +193,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A client's request, which is owed one final answer within budget_ms."""
+    """A client's request, which must get exactly one final answer within budget_ms."""
 
     request: RequestId
     class_index: int
@@ -209,7 +207,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerStarted:
-    """A streamed answer has begun; the attempt now belongs to the client."""
+    """A streamed answer has started; from here on the request is bound to this attempt."""
 
     request: RequestId
     attempt: int
@@ -219,9 +217,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """The one outcome of an attempt.  finished: the request needs no further answer.
+    """The outcome of an attempt.  finished: the request needs no further answer.
 
-    rest_ms: of one that was refused before it reached its server, for how long that expects no free slot.
+    rest_ms: for an attempt that was refused before it reached its server, the expected time to a free slot
+    there.
     """
 
     request: RequestId
@@ -236,7 +235,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestGone:
-    """The client left, or its time is over; no answer is owed."""
+    """The client disconnected or its deadline passed; no answer is needed."""
 
     request: RequestId
 
@@ -253,14 +252,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer asked for by SetTimer is due."""
+    """A timer set by SetTimer has expired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message from another balancer of the tier; the module makes no use of these."""
+    """A message from another balancer of the tier; ignored by the module."""
 
     sender: int
     body: bytes
@@ -276,7 +275,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start the request's next attempt.  timeout_ms 0: wait until the client gives up."""
+    """Start the request's next attempt.  timeout_ms 0: no timeout other than the client's."""
 
     request: RequestId
     server: ServerId
@@ -284,16 +283,16 @@
 
 
 class Refusal(Enum):
-    """Why a request is refused: nobody acts by it, it is for those who look for a cause."""
+    """Why a request is refused; for diagnosis only."""
 
-    LIMIT = "limit"  # no room under the limit of calls out, for what it is worth
-    NOBODY = "nobody"  # room, and no server that may take it: ejected, resting, full, cold or crowded
-    TRIED = "tried"  # sent, and there is no time, budget or permission for another attempt
+    LIMIT = "limit"  # the admission limit leaves no room for a request of its worth
+    NOBODY = "nobody"  # admitted, but no server is available: ejected, resting, full, cold or crowded
+    TRIED = "tried"  # attempted; no time, retry budget or permission for another attempt
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: not served, and trying again is harmless."""
+    """Final answer: not served, and a retry is safe."""
 
     request: RequestId
     retry_after_ms: float = 0.0
@@ -302,14 +301,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: not served, and nothing is promised."""
+    """Final answer: not served, and possibly executed."""
 
     request: RequestId
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt."""
 
     request: RequestId
     attempt: int
@@ -317,7 +316,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a TimerFired at or after at_ms."""
+    """Request a TimerFired at or after at_ms."""
 
     token: int
     at_ms: float
@@ -325,7 +324,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask a server for a sign of life."""
+    """Send a health probe to a server."""
 
     server: ServerId
 
@@ -339,12 +338,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask discovery for changes from now on; answered by a ServerList."""
+    """Subscribe to changes of the server list; answered by a ServerList."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the operators."""
+    """A line for the operator's log."""
 
     text: str
 
--- a/leadrudder/looks.py
+++ b/leadrudder/looks.py
@@ -17,9 +17,7 @@
     calm_latency_ms: float  # lowest mean latency, without queueing
     total_outstanding: int  # calls in flight
     late_after_ms: float  # age after which an attempt is late
-    warm_server_flow: float | None = (
-        None  # work per ms to a warm server; computed once, and only if a server is cold
-    )
+    warm_server_flow: float | None = None  # work per ms; computed once, and only if a server is cold
     may_have_run: bool = field(init=False)
     tried_servers: set[ServerId] = field(init=False)
 
--- a/leadrudder/policy/automaton.py
+++ b/leadrudder/policy/automaton.py
@@ -94,7 +94,7 @@
             else:
                 other.all_times(1.0 - theta, theta * p_min)
 
-    def learn_failure(self, i: int, latency: float) -> None:
+    def charge(self, i: int, latency: float) -> None:
         """Records a failed call, which never pays off.  A fast error counts as the mean, a hang is capped."""
         mean = self.mean()
         if i >= 0 and mean is not None:
@@ -157,9 +157,9 @@
             self.shares.all_times(1.0 / (1.0 - mine))
             self._apply_floor(self._floor / (r + 1) / (1.0 - mine))
 
-    def _apply_floor(self, least: float) -> None:
-        """Applies the floor that follows from the new r; least: lower bound of the present shares."""
-        self.shares.draw_to_mean(self._floor / len(self.servers), least)
+    def _apply_floor(self, lower_bound: float) -> None:
+        """Applies the floor that follows from the new r; lower_bound: of the present shares."""
+        self.shares.draw_to_mean(self._floor / len(self.servers), lower_bound)
         if self.shares.worn():
             self._renormalize()
         self._set_step_sizes()
--- a/leadrudder/policy/decide.py
+++ b/leadrudder/policy/decide.py
@@ -28,20 +28,17 @@
 from leadrudder.state.timers import Timers
 from leadrudder.state.worth import Worth
 
-# Backoff of a server that refused a call as full, as a fraction of the latency target; doubled with each
-# further refusal until it answers, because a draining server refuses calls for seconds before the list says
-# so.
+# Backoff of a server that refused a call as full, as a fraction of the latency target.  Doubled each time
+# until it answers: a draining server refuses calls for seconds before the list says so.
 FULL_BACKOFF_AIMS = 0.02
 MAX_FULL_BACKOFF_DOUBLINGS = 5
 LATE_REST_FACTOR = 2.0  # rest, in durations of a late call during which the server answered nothing else
 
-# Per-server concurrency limit: decreased on a refused call, increased additively per window of answered
-# calls.
+# Per-server concurrency limit: decreased by a refused call, increased by this much per window of answers.
 CONCURRENCY_DECREASE_FACTOR = 0.9
 CONCURRENCY_INCREASE = 0.25
 
-# Longest wait in the queue, as a fraction of the latency target: a client that is refused then can still
-# retry.
+# Longest wait in the queue, as a fraction of the latency target, so that a refused client can still retry.
 MAX_QUEUE_WAIT_AIMS = 0.1
 QUEUE_RECHECK_AIMS = 0.02  # interval between checks of the queue, as a fraction of the latency target
 
@@ -59,15 +56,15 @@
         self._turn = Turn(random.Random(seed))
         self._timers = Timers(lambda kind, of: kind == TIMER_HEDGE and of not in self._requests)
         self._list_calls = ListCalls(settings, self._turn.rng)
-        self._placement = Placement(settings, self._turn)
-        self.automaton = self._placement.automaton
+        self._fleet = Placement(settings, self._turn)
+        self.automaton = self._fleet.automaton
         self._health = Health(
             settings,
             self._turn,
-            self._placement,
+            self._fleet,
             lambda when, server: self._timers.at(when, TIMER_REINSTATE, server),
         )
-        self._admission = Admission(settings, self._turn, self._placement.reports, limit)
+        self._admission = Admission(settings, self._turn, self._fleet.reports, limit)
         self._requests: dict[api.RequestId, Request] = {}
         self._attempts: dict[tuple[api.RequestId, int], tuple[Server, Attempt]] = {}
         self._queue: list[tuple[float, int, Request]] = []  # by worth, then by age
@@ -92,11 +89,11 @@
         """Returns the actions that follow from one event."""
         turn = self._turn
         turn.actions, turn.now = [], now
-        self._placement.recheck_due()
+        self._fleet.recheck_due()
         on_event = self._handlers.get(type(event))
         if on_event is not None:
             on_event(event)
-        self._admission.set_capacity(self._placement.capacity.total())
+        self._admission.set_capacity(self._fleet.capacity.total())
         self._dispatch_queue()
         if (wake := self._timers.wake()) is not None:
             turn.actions.append(api.SetTimer(*wake))
@@ -115,8 +112,8 @@
                     self._turn.actions.append(api.Subscribe())
                     self._timers.at(again, TIMER_SERVER_LIST)
             elif isinstance(subject, bytes):
-                if subject in self._placement.servers:  # otherwise it was removed meanwhile
-                    self._health.try_reinstate(self._placement.servers[subject])
+                if subject in self._fleet.servers:  # otherwise it was removed meanwhile
+                    self._health.try_reinstate(self._fleet.servers[subject])
             elif isinstance(subject, int):
                 request = self._requests.get(subject)  # None: the request has finished
                 if (
@@ -138,7 +135,7 @@
             return
         if failed and not self._list_calls.failed:
             self._turn.log(f"server list restored after {failed} failed calls")
-        self._placement.apply_list(event)
+        self._fleet.apply_list(event)
 
     def _on_arrival(self, event: api.Arrival) -> None:
         settings, now = self.settings, self._turn.now
@@ -198,7 +195,7 @@
     def _try_place(self, request: Request, last_resort: bool) -> bool:
         calm, out = self._admission.strain.calm, len(self._attempts)
         context = DrawContext(request, self.automaton.mean() or 0.0, calm, out, self._latency.late())
-        server = self._placement.choose_server(context, last_resort)
+        server = self._fleet.choose_server(context, last_resort)
         return server is not None and self._send(request, server)
 
     def _send(self, request: Request, server: Server) -> bool:
@@ -223,7 +220,7 @@
         request.outstanding += 1
         server.out[request.id, number] = now
         self._attempts[request.id, number] = (server, attempt)
-        self._placement.on_sent(server, request.appraisal.units)
+        self._fleet.on_sent(server, request.appraisal.units)
         self._admission.strain.sent()
         self._set_hedge_timer(request)
         if self._needs_new_connection(request, server):
@@ -258,13 +255,12 @@
 
         Only if the server answers nothing else meanwhile: a server that answers other calls is busy with long
         work, and abandoning it would load the next queue (14% of attempts timed out on a quiet day).  And
-        only while the retry budget lasts and latencies are within their target; otherwise the timer is set
-        again.
+        only while the retry budget lasts and latencies are within their target; else the timer is set again.
         """
         late = self._class_latency[request.class_index].late()
-        out = [self._placement.servers[a.entry.server] for a in request.attempts if a.outcome is None]
+        out = [self._fleet.servers[a.entry.server] for a in request.attempts if a.outcome is None]
         affordable = self._retry_tokens >= 1.0 and self._admission.strain.pressure < 1.0
-        if affordable and all(self._placement.is_silent(s, late) for s in out):
+        if affordable and all(self._fleet.is_silent(s, late) for s in out):
             if not self.settings.may_duplicate:
                 self._cancel_attempts(request, None)
                 return
@@ -305,11 +301,11 @@
         attempt.outcome = event.outcome
         del server.out[key]
         server.classes[attempt.class_index].out -= 1
-        self._placement.reports.take(server, event.load)
+        self._fleet.reports.take(server, event.load)
         self._health.update_totals(server, -1)
         self._record_outcome(server, attempt, event)
         self._health.update_totals(server, 1)
-        self._placement.refresh(server)
+        self._fleet.refresh(server)
         request = self._requests.get(event.request)
         if request is None:
             return
@@ -332,7 +328,7 @@
             and len(request.attempts) < self.settings.max_attempts
             and remaining_ms > max(mean, 2 * self.settings.tick_ms)
             and (not needs_token or self._retry_tokens >= 1.0)
-            and any_server_permitted(request, self._placement.arms, self.settings, self._turn.now)
+            and any_server_permitted(request, self._fleet.arms, self.settings, self._turn.now)
         ):
             if needs_token:
                 self._retry_tokens -= 1.0
@@ -349,7 +345,7 @@
         if elapsed > self._latency.late() and self._turn.now - server.heard >= elapsed:
             # This late outcome is the only evidence: with few calls an average over seven spans most of a
             # minute, while the cause of the delay is still present.
-            self._placement.rest_if_spare(server, LATE_REST_FACTOR * elapsed)
+            self._fleet.rest_if_spare(server, LATE_REST_FACTOR * elapsed)
         current = attempt.entry.started_ms == server.entry.started_ms
         if outcome is Outcome.OK:
             server.heard = self._turn.now
@@ -374,34 +370,32 @@
             # Without a concurrency limit, thousands of calls per second were refused by such servers.
             server.ceiling = max(1.0, CONCURRENCY_DECREASE_FACTOR * min(server.ceiling, len(server.out)))
             pause = FULL_BACKOFF_AIMS * 2.0 ** min(server.turned_away, MAX_FULL_BACKOFF_DOUBLINGS)
-            self._placement.rest_server_until(server, self._turn.now + pause * self._shortest_aim_ms)
+            self._fleet.rest_server_until(server, self._turn.now + pause * self._shortest_aim_ms)
             server.turned_away += 1
-            self.automaton.learn_failure(server.at, elapsed)
-            # Counts as overload only if more servers are full than may be ejected: a rolling drain is no
-            # overload.
+            self.automaton.charge(server.at, elapsed)
+            # No overload unless more servers are full than may be ejected: they may be draining in turn.
             if self._health.many_servers_full(server):
                 self._observe_latency(1.0)
         elif outcome in (Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.SPOILT):
             if outcome in (Outcome.ERROR, Outcome.SPOILT):
                 server.heard = self._turn.now
-            self.automaton.learn_failure(server.at, elapsed)
+            self.automaton.charge(server.at, elapsed)
             self._health.on_failure(server, attempt.class_index, outcome, current)
         elif outcome is Outcome.MOOT and event.rest_ms:
             # Refused before it reached its server, which is full: no payoff, and the server rests meanwhile.
-            self.automaton.learn_failure(server.at, elapsed)
-            self._placement.rest_server_until(server, self._turn.now + event.rest_ms)
+            self.automaton.charge(server.at, elapsed)
+            self._fleet.rest_server_until(server, self._turn.now + event.rest_ms)
         elif outcome is Outcome.REJECTED:
             server.heard = self._turn.now  # caused by the request, not by the server or the load
         elif outcome in (Outcome.TIMEOUT, Outcome.CANCELLED):
             if request is None:
                 return  # cancelled because another copy was answered first
-            # The call would have taken at least this long; leaving it out would bias the latency bound
-            # downwards.
+            # The call would have taken at least this long; leaving it out would lower the latency bound.
             self._latency.observe(elapsed)
             self._class_latency[request.class_index].observe(elapsed)
             self._worth.learn(request.class_index, request.appraisal.cost, elapsed)
             self._observe_latency(elapsed / request.request_class.aim_ms)
-            self.automaton.learn_failure(server.at, elapsed)
+            self.automaton.charge(server.at, elapsed)
             if current and elapsed >= self._latency.late():
                 self._health.add_failure(server, outcome)
 
--- a/leadrudder/policy/health.py
+++ b/leadrudder/policy/health.py
@@ -18,8 +18,7 @@
 LONG_TERM_STEP = 0.05  # the peers' rate spans about twenty answers of each server
 MAX_BARRED_SHARE = 0.5  # of servers, for one class; they still serve the others, so no capacity is lost
 # Ejection times are relative to the cold time, as most faults end with a restart; but where servers warm up
-# within a second, a fault still lasts for many answers, and a server that failed a class would be retried
-# every second.
+# within a second, a fault still lasts for many answers, and a failed class would be retried every second.
 EJECTION_BASE_AIMS = 4.0  # lower bound of the base, in latency targets
 FIRST_EJECTION_SHARE = 0.2  # first ejection, as a fraction of the base; doubles up to MAX_EJECTION_SHARE
 MAX_EJECTION_SHARE = 1.0
--- a/leadrudder/policy/placement.py
+++ b/leadrudder/policy/placement.py
@@ -71,7 +71,7 @@
         # For each class: whether it is in panic, and the number of decisions since that was computed.
         self._panic_cache: list[tuple[bool, int]] = [(False, 0)] * len(settings.classes)
         self._can_repeat = any(c.effect is not Effect.UNSAFE for c in settings.classes)
-        self._most_waiting = max(1.0, MAX_WAITING_CALLS / (1 if settings.stage else settings.balancers))
+        self._max_waiting = max(1.0, MAX_WAITING_CALLS / (1 if settings.stage else settings.balancers))
 
     def apply_list(self, event: ServerList) -> None:
         """Applies a server list or changes of one: incrementally, or as a whole where that costs less."""
@@ -225,17 +225,18 @@
 
     def _in_panic(self, context: DrawContext) -> bool:
         """Whether too many servers are unhealthy to go by health; computed rarely enough to cost little."""
-        c = context.request.class_index
-        panic, since = self._panic_cache[c]
+        class_index = context.request.class_index
+        panic, since = self._panic_cache[class_index]
         if since * SCAN_CREDIT_PER_REQUEST < len(self.special):
-            self._panic_cache[c] = panic, since + 1
+            self._panic_cache[class_index] = panic, since + 1
             return panic
         late, now = context.late_after_ms, self._turn.now
         unhealthy_servers = (
-            s.ejected or not s.classes[c].open(now) or self.is_silent(s, late) for s in self.special.values()
+            s.ejected or not s.classes[class_index].open(now) or self.is_silent(s, late)
+            for s in self.special.values()
         )
-        self._panic_cache[c] = sum(unhealthy_servers) > PANIC_UNHEALTHY_SHARE * len(self.arms), 0
-        return self._panic_cache[c][0]
+        self._panic_cache[class_index] = sum(unhealthy_servers) > PANIC_UNHEALTHY_SHARE * len(self.arms), 0
+        return self._panic_cache[class_index][0]
 
     def _candidates(self, context: DrawContext, last_resort: bool, among: Sequence[Server]) -> list[int]:
         """Indices to draw from: the servers that the rules allow, as far as possible healthy and not busy."""
@@ -286,7 +287,7 @@
             return BUSY
         if out:
             slow, share = self.automaton.averages.values[server.at], self.automaton.shares.weight(server.at)
-            if slow and out * (1.0 - context.calm_latency_ms / slow) > self._most_waiting:
+            if slow and out * (1.0 - context.calm_latency_ms / slow) > self._max_waiting:
                 # By Little's law this part of its calls is queued there.  Long queues slow a server down for
                 # a long time, and its own average shows that before the mean over all servers does.
                 return BUSY
@@ -351,10 +352,10 @@
 
         These are the subset, or the own zone if cross-zone calls have a price.
         """
-        near = self._subset_size if self._subset_size >= MIN_LOCAL_SERVERS else len(self.arms)
-        now, whole = self._turn.now, near == len(self.arms)
+        pool_size = self._subset_size if self._subset_size >= MIN_LOCAL_SERVERS else len(self.arms)
+        now, whole = self._turn.now, pool_size == len(self.arms)
         out = (s.ejected or s.rest_until > now for s in self.special.values() if whole or self._in_subset(s))
-        if can_spare(sum(out), near):
+        if can_spare(sum(out), pool_size):
             self.rest_server_until(server, now + span)
 
     def rest_server_until(self, server: Server, until: float) -> None:
--- a/leadrudder/settings.py
+++ b/leadrudder/settings.py
@@ -1,6 +1,6 @@
-"""The settings of an instance, read from path to value pairs with errors that name the key.
+"""Reads the settings of an instance from a flat mapping of paths to values.
 
-The simulator's wire and a real node's configuration hold the same object, so both are read here.
+The simulator's protocol and the configuration of a real node use the same paths, so both are read here.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 
 
 class SettingsError(Exception):
-    """A setting that is missing or cannot be read; its text names the key."""
+    """A setting that is missing or invalid; the message names the key."""
 
 
-class _Setup:
-    """Typed, checked look-ups in path to value pairs; errors name the key."""
+class _ValueReader:
+    """Typed and validated look-ups by path; errors name the key."""
 
     def __init__(self, values: Mapping[str, str]) -> None:
         self.values = values
@@ -26,7 +26,7 @@
             raise SettingsError(f"settings: {key} is missing")
         return value
 
-    def number(self, key: str, default: float | None = None, low: float = 0.0) -> float:
+    def number(self, key: str, default: float | None = None, minimum: float = 0.0) -> float:
         raw = self.values.get(key, "")
         if raw == "":
             if default is None:
@@ -36,17 +36,17 @@
             value = float(raw)
         except ValueError:
             raise SettingsError(f"settings: {key} is not a number: {raw!r}") from None
-        if not low <= value < float("inf"):
+        if not minimum <= value < float("inf"):
             raise SettingsError(f"settings: {key} is out of range: {raw}")
         return value
 
-    def whole(self, key: str, default: int | None = None, low: int = 0) -> int:
-        value = self.number(key, default, low)
+    def integer(self, key: str, default: int | None = None, minimum: int = 0) -> int:
+        value = self.number(key, default, minimum)
         if value != int(value):
             raise SettingsError(f"settings: {key} is not a whole number: {value}")
         return int(value)
 
-    def flag(self, key: str, default: bool) -> bool:
+    def boolean(self, key: str, default: bool) -> bool:
         raw = self.values.get(key, "")
         if raw == "":
             return default
@@ -59,84 +59,84 @@
         return tuple(raw.split(",")) if raw else ()
 
 
-def _effect(setup: _Setup, key: str) -> Effect:
-    raw = setup.text(key)
+def _read_effect(reader: _ValueReader, key: str) -> Effect:
+    raw = reader.text(key)
     try:
         return Effect(raw)
     except ValueError:
         raise SettingsError(f"settings: {key} is an unknown effect: {raw!r}") from None
 
 
-def _group(setup: _Setup, key: str) -> RepeatGroup:
-    raw = setup.text(key, "all")
+def _read_group(reader: _ValueReader, key: str) -> RepeatGroup:
+    raw = reader.text(key, "all")
     try:
         return RepeatGroup(raw)
     except ValueError:
         raise SettingsError(f"settings: {key} is an unknown group: {raw!r}") from None
 
 
-def _request_class(setup: _Setup, at: str) -> RequestClass:
-    effect = _effect(setup, f"{at}.effect")
+def _read_request_class(reader: _ValueReader, prefix: str) -> RequestClass:
+    effect = _read_effect(reader, f"{prefix}.effect")
     keyed = effect is Effect.KEYED
     return RequestClass(
-        name=setup.text(f"{at}.name", ""),
-        aim_ms=setup.number(f"{at}.aimMs", low=1e-6),
-        deadline_ms=setup.number(f"{at}.deadlineMs", low=1e-6),
-        worth=setup.number(f"{at}.worth", 1.0),
-        late_share=setup.number(f"{at}.lateShare", 0.0),
+        name=reader.text(f"{prefix}.name", ""),
+        aim_ms=reader.number(f"{prefix}.aimMs", minimum=1e-6),
+        deadline_ms=reader.number(f"{prefix}.deadlineMs", minimum=1e-6),
+        worth=reader.number(f"{prefix}.worth", 1.0),
+        late_share=reader.number(f"{prefix}.lateShare", 0.0),
         effect=effect,
-        group=_group(setup, f"{at}.group"),
-        window_ms=setup.number(f"{at}.windowMs", None if keyed else 0.0),
-        stream=setup.flag(f"{at}.stream", False),
-        aim_stretch=setup.number(f"{at}.aimStretch", 0.0),
-        repeat=setup.flag(f"{at}.repeat", True),
+        group=_read_group(reader, f"{prefix}.group"),
+        window_ms=reader.number(f"{prefix}.windowMs", None if keyed else 0.0),
+        stream=reader.boolean(f"{prefix}.stream", False),
+        aim_stretch=reader.number(f"{prefix}.aimStretch", 0.0),
+        repeat=reader.boolean(f"{prefix}.repeat", True),
     )
 
 
 def read_settings(values: Mapping[str, str]) -> Settings:
-    """Settings from path to value pairs; unknown keys are ignored."""
-    setup = _Setup(values)
-    count = setup.whole("profiles.count")
+    """Builds Settings from a mapping of paths to values; unknown keys are ignored."""
+    reader = _ValueReader(values)
+    count = reader.integer("profiles.count")
     if count < 1:
         raise SettingsError("settings: profiles.count must be at least 1")
-    classes = tuple(_request_class(setup, f"profiles.{i}") for i in range(count))
+    classes = tuple(_read_request_class(reader, f"profiles.{i}") for i in range(count))
     tenants = tuple(
         Tenant(
-            name=setup.text(f"tenants.{i}.name", ""),
-            fraction=setup.number(f"tenants.{i}.fraction"),
-            quota_per_s=setup.number(f"tenants.{i}.quotaPerS", 0.0),
+            name=reader.text(f"tenants.{i}.name", ""),
+            fraction=reader.number(f"tenants.{i}.fraction"),
+            quota_per_s=reader.number(f"tenants.{i}.quotaPerS", 0.0),
         )
-        for i in range(setup.whole("tenants.count", 0))
+        for i in range(reader.integer("tenants.count", 0))
     )
     return Settings(
         classes=classes,
         tenants=tenants,
-        balancers=setup.whole("balancers", 1, 1),
-        ordinal=setup.whole("ordinal", 0),
-        stage=setup.whole("stage", 0),
-        stages=max(1, len(setup.names("layers"))),
-        zone=setup.whole("locality", 0),
-        zones=max(1, len(setup.names("azs"))),
-        max_attempts=setup.whole("policyLimits.tryLimit", 1, 1),
-        may_duplicate=setup.flag("policyLimits.mayDuplicate", False),
-        may_cancel=setup.flag("policyLimits.cancel", False),
-        may_probe=setup.flag("policyLimits.probes", False),
-        retry_after=setup.flag("policyLimits.retryAfter", False),
-        max_retry_after_ms=setup.number("policyLimits.maxRetryAfterMs", 0.0),
-        worth_by_work=setup.text("worthBy", "request") == "work",
-        over_share_worth=setup.number("overShareWorth", 1.0),
-        ask_for_list=setup.text("registryMode", "pushed") == "on_request",
-        must_ask_ms=setup.number("guarantees.mustAskInMs", 10_000.0, 1.0),
-        capacity_hints=setup.text("weights", "off") != "off",
-        passes_deadline=setup.flag("familyInfo.passesDeadline", True),
-        answer_slack_ms=setup.number("guarantees.answerSlackMs", 0.0),
-        drain_grace_ms=setup.number("guarantees.stopSendingWithinMs", 0.0),
-        cold_start_share=setup.number("guarantees.startCapacity", 0.3),
-        cold_ms=setup.number("guarantees.coldMs", 0.0),
-        fall_multiple=setup.number("guarantees.fallMultiple", 3.0),
-        fall_window_ms=setup.number("guarantees.overloadForMs", 1000.0),
-        connect_timeout_ms=setup.number("policyLimits.connectTimeoutMs", 250.0),
-        tick_ms=setup.number("tickMs", 1.0),
-        cross_zone_price=setup.number("tariffs.crossZone", 0.0),
-        load_columns=setup.names("loadInfo.columns"),
+        balancers=reader.integer("balancers", 1, 1),
+        ordinal=reader.integer("ordinal", 0),
+        stage=reader.integer("stage", 0),
+        stages=max(1, len(reader.names("layers"))),
+        zone=reader.integer("locality", 0),
+        zones=max(1, len(reader.names("azs"))),
+        max_attempts=reader.integer("policyLimits.tryLimit", 1, 1),
+        may_duplicate=reader.boolean("policyLimits.mayDuplicate", False),
+        may_cancel=reader.boolean("policyLimits.cancel", False),
+        may_probe=reader.boolean("policyLimits.probes", False),
+        retry_after=reader.boolean("policyLimits.retryAfter", False),
+        max_retry_after_ms=reader.number("policyLimits.maxRetryAfterMs", 0.0),
+        worth_by_work=reader.text("worthBy", "request") == "work",
+        over_share_worth=reader.number("overShareWorth", 1.0),
+        ask_for_list=reader.text("registryMode", "pushed") == "on_request",
+        must_ask_ms=reader.number("guarantees.mustAskInMs", 10_000.0, 1.0),
+        capacity_hints=reader.text("weights", "off") != "off",
+        passes_deadline=reader.boolean("familyInfo.passesDeadline", True),
+        answer_slack_ms=reader.number("guarantees.answerSlackMs", 0.0),
+        drain_grace_ms=reader.number("guarantees.stopSendingWithinMs", 0.0),
+        cold_start_share=reader.number("guarantees.startCapacity", 0.3),
+        cold_ms=reader.number("guarantees.coldMs", 0.0),
+        fall_multiple=reader.number("guarantees.fallMultiple", 3.0),
+        fall_window_ms=reader.number("guarantees.overloadForMs", 1000.0),
+        connect_timeout_ms=reader.number("policyLimits.connectTimeoutMs", 250.0),
+        tick_ms=reader.number("tickMs", 1.0),
+        cross_zone_price=reader.number("tariffs.crossZone", 0.0),
+        load_columns=reader.names("loadInfo.columns"),
     )
--- a/leadrudder/wire.py
+++ b/leadrudder/wire.py
@@ -1,6 +1,6 @@
-"""The simulator's wire: frames, records and settings, turned into the module's own types and back.
+"""The simulator's protocol: decodes frames, records and settings into the types of the interface, and back.
 
-No decision is taken here.  Layouts follow the operators' wire description.
+The layouts follow the operators' description of the protocol.
 """
 
 from __future__ import annotations
@@ -39,25 +39,25 @@
 
 BATCH_HEADER = struct.Struct("<IdI")
 REPLY_HEADER = struct.Struct("<II")
-_RECORD = struct.Struct("<BI")
-_NODE = struct.Struct("<I")
-_ENTRY = struct.Struct("<fH6sBHBd")
-_ENLIST = struct.Struct("<IQI")
-_TABLE = struct.Struct("<II")
-_SYNC = struct.Struct("<IIIB")
-_ARRIVAL = struct.Struct("<IIHHQddH")
-_FIRST = struct.Struct("<IIHd6s")
-_SETTLED = struct.Struct("<IIH6sHdBB")
-_GONE = struct.Struct("<II")
-_FIRED = struct.Struct("<IQ")
-_PING = struct.Struct("<I6sHdB")
-_DATAGRAM = struct.Struct("<IHH")
-
-_HINT_VALID, _REPEAT, _WRITE = 1, 2, 4
-_TABLES = 16
-_MAX_TEXT = 1000
-
-_OUTCOMES = {
+_RECORD_HEADER = struct.Struct("<BI")
+_NODE_LAYOUT = struct.Struct("<I")
+_ENTRY_LAYOUT = struct.Struct("<fH6sBHBd")
+_START_LAYOUT = struct.Struct("<IQI")
+_TABLE_HEADER = struct.Struct("<II")
+_SERVER_LIST_LAYOUT = struct.Struct("<IIIB")
+_ARRIVAL_LAYOUT = struct.Struct("<IIHHQddH")
+_ANSWER_STARTED_LAYOUT = struct.Struct("<IIHd6s")
+_ATTEMPT_ENDED_LAYOUT = struct.Struct("<IIH6sHdBB")
+_REQUEST_GONE_LAYOUT = struct.Struct("<II")
+_TIMER_FIRED_LAYOUT = struct.Struct("<IQ")
+_PROBE_ENDED_LAYOUT = struct.Struct("<I6sHdB")
+_PEER_MESSAGE_LAYOUT = struct.Struct("<IHH")
+
+_FLAG_HINT_VALID, _FLAG_REPEAT, _FLAG_WRITE = 1, 2, 4
+_MAX_TABLES = 16
+_MAX_TEXT_BYTES = 1000
+
+_OUTCOMES_BY_STATUS = {
     200: Outcome.OK,
     502: Outcome.ERROR,
     429: Outcome.FULL,
@@ -70,12 +70,12 @@
 
 
 class WireError(Exception):
-    """A frame or a setting that cannot be read; its text names what is wrong."""
+    """A malformed frame or setting; the message says what is wrong."""
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """An instance starts with these settings."""
+    """Starts an instance with these settings."""
 
     seed: int
     settings: Settings
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """An instance was killed."""
+    """Ends an instance."""
 
 
 Record = tuple[int, Event | Start | Stop]
@@ -93,7 +93,7 @@
 
 
 def parse_settings(text: str) -> Settings:
-    """Settings from the wire's path=value lines."""
+    """Parses settings from lines of path=value."""
     values: dict[str, str] = {}
     for line in text.splitlines():
         path, found, value = line.partition("=")
@@ -108,41 +108,41 @@
 # ---------------------------------------------------------------- events
 
 
-def _floats(body: bytes, at: int, count: int) -> tuple[float, ...]:
+def _read_floats(body: bytes, at: int, count: int) -> tuple[float, ...]:
     if not count:
         return ()
     values: tuple[float, ...] = struct.unpack_from(f"<{count}f", body, at)
     return values
 
 
-def _entries(body: bytes) -> tuple[ServerEntry, ...]:
-    count = _TABLE.unpack_from(body)[1]
-    if len(body) < _TABLE.size + count * _ENTRY.size:
+def _read_entries(body: bytes) -> tuple[ServerEntry, ...]:
+    count = _TABLE_HEADER.unpack_from(body)[1]
+    if len(body) < _TABLE_HEADER.size + count * _ENTRY_LAYOUT.size:
         raise WireError("a table is shorter than its number of entries")
     rows = []
     for i in range(count):
-        hint, kind, server, zone, cell, readiness, started = _ENTRY.unpack_from(
-            body, _TABLE.size + i * _ENTRY.size
+        hint, kind, server, zone, cell, readiness, started = _ENTRY_LAYOUT.unpack_from(
+            body, _TABLE_HEADER.size + i * _ENTRY_LAYOUT.size
         )
         rows.append(ServerEntry(server, Readiness(readiness), hint, kind, zone, cell, started))
     return tuple(rows)
 
 
 class Decoder:
-    """Reads batches in event order; keeps the numbered tables, which belong to the whole process."""
+    """Decodes batches in event order; holds the numbered server tables, which are shared by all instances."""
 
     def __init__(self) -> None:
         self._tables: dict[int, tuple[ServerEntry, ...]] = {}
         self._settings: dict[bytes, Settings] = {}
 
     def records(self, body: bytes, count: int) -> Iterator[Record]:
-        """The records of one batch, one at a time, so that a reused table number is read in order."""
+        """Yields the records of a batch one by one, because a later record may replace a table in use."""
         at = 0
         for _ in range(count):
-            if at + _RECORD.size > len(body):
+            if at + _RECORD_HEADER.size > len(body):
                 raise WireError("a batch ends before its last record")
-            code, length = _RECORD.unpack_from(body, at)
-            at += _RECORD.size
+            code, length = _RECORD_HEADER.unpack_from(body, at)
+            at += _RECORD_HEADER.size
             if at + length > len(body):
                 raise WireError(f"record {code} is cut short")
             fields = body[at : at + length]
@@ -158,48 +158,59 @@
 
     def _record(self, code: int, body: bytes) -> Record | None:
         if code == 5:
-            node, request, attempt, server, how, elapsed, done, n = _SETTLED.unpack_from(body)
-            load = _floats(body, _SETTLED.size, n)
-            return node, AttemptEnded(request, attempt, server, _OUTCOMES[how], elapsed, bool(done), load)
+            node, request, attempt, server, status, elapsed, done, n = _ATTEMPT_ENDED_LAYOUT.unpack_from(body)
+            load = _read_floats(body, _ATTEMPT_ENDED_LAYOUT.size, n)
+            return node, AttemptEnded(
+                request, attempt, server, _OUTCOMES_BY_STATUS[status], elapsed, bool(done), load
+            )
         if code == 3:
-            node, request, service, tenant, key, budget, cost, marks = _ARRIVAL.unpack_from(body)
-            hint = cost if marks & _HINT_VALID else None
+            node, request, service, tenant, key, budget, cost, flags = _ARRIVAL_LAYOUT.unpack_from(body)
+            hint = cost if flags & _FLAG_HINT_VALID else None
             return node, Arrival(
-                request, service, budget, tenant, key, hint, bool(marks & _REPEAT), bool(marks & _WRITE)
+                request,
+                service,
+                budget,
+                tenant,
+                key,
+                hint,
+                bool(flags & _FLAG_REPEAT),
+                bool(flags & _FLAG_WRITE),
             )
         if code == 7:
-            node, token = _FIRED.unpack_from(body)
+            node, token = _TIMER_FIRED_LAYOUT.unpack_from(body)
             return node, TimerFired(token)
         if code == 2:
-            node, version, number, mode = _SYNC.unpack_from(body)
+            node, version, number, mode = _SERVER_LIST_LAYOUT.unpack_from(body)
             kind = ListKind(mode)
             entries = () if kind is ListKind.FAILED else self._tables[number]
             return node, ServerList(kind, entries, version)
         if code == 11:
-            number = _TABLE.unpack_from(body)[0]
-            if number >= _TABLES:
+            number = _TABLE_HEADER.unpack_from(body)[0]
+            if number >= _MAX_TABLES:
                 raise WireError(f"table number {number} is out of range")
-            self._tables[number] = _entries(body)
+            self._tables[number] = _read_entries(body)
             return None
         if code == 6:
-            node, request = _GONE.unpack_from(body)
+            node, request = _REQUEST_GONE_LAYOUT.unpack_from(body)
             return node, RequestGone(request)
         if code == 8:
-            node, server, how, elapsed, n = _PING.unpack_from(body)
-            return node, ProbeEnded(server, _OUTCOMES[how], elapsed, _floats(body, _PING.size, n))
+            node, server, status, elapsed, n = _PROBE_ENDED_LAYOUT.unpack_from(body)
+            return node, ProbeEnded(
+                server, _OUTCOMES_BY_STATUS[status], elapsed, _read_floats(body, _PROBE_ENDED_LAYOUT.size, n)
+            )
         if code == 4:
-            node, request, attempt, elapsed, server = _FIRST.unpack_from(body)
+            node, request, attempt, elapsed, server = _ANSWER_STARTED_LAYOUT.unpack_from(body)
             return node, AnswerStarted(request, attempt, server, elapsed)
         if code == 9:
-            node, sender, n = _DATAGRAM.unpack_from(body)
-            if len(body) < _DATAGRAM.size + n:
+            node, sender, n = _PEER_MESSAGE_LAYOUT.unpack_from(body)
+            if len(body) < _PEER_MESSAGE_LAYOUT.size + n:
                 raise WireError("a message is cut short")
-            return node, PeerMessage(sender, body[_DATAGRAM.size : _DATAGRAM.size + n])
+            return node, PeerMessage(sender, body[_PEER_MESSAGE_LAYOUT.size : _PEER_MESSAGE_LAYOUT.size + n])
         if code == 10:
-            return _NODE.unpack_from(body)[0], Stop()
+            return _NODE_LAYOUT.unpack_from(body)[0], Stop()
         if code == 1:
-            node, seed, n = _ENLIST.unpack_from(body)
-            raw = body[_ENLIST.size : _ENLIST.size + n]
+            node, seed, n = _START_LAYOUT.unpack_from(body)
+            raw = body[_START_LAYOUT.size : _START_LAYOUT.size + n]
             if len(raw) < n:
                 raise WireError("settings are cut short")
             return node, Start(seed, parse_settings(raw.decode()))
@@ -208,54 +219,54 @@
 
 # ---------------------------------------------------------------- actions
 
-_SEND = struct.Struct("<BIII6sd")
-_REFUSE = struct.Struct("<BIIId")
-_FAIL = struct.Struct("<BIII")
-_CANCEL = struct.Struct("<BIIIH")
-_TIMER = struct.Struct("<BIIQd")
-_SERVER = struct.Struct("<BII6s")
-_WATCH = struct.Struct("<BIIB")
-_TEXT = struct.Struct("<BIIH")
+_SEND_LAYOUT = struct.Struct("<BIII6sd")
+_REFUSE_LAYOUT = struct.Struct("<BIIId")
+_FAIL_LAYOUT = struct.Struct("<BIII")
+_CANCEL_LAYOUT = struct.Struct("<BIIIH")
+_SET_TIMER_LAYOUT = struct.Struct("<BIIQd")
+_SERVER_ACTION_LAYOUT = struct.Struct("<BII6s")
+_SUBSCRIBE_LAYOUT = struct.Struct("<BIIB")
+_TEXT_HEADER = struct.Struct("<BIIH")
 
 
-def _sized(layout: struct.Struct) -> int:
-    return layout.size - _RECORD.size
+def _body_size(layout: struct.Struct) -> int:
+    return layout.size - _RECORD_HEADER.size
 
 
-def _text(code: int, node: int, text: str) -> bytes:
-    body = text.encode("utf-8", "replace")[:_MAX_TEXT]
-    return _TEXT.pack(code, _sized(_TEXT) + len(body), node, len(body)) + body
+def _encode_text(code: int, node: int, text: str) -> bytes:
+    body = text.encode("utf-8", "replace")[:_MAX_TEXT_BYTES]
+    return _TEXT_HEADER.pack(code, _body_size(_TEXT_HEADER) + len(body), node, len(body)) + body
 
 
 def encode(node: int, action: Action) -> bytes:
-    """One action of one instance as a record."""
+    """Encodes one action of an instance as a record."""
     match action:
         case Send(request, server, timeout):
-            return _SEND.pack(65, _sized(_SEND), node, request, server, timeout)
+            return _SEND_LAYOUT.pack(65, _body_size(_SEND_LAYOUT), node, request, server, timeout)
         case SetTimer(token, at):
-            return _TIMER.pack(69, _sized(_TIMER), node, token, at)
+            return _SET_TIMER_LAYOUT.pack(69, _body_size(_SET_TIMER_LAYOUT), node, token, at)
         case Refuse(request, retry_after):
-            return _REFUSE.pack(66, _sized(_REFUSE), node, request, retry_after)
+            return _REFUSE_LAYOUT.pack(66, _body_size(_REFUSE_LAYOUT), node, request, retry_after)
         case Fail(request):
-            return _FAIL.pack(67, _sized(_FAIL), node, request)
+            return _FAIL_LAYOUT.pack(67, _body_size(_FAIL_LAYOUT), node, request)
         case Cancel(request, attempt):
-            return _CANCEL.pack(68, _sized(_CANCEL), node, request, attempt)
+            return _CANCEL_LAYOUT.pack(68, _body_size(_CANCEL_LAYOUT), node, request, attempt)
         case Probe(server):
-            return _SERVER.pack(70, _sized(_SERVER), node, server)
+            return _SERVER_ACTION_LAYOUT.pack(70, _body_size(_SERVER_ACTION_LAYOUT), node, server)
         case CloseIdle(server):
-            return _SERVER.pack(71, _sized(_SERVER), node, server)
+            return _SERVER_ACTION_LAYOUT.pack(71, _body_size(_SERVER_ACTION_LAYOUT), node, server)
         case Subscribe():
-            return _WATCH.pack(75, _sized(_WATCH), node, 1)
+            return _SUBSCRIBE_LAYOUT.pack(75, _body_size(_SUBSCRIBE_LAYOUT), node, 1)
         case Log(text):
-            return _text(73, node, text)
+            return _encode_text(73, node, text)
 
 
 def encode_fault(node: int, text: str) -> bytes:
-    """The record that declares an instance's decision code broken."""
-    return _text(74, node, text)
+    """Encodes a record that reports a fault in an instance's decision code."""
+    return _encode_text(74, node, text)
 
 
 def reply(records: list[bytes]) -> bytes:
-    """A whole reply frame."""
+    """Builds a reply frame."""
     body = b"".join(records)
     return REPLY_HEADER.pack(len(records), len(body)) + body
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -1,7 +1,7 @@
 """An independent check of the four rules over a seeded random stream of events.
 
-It shares no code with the module: it plays a crude surrounding (not a model of any service) that answers
-the module's actions with legal outcomes in odd orders, and asserts the rules on every action.
+It shares no code with the module.  The harness answers the module's actions with legal outcomes in arbitrary
+order, without modelling any service, and asserts the rules for every action.
 """
 
 from __future__ import annotations
@@ -38,11 +38,11 @@
     TimerFired,
 )
 
-PROOFS = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+NEVER_RAN_OUTCOMES = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 
 
 @dataclass
-class Tried:
+class SentAttempt:
     entry: ServerEntry
     sent: float
     limit: float
@@ -50,25 +50,25 @@
 
 
 @dataclass
-class Owed:
+class OpenRequest:
     kind: RequestClass
     deadline: float
     done_at: float | None = None
-    attempts: list[Tried] = field(default_factory=list)
+    attempts: list[SentAttempt] = field(default_factory=list)
 
-    def risky(self) -> list[Tried]:
-        return [a for a in self.attempts if a.ended is None or a.ended not in PROOFS]
+    def possible_runs(self) -> list[SentAttempt]:
+        return [a for a in self.attempts if a.ended is None or a.ended not in NEVER_RAN_OUTCOMES]
 
 
 class Surrounding:
-    """Feeds a balancer and checks what comes back."""
+    """Passes events to a balancer and checks the returned actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self.rng = random.Random(seed)
         self.balancer = Balancer(settings, seed)
         self.now = 1000.0
-        self.owed: dict[int, Owed] = {}
+        self.owed: dict[int, OpenRequest] = {}
         self.rows: dict[ServerId, ServerEntry] = {}
         self.timers: list[tuple[float, int]] = []
         self.probes: list[ServerId] = []
@@ -89,24 +89,24 @@
         budget = kind.deadline_ms if budget is None else budget
         request = self.next_id
         self.next_id += 1
-        self.owed[request] = Owed(kind, self.now + budget)
+        self.owed[request] = OpenRequest(kind, self.now + budget)
         self.open.add(request)
         self.feed(Arrival(request, class_index, budget))
         return request
 
     def end(self, request: int, number: int, outcome: Outcome) -> None:
-        owed = self.owed[request]
-        tried = owed.attempts[number]
-        tried.ended = outcome
-        if outcome is Outcome.OK and owed.done_at is None:
-            owed.done_at = self.now
-        finished = owed.done_at is not None
-        elapsed = self.now - tried.sent
-        self.feed(AttemptEnded(request, number, tried.entry.server, outcome, elapsed, finished))
+        request_state = self.owed[request]
+        attempt = request_state.attempts[number]
+        attempt.ended = outcome
+        if outcome is Outcome.OK and request_state.done_at is None:
+            request_state.done_at = self.now
+        finished = request_state.done_at is not None
+        elapsed = self.now - attempt.sent
+        self.feed(AttemptEnded(request, number, attempt.entry.server, outcome, elapsed, finished))
 
     def live(self, request: int) -> Iterator[int]:
-        """The attempts still out; one that is sent while going through them comes up too."""
-        return (number for number, tried in enumerate(self.owed[request].attempts) if tried.ended is None)
+        """The attempts in flight, including any that is sent during the iteration."""
+        return (number for number, attempt in enumerate(self.owed[request].attempts) if attempt.ended is None)
 
     def list_of(self, rows: list[ServerEntry], kind: ListKind = ListKind.FULL) -> None:
         if kind is not ListKind.CHANGES:
@@ -119,13 +119,23 @@
             case Send(request, server, timeout):
                 self._check_send(request, server, timeout)
             case Refuse(request, _) | Fail(request):
-                owed = self.owed[request]
-                assert owed.done_at is None, "rule 1: a second final answer"
-                assert self.now <= owed.deadline + self.settings.answer_slack_ms, "rule 1: answered too late"
-                owed.done_at = self.now
-                if isinstance(action, Refuse) and owed.risky() and owed.kind.effect is not Effect.SAFE:
-                    assert owed.kind.effect is Effect.KEYED, "rule 2: refused an unsafe one that may have run"
-                    assert owed.kind.group is RepeatGroup.ALL, "rule 2: refusal needs the group of all"
+                request_state = self.owed[request]
+                assert request_state.done_at is None, "rule 1: a second final answer"
+                assert (
+                    self.now <= request_state.deadline + self.settings.answer_slack_ms
+                ), "rule 1: answered too late"
+                request_state.done_at = self.now
+                if (
+                    isinstance(action, Refuse)
+                    and request_state.possible_runs()
+                    and request_state.kind.effect is not Effect.SAFE
+                ):
+                    assert (
+                        request_state.kind.effect is Effect.KEYED
+                    ), "rule 2: refused an unsafe request that may have run"
+                    assert (
+                        request_state.kind.group is RepeatGroup.ALL
+                    ), "rule 2: refused a keyed request whose group is not all servers"
             case SetTimer(token, at):
                 self.timers.append((at, token))
             case Cancel(request, number):
@@ -137,32 +147,32 @@
                 self.subscriptions += 1
 
     def _check_send(self, request: int, server: ServerId, timeout: float) -> None:
-        owed = self.owed[request]
-        assert owed.done_at is None, "rule 1: sent for a finished request"
-        assert self.now < owed.deadline and timeout >= 0.0
-        assert len(owed.attempts) < self.settings.max_attempts
+        request_state = self.owed[request]
+        assert request_state.done_at is None, "rule 1: sent for a finished request"
+        assert self.now < request_state.deadline and timeout >= 0.0
+        assert len(request_state.attempts) < self.settings.max_attempts
         entry = self.rows.get(server)
         assert entry is not None and entry.readiness is Readiness.READY, "rule 3: sent to a drained server"
-        risky = owed.risky()
-        if risky:
-            kind = owed.kind
+        earlier = request_state.possible_runs()
+        if earlier:
+            kind = request_state.kind
             assert kind.effect is not Effect.UNSAFE, "rule 2: an unsafe request sent twice"
             if not self.settings.may_duplicate:
-                assert all(a.ended is not None for a in owed.attempts), "two copies at once"
+                assert all(a.ended is not None for a in request_state.attempts), "two copies at once"
             if kind.effect is Effect.KEYED:
-                for other in risky:
+                for other in earlier:
                     assert self.now - other.sent < kind.window_ms, "rule 2: outside the window"
                     if kind.group is RepeatGroup.CELL:
                         assert entry.cell == other.entry.cell, "rule 2: another cell"
                     if kind.group is RepeatGroup.ZONE:
                         assert entry.zone == other.entry.zone, "rule 2: another zone"
-        limit = min(owed.deadline, self.now + timeout) if timeout else owed.deadline
-        owed.attempts.append(Tried(entry, self.now, limit))
+        limit = min(request_state.deadline, self.now + timeout) if timeout else request_state.deadline
+        request_state.attempts.append(SentAttempt(entry, self.now, limit))
 
     # ---------------------------------------------------------------- time
 
     def step(self, span: float) -> None:
-        """Let time pass: fire due timers, end overdue attempts."""
+        """Advances the time: ends overdue attempts and fires due timers."""
         self.now += span
         self.open = {
             r
@@ -170,24 +180,25 @@
             if self.owed[r].done_at is None or any(t.ended is None for t in self.owed[r].attempts)
         }
         for request in sorted(self.open):
-            for number, tried in enumerate(self.owed[request].attempts):
-                if tried.ended is None and tried.limit <= self.now:
+            for number, attempt in enumerate(self.owed[request].attempts):
+                if attempt.ended is None and attempt.limit <= self.now:
                     self.end(request, number, Outcome.TIMEOUT)
         self.fire_due()
-        for owed in self.owed.values():
+        for request_state in self.owed.values():
             assert (
-                owed.done_at is not None or self.now <= owed.deadline + self.settings.answer_slack_ms
+                request_state.done_at is not None
+                or self.now <= request_state.deadline + self.settings.answer_slack_ms
             ), "rule 1: no answer in time"
 
     def fire_due(self) -> None:
-        """Fire the module's own timers and nothing else."""
+        """Fires the timers of the module only."""
         due = [t for t in self.timers if t[0] <= self.now]
         self.timers = [t for t in self.timers if t[0] > self.now]
         for _, token in due:
             self.feed(TimerFired(token))
 
-    def muddle(self, steps: int) -> None:
-        """A seeded stream of everything that may legally happen."""
+    def run_random_events(self, steps: int) -> None:
+        """Runs a seeded stream of random legal events."""
         rng = self.rng
         outcomes = list(Outcome)
         for _ in range(steps):
@@ -200,12 +211,12 @@
                 request, number = rng.choice(live)
                 self.end(request, number, rng.choice([*outcomes, Outcome.OK, Outcome.OK]))
             elif what < 0.7:
-                self._muddle_list()
+                self._send_random_list()
             elif what < 0.73:
                 request = rng.randrange(1, self.next_id + 1)
-                owed = self.owed.get(request)
-                if owed is not None and owed.done_at is None:
-                    owed.done_at = self.now
+                request_state = self.owed.get(request)
+                if request_state is not None and request_state.done_at is None:
+                    request_state.done_at = self.now
                 self.feed(RequestGone(request))
             elif what < 0.76 and self.probes:
                 self.feed(ProbeEnded(self.probes.pop(), rng.choice(outcomes), 5.0))
@@ -214,7 +225,7 @@
         for _ in range(2000):
             self.step(10.0)
 
-    def _muddle_list(self) -> None:
+    def _send_random_list(self) -> None:
         rng = self.rng
         kind = rng.choice(list(ListKind))
         if kind is ListKind.FAILED:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,9 +1,9 @@
-"""The suite gives the same verdict at every run: hypothesis draws no fresh examples and keeps no files.
+"""Configures the suite: hypothesis is deterministic and stores no files.
 
-It reads the sources, whatever was compiled: tests look into objects and replace their methods.  What is
-compiled is held against the sources by tests/test_compiled.py.
+Tests run on the interpreted sources, because they inspect objects and replace methods.
+tests/test_compiled.py compares the compiled modules with the sources.
 
-Failures of just the tests that KNOWN-RED.txt lists are passed over and printed (tests/known_red.py).
+Failures of the tests listed in KNOWN-RED.txt, and of no others, are ignored and printed (tests/known_red.py).
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class KnownRedPlugin:
-    """Gathers how tests ended, and judges the run by that and by the list."""
+    """Collects test results and decides the exit status of the run by them and the list."""
 
     def __init__(self) -> None:
         self.known = known_red.load(known_red.FILE)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,8 @@
-"""Tests that are known to fail for a real fault: KNOWN-RED.txt at the root, read strictly.
+"""Tests that are expected to fail because of a known fault: KNOWN-RED.txt at the root.
 
-Each line names a test, the cause and the issue, with " | " between them. A run passes over the failure of
-just these tests. It fails if a listed test passes, is not there or was not run, if there are more lines than
-allowed, or if a line cannot be read: so the list can only hold what is red, and what is red is always shown.
+Each line gives a test, the cause and the issue, separated by " | ". A run ignores the failures of these tests
+only. It fails if a listed test passes, does not exist or was not run, if there are too many lines, or if a
+line is malformed: so the list holds only tests that fail, and every failure is shown.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from pathlib import Path
 
 FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
-LINES_MOST = 3
+MAX_LINES = 3
 SEPARATOR = " | "
 
 
 class KnownRedError(Exception):
-    """The list itself is wrong."""
+    """The list is invalid."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
-    """A test that may fail.  test: as pytest names it, such as tests/mesh/test_x.py::Case::test_y."""
+    """A test that may fail.  test: its pytest node id, such as tests/mesh/test_x.py::Case::test_y."""
 
     test: str
     cause: str
@@ -30,10 +30,10 @@
 
 
 def read(text: str) -> list[KnownRed]:
-    """KnownRedError where the list breaks one of its rules."""
+    """Parses the list; raises KnownRedError if it is invalid."""
     lines = [line for line in text.splitlines() if line.strip()]
-    if len(lines) > LINES_MOST:
-        raise KnownRedError(f"{len(lines)} lines, where {LINES_MOST} are allowed")
+    if len(lines) > MAX_LINES:
+        raise KnownRedError(f"{len(lines)} lines, where {MAX_LINES} are allowed")
     known = [_read_line(line) for line in lines]
     if len({each.test for each in known}) < len(known):
         raise KnownRedError("a test is listed twice")
@@ -48,15 +48,15 @@
 
 
 def load(path: Path = FILE) -> list[KnownRed]:
-    """The list; empty where there is no file."""
+    """Reads the list; empty if the file does not exist."""
     return read(path.read_text(encoding="utf-8")) if path.exists() else []
 
 
 def complaints(known: Collection[KnownRed], passed: Collection[str], failed: Collection[str]) -> list[str]:
-    """What is wrong with a whole run, by the names of its tests; empty if it may pass."""
+    """Describes what is wrong with a complete run, by test names; empty if the run may pass."""
     listed = {each.test for each in known}
-    told = [f"{name} failed and is not listed" for name in sorted(set(failed) - listed)]
+    messages = [f"{name} failed and is not listed" for name in sorted(set(failed) - listed)]
     for name in sorted(listed - set(failed)):
         what = "passed: take it off the list" if name in passed else "was not run"
-        told.append(f"{name} is listed in {FILE.name} and {what}")
-    return told
+        messages.append(f"{name} is listed in {FILE.name} and {what}")
+    return messages
--- a/tests/plain_automaton.py
+++ b/tests/plain_automaton.py
@@ -1,4 +1,4 @@
-"""The automaton written plainly, as the tests' reference: every payoff rewrites every share."""
+"""A plain reference implementation of the automaton, in which each payoff rewrites all shares."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class PlainAutomaton:
-    """Shares in a list, averages in a list; the steps are those of the automaton that it stands beside."""
+    """Keeps shares and averages in lists; takes its step sizes from the automaton under test."""
 
-    def __init__(self, beside: Automaton) -> None:
-        self._beside = beside
+    def __init__(self, tested: Automaton) -> None:
+        self._tested = tested
         self.servers: list[ServerId] = []
         self.p: list[float] = []
         self.average: list[float | None] = []
@@ -23,7 +23,7 @@
         return sum(known) / len(known) if known else None
 
     def order(self) -> list[int]:
-        """Indices as the draw meets them: kind by kind, in the order in which kinds are first met."""
+        """Indices in the order of the draw: by kind, in the order in which the kinds first occur."""
         return sorted(
             range(len(self.p)), key=lambda i: (list(dict.fromkeys(self.kinds)).index(self.kinds[i]), i)
         )
@@ -43,12 +43,12 @@
         threshold = self._update_average(i, latency)
         if latency >= threshold:
             return False
-        theta, r = self._beside.theta, len(self.p)
+        theta, r = self._tested.theta, len(self.p)
         p_min = FLOOR_SHARE / r
         mine = self.p[i]
         self.p = [x + theta * (p_min - x) for x in self.p]
         self.p[i] = mine + theta * (1.0 - (r - 1) * p_min - mine)
-        theta, kind = self._beside.theta_kind, self.kinds[i]
+        theta, kind = self._tested.theta_kind, self.kinds[i]
         if theta:
             same = sum(x for x, k in zip(self.p, self.kinds, strict=True) if k == kind)
             lost = theta * (1.0 - same - p_min * (r - self.kinds.count(kind)))
@@ -58,7 +58,7 @@
             ]
         return True
 
-    def learn_failure(self, server: ServerId, latency: float) -> None:
+    def charge(self, server: ServerId, latency: float) -> None:
         mean = self.mean()
         if server in self.servers and mean is not None:
             self._update_average(
@@ -72,7 +72,7 @@
             return latency
         old = self.average[i]
         start = mean if old is None else old
-        self.average[i] = start + self._beside.alpha * (latency - start)
+        self.average[i] = start + self._tested.alpha * (latency - start)
         return self.mean() or latency
 
     def resize(self, weights: Mapping[ServerId, float], kinds: Mapping[ServerId, int]) -> None:
@@ -84,12 +84,12 @@
         self.servers = stay + new
         self.average = averages + [None] * len(new)
         self.p = floored(ratios + [unit * weights[s] for s in new])
-        met = list(dict.fromkeys(kinds[s] for s in self.servers))
-        self.kinds = [min(met.index(kinds[s]), MAX_KINDS - 1) for s in self.servers]
+        kind_order = list(dict.fromkeys(kinds[s] for s in self.servers))
+        self.kinds = [min(kind_order.index(kinds[s]), MAX_KINDS - 1) for s in self.servers]
 
 
 def floored(ratios: Sequence[float]) -> list[float]:
-    """Those under the floor are raised to it, the others scaled, until none is under it."""
+    """Raises shares below the floor to it and scales the others, until none is below."""
     p_min = FLOOR_SHARE / len(ratios) if ratios else 0.0
     low: set[int] = set()
     while True:
--- a/tests/replay_stream.py
+++ b/tests/replay_stream.py
@@ -1,11 +1,11 @@
-"""Plays the recorded batches of tests/data/stream.bin through the command that deploy/balancer.toml names.
+"""Replays the recorded batches of tests/data/stream.bin through the command given in deploy/balancer.toml.
 
-    python tests/replay_stream.py             play them, from the root of the repository
-    python tests/replay_stream.py --record    write the recording anew (its events depend on no decision)
+    python tests/replay_stream.py             replay, from the root of the repository
+    python tests/replay_stream.py --record    write the recording again (its events depend on no decision)
 
-Instance 1 knows one idle server, so each of its calls has to be sent there at once; instance 2 has several
-servers that come, drain and restart, gets no outcomes and is killed in between.  The frames are packed and
-read here without the package's codec.
+Instance 1 has one idle server, so each of its calls must be sent there at once.  Instance 2 has several
+servers that join, drain and restart; it gets no outcomes and is killed once.  Frames are encoded and decoded
+here without the package's codec.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 
 ROOT = Path(__file__).parent.parent
 STREAM = ROOT / "tests" / "data" / "stream.bin"
-FORWARD, REFUSE, LOSE, BUG = 65, 66, 67, 74
-SETUP = """azs=north,south
+SEND, REFUSE, FAIL, FAULT = 65, 66, 67, 74
+SETTINGS = """azs=north,south
 balancers=2
 guarantees.answerSlackMs=8.0
 guarantees.coldMs=4000.0
@@ -59,30 +59,34 @@
     return b"".join(struct.pack("<fH6sBHBd", 1.0, 0, _server(n), n % 2, n // 3, r, t) for n, r, t in rows)
 
 
-def _enlist(node: int, seed: int) -> bytes:
-    return _record(1, "IQI", node, seed, len(SETUP), tail=SETUP.encode())
+def _start_record(node: int, seed: int) -> bytes:
+    return _record(1, "IQI", node, seed, len(SETTINGS), tail=SETTINGS.encode())
 
 
-def _sync(node: int, table: int, kind: int, rows: list[tuple[int, int, float]]) -> bytes:
+def _list_records(node: int, table: int, kind: int, rows: list[tuple[int, int, float]]) -> bytes:
     return _record(11, "II", table, len(rows), tail=_rows(rows)) + _record(2, "IIIB", node, 1, table, kind)
 
 
 def _batches() -> Iterator[tuple[float, list[bytes]]]:
-    """(clock, records) of the recording; a sync is two records."""
+    """Yields (clock, records) of the recording; a list takes two records."""
     several = [(n, 1, 0.0) for n in range(2, 8)]
-    yield 100.0, [_enlist(1, 11), *_split(_sync(1, 0, 2, [(1, 1, 0.0)]))]
-    yield 105.0, [_enlist(2, 12), *_split(_sync(2, 1, 2, several))]
+    yield 100.0, [_start_record(1, 11), *_split(_list_records(1, 0, 2, [(1, 1, 0.0)]))]
+    yield 105.0, [_start_record(2, 12), *_split(_list_records(2, 1, 2, several))]
     now, request = 110.0, 0
     for step in range(60):
         now += 10.0
         request += 2
-        mine = [_record(3, "IIHHQddH", 1, request, step % 2, 0, 0, 900.0, 0.0, 0)]
-        mine.append(_record(3, "IIHHQddH", 2, request + 1, step % 2, 0, 0, 300.0, 0.0, 0))
+        records = [_record(3, "IIHHQddH", 1, request, step % 2, 0, 0, 900.0, 0.0, 0)]
+        records.append(_record(3, "IIHHQddH", 2, request + 1, step % 2, 0, 0, 300.0, 0.0, 0))
         if step == 20:
-            mine += _split(_sync(2, 3, 1, [(2, 2, 0.0), (3, 1, now - 50.0)]))
+            records += _split(_list_records(2, 3, 1, [(2, 2, 0.0), (3, 1, now - 50.0)]))
         if step == 40:
-            mine += [_record(10, "I", 2), _enlist(2, 13), *_split(_sync(2, 4, 2, several[2:]))]
-        yield now, mine
+            records += [
+                _record(10, "I", 2),
+                _start_record(2, 13),
+                *_split(_list_records(2, 4, 2, several[2:])),
+            ]
+        yield now, records
         now += 10.0
         done = _record(5, "IIH6sHdBB", 1, request, 0, _server(1), 200, 10.0, 1, 0)
         yield now, [done, _record(6, "II", 2, request - 59)] if request > 62 else [done]
@@ -111,7 +115,7 @@
 
 
 def _actions(output: bytes) -> Iterator[list[tuple[int, bytes]]]:
-    """(code, fields) of each reply."""
+    """Yields the (code, fields) pairs of each reply."""
     at = 0
     while at < len(output):
         count, size = struct.unpack_from("<II", output, at)
@@ -121,11 +125,11 @@
             code, length = struct.unpack_from("<BI", output, at)
             reply.append((code, output[at + 5 : at + 5 + length]))
             at += 5 + length
-        assert at == end, "a reply's length does not fit its records"
+        assert at == end, "the length of a reply does not match its records"
         yield reply
 
 
-def play(command: str, stream: bytes, hash_seed: str) -> bytes:
+def replay(command: str, stream: bytes, hash_seed: str) -> bytes:
     environment = {**os.environ, "PYTHONHASHSEED": hash_seed}
     run = subprocess.run(
         ["/bin/sh", "-c", command], input=stream, capture_output=True, cwd=ROOT, env=environment, check=False
@@ -141,20 +145,24 @@
         return 0
     command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["sim"]
     stream = STREAM.read_bytes()
-    output = play(command, stream, "1")
-    assert output == play(command, stream, "2"), "replies depend on the order of a hash table"
+    output = replay(command, stream, "1")
+    assert output == replay(command, stream, "2"), "replies depend on PYTHONHASHSEED"
     replies = list(_actions(output))
-    assert len(replies) == sum(1 for _ in _frames(stream)), "not one reply for each batch"
-    told: dict[int, set[int]] = {FORWARD: set(), REFUSE: set(), LOSE: set()}
+    assert len(replies) == sum(1 for _ in _frames(stream)), "number of replies differs from number of batches"
+    requests_by_code: dict[int, set[int]] = {SEND: set(), REFUSE: set(), FAIL: set()}
     for reply in replies:
         for code, fields in reply:
-            assert code != BUG, f"an instance failed: {fields[6:].decode()}"
-            if code in told:
-                told[code].add(struct.unpack_from("<I", fields, 4)[0])
-    mine = set(range(2, 122, 2))
-    assert mine <= told[FORWARD], f"not sent at once: {sorted(mine - told[FORWARD])}"
-    assert not mine & (told[REFUSE] | told[LOSE]), "a served request got another answer"
-    assert len(told[FORWARD] - mine) > 20, "the second instance hardly sends"
+            assert code != FAULT, f"an instance failed: {fields[6:].decode()}"
+            if code in requests_by_code:
+                requests_by_code[code].add(struct.unpack_from("<I", fields, 4)[0])
+    expected = set(range(2, 122, 2))
+    assert (
+        expected <= requests_by_code[SEND]
+    ), f"not sent at once: {sorted(expected - requests_by_code[SEND])}"
+    assert not expected & (
+        requests_by_code[REFUSE] | requests_by_code[FAIL]
+    ), "a served request got a second answer"
+    assert len(requests_by_code[SEND] - expected) > 20, "the second instance sends too few calls"
     print(
         f"recorded stream: {len(replies)} replies, {sum(len(r) for r in replies)} actions, as they should be"
     )
--- a/tests/test_automaton.py
+++ b/tests/test_automaton.py
@@ -1,4 +1,4 @@
-"""The automaton alone: hand-worked figures, and its invariants under any sequence."""
+"""The automaton alone: values computed by hand, and invariants under random ops."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 def test_update_by_hand() -> None:
     a = fleet(1, 1, 1, 1)
     assert a.p == [0.25] * 4
-    a.learn(0, 100.0)  # the first answer is every average's start, and no payoff against itself
+    a.learn(0, 100.0)  # the first answer initializes all averages and is no payoff
     assert a.averages.values == [100.0] * 4 and a.p == [0.25] * 4
     assert a.learn(1, 60.0)
     assert a.averages.values[1] == pytest.approx(100 + ALPHA * (60 - 100))
@@ -38,14 +38,14 @@
     assert a.p[1] == pytest.approx(0.25 + theta * (1 - 3 * low - 0.25))
     assert a.p[0] == pytest.approx(0.25 + theta * (low - 0.25))
     before = list(a.p)
-    assert not a.learn(2, 500.0)  # a miss moves the average and leaves the vector alone
+    assert not a.learn(2, 500.0)  # no payoff: updates the average and not the vector
     assert a.p == before and a.averages.values[2] == pytest.approx(100 + ALPHA * 400)
 
 
 @pytest.mark.parametrize("nodes", [1, 3, 40, 1000])
 @pytest.mark.parametrize("servers", [2, 10, 40])
 def test_theta_grows_with_the_nodes_and_stays_well_below_alpha(nodes: int, servers: int) -> None:
-    """Seen at full size: with a theta for one node's flow, two hundred nodes drew evenly all day."""
+    """With a theta chosen for one node, the shares of two hundred nodes stayed uniform all day."""
     a = Automaton(nodes)
     a.resize(dict.fromkeys(NAMES[:servers], 1.0))
     assert a.theta <= a.alpha / 10 and ALPHA <= a.alpha <= 0.5
@@ -55,8 +55,8 @@
     assert a.theta_kind == pytest.approx(min(a.alpha / 3, 0.01 * nodes))
 
 
-def test_a_payoff_speaks_for_the_listed_kind() -> None:
-    """Seen at full size: no server got calls enough to be told from another, but their kinds differed."""
+def test_a_payoff_raises_the_shares_of_the_listed_kind() -> None:
+    """At full size a node makes too few calls to tell servers apart, but enough to tell their kinds apart."""
     a = Automaton(nodes=30)
     a.resize(dict.fromkeys(NAMES[:6], 1.0), {name: i // 3 for i, name in enumerate(NAMES[:6])})
     a.learn(5, 100.0)
@@ -64,13 +64,13 @@
     p_min = FLOOR_SHARE / 6
     assert sum(a.p) == pytest.approx(1.0) and min(a.p) >= p_min
     assert a.p[0] > a.p[1] == a.p[2] > 1 / 6 > a.p[3] == a.p[4] == a.p[5]
-    for _ in range(200):  # the floor holds for the other kind, and the favoured keep their order
+    for _ in range(200):  # the floor holds for the other kind
         a.learn(0, 1.0)
         assert sum(a.p) == pytest.approx(1.0) and min(a.p) >= p_min * (1 - 1e-9)
 
 
 def test_many_nodes_with_few_calls_each_shift_their_calls_as_one_would() -> None:
-    """Sixty nodes see six calls each from every server; half of the servers take twice as long."""
+    """Sixty nodes call each server six times; half of the servers take twice as long."""
     rng = random.Random(4)
     slow = 0.0
     for _ in range(60):
@@ -80,16 +80,16 @@
             i = a.shares.draw(range(20), rng.random())
             a.learn(i, rng.expovariate(1.0) * (2.0 if i < 10 else 1.0))
         slow += sum(a.p[:10]) / 60
-    assert slow < 0.43  # 0.49 with the step of a node that stands for itself
+    assert slow < 0.43  # 0.49 with the step of a single node
 
 
 def test_failures_are_no_payoff_and_do_not_move_the_threshold_far() -> None:
     a = fleet(1, 1, 1)
     a.learn(0, 100.0)
     before = list(a.p)
-    a.learn_failure(1, 1.0)  # a fast error counts as the mean
+    a.charge(1, 1.0)  # a fast error counts as the mean
     assert a.p == before and a.mean() == pytest.approx(100.0)
-    a.learn_failure(1, 1e6)  # a long silence is capped
+    a.charge(1, 1e6)  # a hang is capped
     assert a.averages.values[1] == pytest.approx(100 + ALPHA * (MAX_FAILURE_MEANS * 100 - 100))
 
 
@@ -122,7 +122,7 @@
     assert min(a.p) >= FLOOR_SHARE / 500
 
 
-def test_newcomer_and_survivors() -> None:
+def test_new_and_remaining_servers() -> None:
     a = fleet(1, 2, 4)
     a.resize({NAMES[0]: 1, NAMES[1]: 2, NAMES[2]: 4, NAMES[3]: 2})
     assert a.p[1] / a.p[0] == pytest.approx(2) and a.p[2] / a.p[1] == pytest.approx(2)
@@ -136,17 +136,17 @@
     rng = random.Random(11)
 
     def run(slow: float) -> float:
-        """The server's mean share over the second half of a run."""
+        """Returns the mean share of the server over the second half of the run."""
         held = 0.0
         for step in range(3000):
             i = a.shares.draw(range(4), rng.random())
             base = slow if i == 0 else 1.0
-            # Each server's latency grows with its share, as a queue's does.
+            # The latency of a server grows with its share, as in a queue.
             a.learn(i, rng.expovariate(1.0) * 20 * base / (1.05 - min(a.p[i], 1.0)))
             held += a.p[0] if step >= 1500 else 0.0
         return held / 1500
 
-    assert run(4.0) < 0.17  # against 0.25 for an equal
+    assert run(4.0) < 0.17  # 0.25 if it were equal
     assert run(1.0) > 0.22
 
 
@@ -168,7 +168,7 @@
         if what == "learn":
             a.learn(n if n < len(a.servers) else -1, x)
         elif what == "charge":
-            a.learn_failure(n if n < len(a.servers) else -1, x)
+            a.charge(n if n < len(a.servers) else -1, x)
         else:
             a.resize({s: (x if i % 2 else 1.0) for i, s in enumerate(NAMES) if n >> i & 1})
         if a.p:
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -1,4 +1,4 @@
-"""The compiled decisions: the same as the sources', used only where built from them, never required."""
+"""Compiled modules: same decisions as the sources, used only if built from them, and optional."""
 
 from __future__ import annotations
 
@@ -16,13 +16,15 @@
 ROOT = Path(__file__).parent.parent
 
 
-def play(**environment: str) -> tuple[bool, str]:
-    """Whether the sources were interpreted, and the digest of the course."""
-    kept = {name: value for name, value in os.environ.items() if name != compiled.PURE}
+def run_course(**environment: str) -> tuple[bool, str]:
+    """Runs tests.course; returns whether the sources were interpreted, and the digest of the run."""
+    environment_without = {
+        name: value for name, value in os.environ.items() if name != compiled.PURE_PYTHON_VARIABLE
+    }
     done = subprocess.run(
         [sys.executable, "-m", "tests.course"],
         cwd=ROOT,
-        env={**kept, **environment},
+        env={**environment_without, **environment},
         capture_output=True,
         text=True,
         check=True,
@@ -31,68 +33,68 @@
     return interpreted == "True", digest
 
 
-def test_the_compiled_decisions_are_those_of_the_sources_to_the_last_digit() -> None:
+def test_compiled_and_interpreted_decisions_are_identical() -> None:
     if shutil.which("cc") is None and shutil.which("gcc") is None:
-        pytest.skip("no compiler: the sources are interpreted here")
+        pytest.skip("no C compiler: the sources are interpreted")
     assert "compiled" in compile.build().split(":")[0]
-    interpreted, of_compiled = play()
-    assert not interpreted, "what was built is not used"
-    pure, of_sources = play(**{compiled.PURE: "1"})
+    interpreted, of_compiled = run_course()
+    assert not interpreted, "the compiled modules are not used"
+    pure, of_sources = run_course(**{compiled.PURE_PYTHON_VARIABLE: "1"})
     assert pure
     assert of_compiled == of_sources
 
 
 @pytest.fixture
-def kept(tmp_path: Path) -> Path:
-    """A folder as a build leaves it, with a shared library that cannot be loaded."""
+def module_folder(tmp_path: Path) -> Path:
+    """A folder as left by a build, with a shared library that cannot be loaded."""
     folder = tmp_path / "kept"
     folder.mkdir()
-    (folder / "stamp").write_text(compiled.stamp())
+    (folder / "stamp").write_text(compiled.build_stamp())
     (folder / "0__mypyc.any.so").write_bytes(b"no library")
     return folder
 
 
-def test_the_sources_serve_where_the_library_cannot_be_loaded(
-    kept: Path, monkeypatch: pytest.MonkeyPatch
+def test_the_sources_are_used_if_the_library_cannot_be_loaded(
+    module_folder: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.delenv(compiled.PURE)
-    assert not compiled.prefer(kept)
-    assert not compiled.prefer(kept / "nowhere")
+    monkeypatch.delenv(compiled.PURE_PYTHON_VARIABLE)
+    assert not compiled.use_compiled_modules(module_folder)
+    assert not compiled.use_compiled_modules(module_folder / "nowhere")
 
 
 def test_what_was_built_from_other_sources_is_never_loaded(
-    kept: Path, monkeypatch: pytest.MonkeyPatch
+    module_folder: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.delenv(compiled.PURE)
+    monkeypatch.delenv(compiled.PURE_PYTHON_VARIABLE)
     tried: list[str] = []
     monkeypatch.setattr(importlib.util, "spec_from_file_location", lambda name, path: tried.append(name))
-    (kept / "stamp").write_text("other")
-    assert not compiled.prefer(kept) and not tried
-    (kept / "stamp").write_text(compiled.stamp())
-    assert not compiled.prefer(kept) and tried == ["0__mypyc"]
-    monkeypatch.setenv(compiled.PURE, "1")
-    assert not compiled.prefer(kept) and len(tried) == 1
+    (module_folder / "stamp").write_text("other")
+    assert not compiled.use_compiled_modules(module_folder) and not tried
+    (module_folder / "stamp").write_text(compiled.build_stamp())
+    assert not compiled.use_compiled_modules(module_folder) and tried == ["0__mypyc"]
+    monkeypatch.setenv(compiled.PURE_PYTHON_VARIABLE, "1")
+    assert not compiled.use_compiled_modules(module_folder) and len(tried) == 1
 
 
-def test_a_build_that_fails_says_so_in_a_line_and_leaves_what_was_there(
-    kept: Path, monkeypatch: pytest.MonkeyPatch
+def test_a_failed_build_reports_one_line_and_keeps_the_old_modules(
+    module_folder: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def broken(scratch: Path) -> None:
         raise OSError("no compiler")
 
     monkeypatch.setattr(compile, "_compile", broken)
-    assert compile.build(kept).startswith("compiled modules are up to date")
-    (kept / "stamp").write_text("other")
-    assert compile.build(kept) == "not compiled, the sources are interpreted: OSError: no compiler"
-    assert (kept / "stamp").read_text() == "other"
-    assert [path.name for path in kept.parent.iterdir()] == ["kept"]
+    assert compile.build(module_folder).startswith("compiled modules are up to date")
+    (module_folder / "stamp").write_text("other")
+    assert compile.build(module_folder) == "not compiled, the sources are interpreted: OSError: no compiler"
+    assert (module_folder / "stamp").read_text() == "other"
+    assert [path.name for path in module_folder.parent.iterdir()] == ["kept"]
 
 
-def test_every_source_that_is_compiled_enters_the_stamp(monkeypatch: pytest.MonkeyPatch) -> None:
-    before = compiled.stamp()
+def test_every_compiled_source_is_part_of_the_stamp(monkeypatch: pytest.MonkeyPatch) -> None:
+    before = compiled.build_stamp()
     stamps = {before}
     for module in compiled.MODULES:
-        path = compiled.source(module)
+        path = compiled.source_path(module)
         assert path.is_file()
         original = Path.read_bytes
         monkeypatch.setattr(
@@ -100,6 +102,6 @@
             "read_bytes",
             lambda self, path=path, original=original: original(self) + (b"#" if self == path else b""),
         )
-        stamps.add(compiled.stamp())
+        stamps.add(compiled.build_stamp())
         monkeypatch.setattr(Path, "read_bytes", original)
     assert len(stamps) == 1 + len(compiled.MODULES)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail: nothing but these may fail, and all of these must."""
+"""The list of tests that are known to fail: only these may fail, and all of them must."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 """
 
 
-class TheList(unittest.TestCase):
+class KnownRedListTest(unittest.TestCase):
     def test_a_line_names_test_cause_and_issue(self) -> None:
         self.assertEqual(known_red.read(LINE + "\n\n"), [known_red.KnownRed(RED, "the cause", "issue 48")])
 
-    def test_what_cannot_be_read_is_an_error(self) -> None:
+    def test_malformed_lists_are_errors(self) -> None:
         for text in (
             RED,
             f"{RED} | the cause",
@@ -53,9 +53,9 @@
         self.assertIn("not run", known_red.complaints(known, ["b"], [])[0])
 
 
-class TheRun(unittest.TestCase):
+class KnownRedRunTest(unittest.TestCase):
     def run_pytest(self, listed: str) -> subprocess.CompletedProcess[str]:
-        """A run of its own over two tests, with the hooks of this repository and a list of its own."""
+        """Runs pytest on two tests, with the hooks of this repository and the given list."""
         with tempfile.TemporaryDirectory() as folder:
             root = Path(folder)
             (root / "test_two.py").write_text(TWO_TESTS)
@@ -76,7 +76,7 @@
                 timeout=120,
             )
 
-    def test_a_listed_failure_is_passed_over_and_printed(self) -> None:
+    def test_a_listed_failure_is_ignored_and_printed(self) -> None:
         ended = self.run_pytest("test_two.py::test_red | a fault | issue 1")
         self.assertEqual(ended.returncode, 0, ended.stdout + ended.stderr)
         self.assertIn("known to fail: test_two.py::test_red | a fault | issue 1", ended.stdout)
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -1,4 +1,4 @@
-"""Large fleets: the automaton against a plain one, what is kept by change against a full scan, hard cases."""
+"""Large fleets: the automaton against a plain one, incremental state against a full scan, and hard cases."""
 
 from __future__ import annotations
 
@@ -84,17 +84,17 @@
         elif what == "learn":
             assert tree.learn(at(n), x) == plain.learn(NAMES[n], x)
         else:
-            tree.learn_failure(at(n), x)
-            plain.learn_failure(NAMES[n], x)
+            tree.charge(at(n), x)
+            plain.charge(NAMES[n], x)
     assert tree.servers == plain.servers
     assert max(abs(a - b) for a, b in zip(tree.p, plain.p, strict=True)) < 1e-9
     assert tree.mean() == pytest.approx(plain.mean())
 
 
-def test_a_long_course_near_the_floor_keeps_the_sum_and_the_floor() -> None:
-    """Few servers take nearly all payoffs, so that the others' shares are a scale and the floor alone.
+def test_a_long_sequence_near_the_floor_keeps_the_sum_and_the_floor() -> None:
+    """Few servers get nearly all payoffs, so that the shares of the others consist of a factor and the floor.
 
-    300,000 payoffs here; python -m bench.decision_cost --drift plays as many as are asked for.
+    300,000 calls here; python -m bench.decision_cost --drift runs any number.
     """
     a = Automaton(nodes=50)
     a.resize(dict.fromkeys(NAMES, 1.0), {name: name[-1] % 2 for name in NAMES})
@@ -119,24 +119,24 @@
     assert sum(a.p) == pytest.approx(1.0) and min(a.p) >= FLOOR_SHARE / 200 * (1 - 1e-9)
 
 
-# ---------------------------------------------------------------- what is kept by change
+# ---------------------------------------------------------------- incremental state
 
 
-def _scan(fleet: Placement, balancer: Balancer) -> None:
-    """All that is kept by change is what a look at every server gives."""
+def _scan(placement: Placement, balancer: Balancer) -> None:
+    """Asserts that the incremental state equals the one computed from every server."""
     now, health = balancer._turn.now, balancer._health
-    arms = fleet.arms
+    arms = placement.arms
     assert [s.at for s in arms] == list(range(len(arms)))
     for i, s in enumerate(arms):
         cold = s.entry.started_ms > 0 and now - s.entry.started_ms < balancer.settings.cold_ms
         barred = any(h.barred_until > now or (h.trial and h.out) for h in s.classes)
         plain = not (s.out or s.ejected or s.trial or s.rest_until > now or cold or barred)
         assert plain or s.special, s
-        assert (s.entry.server in fleet.special) == s.special and s.cold == cold
+        assert (s.entry.server in placement.special) == s.special and s.cold == cold
         closed = s.ejected or s.rest_until > now or len(s.out) + 1 > s.ceiling or bool(s.trial and s.out)
-        group, at = fleet.automaton.shares._group[i], fleet.automaton.shares._at[i]
-        assert fleet.automaton.shares.groups[group].closed[at] == closed, s
-    capacity = fleet.capacity
+        group, at = placement.automaton.shares._group[i], placement.automaton.shares._at[i]
+        assert placement.automaton.shares.groups[group].closed[at] == closed, s
+    capacity = placement.capacity
     assert (capacity._arms, capacity._cold) == (len(arms), sum(s.cold for s in arms))
     assert capacity._total == pytest.approx(sum(s.bears for s in arms), abs=1e-9)
     for s in arms:
@@ -182,7 +182,7 @@
     rng = random.Random(servers)
     entries = {i: ServerEntry(NAMES[i], zone=i % 3, kind=i % 2) for i in range(servers)}
     play.list_of(list(entries.values()))
-    fleet = play.balancer._placement
+    fleet = play.balancer._fleet
     for what, n, more in events:
         if what == "arrive":
             assert isinstance(more, int)
@@ -212,7 +212,7 @@
 # ---------------------------------------------------------------- the draw
 
 
-def _course(servers: int, **more: object) -> Balancer:
+def _balancer_of(servers: int, **more: object) -> Balancer:
     values: dict[str, object] = {"classes": (SAFE,), **more}
     balancer = Balancer(Settings(**values), seed=1)  # type: ignore[arg-type]
     rows = tuple(ServerEntry(i.to_bytes(3, "big"), kind=i % 2, zone=i % 3) for i in range(servers))
@@ -230,51 +230,51 @@
     return DrawContext(balancer._requests[request], mean, calm, len(balancer._attempts), late)
 
 
-def test_draws_that_are_tried_follow_the_vector_conditioned_on_the_fit() -> None:
-    """Chi-squared against the pool that a full look gives, at a fixed seed."""
-    balancer = _course(60)
-    fleet = balancer._placement
+def test_rejection_sampling_follows_the_vector_conditioned_on_the_eligible() -> None:
+    """Chi-squared test against the candidates of a full scan, at a fixed seed."""
+    balancer = _balancer_of(60)
+    placement = balancer._fleet
     now = 10.0
-    for request in range(40):  # calls out make servers special, some of them busy
+    for request in range(40):  # calls in flight make servers special, some of them busy
         now += 1.0
         _sends(balancer, request, now)
-    for request in range(10):  # and some rest, turn away or are full
+    for request in range(10):  # some rest or are full
         server, _ = balancer._attempts[request, 0]
         balancer.handle(AttemptEnded(request, 0, server.entry.server, Outcome.FULL, 3.0, False), now)
     balancer.handle(Arrival(999, 0, 3000.0), now)
     context = _draw_context(balancer, 0) if 0 in balancer._requests else _draw_context(balancer, 39)
     context.may_have_run, context.tried_servers = False, set()
-    pool = fleet._candidates(context, False, fleet.arms)
+    pool = placement._candidates(context, False, placement.arms)
     assert 5 < len(pool) < 60
     counts: Counter[int] = Counter()
     draws = 0
     for _ in range(30_000):
-        found = fleet._try_draws(context, False)
+        found = placement._try_draws(context, False)
         if found is not None:
             counts[found.at] += 1
             draws += 1
     assert set(counts) == set(pool) and draws > 29_000
-    p = fleet.automaton.p
+    p = placement.automaton.p
     mass = sum(p[i] for i in pool)
     chi = sum((counts[i] - draws * p[i] / mass) ** 2 / (draws * p[i] / mass) for i in pool)
     df = len(pool) - 1
     assert chi < df + 4.0 * (2 * df) ** 0.5, (chi, df)
 
 
-def test_a_decision_looks_at_a_few_servers_of_a_large_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Counted: looks at a server a request, at 40 and at 4,000 servers with as many calls out."""
-    looks: dict[int, int] = {}
+def test_a_decision_examines_few_servers_of_a_large_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Counts the servers examined, with 40 and with 4,000 servers and the same number of calls in flight."""
+    examined: dict[int, int] = {}
     original = Placement._eligibility
     for servers in (40, 4000):
-        balancer = _course(servers)
+        balancer = _balancer_of(servers)
         counted = 0
 
-        def standing(self: Placement, context: DrawContext, server: object) -> int:
+        def eligibility(self: Placement, context: DrawContext, server: object) -> int:
             nonlocal counted
             counted += 1
             return original(self, context, server)  # type: ignore[arg-type]
 
-        monkeypatch.setattr(Placement, "_eligibility", standing)
+        monkeypatch.setattr(Placement, "_eligibility", eligibility)
         now, out = 1.0, []
         for request in range(2000):
             now += 1.0
@@ -283,54 +283,54 @@
             if len(out) > 20:
                 done, server = out.pop(0)
                 balancer.handle(AttemptEnded(done, 0, server, Outcome.OK, 20.0, True), now)
-        looks[servers] = counted
-    assert looks[4000] <= looks[40] <= MAX_DRAWS * 2000
+        examined[servers] = counted
+    assert examined[4000] <= examined[40] <= MAX_DRAWS * 2000
 
 
-def test_with_all_servers_at_their_ceilings_but_one_that_one_is_drawn_at_once() -> None:
-    balancer = _course(2000)
-    fleet = balancer._placement
+def test_the_only_server_below_its_concurrency_limit_is_drawn_at_once() -> None:
+    balancer = _balancer_of(2000)
+    placement = balancer._fleet
     now = 5.0
-    for request, server in enumerate(fleet.arms[:-1]):
+    for request, server in enumerate(placement.arms[:-1]):
         server.ceiling = 1.0
         server.engage()
         server.out[request, 0] = now
-        fleet.refresh(server)
-    before = fleet._scan_credit
+        placement.refresh(server)
+    before = placement._scan_credit
     sent = _sends(balancer, 10**6, now + 1)
-    assert sent == [fleet.arms[-1].entry.server]
-    assert fleet._scan_credit >= before - 1, "no whole look was needed"
+    assert sent == [placement.arms[-1].entry.server]
+    assert placement._scan_credit >= before - 1, "no full scan was needed"
 
 
-def test_whole_looks_are_rationed_by_what_they_cost() -> None:
-    """Nothing is fit: each request must not look through the fleet, nor any be lost."""
-    balancer = _course(2000)
-    fleet = balancer._placement
-    for server in fleet.arms:
+def test_full_scans_are_rationed_by_their_cost() -> None:
+    """With no eligible server, not every request may scan the fleet, and none may be lost."""
+    balancer = _balancer_of(2000)
+    placement = balancer._fleet
+    for server in placement.arms:
         server.rest_until = 1e9
-        fleet.recheck_at(server, 1e9)
-        fleet.refresh(server)
+        placement.recheck_at(server, 1e9)
+        placement.refresh(server)
     whole = 0
-    original = fleet._candidates
+    original = placement._candidates
 
     def pool(*args: object) -> list[int]:
         nonlocal whole
         whole += 1
         return original(*args)  # type: ignore[arg-type]
 
-    fleet._candidates = pool  # type: ignore[method-assign,assignment]
+    placement._candidates = pool  # type: ignore[method-assign,assignment]
     for request in range(400):
         assert _sends(balancer, request, 2.0 + 0.001 * request) == []
     assert whole <= 1 + 400 * 3 * SCAN_CREDIT_PER_REQUEST / 2000 + 1
-    assert len(balancer._requests) == 400, "all still wait for a place"
+    assert len(balancer._requests) == 400, "all are still queued"
 
 
 # ---------------------------------------------------------------- hard cases
 
 
 def test_a_third_goes_silent_at_once_and_returns_cold() -> None:
-    """Calls soon keep off the silent third, and it is not pushed over when it is back."""
-    balancer = _course(900, cold_ms=3000.0, may_cancel=True)
+    """The silent third soon gets few calls, and is not overloaded when it returns cold."""
+    balancer = _balancer_of(900, cold_ms=3000.0, may_cancel=True)
     rng = random.Random(2)
     dead = {i.to_bytes(3, "big") for i in range(0, 900, 3)}
     out: list[tuple[float, int, int, bytes, Outcome]] = []
@@ -352,15 +352,17 @@
     for request in range(4500):
         now += 2.0
         while out and out[0][0] <= now:
-            _, done, number, server, how = heapq.heappop(out)
-            carry(balancer.handle(AttemptEnded(done, number, server, how, 20.0, how is Outcome.OK), now))
+            _, done, number, server, outcome = heapq.heappop(out)
+            carry(
+                balancer.handle(AttemptEnded(done, number, server, outcome, 20.0, outcome is Outcome.OK), now)
+            )
         if request == 3000:
             rows = [ServerEntry(i.to_bytes(3, "big"), kind=i % 2, zone=i % 3) for i in range(900)]
             rows = [replace(row, started_ms=now) if row.server in dead else row for row in rows]
             balancer.handle(ServerList(ListKind.FULL, tuple(rows)), now)
         carry(balancer.handle(Arrival(request, 0, 3000.0), now))
         if request % 250 == 0:
-            _scan(balancer._placement, balancer)
+            _scan(balancer._fleet, balancer)
 
     def part(start: float, end: float) -> float:
         hits = [hit for at, hit in sends if start <= at < end]
@@ -368,11 +370,11 @@
 
     assert 0.28 < part(1000, 2000) < 0.4
     assert part(5000, 6000) < 0.5 * part(1000, 2000)
-    assert part(6002, 6300) < 0.25, "cold: a part of what the warm get"
+    assert part(6002, 6300) < 0.25, "cold servers get a part of what warm ones get"
 
 
 def test_every_server_changes_its_id_and_lists_alternate_between_halves() -> None:
-    balancer = _course(400)
+    balancer = _balancer_of(400)
     now = 1.0
     for turn in range(12):
         now += 100.0
@@ -381,13 +383,13 @@
         )
         balancer.handle(ServerList(ListKind.FULL, rows), now)
         assert _sends(balancer, turn, now + 1)[0] in {r.server for r in rows}
-        _scan(balancer._placement, balancer)
-    assert len(balancer._placement.servers) <= 200 + 12, "what is gone and holds no call is forgotten"
+        _scan(balancer._fleet, balancer)
+    assert len(balancer._fleet.servers) <= 200 + 12, "removed servers without calls are forgotten"
 
 
-def test_one_node_of_a_thousand_meets_its_home_again() -> None:
-    """With a view of a call a server and hour over the whole fleet it would learn nothing."""
-    balancer = _course(10_000 // 10, balancers=1000, ordinal=7)
+def test_one_node_of_a_thousand_keeps_to_its_subset() -> None:
+    """Over the whole fleet a node would make one call per server and hour, too few to learn from."""
+    balancer = _balancer_of(10_000 // 10, balancers=1000, ordinal=7)
     sent: Counter[bytes] = Counter()
     now, out = 1.0, []
     for request in range(600):
@@ -431,7 +433,7 @@
 
 
 def test_single_changes_keep_sum_floor_and_ratios() -> None:
-    """Servers that come and go one by one, against a vector that is built anew each time."""
+    """Servers join and leave one by one; sum, floor and order of the shares hold after each change."""
     rng = random.Random(8)
     a, names = Automaton(nodes=30), list(NAMES[:100])
     a.resize(dict.fromkeys(names, 1.0), {name: name[-1] % 3 for name in names})
@@ -451,7 +453,7 @@
         p = dict(zip(a.servers, a.p, strict=True))
         assert abs(sum(a.p) - 1.0) < 1e-9 and min(a.p) >= FLOOR_SHARE / r * (1 - 1e-9), turn
         same = [n for n in p if n in before]
-        if same:  # order is kept, as far as floating point tells two shares apart
+        if same:  # the order is kept within floating-point precision
             ranked = sorted(same, key=lambda n: before[n])
             assert all(p[x] <= p[y] * (1 + 1e-9) for x, y in zip(ranked, ranked[1:], strict=False))
         server = rng.choice(a.servers)
@@ -461,39 +463,39 @@
 
 
 def test_a_change_of_one_entry_costs_what_changed() -> None:
-    """Counted: nodes of the trees that are touched by a server that goes and one that comes, of 5,000."""
-    balancer = _course(5000)
+    """Counts the tree nodes touched when one of 5,000 servers leaves and another joins."""
+    balancer = _balancer_of(5000)
     groups = balancer.automaton.shares.groups
     before = sum(group.steps for group in groups)
     gone = ServerEntry((17).to_bytes(3, "big"), Readiness.DRAINING, kind=1, zone=2)
     balancer.handle(ServerList(ListKind.CHANGES, (gone,)), 2.0)
     balancer.handle(ServerList(ListKind.CHANGES, (ServerEntry(b"new"),)), 3.0)
-    assert balancer.automaton.shares.groups is groups, "not built anew"
+    assert balancer.automaton.shares.groups is groups, "not rebuilt"
     assert sum(group.steps for group in groups) - before < 200
     assert len(balancer.automaton.servers) == 5000
-    _scan(balancer._placement, balancer)
+    _scan(balancer._fleet, balancer)
 
 
-def test_homes_follow_single_changes_as_they_would_a_list() -> None:
-    one = _course(900, balancers=1000, ordinal=11)
-    names = [s.entry for s in one._placement.arms]
+def test_subsets_follow_single_changes_as_they_would_a_list() -> None:
+    one = _balancer_of(900, balancers=1000, ordinal=11)
+    names = [s.entry for s in one._fleet.arms]
     rng = random.Random(4)
     for turn in range(300):
         row = rng.choice(names)
         there = rng.random() < 0.5
         row = replace(row, readiness=Readiness.READY if there else Readiness.DRAINING)
         one.handle(ServerList(ListKind.CHANGES, (row,)), 2.0 + turn)
-    listed = tuple(s.entry for s in one._placement.arms)
+    listed = tuple(s.entry for s in one._fleet.arms)
     other = Balancer(one.settings, seed=1)
     other.handle(ServerList(ListKind.FULL, listed), 1.0)
-    assert one._placement._subset == other._placement._subset is not None
-    assert one._placement._subset_size == other._placement._subset_size
-    _scan(one._placement, one)
+    assert one._fleet._subset == other._fleet._subset is not None
+    assert one._fleet._subset_size == other._fleet._subset_size
+    _scan(one._fleet, one)
 
 
 def test_memory_follows_what_is_open() -> None:
-    """Ten thousand requests in ten seconds, few open at once: looks at the finished are thrown out."""
-    balancer = _course(50)
+    """Ten thousand requests in ten seconds, few open at once: timers of finished requests are dropped."""
+    balancer = _balancer_of(50)
     now, out = 1.0, []
     for request in range(10_000):
         now += 1.0
@@ -503,4 +505,4 @@
             balancer.handle(AttemptEnded(done, 0, server, Outcome.OK, 900.0, True), now)
     assert len(balancer._requests) < 100
     assert len(balancer._timers) <= SHED_LEAST + 1
-    assert len(balancer._placement._rechecks) < 100
+    assert len(balancer._fleet._rechecks) < 100
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules at their edges, and on seeded random streams."""
+"""The four rules in edge cases and on seeded random streams."""
 
 from __future__ import annotations
 
@@ -67,101 +67,101 @@
             ask_for_list=bool(seed % 2),
             max_attempts=2 + seed % 4,
         )
-        play = Surrounding(settings, seed)
-        play.list_of(rows(8), ListKind.CACHED)
-        play.muddle(1500)
-        assert sum(isinstance(a, Send) for a in play.log) > 100
-        assert all(owed.done_at is not None for owed in play.owed.values())
+        harness = Surrounding(settings, seed)
+        harness.list_of(rows(8), ListKind.CACHED)
+        harness.run_random_events(1500)
+        assert sum(isinstance(a, Send) for a in harness.log) > 100
+        assert all(request_state.done_at is not None for request_state in harness.owed.values())
 
 
 def test_a_request_is_answered_though_no_server_is_known() -> None:
-    play = make(EFFECTS[1])
-    play.arrive()
+    harness = make(EFFECTS[1])
+    harness.arrive()
     for _ in range(400):
-        play.step(10)
-    assert [type(a) for a in play.log if isinstance(a, Refuse | Fail)] == [Refuse]
+        harness.step(10)
+    assert [type(a) for a in harness.log if isinstance(a, Refuse | Fail)] == [Refuse]
 
 
-def test_unsafe_request_is_failed_after_a_timeout_and_resent_after_a_proof() -> None:
-    play = make(EFFECTS[1])
-    play.list_of(rows(4))
-    first = play.arrive()
-    play.end(first, 0, Outcome.CONNECT_FAILED)
-    assert len(play.owed[first].attempts) == 2
-    play.end(first, 1, Outcome.ERROR)
-    assert isinstance(play.log[-1], Fail) and len(play.owed[first].attempts) == 2
+def test_unsafe_request_is_retried_after_a_failed_connect_and_fails_after_an_error() -> None:
+    harness = make(EFFECTS[1])
+    harness.list_of(rows(4))
+    first = harness.arrive()
+    harness.end(first, 0, Outcome.CONNECT_FAILED)
+    assert len(harness.owed[first].attempts) == 2
+    harness.end(first, 1, Outcome.ERROR)
+    assert isinstance(harness.log[-1], Fail) and len(harness.owed[first].attempts) == 2
 
 
 @pytest.mark.parametrize(("index", "answer"), [(2, Refuse), (3, Fail), (4, Fail)])
 def test_keyed_request_stays_in_its_group_and_window(index: int, answer: type) -> None:
-    play = make(EFFECTS[index], may_duplicate=False)
-    play.list_of(rows(6))
-    request = play.arrive()
-    play.end(request, 0, Outcome.ERROR)
-    assert len(play.owed[request].attempts) == 2  # the checker has seen to the group
-    play.now += EFFECTS[index].window_ms
-    play.end(request, 1, Outcome.ERROR)
-    assert len(play.owed[request].attempts) == 2
-    assert any(isinstance(a, answer) for a in play.log)
+    harness = make(EFFECTS[index], may_duplicate=False)
+    harness.list_of(rows(6))
+    request = harness.arrive()
+    harness.end(request, 0, Outcome.ERROR)
+    assert len(harness.owed[request].attempts) == 2  # the harness has checked the group
+    harness.now += EFFECTS[index].window_ms
+    harness.end(request, 1, Outcome.ERROR)
+    assert len(harness.owed[request].attempts) == 2
+    assert any(isinstance(a, answer) for a in harness.log)
 
 
 def test_no_second_copy_where_copies_are_forbidden() -> None:
     for duplicate in (False, True):
-        play = make(EFFECTS[0], may_duplicate=duplicate)
-        play.list_of(rows(4))
+        harness = make(EFFECTS[0], may_duplicate=duplicate)
+        harness.list_of(rows(4))
         for _ in range(20):
-            done = play.arrive()
-            play.step(20)
-            play.end(done, 0, Outcome.OK)
-        request = play.arrive()
-        before = [len(play.owed[request].attempts)]
+            done = harness.arrive()
+            harness.step(20)
+            harness.end(done, 0, Outcome.OK)
+        request = harness.arrive()
+        before = [len(harness.owed[request].attempts)]
         for _ in range(30):
-            play.now += 10  # time-outs are not delivered: only the module's own timers run
-            play.fire_due()
-            before.append(len(play.owed[request].attempts))
+            harness.now += 10  # no timeouts are delivered; only the module's timers fire
+            harness.fire_due()
+            before.append(len(harness.owed[request].attempts))
         assert (before[-1] > 1) is duplicate
 
 
 def test_drained_gone_and_unlisted_servers_get_nothing() -> None:
-    play = make(EFFECTS[0])
-    play.list_of(rows(4))
+    harness = make(EFFECTS[0])
+    harness.list_of(rows(4))
     drained = [ServerEntry(bytes([0]), Readiness.DRAINING), ServerEntry(bytes([1]), Readiness.GONE)]
-    play.list_of(drained, ListKind.CHANGES)
+    harness.list_of(drained, ListKind.CHANGES)
     for _ in range(40):
-        play.end(play.arrive(), 0, Outcome.OK)
-    play.list_of([rows(4)[3]], ListKind.FULL)
-    for _ in range(5):  # no more than a node starts with for one server
-        assert play.owed[play.arrive()].attempts[0].entry.server == bytes([3])
+        harness.end(harness.arrive(), 0, Outcome.OK)
+    harness.list_of([rows(4)[3]], ListKind.FULL)
+    for _ in range(5):  # no more than the initial limit for one server
+        assert harness.owed[harness.arrive()].attempts[0].entry.server == bytes([3])
 
 
 def test_a_burst_on_a_fleet_with_a_cold_server_keeps_the_cold_budget() -> None:
     cold_ms, start_share = 8000.0, 0.3
-    play = make(EFFECTS[0], cold_ms=cold_ms, cold_start_share=start_share, balancers=1)
-    play.list_of(rows(4))
+    harness = make(EFFECTS[0], cold_ms=cold_ms, cold_start_share=start_share, balancers=1)
+    harness.list_of(rows(4))
     sent_cold: list[tuple[float, float]] = []
     warm_per_s = 0.0
     for step in itertools.count():
-        if step == 400:  # a warmed-up flow of one call each 5 ms, then one server restarts and calls burst
-            play.list_of([ServerEntry(bytes([0]), started_ms=play.now)], ListKind.CHANGES)
+        if step == 400:  # after one call each 5 ms, a server restarts and a burst of calls follows
+            harness.list_of([ServerEntry(bytes([0]), started_ms=harness.now)], ListKind.CHANGES)
             warm_per_s = 200 / 4
         if step == 800:
             break
-        play.now += 5
+        harness.now += 5
         for _ in range(3 if step >= 400 else 1):
-            request = play.arrive()
-            server = play.owed[request].attempts[0].entry.server
+            request = harness.arrive()
+            server = harness.owed[request].attempts[0].entry.server
             if step >= 400 and server == bytes([0]):
-                sent_cold.append((play.now, play.now - play.rows[server].started_ms))
-            play.end(request, 0, Outcome.OK)
-    assert sent_cold  # it does get its part
+                sent_cold.append((harness.now, harness.now - harness.rows[server].started_ms))
+            harness.end(request, 0, Outcome.OK)
+    assert sent_cold  # it does get some calls
     for at, _ in sent_cold:
         window = [age for t, age in sent_cold if at <= t < at + 1000]
         capacity = start_share + (1 - start_share) * window[0] / cold_ms
-        # The flow a warm server bore before the burst stands in for what it can do.
+        # The rate of a warm server before the burst is taken as its capacity.
         assert len(window) <= 3 * capacity * 3 * warm_per_s
 
 
-def test_unlikely_news_is_ignored_and_impossible_news_is_an_error() -> None:
+def test_unlikely_events_are_ignored_and_impossible_events_are_errors() -> None:
     balancer = Balancer(Settings(classes=(EFFECTS[0],)), seed=1)
     assert balancer.handle(RequestGone(77), 1.0) == []
     assert balancer.handle(TimerFired(9), 1.0) == []
@@ -177,28 +177,26 @@
 def test_identical_events_give_identical_actions() -> None:
     logs = []
     for _ in range(2):
-        play = make(EFFECTS[0])
-        play.list_of(rows(6))
-        play.muddle(400)
-        logs.append(play.log)
+        harness = make(EFFECTS[0])
+        harness.list_of(rows(6))
+        harness.run_random_events(400)
+        logs.append(harness.log)
     assert logs[0] == logs[1]
 
 
-def test_the_sending_guard_stands_by_itself() -> None:
-    """No caller asks for these today; the one path that sends must refuse them all the same."""
+def test_send_enforces_the_rules_by_itself() -> None:
+    """No caller requests these sends today; the function that sends must refuse them all the same."""
     for duplicate in (False, True):
-        play = make(EFFECTS[0], may_duplicate=duplicate, max_attempts=2)
-        play.list_of(rows(3))
-        node = play.balancer
-        request = node._requests[play.arrive()]
-        other, drained = (
-            s for s in node._placement.arms if s.entry.server != request.attempts[0].entry.server
-        )
-        play.list_of([ServerEntry(drained.entry.server, Readiness.DRAINING)], ListKind.CHANGES)
+        harness = make(EFFECTS[0], may_duplicate=duplicate, max_attempts=2)
+        harness.list_of(rows(3))
+        node = harness.balancer
+        request = node._requests[harness.arrive()]
+        other, drained = (s for s in node._fleet.arms if s.entry.server != request.attempts[0].entry.server)
+        harness.list_of([ServerEntry(drained.entry.server, Readiness.DRAINING)], ListKind.CHANGES)
         assert not node._send(request, drained)
         assert node._send(request, other) is duplicate  # a second copy while the first is out
         assert not duplicate or not node._send(request, other)  # and no more than the attempts allowed
-        request.deadline = play.now + 1.0
+        request.deadline = harness.now + 1.0
         assert not node._send(request, other)
         node._end_unserved(request)
         actions = len(node._turn.actions)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Frames to the byte, settings, and the adapter at its edges."""
+"""Frames byte by byte, settings, and edge cases of the adapter."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 B = bytes.fromhex("0a9011f2b413")
 
 
-def setup(**changes: str | None) -> str:
+def settings_text(**changes: str | None) -> str:
     values: dict[str, str | None] = {**MINIMAL, **{k.replace("__", "."): v for k, v in changes.items()}}
     return "\n".join(f"{k}={v}" for k, v in values.items() if v is not None)
 
@@ -75,28 +75,28 @@
     return list(Decoder().records(b"".join(records), len(records)))
 
 
-def enlist(node: int, text: str) -> bytes:
+def start_record(node: int, text: str) -> bytes:
     raw = text.encode()
     return record(1, struct.pack("<IQI", node, 5, len(raw)) + raw)
 
 
-def table(number: int, *rows: bytes) -> bytes:
+def table_record(number: int, *rows: bytes) -> bytes:
     return record(11, struct.pack("<II", number, len(rows)) + b"".join(rows))
 
 
-def row(server: bytes, state: int = 1, hint: float = 1.5, started: float = 0.0) -> bytes:
+def entry_row(server: bytes, state: int = 1, hint: float = 1.5, started: float = 0.0) -> bytes:
     return struct.pack("<fH6sBHBd", hint, 2, server, 1, 7, state, started)
 
 
-def sync(node: int, number: int, mode: int) -> bytes:
+def list_record(node: int, number: int, mode: int) -> bytes:
     return record(2, struct.pack("<IIIB", node, 41, number, mode))
 
 
-def arrival(node: int, request: int, marks: int = 1) -> bytes:
-    return record(3, struct.pack("<IIHHQddH", node, request, 0, 1, 9, 240.0, 12.0, marks))
+def arrival_record(node: int, request: int, flags: int = 1) -> bytes:
+    return record(3, struct.pack("<IIHHQddH", node, request, 0, 1, 9, 240.0, 12.0, flags))
 
 
-def play(*batches: bytes) -> bytes:
+def run_batches(*batches: bytes) -> bytes:
     sink = BytesIO()
     serve(BytesIO(b"".join(batches)), sink)
     return sink.getvalue()
@@ -119,8 +119,8 @@
 
 def test_events_are_read_field_by_field() -> None:
     assert decode(
-        arrival(3, 99),
-        arrival(3, 100, 6),
+        arrival_record(3, 99),
+        arrival_record(3, 100, 6),
         record(5, struct.pack("<IIH6sHdBB2f", 3, 99, 1, A, 200, 18.5, 1, 2, 0.5, 3.0)),
         record(4, struct.pack("<IIHd6s", 3, 99, 1, 18.5, A)),
         record(6, struct.pack("<II", 3, 99)),
@@ -163,12 +163,12 @@
     events = [
         e
         for _, e in decode(
-            table(0, row(A)),
-            sync(1, 0, 2),
-            table(0, row(B, 2, started=8.0)),
-            sync(2, 0, 3),
-            sync(1, 0, 1),
-            sync(1, 9, 0),
+            table_record(0, entry_row(A)),
+            list_record(1, 0, 2),
+            table_record(0, entry_row(B, 2, started=8.0)),
+            list_record(2, 0, 3),
+            list_record(1, 0, 1),
+            list_record(1, 9, 0),
         )
     ]
     assert all(isinstance(e, ServerList) for e in events)
@@ -213,7 +213,9 @@
 
 
 def test_settings_with_unknown_and_absent_keys() -> None:
-    settings = parse_settings(setup(new__key="7", familyInfo__passesDeadline="", layers="a,b,c", stage="1"))
+    settings = parse_settings(
+        settings_text(new__key="7", familyInfo__passesDeadline="", layers="a,b,c", stage="1")
+    )
     assert settings.classes[0].effect is Effect.SAFE and settings.classes[0].group is RepeatGroup.ALL
     assert settings.stages == 3 and settings.stage == 1 and settings.tenants == ()
     assert settings.max_attempts == 1 and not settings.may_duplicate and not settings.may_probe
@@ -238,25 +240,30 @@
 )
 def test_impossible_settings_name_the_key(key: str, value: str | None) -> None:
     with pytest.raises(WireError, match=key.replace(".", r"\.")):
-        parse_settings(setup(**{key.replace(".", "__"): value}))
+        parse_settings(settings_text(**{key.replace(".", "__"): value}))
 
 
 def test_a_keyed_class_needs_its_window() -> None:
     with pytest.raises(WireError, match="windowMs"):
-        parse_settings(setup(profiles__0__effect="keyed"))
+        parse_settings(settings_text(profiles__0__effect="keyed"))
 
 
 def test_an_instance_starts_is_killed_and_starts_again_in_one_batch() -> None:
     out = replies(
-        play(
+        run_batches(
             batch(),
-            batch(enlist(4, setup()), table(0, row(A)), sync(4, 0, 2), arrival(4, 1)),
+            batch(
+                start_record(4, settings_text()),
+                table_record(0, entry_row(A)),
+                list_record(4, 0, 2),
+                arrival_record(4, 1),
+            ),
             batch(
                 record(10, struct.pack("<I", 4)),
-                enlist(4, setup()),
-                table(1, row(B)),
-                sync(4, 1, 2),
-                arrival(4, 2),
+                start_record(4, settings_text()),
+                table_record(1, entry_row(B)),
+                list_record(4, 1, 2),
+                arrival_record(4, 2),
             ),
         )
     )
@@ -267,15 +274,23 @@
 
 def test_a_fault_of_one_instance_is_reported_and_the_rest_go_on() -> None:
     bad = record(5, struct.pack("<IIH6sHdBB", 4, 55, 0, A, 200, 1.0, 1, 0))
-    start = (enlist(4, setup()), enlist(5, setup()), table(0, row(A)), sync(4, 0, 2), sync(5, 0, 2))
-    (records,) = replies(play(batch(*start, bad, arrival(5, 7))))
+    start = (
+        start_record(4, settings_text()),
+        start_record(5, settings_text()),
+        table_record(0, entry_row(A)),
+        list_record(4, 0, 2),
+        list_record(5, 0, 2),
+    )
+    (records,) = replies(run_batches(batch(*start, bad, arrival_record(5, 7))))
     assert [c for c, _ in records if c in (74, 65)] == [74, 65]
     assert b"attempt 0 of request 55 is not in flight" in next(f for c, f in records if c == 74)
 
 
 def test_a_very_large_batch() -> None:
-    start = batch(enlist(4, setup()), table(0, row(A), row(B)), sync(4, 0, 2))
-    _, records = replies(play(start, batch(*(arrival(4, i) for i in range(1, 3001)))))
+    start = batch(
+        start_record(4, settings_text()), table_record(0, entry_row(A), entry_row(B)), list_record(4, 0, 2)
+    )
+    _, records = replies(run_batches(start, batch(*(arrival_record(4, i) for i in range(1, 3001)))))
     assert any(code == 65 for code, _ in records)
 
 
@@ -294,15 +309,15 @@
     "raw",
     [
         b"\x01\x02\x03",
-        batch(arrival(4, 1))[:-3],
+        batch(arrival_record(4, 1))[:-3],
         struct.pack("<IdI", 0, 1.0, 1),
         batch(record(99, b"")),
         batch(record(6, b"\x01")),
         batch(record(5, struct.pack("<IIH6sHdBB", 4, 5, 0, A, 777, 1.0, 1, 0))),
-        batch(sync(4, 3, 2)),
-        batch(arrival(4, 1)),
-        batch(enlist(4, setup(profiles__count="0"))),
-        batch(enlist(4, setup())) + b"\x00",
+        batch(list_record(4, 3, 2)),
+        batch(arrival_record(4, 1)),
+        batch(start_record(4, settings_text(profiles__count="0"))),
+        batch(start_record(4, settings_text())) + b"\x00",
     ],
 )
 def test_malformed_input_ends_the_command_with_one_plain_line(raw: bytes) -> None:
@@ -313,5 +328,5 @@
 
 
 def test_start_carries_seed_and_settings() -> None:
-    ((node, start),) = decode(enlist(6, setup()))
+    ((node, start),) = decode(start_record(6, settings_text()))
     assert node == 6 and isinstance(start, Start) and start.seed == 5
