--- a/tests/test_automaton.py
+++ b/tests/test_automaton.py
@@ -1,4 +1,4 @@
-"""The automaton alone: values computed by hand, and invariants under random ops."""
+"""The automaton alone: values computed by hand, and invariants under random operations."""
 
 from __future__ import annotations
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -100,7 +100,7 @@
     assert Probe(bad) in harness.log and "server 02 reinstated after a successful trial" in texts(harness)
 
 
-def test_a_trial_is_never_a_request_that_may_run_only_once() -> None:
+def test_a_trial_is_never_an_unsafe_request() -> None:
     harness = make(SAFE, UNSAFE, may_probe=True, cold_ms=1000.0)
     bad = bytes([2])
     serve(harness, 60, bad=bad)
@@ -144,7 +144,7 @@
     assert silent not in sent_to(harness, since)
 
 
-def test_a_late_attempt_on_a_server_that_answers_others_is_left_alone() -> None:
+def test_a_late_attempt_on_a_server_that_answers_others_is_not_hedged() -> None:
     """Guards against cancelling and retrying long work on a healthy server."""
     for answers in (True, False):
         harness = make(servers=2)
@@ -161,7 +161,7 @@
         assert (len(harness.owed[late].attempts) == 1) is answers
 
 
-def test_a_silent_servers_call_gets_its_second_copy_also_where_a_tier_has_twice_its_calmest_latency() -> None:
+def test_a_call_to_a_silent_server_is_hedged_also_at_twice_the_calm_latency() -> None:
     """Guards against an overloaded inner tier that never hedges, so that a call waits until its deadline."""
     harness = make(stage=2, stages=3)
     serve(harness, 200, latency=20.0)
@@ -174,7 +174,7 @@
     assert first != second
 
 
-def test_a_second_copy_that_the_budget_does_not_allow_is_sent_when_it_does() -> None:
+def test_a_hedge_is_delayed_until_the_retry_budget_allows_it() -> None:
     harness = make()
     serve(harness, 60)
     harness.balancer._retry_tokens = 0.0
@@ -246,7 +246,7 @@
     assert any(isinstance(a, Refuse) for a in harness.log)
 
 
-def test_rising_latency_sets_the_limit_and_calm_lifts_it() -> None:
+def test_the_limit_turns_on_at_high_latency_and_off_afterwards() -> None:
     harness = make(servers=4)
     serve(harness, 100, latency=20.0)
     assert texts(harness) == []
@@ -309,8 +309,8 @@
     assert harness.subscriptions == asked and Subscribe() in harness.log
 
 
-def test_the_quick_answers_of_the_first_moments_are_not_taken_for_calm() -> None:
-    """Of calls sent together the fast ones return first; they must not set the calm latency."""
+def test_the_first_fast_answers_do_not_set_the_calm_latency() -> None:
+    """Of calls sent together the fast ones return first; as the calm latency they shed a third of a day."""
     harness = make(servers=30)
     calls = [harness.arrive() for _ in range(150)]
     out = [r for r in calls if harness.owed[r].attempts]
@@ -439,8 +439,8 @@
     assert before >= 6.0 and node._admission.limit.value < 0.7
 
 
-def test_the_limit_leaves_each_server_a_call_for_every_tier_to_come() -> None:
-    """Guards against a calm latency from an idle start: at one call per server the first tier shed 40%."""
+def test_the_limit_leaves_each_server_a_call_for_every_tier_behind() -> None:
+    """Guards against a calm latency from an idle start: with one call per server 40% of a day was shed."""
     slow = RequestClass("r", 1500, 4000)
     harness = make(slow, servers=4, stages=3, stage=0)
     serve(harness, 60, latency=50.0)  # calm
@@ -450,8 +450,8 @@
     assert sum(1 for request in requests for _ in harness.live(request)) >= 3 * 4 - 1
 
 
-def test_a_burst_far_inside_the_aim_is_not_refused() -> None:
-    """Guards against a limit derived from the calm latency alone, which halved the rate of answers."""
+def test_a_burst_far_below_the_latency_target_is_not_refused() -> None:
+    """Guards against a limit derived from the calm latency alone, which refused half of the requests."""
     harness = make(RequestClass("r", 1500, 4000), servers=4, stages=3, stage=0)
     for latency in [60.0] * 300 + [300.0] * 500:  # one every 20 ms
         harness.arrive()
@@ -464,7 +464,7 @@
     assert sum(isinstance(a, Refuse) for a in harness.log) < 40
 
 
-def test_a_quick_start_is_not_taken_for_calm() -> None:
+def test_answers_of_an_idle_start_do_not_set_the_calm_latency() -> None:
     """The first answers come from an idle fleet; the mean under normal load was twice as high."""
     harness = make(RequestClass("r", 1500, 4000))
     serve(harness, 12, latency=50.0)
@@ -488,7 +488,7 @@
     return harness, sum(isinstance(a, Refuse) for a in harness.log)
 
 
-def test_where_calls_take_long_the_limit_grows_before_twenty_of_them_are_over() -> None:
+def test_with_long_calls_the_limit_grows_before_the_calm_latency_is_known() -> None:
     """The calm latency is known only after twenty mean latencies.
 
     In a deployment with long calls, half of the requests of the first ten seconds were refused for that
@@ -499,7 +499,7 @@
     assert harness.balancer._admission.limit.value > 40.0 and refused < 100
 
 
-def test_a_start_in_which_latencies_climb_does_not_grow_the_limit() -> None:
+def test_a_start_with_rising_latencies_does_not_grow_the_limit() -> None:
     """The opposite case: where additional calls queue, the limit stays at its initial value."""
     harness, refused = _start_of_a_day(lambda out: 300.0 + 100.0 * max(0, out - 12))
     assert harness.balancer._admission.limit.value <= 6.0 * 4 + 1.0 and refused > 100
@@ -540,7 +540,7 @@
     assert bad in sent_to(harness, since), "the other class is no longer sent to it"
 
 
-def test_a_server_that_serves_a_class_again_gets_it_back() -> None:
+def test_a_server_that_serves_a_class_again_is_reinstated_for_it() -> None:
     harness = make(SAFE, UNSAFE, may_probe=True, cold_ms=1000.0)
     bad = bytes([2])
     serve(harness, 30)
@@ -585,7 +585,7 @@
     assert texts(harness) == []
 
 
-def test_a_class_that_came_back_by_a_good_trial_is_not_barred_for_one_error() -> None:
+def test_a_class_reinstated_by_a_trial_is_not_barred_for_one_error() -> None:
     """Guards against a failure average that survives the trial and bars the class at the next error."""
     harness = make(SAFE, UNSAFE, cold_ms=1000.0)
     bad = bytes([2])
@@ -628,7 +628,7 @@
     assert len(harness.balancer._fleet.servers) <= 7
 
 
-def test_a_server_that_went_while_it_was_left_out_is_not_looked_up() -> None:
+def test_an_ejected_server_that_was_removed_is_not_probed() -> None:
     harness = make(may_probe=True, cold_ms=1000.0)
     serve(harness, 60, bad=bytes([2]))
     harness.balancer._health._schedule_reinstatement(harness.balancer._fleet.servers[bytes([2])])
@@ -652,7 +652,7 @@
     assert bytes([2]) in sent_to(harness, len(harness.log) - 600), "it was never attempt again"
 
 
-def test_a_fleet_that_turns_calls_away_is_sent_fewer() -> None:
+def test_a_fleet_that_refuses_calls_is_sent_fewer() -> None:
     harness = make(servers=5)
     serve(harness, 60)
     before = harness.balancer._admission.limit.value
--- a/tests/test_home.py
+++ b/tests/test_home.py
@@ -43,8 +43,8 @@
 
 
 def test_every_server_is_used_by_the_same_number_of_nodes() -> None:
-    """With 31 nodes and 51 servers one server was used by one node and others by seven, with calls in
-    proportion."""
+    """With 31 nodes and 51 servers one server was used by one node and others by seven, each with
+    calls in proportion."""
     for nodes, servers in ((31, 51), (107, 96), (400, 60)):
         nodes_by_name = nodes_by_server(nodes, servers)
         assert len(nodes_by_name) == servers and len(set(nodes_by_name.values())) == 1, Counter(
