--- a/leadrudder/looks.py
+++ b/leadrudder/looks.py
@@ -15,7 +15,7 @@
     request: Request
     mean_latency_ms: float  # of the latency averages of all servers
     calm_latency_ms: float  # lowest mean latency, without queueing
-    total_outstanding: int  # calls in flight
+    in_flight: int  # calls to all servers
     late_after_ms: float  # age after which an attempt is late
     warm_server_flow: float | None = None  # work per ms; computed once, and only if a server is cold
     may_have_run: bool = field(init=False)
--- a/leadrudder/policy/placement.py
+++ b/leadrudder/policy/placement.py
@@ -194,9 +194,7 @@
 
     def _draw(self, context: DrawContext, pool: list[int]) -> Server:
         """Draws by the shares; from one call per two servers on, among the servers with the fewest calls."""
-        if self._settings.even_spread and 2 * context.total_outstanding * self._settings.balancers >= len(
-            self.arms
-        ):
+        if self._settings.even_spread and 2 * context.in_flight * self._settings.balancers >= len(self.arms):
             pool = least_held(pool, self.arms, self.automaton.averages.values, context.mean_latency_ms)
         return self.arms[self.automaton.shares.draw(pool, self._turn.rng.random())]
 
@@ -294,7 +292,7 @@
             share = (
                 share * context.mean_latency_ms / slow if slow and slow > context.mean_latency_ms else share
             )
-            if out > SHARE_SLACK_CALLS + SHARE_FACTOR * share * context.total_outstanding:
+            if out > SHARE_SLACK_CALLS + SHARE_FACTOR * share * context.in_flight:
                 return BUSY
         return ELIGIBLE
 
