--- a/leadrudder/policy/automaton.py
+++ b/leadrudder/policy/automaton.py
@@ -34,8 +34,8 @@
     """A probability vector over servers with a floor, and a latency average for each.
 
     A payoff changes all other shares by one affine map, which FenwickWeights stores separately from the
-    shares, so that learning and drawing cost O(log r).  Servers of one listed kind share a map; a draw selects
-    the kind first.
+    shares, so that learning and drawing cost O(log r). Servers of one listed kind share a map; a draw
+    selects the kind first.
     """
 
     def __init__(self, nodes: int = 1, floor_share: float = FLOOR_SHARE) -> None:
