--- a/bench/change_cost.py
+++ b/bench/change_cost.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from leadrudder.bootstrap.settings import read
-from leadrudder.data_plane.admission_control import Gate
+from leadrudder.data_plane.admission_control import AdmissionController
 from leadrudder.data_plane.mesh_state import MeshState
 from leadrudder.observability.invariants import Invariants
 from leadrudder.protocol import mesh_pb2 as wire
@@ -56,7 +56,7 @@
     settings = read(SETTINGS).unwrap()
     made = MeshState(
         settings,
-        Gate(settings.bounds),
+        AdmissionController(settings.bounds),
         Invariants(print),
         carry=lambda *given: lambda client_left: None,
         carried_out=lambda: None,
--- a/leadrudder/data_plane/admission_control.py
+++ b/leadrudder/data_plane/admission_control.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class Life:
+class ServerInstance:
     """One life of the server, by its beats."""
 
     id: str
@@ -41,20 +41,20 @@
     zone: str
     capacity: int
     draining_since: float | None = None
-    count: int = -1  # of its calls
+    heartbeat_number: int = -1  # of its calls
     cold_until: float = 0.0
-    heard: float = 0.0
+    last_heartbeat: float = 0.0
     down_until: float = 0.0  # it takes no connections
 
 
-class Gate:
+class AdmissionController:
     """What may go to the server now, later or never."""
 
     def __init__(self, bounds: Bounds) -> None:
         self._bounds = bounds
-        self.life: Life | None = None
+        self.instance: ServerInstance | None = None
         self._ended: OrderedDict[str, None] = OrderedDict()  # lives that are over
-        self.running = 0
+        self.running_calls = 0
         self._queue = AdmissionQueue()
         self._seen: OrderedDict[bytes, None] = OrderedDict()
         self._tokens = COLD_BURST
@@ -63,46 +63,48 @@
         self._short_calls = ArrivalRate()
         self.cold_per_s = 0.0  # of the configuration; 0: not known
         self.evacuated = False
-        self.leaving = False
+        self.terminating = False
         self._slot_seconds, self._slots_since = 0.0, 0.0
 
     # ------------------------------------------------------------ beats
 
-    def beat(self, life: Life, draining: bool, count: int, cold_ms: float, now: float) -> bool:
+    def on_heartbeat(
+        self, life: ServerInstance, draining: bool, heartbeat_number: int, cold_ms: float, now: float
+    ) -> bool:
         """A server's beat; True if others must hear of it.  A late one changes nothing."""
         if life.id in self._ended:
             return False
-        known = self.life
+        known = self.instance
         if known is None or known.id != life.id:
             if known is not None:
                 self._end(known.id)
-            self.life = known = life
+            self.instance = known = life
             changed = True
         else:
             changed = known.capacity != life.capacity
             known.capacity = life.capacity
-        known.heard = now
-        if count <= known.count:
+        known.last_heartbeat = now
+        if heartbeat_number <= known.heartbeat_number:
             return changed
-        known.count = count
+        known.heartbeat_number = heartbeat_number
         known.cold_until = now + cold_ms / 1000.0 if cold_ms > 0 else 0.0
         if draining and known.draining_since is None:
             known.draining_since, changed = now, True
         return changed
 
-    def left(self, server: str) -> bool:
+    def remove_instance(self, server: str) -> bool:
         """It has signed off."""
         self._end(server)
-        if self.life is None or self.life.id != server:
+        if self.instance is None or self.instance.id != server:
             return False
-        self.life = None
+        self.instance = None
         return True
 
-    def silent(self, now: float, after_s: float) -> bool:
+    def expire_instance(self, now: float, after_s: float) -> bool:
         """Drop a server that has not beaten for so long; True if it was dropped."""
-        if self.life is None or now - self.life.heard < after_s:
+        if self.instance is None or now - self.instance.last_heartbeat < after_s:
             return False
-        self.life = None
+        self.instance = None
         return True
 
     def _end(self, server: str) -> None:
@@ -110,15 +112,15 @@
         while len(self._ended) > 1000:
             self._ended.popitem(last=False)
 
-    def no_connection(self, server: str, now: float) -> None:
+    def on_connect_failure(self, server: str, now: float) -> None:
         """It took no connection: for a moment nothing is sent there."""
-        if self.life is not None and self.life.id == server:
-            self.life.down_until = now + DOWN_S
+        if self.instance is not None and self.instance.id == server:
+            self.instance.down_until = now + DOWN_S
 
-    def evacuate(self, on: bool, now: float) -> None:
+    def set_evacuated(self, on: bool, now: float) -> None:
         """The zone is to get nothing, or is taken back: its servers may have turned cold meanwhile."""
-        if self.evacuated and not on and self.life is not None:
-            self.life.cold_until = max(self.life.cold_until, now + COLD_UNKNOWN_S)
+        if self.evacuated and not on and self.instance is not None:
+            self.instance.cold_until = max(self.instance.cold_until, now + COLD_UNKNOWN_S)
         self.evacuated = on
 
     # ------------------------------------------------------------ calls
@@ -136,7 +138,7 @@
                 refuse(Verdict(Ran.MAYBE, "seen"))
                 return None
             self._remember(waybill.attempt_id)
-        if self._times.short(waybill.target_ms):
+        if self._times.is_short(waybill.target_ms):
             self._short_calls.observe(now)
         if self._has_slot(waybill, now) and not self._paced(now):
             self._start(start, now)
@@ -147,14 +149,14 @@
             self._forget(waybill)
             refuse(Verdict(Ran.NEVER, "full", wait_ms))
             return None
-        least_left_ms = max(LEAST_LEFT_MS, LEAST_PART * self._times.of(waybill.target_ms))
+        least_left_ms = max(LEAST_LEFT_MS, LEAST_PART * self._times.expected_ms(waybill.target_ms))
         until = now + (waybill.left_ms - least_left_ms) / 1000.0
-        return self._queue.push(rank, waybill, until=until, came=now, start=start, refuse=refuse)
+        return self._queue.push(rank, waybill, expires_at=until, queued_at=now, start=start, refuse=refuse)
 
     def _has_slot(self, waybill: Waybill, now: float) -> bool:
         """Whether the server has a slot for it, besides one that is kept for short calls."""
-        assert self.life is not None
-        return self.running < self.life.capacity - self._reserved(waybill, now)
+        assert self.instance is not None
+        return self.running_calls < self.instance.capacity - self._reserved(waybill, now)
 
     def _reserved(self, waybill: Waybill, now: float) -> int:
         """Slots that it may not have: one is kept for short calls, while they come often enough to use it.
@@ -162,18 +164,18 @@
         A short call is mostly one that a server makes while it holds a slot elsewhere, and holds for as long
         as the call waits here: long work that takes the last slot costs more than one that waits.
         """
-        assert self.life is not None
-        if self.life.capacity < RESERVE_LEAST or self._times.short(waybill.target_ms):
+        assert self.instance is not None
+        if self.instance.capacity < RESERVE_LEAST or self._times.is_short(waybill.target_ms):
             return 0
-        short_for_each_long = self._short_calls.per_s(now) * self._times.long_ms / 1000.0
+        short_for_each_long = self._short_calls.per_s(now) * self._times.long_mean_ms / 1000.0
         return 1 if short_for_each_long > RESERVE_FROM else 0
 
     def _rank(self, waybill: Waybill, now: float) -> tuple[Rank, float]:
         """Its place among those that wait, and for how many milliseconds it would, about."""
         in_time = Rank(waybill.priority, False, now + waybill.aim_ms / 1000.0)
         wait_ms = self._wait_ms(waybill, in_time, now)
-        fits = wait_ms + self._times.of(waybill.target_ms) <= IN_TIME_PART * waybill.aim_ms
-        if fits or self._times.short(waybill.target_ms):
+        fits = wait_ms + self._times.expected_ms(waybill.target_ms) <= IN_TIME_PART * waybill.aim_ms
+        if fits or self._times.is_short(waybill.target_ms):
             return in_time, wait_ms
         late = Rank(waybill.priority, True, now + waybill.left_ms / 1000.0)
         return late, self._wait_ms(waybill, late, now)
@@ -189,12 +191,12 @@
             self._seen.pop(waybill.attempt_id, None)
 
     def _bars(self, waybill: Waybill, now: float) -> Verdict | None:
-        life = self.life
+        life = self.instance
         if life is None or life.id != waybill.server:
             return Verdict(Ran.NEVER, "gone")
         if now < life.down_until:
             return Verdict(Ran.NEVER, "down")
-        if self.leaving:
+        if self.terminating:
             return Verdict(Ran.NEVER, "leaving")
         if self.evacuated:
             return Verdict(Ran.NEVER, "evacuated")
@@ -208,33 +210,33 @@
 
     def _make_room(self, rank: Rank) -> bool:
         """Whether one of this rank may wait; the last of a full queue makes way for it."""
-        assert self.life is not None
-        if len(self._queue) < QUEUE_TIMES * self.life.capacity:
+        assert self.instance is not None
+        if len(self._queue) < QUEUE_TIMES * self.instance.capacity:
             return True
         last = self._queue.last()
         if last is None or rank >= last.rank:
             return False
         self._queue.discard(last)
         self._forget(last.waybill)
-        last.refuse(Verdict(Ran.NEVER, "full", self._times.usual_ms))
+        last.refuse(Verdict(Ran.NEVER, "full", self._times.mean_ms))
         return True
 
     def _wait_ms(self, waybill: Waybill, rank: Rank, now: float) -> float:
         """How long it would wait for its turn at this rank, about."""
-        assert self.life is not None
-        ahead = 1 + self._queue.ahead_of(rank)
-        if now < self.life.cold_until:
+        assert self.instance is not None
+        ahead = 1 + self._queue.count_ahead(rank)
+        if now < self.instance.cold_until:
             return 1000.0 * ahead / self._pace()
-        slots = self.life.capacity - self._reserved(waybill, now)
-        return ahead * max(self._times.usual_ms, self._times.of(waybill.target_ms)) / slots
+        slots = self.instance.capacity - self._reserved(waybill, now)
+        return ahead * max(self._times.mean_ms, self._times.expected_ms(waybill.target_ms)) / slots
 
     def _pace(self) -> float:
         return COLD_PART * (self.cold_per_s or 10.0)
 
     def _paced(self, now: float) -> bool:
         """Whether the server is cold and has had its share for now."""
-        assert self.life is not None
-        if now >= self.life.cold_until:
+        assert self.instance is not None
+        if now >= self.instance.cold_until:
             self._tokens, self._tokens_at = COLD_BURST, now
             return False
         self._tokens = min(COLD_BURST, self._tokens + self._pace() * (now - self._tokens_at))
@@ -243,47 +245,47 @@
 
     def slot_seconds(self, now: float) -> float:
         """Seconds of slots in use since the start, summed over slots."""
-        self._slot_seconds += self.running * (now - self._slots_since)
+        self._slot_seconds += self.running_calls * (now - self._slots_since)
         self._slots_since = now
         return self._slot_seconds
 
-    def waiting(self) -> int:
+    def waiting_calls(self) -> int:
         """Calls that wait for a slot."""
         return len(self._queue)
 
     def _start(self, start: Callable[[], None], now: float) -> None:
         self.slot_seconds(now)
-        if self.life is not None and now < self.life.cold_until:
+        if self.instance is not None and now < self.instance.cold_until:
             self._tokens -= 1.0
-        self.running += 1
+        self.running_calls += 1
         start()
 
-    def ended(self, elapsed_ms: float | None, now: float, target_ms: float = 0.0) -> None:
+    def on_call_ended(self, elapsed_ms: float | None, now: float, target_ms: float = 0.0) -> None:
         """A call that was started is over, however.
 
         elapsed_ms: None if it was broken off because its client had left; target_ms: its route's.
         """
         self.slot_seconds(now)
-        self.running -= 1
+        self.running_calls -= 1
         if elapsed_ms is not None:
             self._times.observe(target_ms, elapsed_ms)
-        self.advance(now)
+        self.process_queue(now)
 
     def withdraw(self, queued: QueuedCall) -> None:
         """Its origin does not wait any more."""
         self._queue.discard(queued)
 
-    def advance(self, now: float) -> float | None:
+    def process_queue(self, now: float) -> float | None:
         """Start what may start, refuse what waits in vain; returns when to look again, if anything waits."""
         self._refuse_queued(now)
         while (queued := self._next(now)) is not None:
             if self._paced(now):
                 break
             self._queue.discard(queued)
-            queued.waybill.left_ms -= 1000.0 * (now - queued.came)
+            queued.waybill.left_ms -= 1000.0 * (now - queued.queued_at)
             self._start(queued.start, now)
-        look = self._queue.next_until()
-        if look is not None and self.life is not None and now < self.life.cold_until:
+        look = self._queue.next_expiry()
+        if look is not None and self.instance is not None and now < self.instance.cold_until:
             look = min(look, now + 1.0 / self._pace())
         return look
 
@@ -294,7 +296,9 @@
     def _refuse_queued(self, now: float) -> None:
         """Those whose time is over, and all that the server may not have any more."""
         for queued in list(self._queue):
-            verdict = Verdict(Ran.NEVER, "time") if now >= queued.until else self._bars(queued.waybill, now)
+            verdict = (
+                Verdict(Ran.NEVER, "time") if now >= queued.expires_at else self._bars(queued.waybill, now)
+            )
             if verdict is not None:
                 self._queue.discard(queued)
                 self._forget(queued.waybill)
--- a/leadrudder/data_plane/admission_queue.py
+++ b/leadrudder/data_plane/admission_queue.py
@@ -25,10 +25,10 @@
     """A call that waits.  until: when it is refused, if it has not been started; came: when it was queued."""
 
     rank: Rank
-    number: int
+    sequence: int
     waybill: Waybill = field(compare=False)
-    until: float = field(compare=False)
-    came: float = field(compare=False)
+    expires_at: float = field(compare=False)
+    queued_at: float = field(compare=False)
     start: Callable[[], None] = field(compare=False)
     refuse: Callable[[Verdict], None] = field(compare=False)
 
@@ -52,12 +52,12 @@
         rank: Rank,
         waybill: Waybill,
         *,
-        until: float,
-        came: float,
+        expires_at: float,
+        queued_at: float,
         start: Callable[[], None],
         refuse: Callable[[Verdict], None],
     ) -> QueuedCall:
-        queued = QueuedCall(rank, next(self._numbers), waybill, until, came, start, refuse)
+        queued = QueuedCall(rank, next(self._numbers), waybill, expires_at, queued_at, start, refuse)
         insort(self._calls, queued)
         return queued
 
@@ -70,10 +70,10 @@
         """The one that would be served last; None if none waits."""
         return self._calls[-1] if self._calls else None
 
-    def ahead_of(self, rank: Rank) -> int:
+    def count_ahead(self, rank: Rank) -> int:
         """How many would be served before one of this rank that came now."""
         return sum(1 for queued in self._calls if queued.rank <= rank)
 
-    def next_until(self) -> float | None:
+    def next_expiry(self) -> float | None:
         """When the first of those that wait is to be refused; None if none waits."""
-        return min((queued.until for queued in self._calls), default=None)
+        return min((queued.expires_at for queued in self._calls), default=None)
--- a/leadrudder/data_plane/candidates.py
+++ b/leadrudder/data_plane/candidates.py
@@ -15,9 +15,9 @@
     A call to the server beside the node itself crosses no link of the mesh, and bytes between zones are dear.
     """
 
-    OWN = 60.0
-    ZONE = 30.0
-    FAR = 1.0
+    LOCAL = 60.0
+    SAME_ZONE = 30.0
+    OTHER_ZONE = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
     entries: tuple[ServerEntry, ...]
 
     @classmethod
-    def of(cls, servers: Mapping[str, Distance]) -> Candidates:
+    def from_servers(cls, servers: Mapping[str, Distance]) -> Candidates:
         entries = tuple(
             ServerEntry(name.encode(), capacity_hint=distance.value)
             for name, distance in sorted(servers.items())
--- a/leadrudder/data_plane/client_patience.py
+++ b/leadrudder/data_plane/client_patience.py
@@ -20,7 +20,7 @@
         self._before: dict[str, float] = {}  # in the one before
         self._span_ends = 0.0
 
-    def waited_ms(self, route: str, left_ms: float, now: float) -> float:
+    def estimate_waited_ms(self, route: str, left_ms: float, now: float) -> float:
         """For how long the client of a request with so much time left has waited already; now: seconds."""
         if now >= self._span_ends:
             self._before = self._longest if now < self._span_ends + SPAN_S else {}
--- a/leadrudder/data_plane/inbound.py
+++ b/leadrudder/data_plane/inbound.py
@@ -5,8 +5,8 @@
 import asyncio
 from collections.abc import Callable
 
-from leadrudder.data_plane.admission_control import Gate
-from leadrudder.data_plane.server_connections import NOT_RUN, SEAL, Going, OwnServer
+from leadrudder.data_plane.admission_control import AdmissionController
+from leadrudder.data_plane.server_connections import NOT_RUN, SEAL, LocalServer, ServerRequest
 from leadrudder.interface import Outcome
 from leadrudder.node.servers import Call
 from leadrudder.protocol.mesh_pb2 import Delivery, Waybill
@@ -33,24 +33,24 @@
 Withdraw = Callable[[bool], None]  # the argument: whether it is because the client has left
 
 
-def nothing_to_withdraw(client_left: bool) -> None:
+def no_withdrawal(client_left: bool) -> None:
     """For a request that has been answered."""
 
 
-def passed_on(message: WholeMessage, without: frozenset[bytes] = frozenset()) -> bytes:
+def forwarded_headers(message: WholeMessage, without: frozenset[bytes] = frozenset()) -> bytes:
     """Header lines as they came, but those that concern one connection only, or that are set anew."""
     named = message.headers.get(b"connection", b"").lower()
     dropped = {part.strip() for part in named.split(b",")} | HOP_BY_HOP | without
     return b"".join(b"%s: %s\r\n" % (n, v) for n, v in message.fields if n.lower() not in dropped)
 
 
-class Inbound:
+class InboundProxy:
     """What the gate admits is run; every waybill is delivered once."""
 
     def __init__(
         self,
-        gate: Gate,
-        own: OwnServer,
+        gate: AdmissionController,
+        own: LocalServer,
         note: Callable[[str], None],
         lent: Callable[[Waybill], bool] = lambda waybill: False,
         ran: Callable[[int], None] | None = None,
@@ -63,7 +63,7 @@
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
 
-    def take(self, waybill: Waybill, deliver: Deliver) -> Withdraw:
+    def handle(self, waybill: Waybill, deliver: Deliver) -> Withdraw:
         """Returns what withdraws it: while it has not been started, or if its client has left.
 
         A run that may be repeated is broken off then; one that may not goes on to its end.
@@ -89,7 +89,7 @@
 
         if self._lent(waybill):
             refuse(Verdict(Ran.NEVER, "lent"))
-            return nothing_to_withdraw
+            return no_withdrawal
         queued = self.gate.admit(waybill, self._loop.time(), start, refuse)
         if queued is not None:
             self._look_again()
@@ -112,13 +112,13 @@
             now = self._loop.time()
             delivery = self._delivery(waybill, outcome, message)
             if outcome is Outcome.CONNECT_FAILED:
-                self.gate.no_connection(waybill.server, now)
+                self.gate.on_connect_failure(waybill.server, now)
             deliver(delivery)
             elapsed_ms = None if outcome is Outcome.CANCELLED else 1000.0 * (now - began)
-            self.gate.ended(elapsed_ms, now, waybill.target_ms)
+            self.gate.on_call_ended(elapsed_ms, now, waybill.target_ms)
             self._look_again()
 
-        going = Going(waybill.attempt_id, head, waybill.body)
+        going = ServerRequest(waybill.attempt_id, head, waybill.body)
         return self._own.run(waybill.server, going, waybill.left_ms / 1000.0 + OVER_S, ended)
 
     def _delivery(self, waybill: Waybill, outcome: Outcome, message: WholeMessage | None) -> Delivery:
@@ -140,18 +140,18 @@
         if self._ran is not None and waybill.once:
             self._ran(waybill.epoch)
         delivery.ran, delivery.status = Ran.YES, status
-        delivery.fields, delivery.body = passed_on(message), message.body
+        delivery.fields, delivery.body = forwarded_headers(message), message.body
         return delivery
 
     def _look_again(self) -> None:
         """The gate's queue: when something in it is due."""
-        due = self.gate.advance(self._loop.time())
+        due = self.gate.process_queue(self._loop.time())
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         if due is not None:
             self._timer = self._loop.call_later(max(0.001, due - self._loop.time()), self._look_again)
 
-    def advance(self) -> None:
+    def process_queue(self) -> None:
         """Something about the server has changed."""
         self._look_again()
--- a/leadrudder/data_plane/load_balancer.py
+++ b/leadrudder/data_plane/load_balancer.py
@@ -15,7 +15,7 @@
 from leadrudder import interface as api
 from leadrudder.configuration.items import Route
 from leadrudder.data_plane.candidates import Candidates, Distance
-from leadrudder.data_plane.retry_budget import Purse
+from leadrudder.data_plane.retry_budget import RetryBudget
 from leadrudder.interface import Effect, Outcome, ServerId
 from leadrudder.policy.decide import Balancer
 from leadrudder.protocol.mesh_pb2 import Delivery
@@ -28,10 +28,10 @@
 REST_MOST_MS = 150.0
 FLOOR_SHARE = 0.06  # p_min = this / r
 TOLL_PART = 0.3  # of the target: a call to another zone counts as so much slower, as bytes between are dear
-RETRY_LEAST_MS = 20.0  # told to come back no earlier
+MIN_RETRY_AFTER_MS = 20.0  # told to come back no earlier
 
 
-class NoLimit:
+class UnlimitedConcurrency:
     """Calls out are limited where their number is known for certain: by the gates."""
 
     value = math.inf
@@ -39,12 +39,12 @@
     def moved(self, by: float, servers: float, part: float) -> None:
         """Nothing moves it."""
 
-    def feel(self, strain: Strain, latency_share: float, out: int, patience: float) -> None:
+    def feel(self, strain: Strain, latency_share: float, in_flight: int, patience: float) -> None:
         """Nothing moves it."""
 
 
 @dataclass(slots=True)
-class Errand:
+class ClientRequest:
     """A client's request, which is owed one answer."""
 
     method: bytes
@@ -53,35 +53,39 @@
     body: bytes
     attempt_id: bytes
     deadline: float  # seconds on the loop's clock
-    answered: Callable[[Reply | Verdict], None]
-    began: float = 0.0  # seconds on the loop's clock
+    on_answer: Callable[[Reply | Verdict], None]
+    started_at: float = 0.0  # seconds on the loop's clock
     waited_ms: float = 0.0  # by its client before this try, as far as its time left tells
     epoch: int = 0  # of the ledger, in which it began; 0: none is kept
     done: bool = False
     arrivals: int = 0  # at servers, as far as is known or must be feared
-    sends: int = 0
-    out: dict[int, Callable[[bool], None]] = field(default_factory=dict)  # attempts, and what withdraws each
+    attempts_sent: int = 0
+    in_flight: dict[int, Callable[[bool], None]] = field(
+        default_factory=dict
+    )  # attempts, and what withdraws each
     verdicts: list[Verdict] = field(default_factory=list)
-    reply: Reply | None = None  # a server's answer that was no success
+    error_reply: Reply | None = None  # a server's answer that was no success
 
     def answer(self, what: Reply | Verdict) -> None:
         if not self.done:
             self.done = True
-            self.answered(what)
+            self.on_answer(what)
 
 
-Carry = Callable[[Errand, Route, str, bool, bool, Callable[[Delivery], None]], Callable[[bool], None]]
+SendAttempt = Callable[
+    [ClientRequest, Route, str, bool, bool, Callable[[Delivery], None]], Callable[[bool], None]
+]
 
 
-class Points:
+class LoadBalancer:
     """carry: sends one attempt to the gate beside a server; returns what withdraws it."""
 
     def __init__(
         self,
         route: Route,
         service: str,
-        purse: Purse,
-        carry: Carry,
+        purse: RetryBudget,
+        carry: SendAttempt,
         note: Callable[[str], None],
         seed: int | None = None,
     ) -> None:
@@ -108,22 +112,22 @@
             floor_share=FLOOR_SHARE,
             even_spread=False,
         )
-        self.balancer = Balancer(
-            settings, seed=Random().getrandbits(48) if seed is None else seed, limit=NoLimit()
+        self.policy = Balancer(
+            settings, seed=Random().getrandbits(48) if seed is None else seed, limit=UnlimitedConcurrency()
         )
-        self._errands: dict[int, Errand] = {}
+        self._errands: dict[int, ClientRequest] = {}
         self._last = 0
         self._listed: Mapping[str, Distance] = {}
         self._offered: Candidates | None = None  # a list that was not taken in yet
         self._toll_ms = TOLL_PART * route.target_ms
         self._began: dict[tuple[int, int], tuple[ServerId, float]] = {}  # attempts that are out
 
-    def follow(self, servers: Mapping[str, Distance]) -> None:
+    def set_servers(self, servers: Mapping[str, Distance]) -> None:
         """The servers that may be drawn, and how far away each is."""
-        self.offer(Candidates.of(servers))
+        self.offer_candidates(Candidates.from_servers(servers))
         self._take_offered()
 
-    def offer(self, candidates: Candidates) -> None:
+    def offer_candidates(self, candidates: Candidates) -> None:
         """The servers that may be drawn: taken in now if requests are open, else with the next request."""
         self._offered = candidates
         if self._errands:
@@ -136,11 +140,11 @@
         self._listed = candidates.servers
         self._post(api.ServerList(api.ListKind.FULL, candidates.entries))
 
-    def begin(self, errand: Errand) -> Callable[[], None]:
+    def submit(self, errand: ClientRequest) -> Callable[[], None]:
         """A request: from here on it is owed one answer.  Returns what says that its client has left."""
         self._take_offered()
         self._last += 1
-        self._purse.earn()
+        self._purse.deposit()
         number = self._last
         self._errands[number] = errand
         left = errand.deadline - self._loop.time()
@@ -148,39 +152,39 @@
         self._post(api.Arrival(number, 0, max(1.0, 1000.0 * left)))
         return lambda: self._client_left(number, errand)
 
-    def _client_left(self, number: int, errand: Errand) -> None:
+    def _client_left(self, number: int, errand: ClientRequest) -> None:
         """Nobody waits for it any more: nothing further is sent, and what is out is withdrawn."""
         if number not in self._errands or errand.done:
             return
         del self._errands[number]
         self._post(api.RequestGone(number))  # first: what ends now says nothing of its server
         self._finish(errand, "client left")
-        for attempt in list(errand.out):
+        for attempt in list(errand.in_flight):
             self._end(number, errand, attempt, Outcome.CANCELLED, client_left=True)
 
-    def _overdue(self, number: int, errand: Errand) -> None:
+    def _overdue(self, number: int, errand: ClientRequest) -> None:
         """Its time is over: what is still out counts as failed at the time it took."""
         if number not in self._errands:
             return
         if not errand.done:
             self._finish(errand, "time")
-        for attempt in list(errand.out):
+        for attempt in list(errand.in_flight):
             self._end(number, errand, attempt, Outcome.TIMEOUT)
         self._errands.pop(number, None)
         self._post(api.RequestGone(number))
 
-    def _forget(self, number: int, errand: Errand) -> None:
+    def _forget(self, number: int, errand: ClientRequest) -> None:
         """Kept until all that is out has ended."""
-        if errand.done and not errand.out:
+        if errand.done and not errand.in_flight:
             self._errands.pop(number, None)
 
-    def _finish(self, errand: Errand, why: str) -> None:
+    def _finish(self, errand: ClientRequest, why: str) -> None:
         """No further attempt: the server's own answer if there is one, else what the verdicts say."""
-        if errand.reply is not None and not errand.out:
-            errand.answer(errand.reply)
+        if errand.error_reply is not None and not errand.in_flight:
+            errand.answer(errand.error_reply)
             return
         verdicts = list(errand.verdicts)
-        if errand.out:
+        if errand.in_flight:
             verdicts.append(Verdict(Ran.MAYBE, why))
         if why != "time" and verdicts and verdicts[-1].why == "time":
             why = "time"
@@ -189,7 +193,7 @@
     # ------------------------------------------------------------ the decision module
 
     def _post(self, event: api.Event) -> None:
-        for action in self.balancer.handle(event, 1000.0 * self._loop.time()):
+        for action in self.policy.handle(event, 1000.0 * self._loop.time()):
             self._act(action)
 
     def _act(self, action: api.Action) -> None:
@@ -207,28 +211,29 @@
                 self._forget(action.request, errand)
         elif isinstance(action, api.Cancel):
             errand = self._errands.get(action.request)
-            if errand is not None and action.attempt in errand.out:
+            if errand is not None and action.attempt in errand.in_flight:
                 self._loop.call_soon(self._end, action.request, errand, action.attempt, Outcome.CANCELLED)
         elif isinstance(action, api.Log):
             self._note(f"{self.route.name}: {action.text}")
 
     def _send(self, action: api.Send) -> None:
         number, errand = action.request, self._errands[action.request]
-        attempt = errand.sends
-        errand.sends += 1
-        again = errand.arrivals > 0 or bool(errand.out)
+        attempt = errand.attempts_sent
+        errand.attempts_sent += 1
+        again = errand.arrivals > 0 or bool(errand.in_flight)
         if errand.done or (
-            again and not (errand.arrivals + len(errand.out) < self.route.tries and self._purse.spend())
+            again
+            and not (errand.arrivals + len(errand.in_flight) < self.route.tries and self._purse.try_spend())
         ):
             # No further arrival is allowed: what is out may still answer.
-            if not errand.out:
+            if not errand.in_flight:
                 self._finish(errand, "tries")
             self._loop.call_soon(self._moot, number, errand, attempt, action.server)
             return
         began = self._loop.time()
         free = min(len(self._listed) - 1, DRAWS_FREE)
         server = action.server.decode()
-        errand.out[attempt] = lambda client_left: None
+        errand.in_flight[attempt] = lambda client_left: None
         over = False
 
         def delivered(delivery: Delivery) -> None:
@@ -237,22 +242,22 @@
             self._delivered(number, attempt, action.server, began, errand, delivery)
 
         withdraw = self._carry(errand, self.route, server, attempt >= free, again, delivered)
-        if not over and attempt in errand.out:
-            errand.out[attempt] = withdraw
+        if not over and attempt in errand.in_flight:
+            errand.in_flight[attempt] = withdraw
             self._began[number, attempt] = (action.server, began)
 
-    def _moot(self, number: int, errand: Errand, attempt: int, server: ServerId) -> None:
+    def _moot(self, number: int, errand: ClientRequest, attempt: int, server: ServerId) -> None:
         self._post(api.AttemptEnded(number, attempt, server, Outcome.MOOT, 0.0, errand.done))
         self._forget(number, errand)
 
     def _end(
-        self, number: int, errand: Errand, attempt: int, outcome: Outcome, *, client_left: bool = False
+        self, number: int, errand: ClientRequest, attempt: int, outcome: Outcome, *, client_left: bool = False
     ) -> None:
         """An attempt that is out is not waited for any more."""
         found = self._began.pop((number, attempt), None)
-        if found is None or attempt not in errand.out:
+        if found is None or attempt not in errand.in_flight:
             return
-        errand.out.pop(attempt)(client_left)
+        errand.in_flight.pop(attempt)(client_left)
         errand.verdicts.append(Verdict(Ran.MAYBE, "time" if outcome is Outcome.TIMEOUT else "withdrawn"))
         errand.arrivals += 1
         server, began = found
@@ -261,23 +266,29 @@
         self._forget(number, errand)
 
     def _delivered(
-        self, number: int, attempt: int, server: ServerId, began: float, errand: Errand, delivery: Delivery
+        self,
+        number: int,
+        attempt: int,
+        server: ServerId,
+        started_at: float,
+        errand: ClientRequest,
+        delivery: Delivery,
     ) -> None:
-        if attempt not in errand.out:
+        if attempt not in errand.in_flight:
             return
-        del errand.out[attempt]
+        del errand.in_flight[attempt]
         self._began.pop((number, attempt), None)
-        elapsed = 1000.0 * (self._loop.time() - began)
+        elapsed = 1000.0 * (self._loop.time() - started_at)
         outcome = self._judge(errand, server, elapsed, delivery)
-        if outcome is Outcome.REJECTED and errand.reply is not None:
-            errand.answer(errand.reply)
-        if outcome is Outcome.OK and self._listed.get(server.decode()) is Distance.FAR:
+        if outcome is Outcome.REJECTED and errand.error_reply is not None:
+            errand.answer(errand.error_reply)
+        if outcome is Outcome.OK and self._listed.get(server.decode()) is Distance.OTHER_ZONE:
             elapsed += self._toll_ms
         rest_ms = min(REST_MOST_MS, REST_PART * delivery.retry_ms) if outcome is Outcome.MOOT else 0.0
         self._post(api.AttemptEnded(number, attempt, server, outcome, elapsed, errand.done, rest_ms=rest_ms))
         self._forget(number, errand)
 
-    def _judge(self, errand: Errand, server: ServerId, elapsed: float, delivery: Delivery) -> Outcome:
+    def _judge(self, errand: ClientRequest, server: ServerId, elapsed: float, delivery: Delivery) -> Outcome:
         """What the end of an attempt says, in the module's terms; a success is handed on at once."""
         ran = Ran(delivery.ran)
         if delivery.status:
@@ -286,7 +297,7 @@
             if 200 <= delivery.status < 300:
                 errand.answer(reply)
                 return Outcome.OK
-            errand.reply = reply
+            errand.error_reply = reply
             errand.verdicts.append(Verdict(Ran.YES, f"status {delivery.status}"))
             # A 500 is as often that of a service behind: it takes four in a row to tell a server off.
             return Outcome.REJECTED if delivery.status < 500 else Outcome.SPOILT
--- a/leadrudder/data_plane/mesh_state.py
+++ b/leadrudder/data_plane/mesh_state.py
@@ -14,12 +14,12 @@
 from leadrudder.configuration.item_store import Book, kind_of
 from leadrudder.configuration.items import CONTRACT, EVACUATION, WINDOW, Route
 from leadrudder.configuration.routing_table import RoutingTable
-from leadrudder.data_plane.admission_control import Gate
+from leadrudder.data_plane.admission_control import AdmissionController
 from leadrudder.data_plane.candidates import Candidates, Distance
 from leadrudder.data_plane.change_queue import ChangeQueue, PendingChanges
 from leadrudder.data_plane.endpoint_discovery import Newsstand
 from leadrudder.data_plane.endpoints import Endpoint, EndpointTable, endpoints_of
-from leadrudder.data_plane.load_balancer import Carry
+from leadrudder.data_plane.load_balancer import SendAttempt
 from leadrudder.data_plane.machine_drains import Lent
 from leadrudder.data_plane.upstreams import Upstreams
 from leadrudder.membership.registry import Register
@@ -39,10 +39,10 @@
     def __init__(
         self,
         settings: Settings,
-        gate: Gate,
+        gate: AdmissionController,
         invariants: Invariants,
         *,
-        carry: Carry,
+        carry: SendAttempt,
         carried_out: Callable[[], None],
         ask: Callable[[frozenset[str]], None],
         fed: Callable[[], bool],
@@ -80,7 +80,7 @@
         metrics.add("items_read_total", lambda: self.routing.items_read)
         metrics.add("change_passes_total", lambda: self.changes.passes)
         metrics.add("change_pass_seconds_total", lambda: self.changes.pass_seconds)
-        metrics.add("server_lists_offered_total", lambda: self.upstreams.offers)
+        metrics.add("server_lists_offered_total", lambda: self.upstreams.lists_offered)
 
     # ------------------------------------------------------------ news
 
@@ -190,22 +190,22 @@
         if evacuated == self._evacuated:
             return set()
         self._evacuated = evacuated
-        self._gate.evacuate(self._zone in evacuated, self._loop.time())
+        self._gate.set_evacuated(self._zone in evacuated, self._loop.time())
         return self.endpoints.services()
 
     def _count_members(self) -> None:
         self._member_list = self.members.members()
-        self.upstreams.set_nodes(max(1, len(self._member_list)))
+        self.upstreams.set_node_count(max(1, len(self._member_list)))
         self.newsstand.forget({node.name for node in self._member_list})
 
     def _offer_lists(self, routes: set[str], services: set[str]) -> None:
         """Balancers of these routes and services get the servers that they may draw from now on."""
-        upstreams, before = self.upstreams, self.upstreams.offers
-        most = sum(map(upstreams.of_route, routes)) + sum(map(upstreams.of_service, services))
+        upstreams, before = self.upstreams, self.upstreams.lists_offered
+        most = sum(map(upstreams.count_for_route, routes)) + sum(map(upstreams.count_for_service, services))
         for name in routes:
-            upstreams.follow_route(name, self.routing.routes.get(name))
-        upstreams.follow_services(services)
-        offers = upstreams.offers - before
+            upstreams.update_route(name, self.routing.routes.get(name))
+        upstreams.refresh_services(services)
+        offers = upstreams.lists_offered - before
         self._invariants.check(
             "lists_go_to_those_concerned",
             offers <= most,
@@ -214,7 +214,7 @@
 
     def _follow_own_service(self, changes: PendingChanges) -> None:
         """The pace of our server while it is cold stands in its service's settings."""
-        life = self._gate.life
+        life = self._gate.instance
         if life is None or (life.service not in changes.services and self._name not in changes.stations):
             return
         service = self.routing.services.get(life.service)
@@ -226,10 +226,12 @@
     def candidates(self, service: str, route: Route) -> Candidates:
         """The servers that a route's requests for a service may go to."""
         if self.lent.some():
-            return Candidates.of(self.allowed(service, route))
+            return Candidates.from_servers(self.allowed(service, route))
         found = self._candidates_by_service.get(service)
         if found is None:
-            found = self._candidates_by_service[service] = Candidates.of(self.allowed(service, route))
+            found = self._candidates_by_service[service] = Candidates.from_servers(
+                self.allowed(service, route)
+            )
         return found
 
     def allowed(self, service: str, route: Route) -> dict[str, Distance]:
@@ -252,5 +254,5 @@
 
     def _distance(self, endpoint: Endpoint) -> Distance:
         if endpoint.station == self._name:
-            return Distance.OWN
-        return Distance.ZONE if endpoint.zone == self._zone else Distance.FAR
+            return Distance.LOCAL
+        return Distance.SAME_ZONE if endpoint.zone == self._zone else Distance.OTHER_ZONE
--- a/leadrudder/data_plane/outbound.py
+++ b/leadrudder/data_plane/outbound.py
@@ -13,8 +13,8 @@
 
 from leadrudder.configuration.items import Limits, Route
 from leadrudder.data_plane.client_patience import ClientPatience
-from leadrudder.data_plane.inbound import passed_on
-from leadrudder.data_plane.load_balancer import RETRY_LEAST_MS, Errand
+from leadrudder.data_plane.inbound import forwarded_headers
+from leadrudder.data_plane.load_balancer import MIN_RETRY_AFTER_MS, ClientRequest
 from leadrudder.node.http import Message, MessageError
 from leadrudder.observability.loop_lag import BEHIND_S
 from leadrudder.protocol.outcome import Reply, Verdict
@@ -31,7 +31,7 @@
 _OURS = frozenset((b"time-left", b"target-server", b"calling-service", b"expect"))
 
 Find = Callable[[str, str], Route | None]
-Begin = Callable[[Route, Errand], Callable[[], None]]  # returns what says that its client has left
+Begin = Callable[[Route, ClientRequest], Callable[[], None]]  # returns what says that its client has left
 
 
 @dataclass(slots=True)
@@ -43,10 +43,10 @@
     leave: Callable[[], None] | None = None  # to be called when the client has left before its answer
 
 
-class Client(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """One connection of a client's."""
 
-    def __init__(self, outbound: Outbound) -> None:
+    def __init__(self, outbound: OutboundProxy) -> None:
         self._outbound = outbound
         limits = outbound.limits()
         self._reader = WholeReader(
@@ -75,12 +75,12 @@
             self._reader.feed(data)
         except MessageError as error:
             self._refuse(error.status, str(error))
-        if not self._outbound.hold(self, self._reader.body_size) and not self._over:
+        if not self._outbound.hold_body(self, self._reader.body_size) and not self._over:
             self._refuse(503, "no memory for the body now", COME_BACK)
 
     def _refuse(self, status: int, text: str, fields: bytes = b"") -> None:
         """What came is no request that is taken: one answer, and nothing more is read."""
-        self._outbound.hold(self, 0)
+        self._outbound.hold_body(self, 0)
         place = Place(rendered(status, fields, text.encode() + b"\n", close=True), close=True)
         self._over = True
         self._places.append(place)
@@ -100,7 +100,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
-        self._outbound.hold(self, 0)
+        self._outbound.hold_body(self, 0)
         self._outbound.clients.pop(self, None)
         self._leave()
 
@@ -115,8 +115,8 @@
         if len(self._places) >= PIPELINED_MOST and self._transport is not None and not self._paused:
             self._transport.pause_reading()
             self._paused = True
-        self._outbound.hold(self, 0)  # from here on it counts as under way
-        place.leave = self._outbound.take(
+        self._outbound.hold_body(self, 0)  # from here on it counts as under way
+        place.leave = self._outbound.handle_request(
             cast(WholeMessage, message), lambda output: self._answer(place, output)
         )
 
@@ -153,30 +153,30 @@
     def _unsent(self) -> bool:
         return self._transport is not None and self._transport.get_write_buffer_size() > 0
 
-    def check(self, now: float, limits: Limits) -> None:
+    def check_timeouts(self, now: float, limits: Limits) -> None:
         """End what has been waited for long enough."""
         waited = 1000.0 * (now - self._since)
         if self._transport is None or self._places:
             return
         if self._over:
             if waited > 1000.0 * (UNREAD_S if self._unsent() else LINGER_S):
-                self.drop()
+                self.abort()
             return
         if self._unsent():
             if waited > 1000.0 * UNREAD_S:
-                self.drop()
+                self.abort()
         elif self._reader.begun:
             if waited > max(limits.head_wait_ms, limits.idle_ms if self._reader.within else 0.0):
                 self._refuse(408, "the request did not come in whole")
         elif waited > limits.idle_ms or self._outbound.closing:
             self._transport.close()
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         if self._transport is not None:
             self._transport.abort()
 
 
-class Outbound:
+class OutboundProxy:
     """All clients.  find: the route of a request; begin: carries it; most_held: bytes of bodies, read or
     under way, beyond which requests with larger ones are told to come back; late_s: how long what is read
     now has waited to be read, beyond which requests are told to come back, too.
@@ -194,18 +194,22 @@
     ) -> None:
         self._late_s = late_s
         self._patience = ClientPatience()
-        self.shed = 0  # requests refused because this process was behind, since the start
+        self.requests_shed = 0  # requests refused because this process was behind, since the start
         self._most_held = most_held
-        self._held: dict[Client, int] = {}  # bytes of bodies that are being read
+        self._held: dict[ClientConnection, int] = {}  # bytes of bodies that are being read
         self._held_sum = 0  # these, and those of requests under way
         self.limits = limits
-        self.clients: dict[Client, None] = {}
+        self.clients: dict[ClientConnection, None] = {}
         self.closing = False
-        self.last_taken = math.inf  # from then on only requests are taken whose time is over before end_by
-        self.end_by = math.inf  # when every answer must have gone out
-        self.informed = False  # a configuration is known: until then nothing says that there is no route
-        self.last_heard = 0.0
-        self.open = 0  # requests that are owed an answer
+        self.unrestricted_until = (
+            math.inf
+        )  # from then on only requests are taken whose time is over before end_by
+        self.answers_due_by = math.inf  # when every answer must have gone out
+        self.has_configuration = (
+            False  # a configuration is known: until then nothing says that there is no route
+        )
+        self.last_request_at = 0.0
+        self.open_requests = 0  # requests that are owed an answer
         self._calling = b"Calling-Service: %s\r\n" % service.encode("latin-1", "replace")
         self._find, self._begin, self._room = find, begin, room
         self._loop = asyncio.get_running_loop()
@@ -216,16 +220,16 @@
         return self._loop.time()
 
     async def listen(self, address: tuple[str, int]) -> None:
-        make = lambda: Client(self)  # noqa: E731
+        make = lambda: ClientConnection(self)  # noqa: E731
         self._server = await self._loop.create_server(make, *address, backlog=1024, family=socket.AF_INET)
 
     def _sweep(self) -> None:
         self._loop.call_later(SWEEP_S, self._sweep)
         now, limits = self.now(), self.limits()
         for client in list(self.clients):
-            client.check(now, limits)
+            client.check_timeouts(now, limits)
 
-    def hold(self, client: Client, size: int) -> bool:
+    def hold_body(self, client: ClientConnection, size: int) -> bool:
         """So many bytes of a body have come in from a client; False where there is no room for them."""
         before = self._held.pop(client, 0)
         if size:
@@ -234,24 +238,24 @@
         return size <= SMALL or self._held_sum <= self._most_held
 
     def busy(self) -> bool:
-        return self.open > 0 or any(client.busy() for client in self.clients)
+        return self.open_requests > 0 or any(client.busy() for client in self.clients)
 
     def close(self) -> None:
         if self._server is not None:
             self._server.close()
         for client in list(self.clients):
-            client.drop()
+            client.abort()
 
     # ------------------------------------------------------------ requests
 
-    def take(
+    def handle_request(
         self, message: WholeMessage, write: Callable[[Callable[[bool], bytes]], None]
     ) -> Callable[[], None] | None:
         """A whole request; write is called once, with what renders its answer.
 
         Returns what is to be called if the client leaves before it; None if the answer was written.
         """
-        self.last_heard = self.now()
+        self.last_request_at = self.now()
         headers = message.headers
         path, _, _ = message.start.partition(b"?")
         host = headers.get(b"host", b"")
@@ -262,38 +266,38 @@
             return self._plain(write, 400)
         route = self._find(host.decode("latin-1"), path.decode("latin-1"))
         if route is None:
-            return self._plain(write, 404) if self.informed else self._plain(write, 503, COME_BACK)
+            return self._plain(write, 404) if self.has_configuration else self._plain(write, 503, COME_BACK)
         told = headers.get(b"time-left")
         if told is not None and (not _NUMBER.fullmatch(told) or b"time-left" in message.repeated):
             return self._plain(write, 400)
         late_s = self._late_s()
         left_ms = min(route.give_up_ms, float(told) if told is not None else route.give_up_ms)
-        waited_ms = self._patience.waited_ms(route.name, left_ms, self.now())
+        waited_ms = self._patience.estimate_waited_ms(route.name, left_ms, self.now())
         left_ms -= 1000.0 * late_s
         if late_s > BEHIND_S or (late_s > 0.0 and left_ms <= 0.0):
-            self.shed += 1
+            self.requests_shed += 1
             return self._plain(write, 503, COME_BACK)
-        if self.now() > self.last_taken and self.now() + left_ms / 1000.0 > self.end_by:
+        if self.now() > self.unrestricted_until and self.now() + left_ms / 1000.0 > self.answers_due_by:
             return self._plain(write, 503, COME_BACK)
         size = len(message.body)
         if not self._room() or (size > SMALL and self._held_sum + size > self._most_held):
             return self._plain(write, 503, COME_BACK)
-        self.open += 1
+        self.open_requests += 1
         self._held_sum += size
 
         def answered(what: Reply | Verdict) -> None:
-            self.open -= 1
+            self.open_requests -= 1
             self._held_sum -= size
             write(lambda close: _render(what, attempt_id, close))
 
-        errand = Errand(
+        errand = ClientRequest(
             method=message.method,
             target=message.start,
-            fields=passed_on(message, _OURS) + self._calling,
+            fields=forwarded_headers(message, _OURS) + self._calling,
             body=message.body,
             attempt_id=attempt_id,
             deadline=self.now() + left_ms / 1000.0,
-            answered=answered,
+            on_answer=answered,
             waited_ms=waited_ms,
         )
         return self._begin(route, errand)
@@ -308,5 +312,5 @@
         return rendered(what.status, what.fields, what.body, close=close)
     status, fields = what.status(), b"Attempt-Id: %s\r\n" % attempt_id
     if status == 503:
-        fields += b"Retry-After: %.3f\r\n" % (max(RETRY_LEAST_MS, what.retry_ms) / 1000.0)
+        fields += b"Retry-After: %.3f\r\n" % (max(MIN_RETRY_AFTER_MS, what.retry_ms) / 1000.0)
     return rendered(status, fields, b"", close=close)
--- a/leadrudder/data_plane/peer_links.py
+++ b/leadrudder/data_plane/peer_links.py
@@ -17,12 +17,12 @@
 Deliver = Callable[[Delivery], None]
 
 
-class Way:
+class PeerLink:
     """The link to one station, dialled when it is needed."""
 
     def __init__(self, address: str) -> None:
         self.address = address
-        self.used = 0.0
+        self.last_used = 0.0
         self._loop = asyncio.get_running_loop()
         self._link: Link | None = None
         self._dialling: asyncio.Task[None] | None = None
@@ -32,7 +32,7 @@
 
     def send(self, waybill: Waybill, deliver: Deliver) -> Withdraw:
         """deliver is called once, also where the link breaks; returns what withdraws the waybill."""
-        self.used = self._loop.time()
+        self.last_used = self._loop.time()
         self._last += 1
         number = waybill.number = self._last
         if self._link is not None and self._link.up:
@@ -85,32 +85,32 @@
             for number, deliver in out.items():
                 deliver(Delivery(number=number, ran=Ran.MAYBE, why="link"))
 
-    def idle(self, now: float) -> bool:
-        return not self._out and not self._waiting and now - self.used > IDLE_S
+    def is_idle(self, now: float) -> bool:
+        return not self._out and not self._waiting and now - self.last_used > IDLE_S
 
     def close(self) -> None:
         if self._link is not None:
             self._link.cut()
 
 
-class Gates:
+class PeerLinks:
     """All of them, by address."""
 
     def __init__(self) -> None:
-        self._ways: dict[str, Way] = {}
+        self._ways: dict[str, PeerLink] = {}
         self._loop = asyncio.get_running_loop()
 
     def send(self, address: str, waybill: Waybill, deliver: Deliver) -> Withdraw:
         way = self._ways.get(address)
         if way is None:
-            way = self._ways[address] = Way(address)
+            way = self._ways[address] = PeerLink(address)
         return way.send(waybill, deliver)
 
-    def sweep(self) -> None:
+    def close_idle(self) -> None:
         """Close what is not used any more."""
         now = self._loop.time()
         for address, way in list(self._ways.items()):
-            if way.idle(now):
+            if way.is_idle(now):
                 way.close()
                 del self._ways[address]
 
--- a/leadrudder/data_plane/program.py
+++ b/leadrudder/data_plane/program.py
@@ -17,15 +17,15 @@
 from leadrudder.bootstrap.log_buffer import Ring
 from leadrudder.bootstrap.settings import Settings, load
 from leadrudder.configuration.items import Route
-from leadrudder.data_plane.admission_control import Gate, Life
-from leadrudder.data_plane.inbound import Inbound, Withdraw, nothing_to_withdraw
-from leadrudder.data_plane.load_balancer import Errand
+from leadrudder.data_plane.admission_control import AdmissionController, ServerInstance
+from leadrudder.data_plane.inbound import InboundProxy, Withdraw, no_withdrawal
+from leadrudder.data_plane.load_balancer import ClientRequest
 from leadrudder.data_plane.mesh_state import MeshState
-from leadrudder.data_plane.outbound import Outbound
-from leadrudder.data_plane.peer_links import Gates
+from leadrudder.data_plane.outbound import OutboundProxy
+from leadrudder.data_plane.peer_links import PeerLinks
 from leadrudder.data_plane.request_accounting import RequestAccounting
 from leadrudder.data_plane.server_api import Beat, Beats
-from leadrudder.data_plane.server_connections import OwnServer
+from leadrudder.data_plane.server_connections import LocalServer
 from leadrudder.data_plane.session import Session
 from leadrudder.maintenance.ledger import Ledger
 from leadrudder.membership import zone_relays
@@ -76,13 +76,13 @@
         self._life = int(wall() * 1e6)
         self._number = 0
         self._lag = LoopLag(platform.monotonic)
-        self.gate = Gate(settings.bounds)
+        self.gate = AdmissionController(settings.bounds)
         self.state = MeshState(
             settings,
             self.gate,
             self.invariants,
             carry=self._carry,
-            carried_out=lambda: self._inbound.advance(),
+            carried_out=lambda: self._inbound.process_queue(),
             ask=lambda services: self._session.subscribe(services),
             fed=lambda: self._session.stands() and self._terminated_at is None,
             note=self.ring.note,
@@ -98,7 +98,7 @@
         self._refused: Counter[str] = Counter()  # calls that came back without an answer, since the last note
         self._noted_at = 0.0
         self._calls_shed = 0  # calls to our server, refused because this process was behind
-        self._own = OwnServer(settings.app or (settings.ip, 0), most_open=100, platform=platform)
+        self._own = LocalServer(settings.app or (settings.ip, 0), max_connections=100, platform=platform)
         self._ledger = Ledger()
         self._accounting = RequestAccounting(
             self.traffic,
@@ -109,7 +109,7 @@
             lag_s=self._lag.seconds,
             note=self.ring.note,
         )
-        self._inbound = Inbound(
+        self._inbound = InboundProxy(
             self.gate,
             self._own,
             self.ring.note,
@@ -117,13 +117,13 @@
             (lambda epoch: self._ledger.ran(settings.service, epoch)) if possession else None,
         )
         self._used = 0  # slots of our server, at the busiest since we last told
-        self._gates = Gates()
-        self._outbound = Outbound(
+        self._gates = PeerLinks()
+        self._outbound = OutboundProxy(
             settings.service,
             self.state.routing.find,
             self._begin,
             lambda: self.state.routing.limits,
-            lambda: self._outbound.open < OPEN_MOST,
+            lambda: self._outbound.open_requests < OPEN_MOST,
             BODIES_PART * settings.ram_mb * 1e6,
             self._lag.seconds,
         )
@@ -164,11 +164,11 @@
         metrics = Metrics()
         self.state.add_figures(metrics)
         self.traffic.add_figures(metrics)
-        metrics.add("requests_open", lambda: self._outbound.open)
-        metrics.add("calls_running", lambda: self.gate.running)
-        metrics.add("calls_waiting", self.gate.waiting)
+        metrics.add("requests_open", lambda: self._outbound.open_requests)
+        metrics.add("calls_running", lambda: self.gate.running_calls)
+        metrics.add("calls_waiting", self.gate.waiting_calls)
         metrics.add("slot_seconds_total", lambda: self.gate.slot_seconds(self._loop.time()))
-        metrics.add("requests_shed_total", lambda: self._outbound.shed)
+        metrics.add("requests_shed_total", lambda: self._outbound.requests_shed)
         metrics.add("calls_shed_total", lambda: self._calls_shed)
         metrics.add("loop_lag_seconds", self._lag.seconds)
         metrics.add("loop_lag_highest_seconds", lambda: self._lag.highest_s)
@@ -182,17 +182,17 @@
 
     # ------------------------------------------------------------ requests of our clients
 
-    def _begin(self, route: Route, errand: Errand) -> Callable[[], None]:
+    def _begin(self, route: Route, errand: ClientRequest) -> Callable[[], None]:
         service = route.split[0][0]
         if len(route.split) > 1:
             names, shares = zip(*route.split, strict=True)
             service = self._rng.choices(names, shares)[0]
-        self._accounting.begin(route, service, errand)
-        return self.state.upstreams.balancer(route, service).begin(errand)
+        self._accounting.track(route, service, errand)
+        return self.state.upstreams.balancer(route, service).submit(errand)
 
     def _carry(
         self,
-        errand: Errand,
+        errand: ClientRequest,
         route: Route,
         server: str,
         may_wait: bool,
@@ -212,7 +212,7 @@
             once=route.once,
             may_wait=may_wait,
             priority=max(0, route.priority),
-            aim_ms=route.target_ms - errand.waited_ms - 1000.0 * (now - errand.began),
+            aim_ms=route.target_ms - errand.waited_ms - 1000.0 * (now - errand.started_at),
             target_ms=route.target_ms,
             repeat=again,
             epoch=errand.epoch,
@@ -229,9 +229,9 @@
         endpoint = self.state.endpoints.server(server)
         if endpoint is None:
             counted(Delivery(ran=0, why="gone"))
-            return nothing_to_withdraw
+            return no_withdrawal
         if endpoint.address == self._address:
-            return self._inbound.take(waybill, counted)
+            return self._inbound.handle(waybill, counted)
         return self._gates.send(endpoint.address, waybill, counted)
 
     # ------------------------------------------------------------ links from other stations
@@ -266,16 +266,16 @@
                 deliver(Delivery(ran=Ran.NEVER, why=BEHIND, retry_ms=1000.0 * late_s))
                 return
             frame.waybill.left_ms -= 1000.0 * late_s  # it has waited here for so long
-            waiting[number] = nothing_to_withdraw
+            waiting[number] = no_withdrawal
             link.every_s = PING_S  # its origin waits, and asks for signs of life
-            withdraw = self._inbound.take(frame.waybill, deliver)
+            withdraw = self._inbound.handle(frame.waybill, deliver)
             if number in waiting:
                 waiting[number] = withdraw
         elif kind == "subscribe":
             link.every_s = PING_S
             self.state.newsstand.subscribe(link, frozenset(frame.subscribe.services))
         elif kind == "withdrawal":
-            withdraw = waiting.pop(frame.withdrawal.number, nothing_to_withdraw)
+            withdraw = waiting.pop(frame.withdrawal.number, no_withdrawal)
             withdraw(frame.withdrawal.client_left)
 
     # ------------------------------------------------------------ what we are told
@@ -283,11 +283,11 @@
     def _news(self, news: wire.News) -> None:
         """What a signalbox tells."""
         self.state.take(news)
-        self._outbound.informed = self._session.informed and bool(self.state.routing.routes)
+        self._outbound.has_configuration = self._session.informed and bool(self.state.routing.routes)
 
     def _lent_here(self, waybill: Waybill) -> bool:
         """Whether our server is out of the traffic that a waybill is of, and others are not."""
-        state, life = self.state, self.gate.life
+        state, life = self.state, self.gate.instance
         if not state.lent.some() or life is None:
             return False
         host = next((f[5:] for f in waybill.fields.split(b"\r\n") if f[:5].lower() == b"host:"), b"").strip()
@@ -300,16 +300,16 @@
     # ------------------------------------------------------------ our server
 
     def _beat(self, beat: Beat) -> None:
-        life = Life(beat.id, beat.service, beat.zone or self.settings.zone, beat.capacity)
+        life = ServerInstance(beat.id, beat.service, beat.zone or self.settings.zone, beat.capacity)
         now = self._loop.time()
-        if self.gate.beat(life, beat.draining, beat.count, beat.cold_ms, now):
-            assert self.gate.life is not None
-            self._own.is_now(self.gate.life.id)
+        if self.gate.on_heartbeat(life, beat.draining, beat.count, beat.cold_ms, now):
+            assert self.gate.instance is not None
+            self._own.set_instance(self.gate.instance.id)
             self._report()
 
     def _left(self, server: str) -> None:
-        if self.gate.left(server):
-            self._own.is_gone()
+        if self.gate.remove_instance(server):
+            self._own.clear_instance()
             self._report()
 
     def _node(self) -> wire.Node:
@@ -321,7 +321,7 @@
             number=self._number,
             service=self.settings.service,
         )
-        life = self.gate.life
+        life = self.gate.instance
         if life is not None and self._terminated_at is None:
             node.servers.add(
                 id=life.id,
@@ -354,11 +354,11 @@
             return  # what it would dial now would outlive the event loop
         self._loop.call_later(SWEEP_S, self._sweep)
         now = self._loop.time()
-        if self.gate.silent(now, SILENT_BEATS * self.settings.beat_ms / 1000.0):
+        if self.gate.expire_instance(now, SILENT_BEATS * self.settings.beat_ms / 1000.0):
             self.ring.note("our server fell silent")
-            self._own.is_gone()
+            self._own.clear_instance()
             self._report()
-        self._gates.sweep()
+        self._gates.close_idle()
         self.state.look_for_sources()
         if self._possession:
             self._tell_use()
@@ -371,7 +371,7 @@
 
     def _tell_use(self) -> None:
         """Slots in use and what became of bookings, each epoch: for those who plan and report windows."""
-        self._used = max(self._used, self.gate.running)
+        self._used = max(self._used, self.gate.running_calls)
         if self._ledger.close(self._wall()):
             self._session.say(self._hello())
             self._used = 0
@@ -388,18 +388,20 @@
         """SIGTERM: finish what is here, send others elsewhere, then end."""
         if self._terminated_at is not None:
             return
-        self.ring.say(f"ends: {self._outbound.open} requests open, {self.gate.running} at our server")
+        self.ring.say(
+            f"ends: {self._outbound.open_requests} requests open, {self.gate.running_calls} at our server"
+        )
         self._terminated_at = self._loop.time()
         grace_s = self.settings.bounds.grace / 1000.0
-        self._outbound.last_taken = self._terminated_at + grace_s / 2.0 - FIRST_HALF_PART_S
-        self._outbound.end_by = self._terminated_at + grace_s - GRACE_PART_S - ANSWERS_OUT_S
-        self.gate.leaving = True
+        self._outbound.unrestricted_until = self._terminated_at + grace_s / 2.0 - FIRST_HALF_PART_S
+        self._outbound.answers_due_by = self._terminated_at + grace_s - GRACE_PART_S - ANSWERS_OUT_S
+        self.gate.terminating = True
         self._outbound.closing = True
         self._report()
 
     def _end_when_quiet(self, since_s: float) -> None:
-        quiet = not self._outbound.busy() and not self.gate.running
-        quiet = quiet and self._loop.time() - self._outbound.last_heard >= QUIET_S
+        quiet = not self._outbound.busy() and not self.gate.running_calls
+        quiet = quiet and self._loop.time() - self._outbound.last_request_at >= QUIET_S
         if (quiet and since_s >= LEAST_LEAVING_S) or (
             since_s >= self.settings.bounds.grace / 1000.0 - GRACE_PART_S
         ):
--- a/leadrudder/data_plane/request_accounting.py
+++ b/leadrudder/data_plane/request_accounting.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from leadrudder.configuration.items import Route
-from leadrudder.data_plane.load_balancer import Errand
+from leadrudder.data_plane.load_balancer import ClientRequest
 from leadrudder.maintenance.ledger import Ledger, epoch_of
 from leadrudder.observability.invariants import Invariants
 from leadrudder.observability.traffic import Answered, Traffic
@@ -14,7 +14,7 @@
 ANSWERED_LATE_S = 0.5  # after its deadline, by which a request is answered in any case
 
 
-def how_answered(what: Reply | Verdict, took_ms: float, target_ms: float) -> Answered:
+def classify_answer(what: Reply | Verdict, took_ms: float, target_ms: float) -> Answered:
     """What a client's answer counts as."""
     if isinstance(what, Verdict):
         return Answered.REFUSED if what.ran is Ran.NEVER else Answered.FAILED
@@ -43,24 +43,24 @@
         self._traffic, self._invariants, self._ledger = traffic, invariants, ledger
         self._now, self._wall, self._lag_s, self._note = now, wall, lag_s, note
 
-    def begin(self, route: Route, service: str, errand: Errand) -> None:
+    def track(self, route: Route, service: str, errand: ClientRequest) -> None:
         """A request begins: from here on its answer is accounted for."""
-        answered = errand.answered
-        errand.began = self._now()
+        answered = errand.on_answer
+        errand.started_at = self._now()
         if self._ledger is not None:
             errand.epoch = epoch_of(self._wall())
 
         def accounted(what: Reply | Verdict) -> None:
-            took_ms = 1000.0 * (self._now() - errand.began)
-            self._traffic.answered[how_answered(what, took_ms, route.target_ms)] += 1
+            took_ms = 1000.0 * (self._now() - errand.started_at)
+            self._traffic.answered[classify_answer(what, took_ms, route.target_ms)] += 1
             self._check_deadline(errand)
             if self._ledger is not None:
                 self._enter(self._ledger, route, service, errand, what, took_ms)
             answered(what)
 
-        errand.answered = accounted
+        errand.on_answer = accounted
 
-    def _check_deadline(self, errand: Errand) -> None:
+    def _check_deadline(self, errand: ClientRequest) -> None:
         """A request outlives its deadline by no more than this process itself was held up."""
         over_s = self._now() - errand.deadline
         self._invariants.check(
@@ -74,7 +74,7 @@
         ledger: Ledger,
         route: Route,
         service: str,
-        errand: Errand,
+        errand: ClientRequest,
         what: Reply | Verdict,
         took_ms: float,
     ) -> None:
--- a/leadrudder/data_plane/retry_budget.py
+++ b/leadrudder/data_plane/retry_budget.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True)
-class Purse:
+class RetryBudget:
     """One node's, for one service.  Tokens are tries."""
 
     ratio: float
@@ -23,17 +23,17 @@
     tokens: float = field(init=False)
 
     def __post_init__(self) -> None:
-        self.tokens = self.most
+        self.tokens = self.max_tokens
 
     @property
-    def most(self) -> float:
+    def max_tokens(self) -> float:
         return max(1.0, EXTRA_PART * self.extra / max(1, self.nodes))
 
-    def earn(self) -> None:
+    def deposit(self) -> None:
         """A request for the service begins here."""
-        self.tokens = min(self.most, self.tokens + RATIO_PART * self.ratio)
+        self.tokens = min(self.max_tokens, self.tokens + RATIO_PART * self.ratio)
 
-    def spend(self) -> bool:
+    def try_spend(self) -> bool:
         """Whether one more arrival of a request that has arrived before may be had."""
         if self.tokens < 1.0:
             return False
--- a/leadrudder/data_plane/server_connections.py
+++ b/leadrudder/data_plane/server_connections.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Going:
+class ServerRequest:
     """A request as it goes to the server."""
 
     attempt_id: bytes  # empty: a health call, whose answers carry none
@@ -40,7 +40,7 @@
         return b"%sTime-Left: %d\r\n\r\n%s" % (self.head, left, self.body)
 
 
-class OwnConnection(Connection):
+class LocalServerConnection(Connection):
     """One connection to the server."""
 
     def __init__(self, peer: Peer, servers: Servers) -> None:
@@ -52,7 +52,7 @@
         return WholeReader(self._on_answer, requests=False, body_most=ANSWER_MOST)
 
     def carry(self, call: Call) -> None:
-        assert isinstance(call.render, Going)
+        assert isinstance(call.render, ServerRequest)
         self._wanted = call.render.attempt_id
         super().carry(call)
 
@@ -68,24 +68,24 @@
         super()._on_answer(message)
 
 
-class OwnServer(Servers):
+class LocalServer(Servers):
     """The server beside this station: at most one life of it at a time."""
 
-    connection = OwnConnection
+    connection = LocalServerConnection
 
-    def __init__(self, address: Address, most_open: int, platform: Platform = SYSTEM) -> None:
-        super().__init__(connect_s=CONNECT_S, idle_s=IDLE_S, most_open=most_open, platform=platform)
+    def __init__(self, address: Address, max_connections: int, platform: Platform = SYSTEM) -> None:
+        super().__init__(connect_s=CONNECT_S, idle_s=IDLE_S, most_open=max_connections, platform=platform)
         self._address = address
 
-    def is_now(self, server: str) -> None:
+    def set_instance(self, server: str) -> None:
         """Another life of it: connections of the one before are not used any more."""
         entry = ServerEntry(server.encode(), Readiness.READY)
         self.update(Listing(0, True, (entry,), {entry.server: self._address}))
 
-    def is_gone(self) -> None:
+    def clear_instance(self) -> None:
         self.update(Listing(0, True, (), {}))
 
-    def run(self, server: str, going: Going, timeout_s: float, ended: Ended) -> Call:
+    def run(self, server: str, going: ServerRequest, timeout_s: float, ended: Ended) -> Call:
         """One request; its end is told once, at the earliest after this returns."""
 
         def done(outcome: Outcome, message: Message | None) -> None:
--- a/leadrudder/data_plane/service_times.py
+++ b/leadrudder/data_plane/service_times.py
@@ -7,7 +7,7 @@
 
 USUAL_MS = 50.0  # before any call has ended
 STEP = 0.1  # of a moving average: it spans about ten calls
-KINDS_MOST = 64  # kinds of calls that are told apart
+MAX_KINDS = 64  # kinds of calls that are told apart
 SHORT_PART = 0.4  # a kind that takes less than this part of the usual time is short
 RATE_SPAN_S = 1.0  # over which arrivals are averaged
 
@@ -19,30 +19,30 @@
     """
 
     def __init__(self) -> None:
-        self.usual_ms = USUAL_MS
-        self.long_ms = USUAL_MS  # of all calls but short ones
+        self.mean_ms = USUAL_MS
+        self.long_mean_ms = USUAL_MS  # of all calls but short ones
         self._by_kind: OrderedDict[float, float] = OrderedDict()
 
     def observe(self, target_ms: float, elapsed_ms: float) -> None:
         """A call has ended after so long."""
-        self.usual_ms += STEP * (elapsed_ms - self.usual_ms)
-        if not self.short(target_ms):
-            self.long_ms += STEP * (elapsed_ms - self.long_ms)
+        self.mean_ms += STEP * (elapsed_ms - self.mean_ms)
+        if not self.is_short(target_ms):
+            self.long_mean_ms += STEP * (elapsed_ms - self.long_mean_ms)
         if not target_ms:
             return
         average = self._by_kind.get(target_ms, elapsed_ms)
         self._by_kind[target_ms] = average + STEP * (elapsed_ms - average)
         self._by_kind.move_to_end(target_ms)
-        while len(self._by_kind) > KINDS_MOST:
+        while len(self._by_kind) > MAX_KINDS:
             self._by_kind.popitem(last=False)
 
-    def of(self, target_ms: float) -> float:
+    def expected_ms(self, target_ms: float) -> float:
         """What a call of this kind is likely to take."""
-        return self._by_kind.get(target_ms, self.usual_ms)
+        return self._by_kind.get(target_ms, self.mean_ms)
 
-    def short(self, target_ms: float) -> bool:
+    def is_short(self, target_ms: float) -> bool:
         """Whether calls of this kind take much less than others."""
-        return self.of(target_ms) < SHORT_PART * self.long_ms
+        return self.expected_ms(target_ms) < SHORT_PART * self.long_mean_ms
 
 
 class ArrivalRate:
--- a/tests/mesh/test_graceful_shutdown.py
+++ b/tests/mesh/test_graceful_shutdown.py
@@ -8,7 +8,7 @@
 
 from leadrudder.configuration.items import Limits, Route
 from leadrudder.consensus.state_machine import Interlocking
-from leadrudder.data_plane.load_balancer import Errand
+from leadrudder.data_plane.load_balancer import ClientRequest
 from leadrudder.emulation.fleet import Fleet, Machine
 from leadrudder.storage.store import MemoryStore
 from tests.mesh.test_emulation import PLAN
@@ -99,18 +99,18 @@
         patched = mock.patch("asyncio.get_running_loop", return_value=self.clock)
         patched.start()
         self.addCleanup(patched.stop)
-        from leadrudder.data_plane.outbound import Client, Outbound
+        from leadrudder.data_plane.outbound import ClientConnection, OutboundProxy
 
         self.taken: list[object] = []
-        self.outbound = Outbound("mine", lambda h, p: ROUTE, self._begin, Limits, lambda: True, 300_000)
-        self.outbound.informed = True
+        self.outbound = OutboundProxy("mine", lambda h, p: ROUTE, self._begin, Limits, lambda: True, 300_000)
+        self.outbound.has_configuration = True
         self.outbound.closing = True
-        self.outbound.last_taken, self.outbound.end_by = 102.9, 105.2
+        self.outbound.unrestricted_until, self.outbound.answers_due_by = 102.9, 105.2
         self.transport = Transport()
-        self.client = Client(self.outbound)
+        self.client = ClientConnection(self.outbound)
         self.client.connection_made(self.transport)  # type: ignore[arg-type]
 
-    def _begin(self, route: Route, errand: Errand) -> Callable[[], None]:
+    def _begin(self, route: Route, errand: ClientRequest) -> Callable[[], None]:
         self.taken.append(errand)
         return lambda: None
 
--- a/tests/mesh/test_load_balancer.py
+++ b/tests/mesh/test_load_balancer.py
@@ -9,8 +9,8 @@
 
 from leadrudder.configuration.items import Route
 from leadrudder.data_plane.candidates import Distance
-from leadrudder.data_plane.load_balancer import FLOOR_SHARE, Errand, Points
-from leadrudder.data_plane.retry_budget import Purse
+from leadrudder.data_plane.load_balancer import FLOOR_SHARE, ClientRequest, LoadBalancer
+from leadrudder.data_plane.retry_budget import RetryBudget
 from leadrudder.protocol.mesh_pb2 import Delivery
 from leadrudder.protocol.outcome import Ran, Reply, Verdict
 
@@ -45,12 +45,12 @@
         self.withdrawn: list[tuple[str, bool]] = []  # servers, and whether because the client had left
         route = Route("r", "h", "/", once, 1000.0, 250.0, 1, (("s", 1.0),), 2, 1)
         with mock.patch("asyncio.get_running_loop", return_value=self.clock):
-            self.points = Points(route, "s", Purse(0.2, 55.0, 1), self.carry, lambda text: None)
-        self.points.follow(dict.fromkeys(servers, Distance.ZONE))
+            self.points = LoadBalancer(route, "s", RetryBudget(0.2, 55.0, 1), self.carry, lambda text: None)
+        self.points.set_servers(dict.fromkeys(servers, Distance.SAME_ZONE))
 
     def carry(
         self,
-        errand: Errand,
+        errand: ClientRequest,
         route: Route,
         server: str,
         may_wait: bool,
@@ -61,8 +61,8 @@
         return lambda client_left: self.withdrawn.append((server, client_left))
 
     def ask(self) -> Callable[[], None]:
-        errand = Errand(b"GET", b"/", b"", b"", b"id", self.clock.now + 1.0, self.answers.append)
-        return self.points.begin(errand)
+        errand = ClientRequest(b"GET", b"/", b"", b"", b"id", self.clock.now + 1.0, self.answers.append)
+        return self.points.submit(errand)
 
     def end(self, after_s: float, **told: Any) -> str:
         self.clock.now += after_s
@@ -87,7 +87,7 @@
         self.assertEqual((len(self.calls), len(self.answers), len(self.withdrawn)), (1, 1, 1))
 
     def state(self) -> tuple[dict[bytes, float], dict[bytes, float | None]]:
-        automaton = self.points.balancer.automaton
+        automaton = self.points.policy.automaton
         names = automaton.servers
         averages = automaton.averages.values
         return dict(zip(names, automaton.p, strict=True)), {n: averages[i] for i, n in enumerate(names)}
@@ -105,7 +105,7 @@
         chosen = self.end(0.01, ran=2, status=200).encode()
         after_p, after = self.state()
         self.assertEqual([n for n in before if before[n] != after[n]], [chosen])
-        theta, p_min = self.points.balancer.automaton.theta, FLOOR_SHARE / 3
+        theta, p_min = self.points.policy.automaton.theta, FLOOR_SHARE / 3
         self.assertAlmostEqual(
             after_p[chosen], before_p[chosen] + theta * (1 - 2 * p_min - before_p[chosen]), places=9
         )
@@ -129,7 +129,7 @@
     def test_theta_is_well_below_alpha_and_p_above_its_floor(self) -> None:
         self.lay()
         self.warm()
-        automaton = self.points.balancer.automaton
+        automaton = self.points.policy.automaton
         self.assertLessEqual(automaton.theta, automaton.alpha / 9)
         self.assertGreaterEqual(min(automaton.p), FLOOR_SHARE / 3 - 1e-9)
 
@@ -169,12 +169,10 @@
         self.assertGreaterEqual(min(v for v in self.state()[1].values() if v is not None), 99.0)
 
     def test_the_own_server_is_drawn_first_and_far_ones_seldom(self) -> None:
-        distances = {"own": Distance.OWN, "near": Distance.ZONE, "far": Distance.FAR}
+        distances = {"own": Distance.LOCAL, "near": Distance.SAME_ZONE, "far": Distance.OTHER_ZONE}
         self.lay()
-        self.points.follow(distances)
-        shares = dict(
-            zip(self.points.balancer.automaton.servers, self.points.balancer.automaton.p, strict=True)
-        )
+        self.points.set_servers(distances)
+        shares = dict(zip(self.points.policy.automaton.servers, self.points.policy.automaton.p, strict=True))
         self.assertGreater(shares[b"own"], 1.5 * shares[b"near"])
         self.assertGreater(shares[b"near"], 5 * shares[b"far"])
 
--- a/tests/mesh/test_metrics.py
+++ b/tests/mesh/test_metrics.py
@@ -6,7 +6,7 @@
 import unittest
 from unittest import mock
 
-from leadrudder.data_plane.request_accounting import how_answered
+from leadrudder.data_plane.request_accounting import classify_answer
 from leadrudder.data_plane.server_api import Beats
 from leadrudder.observability.loop_lag import BEHIND_S, CHECK_S, LoopLag
 from leadrudder.observability.metrics import Metrics
@@ -34,11 +34,11 @@
 class HowAnswered(unittest.TestCase):
     def test_in_target_late_refused_and_failed_are_told_apart(self) -> None:
         served, failed = Reply(200, b"", b""), Reply(500, b"", b"")
-        self.assertEqual(how_answered(served, 99.0, 100.0), Answered.IN_TARGET)
-        self.assertEqual(how_answered(served, 101.0, 100.0), Answered.LATE)
-        self.assertEqual(how_answered(failed, 1.0, 100.0), Answered.FAILED)
-        self.assertEqual(how_answered(Verdict(Ran.NEVER, "full"), 1.0, 100.0), Answered.REFUSED)
-        self.assertEqual(how_answered(Verdict(Ran.MAYBE, "link"), 1.0, 100.0), Answered.FAILED)
+        self.assertEqual(classify_answer(served, 99.0, 100.0), Answered.IN_TARGET)
+        self.assertEqual(classify_answer(served, 101.0, 100.0), Answered.LATE)
+        self.assertEqual(classify_answer(failed, 1.0, 100.0), Answered.FAILED)
+        self.assertEqual(classify_answer(Verdict(Ran.NEVER, "full"), 1.0, 100.0), Answered.REFUSED)
+        self.assertEqual(classify_answer(Verdict(Ran.MAYBE, "link"), 1.0, 100.0), Answered.FAILED)
 
     def test_traffic_is_told_by_reason(self) -> None:
         metrics, traffic = Metrics(), Traffic(calls=3)
--- a/tests/mesh/test_outbound.py
+++ b/tests/mesh/test_outbound.py
@@ -9,9 +9,9 @@
 
 from leadrudder.configuration.items import Limits, Route
 from leadrudder.data_plane.client_patience import SPAN_S, ClientPatience
-from leadrudder.data_plane.load_balancer import Errand
-from leadrudder.data_plane.outbound import Client, Outbound
-from leadrudder.data_plane.server_connections import Going, OwnConnection
+from leadrudder.data_plane.load_balancer import ClientRequest
+from leadrudder.data_plane.outbound import ClientConnection, OutboundProxy
+from leadrudder.data_plane.server_connections import LocalServerConnection, ServerRequest
 from leadrudder.interface import Outcome
 from leadrudder.observability.loop_lag import BEHIND_S
 from leadrudder.protocol.outcome import Ran, Reply, Verdict
@@ -72,17 +72,19 @@
         patched = mock.patch("asyncio.get_running_loop", return_value=Loop())
         patched.start()
         self.addCleanup(patched.stop)
-        self.errands: list[Errand] = []
+        self.errands: list[ClientRequest] = []
         self.left: list[bytes] = []  # ids of requests whose client has left
         find = lambda host, path: ROUTE if path.startswith("/a/") else None  # noqa: E731
         self.late_s = 0.0
-        self.outbound = Outbound("mine", find, self.begin, Limits, lambda: True, 300_000, lambda: self.late_s)
-        self.outbound.informed = True
+        self.outbound = OutboundProxy(
+            "mine", find, self.begin, Limits, lambda: True, 300_000, lambda: self.late_s
+        )
+        self.outbound.has_configuration = True
         self.transport = Transport()
-        self.client = Client(self.outbound)
+        self.client = ClientConnection(self.outbound)
         self.client.connection_made(cast(Any, self.transport))
 
-    def begin(self, route: Route, errand: Errand) -> Callable[[], None]:
+    def begin(self, route: Route, errand: ClientRequest) -> Callable[[], None]:
         self.errands.append(errand)
         return lambda: self.left.append(errand.attempt_id)
 
@@ -120,7 +122,7 @@
         self.late_s = 0.0
         self.client.data_received(request(attempt="x3"))
         self.assertEqual([errand.attempt_id for errand in self.errands], [b"x3"])
-        self.assertEqual(self.outbound.shed, 1)
+        self.assertEqual(self.outbound.requests_shed, 1)
 
     def test_a_request_whose_time_is_over_when_it_is_read_is_told_to_come_back(self) -> None:
         self.late_s = 0.2
@@ -138,10 +140,10 @@
         self.client.data_received(request(attempt="x1"))
         limits = Limits()
         for waited_ms in (limits.head_wait_ms, limits.idle_ms, 10 * limits.idle_ms):
-            self.client.check(100.0 + waited_ms / 1000.0 + 1.0, limits)
+            self.client.check_timeouts(100.0 + waited_ms / 1000.0 + 1.0, limits)
             self.assertFalse(self.transport.ended)
         self.outbound.closing = True
-        self.client.check(1000.0, limits)
+        self.client.check_timeouts(1000.0, limits)
         self.client.data_received(b"no request\r\n\r\n")  # what comes behind it is refused in its turn
         self.assertEqual((self.transport.written, self.transport.ended), (b"", False))
         self.errands[0].answer(Reply(200, b"", b"done"))
@@ -174,7 +176,7 @@
 
     def test_no_route_and_no_configuration_yet(self) -> None:
         self.client.data_received(request("/b/"))
-        self.outbound.informed = False
+        self.outbound.has_configuration = False
         self.client.data_received(request("/b/"))
         self.assertEqual(self.statuses(), [b"404", b"503"])
 
@@ -192,10 +194,10 @@
 
     def test_a_longest_time_left_is_forgotten_when_clients_have_become_less_patient(self) -> None:
         patience = ClientPatience()
-        self.assertEqual(patience.waited_ms("r", 1000.0, 0.0), 0.0)
-        self.assertEqual(patience.waited_ms("r", 400.0, SPAN_S), 600.0)
-        self.assertEqual(patience.waited_ms("r", 400.0, 2 * SPAN_S), 0.0)
-        self.assertEqual(patience.waited_ms("other", 100.0, 2 * SPAN_S), 0.0)
+        self.assertEqual(patience.estimate_waited_ms("r", 1000.0, 0.0), 0.0)
+        self.assertEqual(patience.estimate_waited_ms("r", 400.0, SPAN_S), 600.0)
+        self.assertEqual(patience.estimate_waited_ms("r", 400.0, 2 * SPAN_S), 0.0)
+        self.assertEqual(patience.estimate_waited_ms("other", 100.0, 2 * SPAN_S), 0.0)
 
     def test_a_promise_is_made_only_where_nothing_ran(self) -> None:
         self.client.data_received(request() + request())
@@ -208,7 +210,7 @@
         head = request(fields="Content-Length: 200000\r\n")
         self.client.data_received(head + bytes(200_000))  # under way
         self.assertEqual(len(self.errands), 1)
-        other, wire = Client(self.outbound), Transport()
+        other, wire = ClientConnection(self.outbound), Transport()
         other.connection_made(cast(Any, wire))
         other.data_received(head + bytes(90_000))
         self.assertEqual(wire.written, b"")
@@ -216,7 +218,7 @@
         self.assertIn(b"503", wire.written)
         self.assertIn(b"Retry-After", wire.written)
         self.assertTrue(wire.ended)
-        small, more = Client(self.outbound), Transport()
+        small, more = ClientConnection(self.outbound), Transport()
         small.connection_made(cast(Any, more))
         small.data_received(request(fields="Content-Length: 5\r\n") + b"small")
         self.assertEqual(len(self.errands), 2)
@@ -240,12 +242,12 @@
         patched.start()
         self.addCleanup(patched.stop)
         self.servers = mock.Mock()
-        self.connection = OwnConnection(mock.Mock(), self.servers)
+        self.connection = LocalServerConnection(mock.Mock(), self.servers)
         self.transport = Transport()
         self.connection.connection_made(cast(Any, self.transport))
         self.ended: list[tuple[Outcome, bytes | None]] = []
         call = mock.Mock()
-        call.render, call.deadline = Going(b"x2", b"GET / HTTP/1.1\r\n", b""), 101.0
+        call.render, call.deadline = ServerRequest(b"x2", b"GET / HTTP/1.1\r\n", b""), 101.0
         call.end = lambda outcome, message=None: self.ended.append((outcome, message and message.body))
         self.connection.carry(call)
 
--- a/tests/mesh/test_shedding.py
+++ b/tests/mesh/test_shedding.py
@@ -47,7 +47,7 @@
         elsewhere = [a for a in late if not a.ids[0].startswith("side-0-")]
         served = sum(bool(a.served) for a in elsewhere)
         self.assertGreater(served, 0.98 * len(elsewhere))
-        self.assertGreater(behind._calls_shed + behind._outbound.shed, 0)
+        self.assertGreater(behind._calls_shed + behind._outbound.requests_shed, 0)
         self.assertEqual(fleet.faults, [])
 
 
