--- a/leadrudder/data_plane/admission_control.py
+++ b/leadrudder/data_plane/admission_control.py
@@ -1,8 +1,9 @@
-"""The gate: the last check before the server beside it. No I/O; times are seconds.
+"""Admission control, the last check before the local server. No I/O; times are seconds.
 
-Only this station reaches its server, so what the gate knows holds for all callers: a life of the server,
-its drain, the zone's evacuation, the cold pace, the free slots, and which unsafe requests it has had. A
-refusal here is no arrival at a server, and says for certain that the request never ran and never will.
+Only this node connects to its server, so the state kept here holds for all callers: the server's instance,
+its drain, the evacuation of the zone, the rate limit of a cold server, the free slots and the ids of unsafe
+requests already received. A call refused here does not reach the server: unless the verdict says MAYBE, it
+never ran and never will.
 """
 
 from __future__ import annotations
@@ -17,72 +18,72 @@
 from leadrudder.protocol.mesh_pb2 import Waybill
 from leadrudder.protocol.outcome import Ran, Verdict
 
-SEEN_MOST = 50_000  # ids of unsafe requests that are remembered
-QUEUE_TIMES = 1.5  # calls that may wait at the gate for each slot
-COLD_PART = 1.1  # of the pace that a cold server is told to bear: it falls over well above it
-COLD_BURST = 2.0
-COLD_UNKNOWN_S = 2.0  # after an evacuation it counts as cold until a beat says otherwise
-DRAIN_PART = 0.4  # of the time that a draining server serves on: later calls might not end
-WAIT_PART = 0.6  # of the time left: who would wait longer is told when to come back
-IN_TIME_PART = 0.75  # of what is left of the target: the rest is for the way back, and for longer work
-RESERVE_LEAST = 4  # slots of a server, from which on one is kept for short calls
-RESERVE_FROM = 0.5  # short calls that come in the time of a long one, from which on it is
-LEAST_PART = 0.5  # of the usual time: what has less left is not worth a slot
-DOWN_S = 0.4
-LEAST_LEFT_MS = 5.0
+MAX_REMEMBERED_IDS = 50_000  # of unsafe requests, to refuse duplicates
+QUEUED_CALLS_PER_SLOT = 1.5  # limit on the admission queue
+COLD_RATE_FACTOR = 1.1  # of the rate configured for a cold server, which fails only well above it
+COLD_BURST_CALLS = 2.0
+COLD_AFTER_EVACUATION_S = 2.0  # the server counts as cold for so long, or until a heartbeat says otherwise
+DRAIN_ACCEPT_FRACTION = 0.4  # of the drain time; later calls might not end within it
+MAX_WAIT_FRACTION = 0.6  # of the remaining time; calls that would wait longer are refused with Retry-After
+ON_TIME_FRACTION = 0.75  # of the remaining target time; the rest is for the way back and longer work
+MIN_CAPACITY_FOR_RESERVE = 4  # slots from which on one is reserved for short calls
+RESERVE_THRESHOLD_CALLS = 0.5  # short calls arriving per long call, above which it is reserved
+MIN_REMAINING_FRACTION = 0.5  # of the expected service time; a call with less time left is refused
+DOWN_PAUSE_S = 0.4
+MIN_REMAINING_MS = 5.0
 
 
 @dataclass(slots=True)
 class ServerInstance:
-    """One life of the server, by its beats."""
+    """One instance (process run) of the local server, as reported by its heartbeats."""
 
     id: str
     service: str
     zone: str
     capacity: int
     draining_since: float | None = None
-    heartbeat_number: int = -1  # of its calls
+    heartbeat_number: int = -1  # counts the heartbeats of the instance
     cold_until: float = 0.0
     last_heartbeat: float = 0.0
-    down_until: float = 0.0  # it takes no connections
+    down_until: float = 0.0  # it refused a connection
 
 
 class AdmissionController:
-    """What may go to the server now, later or never."""
+    """Decides whether a call is started, queued or refused."""
 
     def __init__(self, bounds: Bounds) -> None:
         self._bounds = bounds
         self.instance: ServerInstance | None = None
-        self._ended: OrderedDict[str, None] = OrderedDict()  # lives that are over
+        self._ended_instances: OrderedDict[str, None] = OrderedDict()  # ids
         self.running_calls = 0
         self._queue = AdmissionQueue()
-        self._seen: OrderedDict[bytes, None] = OrderedDict()
-        self._tokens = COLD_BURST
-        self._tokens_at = 0.0
-        self._times = ServiceTimes()
-        self._short_calls = ArrivalRate()
-        self.cold_per_s = 0.0  # of the configuration; 0: not known
+        self._seen_ids: OrderedDict[bytes, None] = OrderedDict()
+        self._cold_tokens = COLD_BURST_CALLS
+        self._cold_tokens_at = 0.0
+        self._service_times = ServiceTimes()
+        self._short_call_rate = ArrivalRate()
+        self.cold_per_s = 0.0  # requests per second of a cold server, as configured; 0 if unknown
         self.evacuated = False
         self.terminating = False
-        self._slot_seconds, self._slots_since = 0.0, 0.0
+        self._slot_seconds, self._slots_counted_at = 0.0, 0.0
 
-    # ------------------------------------------------------------ beats
+    # ------------------------------------------------------------ server instance
 
     def on_heartbeat(
-        self, life: ServerInstance, draining: bool, heartbeat_number: int, cold_ms: float, now: float
+        self, instance: ServerInstance, draining: bool, heartbeat_number: int, cold_ms: float, now: float
     ) -> bool:
-        """A server's beat; True if others must hear of it.  A late one changes nothing."""
-        if life.id in self._ended:
+        """Apply a heartbeat; True if other nodes must be told.  An outdated heartbeat changes nothing."""
+        if instance.id in self._ended_instances:
             return False
         known = self.instance
-        if known is None or known.id != life.id:
+        if known is None or known.id != instance.id:
             if known is not None:
-                self._end(known.id)
-            self.instance = known = life
+                self._mark_ended(known.id)
+            self.instance = known = instance
             changed = True
         else:
-            changed = known.capacity != life.capacity
-            known.capacity = life.capacity
+            changed = known.capacity != instance.capacity
+            known.capacity = instance.capacity
         known.last_heartbeat = now
         if heartbeat_number <= known.heartbeat_number:
             return changed
@@ -92,214 +93,234 @@
             known.draining_since, changed = now, True
         return changed
 
-    def remove_instance(self, server: str) -> bool:
-        """It has signed off."""
-        self._end(server)
-        if self.instance is None or self.instance.id != server:
+    def remove_instance(self, instance_id: str) -> bool:
+        """The server has signed off; True if it was the current instance."""
+        self._mark_ended(instance_id)
+        if self.instance is None or self.instance.id != instance_id:
             return False
         self.instance = None
         return True
 
     def expire_instance(self, now: float, after_s: float) -> bool:
-        """Drop a server that has not beaten for so long; True if it was dropped."""
+        """Drop the server if it has sent no heartbeat for after_s; True if it was dropped."""
         if self.instance is None or now - self.instance.last_heartbeat < after_s:
             return False
         self.instance = None
         return True
 
-    def _end(self, server: str) -> None:
-        self._ended[server] = None
-        while len(self._ended) > 1000:
-            self._ended.popitem(last=False)
+    def _mark_ended(self, instance_id: str) -> None:
+        self._ended_instances[instance_id] = None
+        while len(self._ended_instances) > 1000:
+            self._ended_instances.popitem(last=False)
 
-    def on_connect_failure(self, server: str, now: float) -> None:
-        """It took no connection: for a moment nothing is sent there."""
-        if self.instance is not None and self.instance.id == server:
-            self.instance.down_until = now + DOWN_S
+    def on_connect_failure(self, instance_id: str, now: float) -> None:
+        """The server refused a connection: send it nothing for DOWN_PAUSE_S."""
+        if self.instance is not None and self.instance.id == instance_id:
+            self.instance.down_until = now + DOWN_PAUSE_S
 
-    def set_evacuated(self, on: bool, now: float) -> None:
-        """The zone is to get nothing, or is taken back: its servers may have turned cold meanwhile."""
-        if self.evacuated and not on and self.instance is not None:
-            self.instance.cold_until = max(self.instance.cold_until, now + COLD_UNKNOWN_S)
-        self.evacuated = on
+    def set_evacuated(self, is_evacuated: bool, now: float) -> None:
+        """Start or end the evacuation of the zone; its servers may have become cold in the meantime."""
+        if self.evacuated and not is_evacuated and self.instance is not None:
+            self.instance.cold_until = max(self.instance.cold_until, now + COLD_AFTER_EVACUATION_S)
+        self.evacuated = is_evacuated
 
     # ------------------------------------------------------------ calls
 
     def admit(
         self, waybill: Waybill, now: float, start: Callable[[], None], refuse: Callable[[Verdict], None]
     ) -> QueuedCall | None:
-        """Start it, refuse it, or keep it in the queue, which is returned then."""
-        verdict = self._bars(waybill, now)
+        """Start a call, refuse it, or queue it; returns the queued call."""
+        verdict = self._refusal(waybill, now)
         if verdict is not None:
             refuse(verdict)
             return None
         if waybill.once:
-            if waybill.attempt_id in self._seen:
+            if waybill.attempt_id in self._seen_ids:
                 refuse(Verdict(Ran.MAYBE, "seen"))
                 return None
-            self._remember(waybill.attempt_id)
-        if self._times.is_short(waybill.target_ms):
-            self._short_calls.observe(now)
-        if self._has_slot(waybill, now) and not self._paced(now):
-            self._start(start, now)
+            self._remember_id(waybill.attempt_id)
+        if self._service_times.is_short(waybill.target_ms):
+            self._short_call_rate.observe(now)
+        if self._has_free_slot(waybill, now) and not self._is_rate_limited(now):
+            self._start_call(start, now)
             return None
-        rank, wait_ms = self._rank(waybill, now)
+        rank, wait_ms = self._rank_and_wait(waybill, now)
         may_wait = waybill.may_wait or not rank.late
-        if not may_wait or wait_ms > WAIT_PART * waybill.left_ms or not self._make_room(rank):
-            self._forget(waybill)
+        if (
+            not may_wait
+            or wait_ms > MAX_WAIT_FRACTION * waybill.left_ms
+            or not self._make_room_in_queue(rank)
+        ):
+            self._forget_id(waybill)
             refuse(Verdict(Ran.NEVER, "full", wait_ms))
             return None
-        least_left_ms = max(LEAST_LEFT_MS, LEAST_PART * self._times.expected_ms(waybill.target_ms))
-        until = now + (waybill.left_ms - least_left_ms) / 1000.0
-        return self._queue.push(rank, waybill, expires_at=until, queued_at=now, start=start, refuse=refuse)
-
-    def _has_slot(self, waybill: Waybill, now: float) -> bool:
-        """Whether the server has a slot for it, besides one that is kept for short calls."""
+        min_remaining_ms = max(
+            MIN_REMAINING_MS, MIN_REMAINING_FRACTION * self._service_times.expected_ms(waybill.target_ms)
+        )
+        expires_at = now + (waybill.left_ms - min_remaining_ms) / 1000.0
+        return self._queue.push(
+            rank, waybill, expires_at=expires_at, queued_at=now, start=start, refuse=refuse
+        )
+
+    def _has_free_slot(self, waybill: Waybill, now: float) -> bool:
+        """Whether there is a free slot for a call, apart from slots reserved for others."""
         assert self.instance is not None
-        return self.running_calls < self.instance.capacity - self._reserved(waybill, now)
+        return self.running_calls < self.instance.capacity - self._reserved_slots(waybill, now)
 
-    def _reserved(self, waybill: Waybill, now: float) -> int:
-        """Slots that it may not have: one is kept for short calls, while they come often enough to use it.
+    def _reserved_slots(self, waybill: Waybill, now: float) -> int:
+        """Slots that a call may not use: one is reserved for short calls while they arrive often enough.
 
-        A short call is mostly one that a server makes while it holds a slot elsewhere, and holds for as long
-        as the call waits here: long work that takes the last slot costs more than one that waits.
+        A short call is usually made by a server that occupies a slot elsewhere for as long as the call waits
+        here, so giving the last slot to long work costs more than letting that work wait.
         """
         assert self.instance is not None
-        if self.instance.capacity < RESERVE_LEAST or self._times.is_short(waybill.target_ms):
+        if self.instance.capacity < MIN_CAPACITY_FOR_RESERVE or self._service_times.is_short(
+            waybill.target_ms
+        ):
             return 0
-        short_for_each_long = self._short_calls.per_s(now) * self._times.long_mean_ms / 1000.0
-        return 1 if short_for_each_long > RESERVE_FROM else 0
-
-    def _rank(self, waybill: Waybill, now: float) -> tuple[Rank, float]:
-        """Its place among those that wait, and for how many milliseconds it would, about."""
-        in_time = Rank(waybill.priority, False, now + waybill.aim_ms / 1000.0)
-        wait_ms = self._wait_ms(waybill, in_time, now)
-        fits = wait_ms + self._times.expected_ms(waybill.target_ms) <= IN_TIME_PART * waybill.aim_ms
-        if fits or self._times.is_short(waybill.target_ms):
-            return in_time, wait_ms
+        short_calls_per_long_call = (
+            self._short_call_rate.per_s(now) * self._service_times.long_mean_ms / 1000.0
+        )
+        return 1 if short_calls_per_long_call > RESERVE_THRESHOLD_CALLS else 0
+
+    def _rank_and_wait(self, waybill: Waybill, now: float) -> tuple[Rank, float]:
+        """The rank of a call in the queue, and its expected wait in milliseconds."""
+        on_time = Rank(waybill.priority, False, now + waybill.aim_ms / 1000.0)
+        wait_ms = self._expected_wait_ms(waybill, on_time, now)
+        is_on_time = (
+            wait_ms + self._service_times.expected_ms(waybill.target_ms) <= ON_TIME_FRACTION * waybill.aim_ms
+        )
+        if is_on_time or self._service_times.is_short(waybill.target_ms):
+            return on_time, wait_ms
         late = Rank(waybill.priority, True, now + waybill.left_ms / 1000.0)
-        return late, self._wait_ms(waybill, late, now)
+        return late, self._expected_wait_ms(waybill, late, now)
 
-    def _remember(self, attempt_id: bytes) -> None:
-        self._seen[attempt_id] = None
-        while len(self._seen) > SEEN_MOST:
-            self._seen.popitem(last=False)
+    def _remember_id(self, attempt_id: bytes) -> None:
+        self._seen_ids[attempt_id] = None
+        while len(self._seen_ids) > MAX_REMEMBERED_IDS:
+            self._seen_ids.popitem(last=False)
 
-    def _forget(self, waybill: Waybill) -> None:
-        """A refusal: it has not run, and may come again."""
+    def _forget_id(self, waybill: Waybill) -> None:
+        """A refused request has not run and may be sent again."""
         if waybill.once:
-            self._seen.pop(waybill.attempt_id, None)
+            self._seen_ids.pop(waybill.attempt_id, None)
 
-    def _bars(self, waybill: Waybill, now: float) -> Verdict | None:
-        life = self.instance
-        if life is None or life.id != waybill.server:
+    def _refusal(self, waybill: Waybill, now: float) -> Verdict | None:
+        instance = self.instance
+        if instance is None or instance.id != waybill.server:
             return Verdict(Ran.NEVER, "gone")
-        if now < life.down_until:
+        if now < instance.down_until:
             return Verdict(Ran.NEVER, "down")
         if self.terminating:
             return Verdict(Ran.NEVER, "leaving")
         if self.evacuated:
             return Verdict(Ran.NEVER, "evacuated")
-        if life.draining_since is not None:
-            on = now - life.draining_since < DRAIN_PART * self._bounds.drain / 1000.0
-            if not on or not waybill.may_wait:
+        if instance.draining_since is not None:
+            accepting = now - instance.draining_since < DRAIN_ACCEPT_FRACTION * self._bounds.drain / 1000.0
+            if not accepting or not waybill.may_wait:
                 return Verdict(Ran.NEVER, "draining")
-        if waybill.left_ms <= LEAST_LEFT_MS:
+        if waybill.left_ms <= MIN_REMAINING_MS:
             return Verdict(Ran.NEVER, "time")
         return None
 
-    def _make_room(self, rank: Rank) -> bool:
-        """Whether one of this rank may wait; the last of a full queue makes way for it."""
+    def _make_room_in_queue(self, rank: Rank) -> bool:
+        """Whether a call of this rank may be queued; a full queue drops its last call if that ranks lower."""
         assert self.instance is not None
-        if len(self._queue) < QUEUE_TIMES * self.instance.capacity:
+        if len(self._queue) < QUEUED_CALLS_PER_SLOT * self.instance.capacity:
             return True
         last = self._queue.last()
         if last is None or rank >= last.rank:
             return False
         self._queue.discard(last)
-        self._forget(last.waybill)
-        last.refuse(Verdict(Ran.NEVER, "full", self._times.mean_ms))
+        self._forget_id(last.waybill)
+        last.refuse(Verdict(Ran.NEVER, "full", self._service_times.mean_ms))
         return True
 
-    def _wait_ms(self, waybill: Waybill, rank: Rank, now: float) -> float:
-        """How long it would wait for its turn at this rank, about."""
+    def _expected_wait_ms(self, waybill: Waybill, rank: Rank, now: float) -> float:
+        """The approximate wait of a call at this rank."""
         assert self.instance is not None
-        ahead = 1 + self._queue.count_ahead(rank)
+        calls_ahead = 1 + self._queue.count_ahead(rank)
         if now < self.instance.cold_until:
-            return 1000.0 * ahead / self._pace()
-        slots = self.instance.capacity - self._reserved(waybill, now)
-        return ahead * max(self._times.mean_ms, self._times.expected_ms(waybill.target_ms)) / slots
-
-    def _pace(self) -> float:
-        return COLD_PART * (self.cold_per_s or 10.0)
-
-    def _paced(self, now: float) -> bool:
-        """Whether the server is cold and has had its share for now."""
+            return 1000.0 * calls_ahead / self._cold_rate_per_s()
+        available_slots = self.instance.capacity - self._reserved_slots(waybill, now)
+        return (
+            calls_ahead
+            * max(self._service_times.mean_ms, self._service_times.expected_ms(waybill.target_ms))
+            / available_slots
+        )
+
+    def _cold_rate_per_s(self) -> float:
+        return COLD_RATE_FACTOR * (self.cold_per_s or 10.0)
+
+    def _is_rate_limited(self, now: float) -> bool:
+        """Whether the server is cold and its rate limit is used up."""
         assert self.instance is not None
         if now >= self.instance.cold_until:
-            self._tokens, self._tokens_at = COLD_BURST, now
+            self._cold_tokens, self._cold_tokens_at = COLD_BURST_CALLS, now
             return False
-        self._tokens = min(COLD_BURST, self._tokens + self._pace() * (now - self._tokens_at))
-        self._tokens_at = now
-        return self._tokens < 1.0
+        self._cold_tokens = min(
+            COLD_BURST_CALLS, self._cold_tokens + self._cold_rate_per_s() * (now - self._cold_tokens_at)
+        )
+        self._cold_tokens_at = now
+        return self._cold_tokens < 1.0
 
     def slot_seconds(self, now: float) -> float:
-        """Seconds of slots in use since the start, summed over slots."""
-        self._slot_seconds += self.running_calls * (now - self._slots_since)
-        self._slots_since = now
+        """Seconds of slots in use since process start, summed over slots."""
+        self._slot_seconds += self.running_calls * (now - self._slots_counted_at)
+        self._slots_counted_at = now
         return self._slot_seconds
 
     def waiting_calls(self) -> int:
-        """Calls that wait for a slot."""
+        """Number of calls in the queue."""
         return len(self._queue)
 
-    def _start(self, start: Callable[[], None], now: float) -> None:
+    def _start_call(self, start: Callable[[], None], now: float) -> None:
         self.slot_seconds(now)
         if self.instance is not None and now < self.instance.cold_until:
-            self._tokens -= 1.0
+            self._cold_tokens -= 1.0
         self.running_calls += 1
         start()
 
     def on_call_ended(self, elapsed_ms: float | None, now: float, target_ms: float = 0.0) -> None:
-        """A call that was started is over, however.
+        """A started call has ended, with any outcome.
 
-        elapsed_ms: None if it was broken off because its client had left; target_ms: its route's.
+        elapsed_ms: None if it was cancelled because its client disconnected; target_ms: target of its route.
         """
         self.slot_seconds(now)
         self.running_calls -= 1
         if elapsed_ms is not None:
-            self._times.observe(target_ms, elapsed_ms)
+            self._service_times.observe(target_ms, elapsed_ms)
         self.process_queue(now)
 
     def withdraw(self, queued: QueuedCall) -> None:
-        """Its origin does not wait any more."""
+        """Drop a queued call whose origin no longer waits."""
         self._queue.discard(queued)
 
     def process_queue(self, now: float) -> float | None:
-        """Start what may start, refuse what waits in vain; returns when to look again, if anything waits."""
-        self._refuse_queued(now)
-        while (queued := self._next(now)) is not None:
-            if self._paced(now):
+        """Start or refuse queued calls; returns when to call this again, None if the queue is empty."""
+        self._refuse_inadmissible(now)
+        while (queued := self._next_startable(now)) is not None:
+            if self._is_rate_limited(now):
                 break
             self._queue.discard(queued)
             queued.waybill.left_ms -= 1000.0 * (now - queued.queued_at)
-            self._start(queued.start, now)
-        look = self._queue.next_expiry()
-        if look is not None and self.instance is not None and now < self.instance.cold_until:
-            look = min(look, now + 1.0 / self._pace())
-        return look
-
-    def _next(self, now: float) -> QueuedCall | None:
-        """The first in rank for which there is a slot."""
-        return next((queued for queued in self._queue if self._has_slot(queued.waybill, now)), None)
-
-    def _refuse_queued(self, now: float) -> None:
-        """Those whose time is over, and all that the server may not have any more."""
+            self._start_call(queued.start, now)
+        next_check_at = self._queue.next_expiry()
+        if next_check_at is not None and self.instance is not None and now < self.instance.cold_until:
+            next_check_at = min(next_check_at, now + 1.0 / self._cold_rate_per_s())
+        return next_check_at
+
+    def _next_startable(self, now: float) -> QueuedCall | None:
+        """The first queued call for which there is a free slot."""
+        return next((queued for queued in self._queue if self._has_free_slot(queued.waybill, now)), None)
+
+    def _refuse_inadmissible(self, now: float) -> None:
+        """Refuse queued calls that have expired or that the server may no longer get."""
         for queued in list(self._queue):
             verdict = (
-                Verdict(Ran.NEVER, "time") if now >= queued.expires_at else self._bars(queued.waybill, now)
+                Verdict(Ran.NEVER, "time") if now >= queued.expires_at else self._refusal(queued.waybill, now)
             )
             if verdict is not None:
                 self._queue.discard(queued)
-                self._forget(queued.waybill)
+                self._forget_id(queued.waybill)
                 queued.refuse(verdict)
--- a/leadrudder/data_plane/admission_queue.py
+++ b/leadrudder/data_plane/admission_queue.py
@@ -1,4 +1,4 @@
-"""Calls that wait at a gate for a slot of its server, in the order in which they are to be served. No I/O."""
+"""The admission queue: calls waiting for a free slot of the local server, in order of service. No I/O."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class Rank(NamedTuple):
-    """The order of calls that wait: lower ones are served first."""
+    """The order of queued calls: lower ranks are served first."""
 
-    priority: int  # of the route, 0 is the highest
-    late: bool  # it would be answered after its target: behind all that would not
-    due: float  # seconds: when its target is reached, or its time is over if it is late
+    priority: int  # of the route; 0 is the highest
+    late: bool  # its answer would miss the target: it is served after all that would not
+    due: float  # seconds: when its target is reached; if late, when its deadline is
 
 
 @dataclass(order=True, slots=True)
 class QueuedCall:
-    """A call that waits.  until: when it is refused, if it has not been started; came: when it was queued."""
+    """A queued call.  expires_at: when it is refused if it has not started; times in seconds."""
 
     rank: Rank
     sequence: int
@@ -34,14 +34,14 @@
 
 
 class AdmissionQueue:
-    """Ordered by rank, then by arrival.  It is short: its owner bounds it by the slots of the server."""
+    """Ordered by rank, then by arrival.  Its owner bounds its length by the capacity of the server."""
 
     def __init__(self) -> None:
         self._calls: list[QueuedCall] = []
         self._numbers = itertools.count()
 
     def __iter__(self) -> Iterator[QueuedCall]:
-        """Those that wait, the next to be served first."""
+        """Queued calls in the order of service."""
         return iter(self._calls)
 
     def __len__(self) -> int:
@@ -62,18 +62,18 @@
         return queued
 
     def discard(self, queued: QueuedCall) -> None:
-        """Take a call out, if it is still there."""
+        """Remove a call if it is still queued."""
         if queued in self._calls:
             self._calls.remove(queued)
 
     def last(self) -> QueuedCall | None:
-        """The one that would be served last; None if none waits."""
+        """The call that would be served last; None if the queue is empty."""
         return self._calls[-1] if self._calls else None
 
     def count_ahead(self, rank: Rank) -> int:
-        """How many would be served before one of this rank that came now."""
+        """Number of calls that would be served before a new one of this rank."""
         return sum(1 for queued in self._calls if queued.rank <= rank)
 
     def next_expiry(self) -> float | None:
-        """When the first of those that wait is to be refused; None if none waits."""
+        """The earliest expiry of a queued call; None if the queue is empty."""
         return min((queued.expires_at for queued in self._calls), default=None)
--- a/leadrudder/data_plane/candidates.py
+++ b/leadrudder/data_plane/candidates.py
@@ -1,4 +1,4 @@
-"""The servers that a route's requests may go to, and how far away each is."""
+"""The servers to which the requests of a route may go, with their distances."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class Distance(Enum):
-    """Where a server is, seen from a node.  The value is its weight in the starting vector.
+    """The location of a server relative to a node.  The value is its weight in the initial probabilities.
 
-    A call to the server beside the node itself crosses no link of the mesh, and bytes between zones are dear.
+    A call to the local server uses no link of the mesh, and traffic between zones is costly.
     """
 
     LOCAL = 60.0
@@ -22,9 +22,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidates:
-    """The servers that may be drawn, by name.  entries: the same for the decision module.
+    """The servers that may be selected, by name.  entries: the same for the policy module.
 
-    Worked out once, and shared by all balancers that draw among the same servers.
+    Computed once and shared by all load balancers that select among the same servers.
     """
 
     servers: Mapping[str, Distance]
--- a/leadrudder/data_plane/client_patience.py
+++ b/leadrudder/data_plane/client_patience.py
@@ -1,31 +1,31 @@
-"""How long a client has waited before it sent a request, by the time that it has left. No I/O."""
+"""Estimates how long a client has already waited, from the remaining time that its request states. No I/O."""
 
 from __future__ import annotations
 
-SPAN_S = (
-    10.0  # for so long at least, and twice as long at most, the longest time left of a route is remembered
-)
+WINDOW_S = 10.0  # the longest remaining time of a route is kept for one to two windows
 
 
 class ClientPatience:
-    """Clients of a route give their first tries the same time, and later ones what is left of it.
+    """Clients of a route set the same time limit on a first attempt, and give retries what remains of it.
 
-    So the longest time left that was seen of late is a first try's, and who has less has waited. Where
-    clients of one route differ, the less patient ones count as having waited: that decides no more than who
-    goes first at a full server.
+    The longest remaining time seen recently is therefore that of a first attempt, and a request with less has
+    waited for the difference. Clients of a route with shorter limits count as having waited, too: this
+    affects only the order in the queue of a full server.
     """
 
     def __init__(self) -> None:
-        self._longest: dict[str, float] = {}  # milliseconds, by route, in the present span
-        self._before: dict[str, float] = {}  # in the one before
-        self._span_ends = 0.0
+        self._longest_left_ms: dict[str, float] = {}  # by route, in the current window
+        self._previous_longest_left_ms: dict[str, float] = {}  # in the previous window
+        self._window_ends_at = 0.0
 
     def estimate_waited_ms(self, route: str, left_ms: float, now: float) -> float:
-        """For how long the client of a request with so much time left has waited already; now: seconds."""
-        if now >= self._span_ends:
-            self._before = self._longest if now < self._span_ends + SPAN_S else {}
-            self._longest = {}
-            self._span_ends = now + SPAN_S
-        longest = max(left_ms, self._longest.get(route, 0.0))
-        self._longest[route] = longest
-        return max(longest, self._before.get(route, 0.0)) - left_ms
+        """Time that the client of a request with this remaining time has already waited; now in seconds."""
+        if now >= self._window_ends_at:
+            self._previous_longest_left_ms = (
+                self._longest_left_ms if now < self._window_ends_at + WINDOW_S else {}
+            )
+            self._longest_left_ms = {}
+            self._window_ends_at = now + WINDOW_S
+        longest_left_ms = max(left_ms, self._longest_left_ms.get(route, 0.0))
+        self._longest_left_ms[route] = longest_left_ms
+        return max(longest_left_ms, self._previous_longest_left_ms.get(route, 0.0)) - left_ms
--- a/leadrudder/data_plane/inbound.py
+++ b/leadrudder/data_plane/inbound.py
@@ -1,4 +1,4 @@
-"""Requests for the server beside this station: through the gate, to the server, and the answer back."""
+"""Calls to the local server: admitted, sent to the server, and answered to the node they came from."""
 
 from __future__ import annotations
 
@@ -6,14 +6,19 @@
 from collections.abc import Callable
 
 from leadrudder.data_plane.admission_control import AdmissionController
-from leadrudder.data_plane.server_connections import NOT_RUN, SEAL, LocalServer, ServerRequest
+from leadrudder.data_plane.server_connections import (
+    NOT_RUN_HEADER,
+    SERVER_SEAL_HEADER,
+    LocalServer,
+    ServerRequest,
+)
 from leadrudder.interface import Outcome
 from leadrudder.node.servers import Call
 from leadrudder.protocol.mesh_pb2 import Delivery, Waybill
 from leadrudder.protocol.outcome import Ran, Verdict
 from leadrudder.transport.http import WholeMessage
 
-OVER_S = 0.1  # a server ends at the time it is given, and says so: that answer is waited for
+SERVER_TIMEOUT_GRACE_S = 0.1  # a server reports that its time is over; wait for that answer
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -30,43 +35,50 @@
 )
 
 Deliver = Callable[[Delivery], None]
-Withdraw = Callable[[bool], None]  # the argument: whether it is because the client has left
+Withdraw = Callable[[bool], None]  # argument: whether the client has disconnected
 
 
 def no_withdrawal(client_left: bool) -> None:
-    """For a request that has been answered."""
+    """Does nothing: the call has been answered already."""
 
 
-def forwarded_headers(message: WholeMessage, without: frozenset[bytes] = frozenset()) -> bytes:
-    """Header lines as they came, but those that concern one connection only, or that are set anew."""
-    named = message.headers.get(b"connection", b"").lower()
-    dropped = {part.strip() for part in named.split(b",")} | HOP_BY_HOP | without
+def forwarded_headers(message: WholeMessage, excluded: frozenset[bytes] = frozenset()) -> bytes:
+    """Header lines to forward: without hop-by-hop headers and those in excluded."""
+    connection_headers = message.headers.get(b"connection", b"").lower()
+    dropped = {part.strip() for part in connection_headers.split(b",")} | HOP_BY_HOP | excluded
     return b"".join(b"%s: %s\r\n" % (n, v) for n, v in message.fields if n.lower() not in dropped)
 
 
 class InboundProxy:
-    """What the gate admits is run; every waybill is delivered once."""
+    """Sends admitted calls to the local server; each waybill gets exactly one delivery."""
 
     def __init__(
         self,
-        gate: AdmissionController,
-        own: LocalServer,
-        note: Callable[[str], None],
-        lent: Callable[[Waybill], bool] = lambda waybill: False,
-        ran: Callable[[int], None] | None = None,
+        admission: AdmissionController,
+        local_server: LocalServer,
+        log: Callable[[str], None],
+        is_lent: Callable[[Waybill], bool] = lambda waybill: False,
+        on_unsafe_run: Callable[[int], None] | None = None,
     ) -> None:
-        """lent: whether this machine is out of a waybill's traffic just now.
+        """is_lent: whether this machine is now excluded from the traffic of a waybill.
 
-        ran: an unsafe request of an epoch has run.
+        on_unsafe_run: called with the ledger epoch when an unsafe request has run.
         """
-        self.gate, self._own, self._note, self._lent, self._ran = gate, own, note, lent, ran
+        self.admission, self._local_server, self._log, self._is_lent, self._on_unsafe_run = (
+            admission,
+            local_server,
+            log,
+            is_lent,
+            on_unsafe_run,
+        )
         self._loop = asyncio.get_running_loop()
-        self._timer: asyncio.TimerHandle | None = None
+        self._queue_timer: asyncio.TimerHandle | None = None
 
     def handle(self, waybill: Waybill, deliver: Deliver) -> Withdraw:
-        """Returns what withdraws it: while it has not been started, or if its client has left.
+        """Admit a call; returns a function that withdraws it.
 
-        A run that may be repeated is broken off then; one that may not goes on to its end.
+        A queued call is dropped. A running call is cancelled only if the client has disconnected and the
+        request is safe to repeat; an unsafe one runs to its end.
         """
         call: Call | None = None
 
@@ -83,28 +95,28 @@
 
         def withdraw(client_left: bool) -> None:
             if queued is not None:
-                self.gate.withdraw(queued)
+                self.admission.withdraw(queued)
             if call is not None and client_left and not waybill.once:
                 call.give_up(Outcome.CANCELLED)
 
-        if self._lent(waybill):
+        if self._is_lent(waybill):
             refuse(Verdict(Ran.NEVER, "lent"))
             return no_withdrawal
-        queued = self.gate.admit(waybill, self._loop.time(), start, refuse)
+        queued = self.admission.admit(waybill, self._loop.time(), start, refuse)
         if queued is not None:
-            self._look_again()
+            self._process_queue()
         return withdraw
 
     def _run(self, waybill: Waybill, deliver: Deliver) -> Call:
         began = self._loop.time()
-        length = b""
+        content_length = b""
         if waybill.body or waybill.method not in (b"GET", b"HEAD", b"DELETE"):
-            length = b"Content-Length: %d\r\n" % len(waybill.body)
+            content_length = b"Content-Length: %d\r\n" % len(waybill.body)
         head = b"%s %s HTTP/1.1\r\n%s%sTarget-Server: %s\r\n" % (
             waybill.method,
             waybill.target,
             waybill.fields,
-            length,
+            content_length,
             waybill.server.encode("latin-1"),
         )
 
@@ -112,14 +124,16 @@
             now = self._loop.time()
             delivery = self._delivery(waybill, outcome, message)
             if outcome is Outcome.CONNECT_FAILED:
-                self.gate.on_connect_failure(waybill.server, now)
+                self.admission.on_connect_failure(waybill.server, now)
             deliver(delivery)
             elapsed_ms = None if outcome is Outcome.CANCELLED else 1000.0 * (now - began)
-            self.gate.on_call_ended(elapsed_ms, now, waybill.target_ms)
-            self._look_again()
+            self.admission.on_call_ended(elapsed_ms, now, waybill.target_ms)
+            self._process_queue()
 
-        going = ServerRequest(waybill.attempt_id, head, waybill.body)
-        return self._own.run(waybill.server, going, waybill.left_ms / 1000.0 + OVER_S, ended)
+        request = ServerRequest(waybill.attempt_id, head, waybill.body)
+        return self._local_server.run(
+            waybill.server, request, waybill.left_ms / 1000.0 + SERVER_TIMEOUT_GRACE_S, ended
+        )
 
     def _delivery(self, waybill: Waybill, outcome: Outcome, message: WholeMessage | None) -> Delivery:
         delivery = Delivery(number=waybill.number)
@@ -131,27 +145,31 @@
                 delivery.why = "time" if outcome is Outcome.TIMEOUT else outcome.value
             return delivery
         status = message.status
-        if NOT_RUN in message.headers or status == 421:
+        if NOT_RUN_HEADER in message.headers or status == 421:
             delivery.ran, delivery.why = Ran.NEVER, "turned away"
             return delivery
-        if 200 <= status < 300 and (SEAL not in message.headers or b"content-encoding" in message.headers):
+        if 200 <= status < 300 and (
+            SERVER_SEAL_HEADER not in message.headers or b"content-encoding" in message.headers
+        ):
             delivery.ran, delivery.why = Ran.MAYBE, "spoilt"
             return delivery
-        if self._ran is not None and waybill.once:
-            self._ran(waybill.epoch)
+        if self._on_unsafe_run is not None and waybill.once:
+            self._on_unsafe_run(waybill.epoch)
         delivery.ran, delivery.status = Ran.YES, status
         delivery.fields, delivery.body = forwarded_headers(message), message.body
         return delivery
 
-    def _look_again(self) -> None:
-        """The gate's queue: when something in it is due."""
-        due = self.gate.process_queue(self._loop.time())
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
-        if due is not None:
-            self._timer = self._loop.call_later(max(0.001, due - self._loop.time()), self._look_again)
+    def _process_queue(self) -> None:
+        """Process the admission queue and schedule the next time."""
+        next_check_at = self.admission.process_queue(self._loop.time())
+        if self._queue_timer is not None:
+            self._queue_timer.cancel()
+            self._queue_timer = None
+        if next_check_at is not None:
+            self._queue_timer = self._loop.call_later(
+                max(0.001, next_check_at - self._loop.time()), self._process_queue
+            )
 
     def process_queue(self) -> None:
-        """Something about the server has changed."""
-        self._look_again()
+        """Process the admission queue after a change of the server or of the configuration."""
+        self._process_queue()
--- a/leadrudder/data_plane/load_balancer.py
+++ b/leadrudder/data_plane/load_balancer.py
@@ -1,7 +1,8 @@
-"""The points of one route and service: which server a request goes to, by the decision module alone.
+"""Load balancing for one route and service: the policy module alone selects the server of each attempt.
 
-Each holds one `leadrudder.policy.Balancer`: one vector and one average a server, learned from the calls
-that this station carries. What the gates refuse without asking their server is drawn again at once.
+Each load balancer owns one `leadrudder.policy.Balancer`, which keeps a selection probability and an average
+latency per server, learned from the calls of this node. A call that a server's admission control refuses
+without passing it to the server is sent to another server at once.
 """
 
 from __future__ import annotations
@@ -22,30 +23,31 @@
 from leadrudder.protocol.outcome import Ran, Reply, Verdict, worst
 from leadrudder.recovery.strain import Strain
 
-ATTEMPTS_MOST = 3  # draws for one request, those that gates refuse included
-DRAWS_FREE = 2  # after so many refusals a call may wait at a gate though it will be late
-REST_PART = 0.5  # of the time that a full server expects to be: until then it is not drawn
-REST_MOST_MS = 150.0
-FLOOR_SHARE = 0.06  # p_min = this / r
-TOLL_PART = 0.3  # of the target: a call to another zone counts as so much slower, as bytes between are dear
-MIN_RETRY_AFTER_MS = 20.0  # told to come back no earlier
+MAX_ATTEMPTS = 3  # per request, including those refused by admission control
+ATTEMPTS_BEFORE_WAITING = 2  # later attempts may be queued even if the answer will miss its target
+FULL_SERVER_PAUSE_FRACTION = 0.5  # of the wait that a full server reports; it is not selected until then
+MAX_FULL_SERVER_PAUSE_MS = 150.0
+FLOOR_SHARE = 0.06  # p_min is this share divided by the number of servers
+# Part of the target, added to the latency of a call to another zone: traffic between zones is costly.
+CROSS_ZONE_PENALTY_FRACTION = 0.3
+MIN_RETRY_AFTER_MS = 20.0  # lower bound of the Retry-After sent to clients
 
 
 class UnlimitedConcurrency:
-    """Calls out are limited where their number is known for certain: by the gates."""
+    """Sets no limit: admission control at each server limits calls, as it knows their exact number."""
 
     value = math.inf
 
     def moved(self, by: float, servers: float, part: float) -> None:
-        """Nothing moves it."""
+        """The limit does not change."""
 
-    def feel(self, strain: Strain, latency_share: float, in_flight: int, patience: float) -> None:
-        """Nothing moves it."""
+    def feel(self, strain: Strain, latency_share: float, out: int, patience: float) -> None:
+        """The limit does not change."""
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A client's request, which is owed one answer."""
+    """A client's request; it gets exactly one answer."""
 
     method: bytes
     target: bytes
@@ -55,21 +57,19 @@
     deadline: float  # seconds on the loop's clock
     on_answer: Callable[[Reply | Verdict], None]
     started_at: float = 0.0  # seconds on the loop's clock
-    waited_ms: float = 0.0  # by its client before this try, as far as its time left tells
-    epoch: int = 0  # of the ledger, in which it began; 0: none is kept
+    waited_ms: float = 0.0  # by the client before this request, estimated from its remaining time
+    epoch: int = 0  # ledger epoch in which it started; 0 if there is no ledger
     done: bool = False
-    arrivals: int = 0  # at servers, as far as is known or must be feared
+    arrivals: int = 0  # attempts that reached a server or may have
     attempts_sent: int = 0
-    in_flight: dict[int, Callable[[bool], None]] = field(
-        default_factory=dict
-    )  # attempts, and what withdraws each
+    in_flight: dict[int, Callable[[bool], None]] = field(default_factory=dict)  # withdraws each
     verdicts: list[Verdict] = field(default_factory=list)
-    error_reply: Reply | None = None  # a server's answer that was no success
+    error_reply: Reply | None = None  # a server's answer other than a success
 
-    def answer(self, what: Reply | Verdict) -> None:
+    def answer(self, result: Reply | Verdict) -> None:
         if not self.done:
             self.done = True
-            self.on_answer(what)
+            self.on_answer(result)
 
 
 SendAttempt = Callable[
@@ -78,32 +78,32 @@
 
 
 class LoadBalancer:
-    """carry: sends one attempt to the gate beside a server; returns what withdraws it."""
+    """send_attempt: sends one attempt to a server's admission control; returns a function to withdraw it."""
 
     def __init__(
         self,
         route: Route,
         service: str,
-        purse: RetryBudget,
-        carry: SendAttempt,
-        note: Callable[[str], None],
+        retry_budget: RetryBudget,
+        send_attempt: SendAttempt,
+        log: Callable[[str], None],
         seed: int | None = None,
     ) -> None:
         self.route, self.service = route, service
-        self._carry, self._note, self._purse = carry, note, purse
+        self._send_attempt, self._log, self._retry_budget = send_attempt, log, retry_budget
         self._loop = asyncio.get_running_loop()
-        kind = api.RequestClass(
+        request_class = api.RequestClass(
             name=route.name,
             aim_ms=max(1.0, route.target_ms),
             deadline_ms=max(1.0, route.give_up_ms),
             effect=Effect.UNSAFE if route.once else Effect.SAFE,
         )
         settings = api.Settings(
-            classes=(kind,),
-            # Each node learns for itself. Told of 88 nodes the module kept this one to a few servers, and its
-            # vector closed on one or two of them: eight servers of nineteen stood idle beside full ones.
+            classes=(request_class,),
+            # Each node learns on its own. With balancers=88 the policy restricted this node to a few servers
+            # and converged on one or two of them: 8 of 19 servers were idle while others were full.
             balancers=1,
-            max_attempts=ATTEMPTS_MOST,
+            max_attempts=MAX_ATTEMPTS,
             may_duplicate=True,
             may_cancel=True,
             max_retry_after_ms=1000.0,
@@ -115,198 +115,233 @@
         self.policy = Balancer(
             settings, seed=Random().getrandbits(48) if seed is None else seed, limit=UnlimitedConcurrency()
         )
-        self._errands: dict[int, ClientRequest] = {}
-        self._last = 0
-        self._listed: Mapping[str, Distance] = {}
-        self._offered: Candidates | None = None  # a list that was not taken in yet
-        self._toll_ms = TOLL_PART * route.target_ms
-        self._began: dict[tuple[int, int], tuple[ServerId, float]] = {}  # attempts that are out
+        self._client_requests: dict[int, ClientRequest] = {}
+        self._last_number = 0
+        self._current_servers: Mapping[str, Distance] = {}
+        self._pending_candidates: Candidates | None = None  # not yet passed to the policy
+        self._cross_zone_penalty_ms = CROSS_ZONE_PENALTY_FRACTION * route.target_ms
+        self._attempts_in_flight: dict[tuple[int, int], tuple[ServerId, float]] = {}  # server, start
 
     def set_servers(self, servers: Mapping[str, Distance]) -> None:
-        """The servers that may be drawn, and how far away each is."""
+        """Replace the servers that may be selected, with their distances."""
         self.offer_candidates(Candidates.from_servers(servers))
-        self._take_offered()
+        self._apply_pending_candidates()
 
     def offer_candidates(self, candidates: Candidates) -> None:
-        """The servers that may be drawn: taken in now if requests are open, else with the next request."""
-        self._offered = candidates
-        if self._errands:
-            self._take_offered()
-
-    def _take_offered(self) -> None:
-        candidates, self._offered = self._offered, None
-        if candidates is None or candidates.servers is self._listed or candidates.servers == self._listed:
+        """Replace the servers that may be selected; takes effect at the next request if none is open."""
+        self._pending_candidates = candidates
+        if self._client_requests:
+            self._apply_pending_candidates()
+
+    def _apply_pending_candidates(self) -> None:
+        candidates, self._pending_candidates = self._pending_candidates, None
+        if (
+            candidates is None
+            or candidates.servers is self._current_servers
+            or candidates.servers == self._current_servers
+        ):
             return
-        self._listed = candidates.servers
-        self._post(api.ServerList(api.ListKind.FULL, candidates.entries))
-
-    def submit(self, errand: ClientRequest) -> Callable[[], None]:
-        """A request: from here on it is owed one answer.  Returns what says that its client has left."""
-        self._take_offered()
-        self._last += 1
-        self._purse.deposit()
-        number = self._last
-        self._errands[number] = errand
-        left = errand.deadline - self._loop.time()
-        self._loop.call_later(max(0.0, left), self._overdue, number, errand)
-        self._post(api.Arrival(number, 0, max(1.0, 1000.0 * left)))
-        return lambda: self._client_left(number, errand)
-
-    def _client_left(self, number: int, errand: ClientRequest) -> None:
-        """Nobody waits for it any more: nothing further is sent, and what is out is withdrawn."""
-        if number not in self._errands or errand.done:
+        self._current_servers = candidates.servers
+        self._handle_event(api.ServerList(api.ListKind.FULL, candidates.entries))
+
+    def submit(self, client_request: ClientRequest) -> Callable[[], None]:
+        """Start a request, which gets one answer.  Returns a function to call when its client disconnects."""
+        self._apply_pending_candidates()
+        self._last_number += 1
+        self._retry_budget.deposit()
+        number = self._last_number
+        self._client_requests[number] = client_request
+        left_s = client_request.deadline - self._loop.time()
+        self._loop.call_later(max(0.0, left_s), self._on_deadline, number, client_request)
+        self._handle_event(api.Arrival(number, 0, max(1.0, 1000.0 * left_s)))
+        return lambda: self._on_client_left(number, client_request)
+
+    def _on_client_left(self, number: int, client_request: ClientRequest) -> None:
+        """The client has disconnected: send no further attempts and withdraw those in flight."""
+        if number not in self._client_requests or client_request.done:
             return
-        del self._errands[number]
-        self._post(api.RequestGone(number))  # first: what ends now says nothing of its server
-        self._finish(errand, "client left")
-        for attempt in list(errand.in_flight):
-            self._end(number, errand, attempt, Outcome.CANCELLED, client_left=True)
-
-    def _overdue(self, number: int, errand: ClientRequest) -> None:
-        """Its time is over: what is still out counts as failed at the time it took."""
-        if number not in self._errands:
+        del self._client_requests[number]
+        self._handle_event(
+            api.RequestGone(number)
+        )  # first: the cancelled attempts must not count against servers
+        self._finish(client_request, "client left")
+        for attempt in list(client_request.in_flight):
+            self._give_up_attempt(number, client_request, attempt, Outcome.CANCELLED, client_left=True)
+
+    def _on_deadline(self, number: int, client_request: ClientRequest) -> None:
+        """The deadline has passed: attempts in flight count as timed out after the time they took."""
+        if number not in self._client_requests:
             return
-        if not errand.done:
-            self._finish(errand, "time")
-        for attempt in list(errand.in_flight):
-            self._end(number, errand, attempt, Outcome.TIMEOUT)
-        self._errands.pop(number, None)
-        self._post(api.RequestGone(number))
-
-    def _forget(self, number: int, errand: ClientRequest) -> None:
-        """Kept until all that is out has ended."""
-        if errand.done and not errand.in_flight:
-            self._errands.pop(number, None)
-
-    def _finish(self, errand: ClientRequest, why: str) -> None:
-        """No further attempt: the server's own answer if there is one, else what the verdicts say."""
-        if errand.error_reply is not None and not errand.in_flight:
-            errand.answer(errand.error_reply)
+        if not client_request.done:
+            self._finish(client_request, "time")
+        for attempt in list(client_request.in_flight):
+            self._give_up_attempt(number, client_request, attempt, Outcome.TIMEOUT)
+        self._client_requests.pop(number, None)
+        self._handle_event(api.RequestGone(number))
+
+    def _remove_if_finished(self, number: int, client_request: ClientRequest) -> None:
+        """A request is kept until all its attempts have ended."""
+        if client_request.done and not client_request.in_flight:
+            self._client_requests.pop(number, None)
+
+    def _finish(self, client_request: ClientRequest, reason: str) -> None:
+        """Answer without another attempt: by a server's error reply if there is one, else by verdicts."""
+        if client_request.error_reply is not None and not client_request.in_flight:
+            client_request.answer(client_request.error_reply)
             return
-        verdicts = list(errand.verdicts)
-        if errand.in_flight:
-            verdicts.append(Verdict(Ran.MAYBE, why))
-        if why != "time" and verdicts and verdicts[-1].why == "time":
-            why = "time"
-        errand.answer(worst(verdicts, why))
+        verdicts = list(client_request.verdicts)
+        if client_request.in_flight:
+            verdicts.append(Verdict(Ran.MAYBE, reason))
+        if reason != "time" and verdicts and verdicts[-1].why == "time":
+            reason = "time"
+        client_request.answer(worst(verdicts, reason))
 
-    # ------------------------------------------------------------ the decision module
+    # ------------------------------------------------------------ the policy module
 
-    def _post(self, event: api.Event) -> None:
+    def _handle_event(self, event: api.Event) -> None:
         for action in self.policy.handle(event, 1000.0 * self._loop.time()):
-            self._act(action)
+            self._perform(action)
 
-    def _act(self, action: api.Action) -> None:
+    def _perform(self, action: api.Action) -> None:
         if isinstance(action, api.Send):
-            self._send(action)
+            self._start_attempt(action)
         elif isinstance(action, api.SetTimer):
             delay = max(0, math.ceil(action.at_ms - 1000.0 * self._loop.time())) / 1000.0
-            self._loop.call_later(delay, self._post, api.TimerFired(action.token))
+            self._loop.call_later(delay, self._handle_event, api.TimerFired(action.token))
         elif isinstance(action, api.Refuse | api.Fail):
-            errand = self._errands.get(action.request)
-            if errand is not None and not errand.done:
+            client_request = self._client_requests.get(action.request)
+            if client_request is not None and not client_request.done:
                 if isinstance(action, api.Refuse) and action.retry_after_ms:
-                    errand.verdicts.append(Verdict(Ran.NEVER, "refused", action.retry_after_ms))
-                self._finish(errand, "refused")
-                self._forget(action.request, errand)
+                    client_request.verdicts.append(Verdict(Ran.NEVER, "refused", action.retry_after_ms))
+                self._finish(client_request, "refused")
+                self._remove_if_finished(action.request, client_request)
         elif isinstance(action, api.Cancel):
-            errand = self._errands.get(action.request)
-            if errand is not None and action.attempt in errand.in_flight:
-                self._loop.call_soon(self._end, action.request, errand, action.attempt, Outcome.CANCELLED)
+            client_request = self._client_requests.get(action.request)
+            if client_request is not None and action.attempt in client_request.in_flight:
+                self._loop.call_soon(
+                    self._give_up_attempt, action.request, client_request, action.attempt, Outcome.CANCELLED
+                )
         elif isinstance(action, api.Log):
-            self._note(f"{self.route.name}: {action.text}")
-
-    def _send(self, action: api.Send) -> None:
-        number, errand = action.request, self._errands[action.request]
-        attempt = errand.attempts_sent
-        errand.attempts_sent += 1
-        again = errand.arrivals > 0 or bool(errand.in_flight)
-        if errand.done or (
-            again
-            and not (errand.arrivals + len(errand.in_flight) < self.route.tries and self._purse.try_spend())
+            self._log(f"{self.route.name}: {action.text}")
+
+    def _start_attempt(self, action: api.Send) -> None:
+        number, client_request = action.request, self._client_requests[action.request]
+        attempt = client_request.attempts_sent
+        client_request.attempts_sent += 1
+        is_repeat = client_request.arrivals > 0 or bool(client_request.in_flight)
+        if client_request.done or (
+            is_repeat
+            and not (
+                client_request.arrivals + len(client_request.in_flight) < self.route.tries
+                and self._retry_budget.try_spend()
+            )
         ):
-            # No further arrival is allowed: what is out may still answer.
-            if not errand.in_flight:
-                self._finish(errand, "tries")
-            self._loop.call_soon(self._moot, number, errand, attempt, action.server)
+            # No further attempt is allowed; attempts in flight may still answer.
+            if not client_request.in_flight:
+                self._finish(client_request, "tries")
+            self._loop.call_soon(self._end_unsent_attempt, number, client_request, attempt, action.server)
             return
-        began = self._loop.time()
-        free = min(len(self._listed) - 1, DRAWS_FREE)
+        started_at = self._loop.time()
+        wait_from_attempt = min(len(self._current_servers) - 1, ATTEMPTS_BEFORE_WAITING)
         server = action.server.decode()
-        errand.in_flight[attempt] = lambda client_left: None
-        over = False
+        client_request.in_flight[attempt] = lambda client_left: None
+        ended_early = False
 
         def delivered(delivery: Delivery) -> None:
-            nonlocal over
-            over = True
-            self._delivered(number, attempt, action.server, began, errand, delivery)
+            nonlocal ended_early
+            ended_early = True
+            self._on_delivery(number, attempt, action.server, started_at, client_request, delivery)
 
-        withdraw = self._carry(errand, self.route, server, attempt >= free, again, delivered)
-        if not over and attempt in errand.in_flight:
-            errand.in_flight[attempt] = withdraw
-            self._began[number, attempt] = (action.server, began)
+        withdraw = self._send_attempt(
+            client_request, self.route, server, attempt >= wait_from_attempt, is_repeat, delivered
+        )
+        if not ended_early and attempt in client_request.in_flight:
+            client_request.in_flight[attempt] = withdraw
+            self._attempts_in_flight[number, attempt] = (action.server, started_at)
 
-    def _moot(self, number: int, errand: ClientRequest, attempt: int, server: ServerId) -> None:
-        self._post(api.AttemptEnded(number, attempt, server, Outcome.MOOT, 0.0, errand.done))
-        self._forget(number, errand)
+    def _end_unsent_attempt(
+        self, number: int, client_request: ClientRequest, attempt: int, server: ServerId
+    ) -> None:
+        self._handle_event(api.AttemptEnded(number, attempt, server, Outcome.MOOT, 0.0, client_request.done))
+        self._remove_if_finished(number, client_request)
 
-    def _end(
-        self, number: int, errand: ClientRequest, attempt: int, outcome: Outcome, *, client_left: bool = False
+    def _give_up_attempt(
+        self,
+        number: int,
+        client_request: ClientRequest,
+        attempt: int,
+        outcome: Outcome,
+        *,
+        client_left: bool = False,
     ) -> None:
-        """An attempt that is out is not waited for any more."""
-        found = self._began.pop((number, attempt), None)
-        if found is None or attempt not in errand.in_flight:
+        """Stop waiting for an attempt in flight and withdraw it."""
+        found = self._attempts_in_flight.pop((number, attempt), None)
+        if found is None or attempt not in client_request.in_flight:
             return
-        errand.in_flight.pop(attempt)(client_left)
-        errand.verdicts.append(Verdict(Ran.MAYBE, "time" if outcome is Outcome.TIMEOUT else "withdrawn"))
-        errand.arrivals += 1
-        server, began = found
-        elapsed = 1000.0 * (self._loop.time() - began)
-        self._post(api.AttemptEnded(number, attempt, server, outcome, elapsed, errand.done))
-        self._forget(number, errand)
-
-    def _delivered(
+        client_request.in_flight.pop(attempt)(client_left)
+        client_request.verdicts.append(
+            Verdict(Ran.MAYBE, "time" if outcome is Outcome.TIMEOUT else "withdrawn")
+        )
+        client_request.arrivals += 1
+        server, started_at = found
+        elapsed_ms = 1000.0 * (self._loop.time() - started_at)
+        self._handle_event(
+            api.AttemptEnded(number, attempt, server, outcome, elapsed_ms, client_request.done)
+        )
+        self._remove_if_finished(number, client_request)
+
+    def _on_delivery(
         self,
         number: int,
         attempt: int,
         server: ServerId,
         started_at: float,
-        errand: ClientRequest,
+        client_request: ClientRequest,
         delivery: Delivery,
     ) -> None:
-        if attempt not in errand.in_flight:
+        if attempt not in client_request.in_flight:
             return
-        del errand.in_flight[attempt]
-        self._began.pop((number, attempt), None)
-        elapsed = 1000.0 * (self._loop.time() - started_at)
-        outcome = self._judge(errand, server, elapsed, delivery)
-        if outcome is Outcome.REJECTED and errand.error_reply is not None:
-            errand.answer(errand.error_reply)
-        if outcome is Outcome.OK and self._listed.get(server.decode()) is Distance.OTHER_ZONE:
-            elapsed += self._toll_ms
-        rest_ms = min(REST_MOST_MS, REST_PART * delivery.retry_ms) if outcome is Outcome.MOOT else 0.0
-        self._post(api.AttemptEnded(number, attempt, server, outcome, elapsed, errand.done, rest_ms=rest_ms))
-        self._forget(number, errand)
-
-    def _judge(self, errand: ClientRequest, server: ServerId, elapsed: float, delivery: Delivery) -> Outcome:
-        """What the end of an attempt says, in the module's terms; a success is handed on at once."""
+        del client_request.in_flight[attempt]
+        self._attempts_in_flight.pop((number, attempt), None)
+        elapsed_ms = 1000.0 * (self._loop.time() - started_at)
+        outcome = self._classify(client_request, server, elapsed_ms, delivery)
+        if outcome is Outcome.REJECTED and client_request.error_reply is not None:
+            client_request.answer(client_request.error_reply)
+        if outcome is Outcome.OK and self._current_servers.get(server.decode()) is Distance.OTHER_ZONE:
+            elapsed_ms += self._cross_zone_penalty_ms
+        rest_ms = (
+            min(MAX_FULL_SERVER_PAUSE_MS, FULL_SERVER_PAUSE_FRACTION * delivery.retry_ms)
+            if outcome is Outcome.MOOT
+            else 0.0
+        )
+        self._handle_event(
+            api.AttemptEnded(
+                number, attempt, server, outcome, elapsed_ms, client_request.done, rest_ms=rest_ms
+            )
+        )
+        self._remove_if_finished(number, client_request)
+
+    def _classify(
+        self, client_request: ClientRequest, server: ServerId, elapsed_ms: float, delivery: Delivery
+    ) -> Outcome:
+        """The outcome of an attempt in the policy's terms; a success is passed to the client at once."""
         ran = Ran(delivery.ran)
         if delivery.status:
-            errand.arrivals += 1
+            client_request.arrivals += 1
             reply = Reply(delivery.status, delivery.fields, delivery.body)
             if 200 <= delivery.status < 300:
-                errand.answer(reply)
+                client_request.answer(reply)
                 return Outcome.OK
-            errand.error_reply = reply
-            errand.verdicts.append(Verdict(Ran.YES, f"status {delivery.status}"))
-            # A 500 is as often that of a service behind: it takes four in a row to tell a server off.
+            client_request.error_reply = reply
+            client_request.verdicts.append(Verdict(Ran.YES, f"status {delivery.status}"))
+            # A 500 is as often caused by a service that the server calls: only four in a row eject it.
             return Outcome.REJECTED if delivery.status < 500 else Outcome.SPOILT
-        errand.verdicts.append(Verdict(ran, delivery.why, delivery.retry_ms))
+        client_request.verdicts.append(Verdict(ran, delivery.why, delivery.retry_ms))
         if ran is not Ran.NEVER:
-            errand.arrivals += 1
+            client_request.arrivals += 1
             return Outcome.SPOILT if delivery.why == Outcome.SPOILT.value else Outcome.RESET
         if delivery.why == "turned away":
-            errand.arrivals += 1
+            client_request.arrivals += 1
             return Outcome.FULL
         if delivery.why in ("unreachable", "down"):
             return Outcome.CONNECT_FAILED
--- a/leadrudder/data_plane/outbound.py
+++ b/leadrudder/data_plane/outbound.py
@@ -1,4 +1,4 @@
-"""Clients: requests in, exactly one answer each, in the order in which they came."""
+"""Client connections: each request gets exactly one answer, in the order of the requests on a connection."""
 
 from __future__ import annotations
 
@@ -20,31 +20,32 @@
 from leadrudder.protocol.outcome import Reply, Verdict
 from leadrudder.transport.http import WholeMessage, WholeReader, rendered
 
-PIPELINED_MOST = 64  # requests open on one connection, beyond which it is not read
-UNREAD_S = 10.0  # for a client to read its answer
-SWEEP_S = 0.25
-SMALL = 64 * 1024  # bytes of a body that are always taken: their number is bounded by that of requests
-LINGER_S = 0.5  # after a last answer, for the client to close
-COME_BACK = b"Retry-After: 0.2\r\n"
-_TOKEN = re.compile(rb"[!-~]{1,200}")
-_NUMBER = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
-_OURS = frozenset((b"time-left", b"target-server", b"calling-service", b"expect"))
+MAX_PIPELINED_REQUESTS = 64  # open on one connection; beyond that it is not read
+UNREAD_ANSWER_TIMEOUT_S = 10.0  # after which a client that does not read its answer is disconnected
+SWEEP_INTERVAL_S = 0.25
+SMALL_BODY_BYTES = 64 * 1024  # always accepted: the limit on open requests bounds their total
+CLOSE_LINGER_S = 0.5  # wait for the client to close after the last answer
+RETRY_AFTER_HEADER = b"Retry-After: 0.2\r\n"
+_ATTEMPT_ID = re.compile(rb"[!-~]{1,200}")
+_DECIMAL = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
+_REPLACED_HEADERS = frozenset((b"time-left", b"target-server", b"calling-service", b"expect"))
 
-Find = Callable[[str, str], Route | None]
-Begin = Callable[[Route, ClientRequest], Callable[[], None]]  # returns what says that its client has left
+FindRoute = Callable[[str, str], Route | None]
+# Returns a function to call when the client disconnects.
+SubmitRequest = Callable[[Route, ClientRequest], Callable[[], None]]
 
 
 @dataclass(slots=True)
-class Place:
-    """The place of one answer on its connection."""
+class AnswerSlot:
+    """One pending answer of a connection; answers are written in the order of their requests."""
 
-    output: bytes | None = None
+    rendered_answer: bytes | None = None
     close: bool = False
-    leave: Callable[[], None] | None = None  # to be called when the client has left before its answer
+    on_client_left: Callable[[], None] | None = None  # called if the client disconnects before its answer
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection of a client's."""
+    """One connection of a client."""
 
     def __init__(self, outbound: OutboundProxy) -> None:
         self._outbound = outbound
@@ -53,168 +54,173 @@
             self._on_request, requests=True, head_most=limits.head_most, body_most=limits.body_most
         )
         self._transport: asyncio.Transport | None = None
-        self._places: deque[Place] = deque()
-        self._since = 0.0  # when it was opened, began a request, or was last answered
-        self._over = False  # nothing more is read: its last answer is written or owed
-        self._paused = False
+        self._slots: deque[AnswerSlot] = deque()
+        self._last_activity_at = 0.0  # connection opened, request started or answer written
+        self._input_ended = False  # no further input is read
+        self._reading_paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
         sock = transport.get_extra_info("socket")
         if sock is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._since = self._outbound.now()
+        self._last_activity_at = self._outbound.now()
         self._outbound.clients[self] = None
 
     def data_received(self, data: bytes) -> None:
-        if self._over:
+        if self._input_ended:
             return
         if not self._reader.begun:
-            self._since = self._outbound.now()
+            self._last_activity_at = self._outbound.now()
         try:
             self._reader.feed(data)
         except MessageError as error:
-            self._refuse(error.status, str(error))
-        if not self._outbound.hold_body(self, self._reader.body_size) and not self._over:
-            self._refuse(503, "no memory for the body now", COME_BACK)
+            self._reject(error.status, str(error))
+        if not self._outbound.hold_body(self, self._reader.body_size) and not self._input_ended:
+            self._reject(503, "not enough memory for the request body", RETRY_AFTER_HEADER)
 
-    def _refuse(self, status: int, text: str, fields: bytes = b"") -> None:
-        """What came is no request that is taken: one answer, and nothing more is read."""
+    def _reject(self, status: int, text: str, fields: bytes = b"") -> None:
+        """Answer invalid or excess input once and read nothing more."""
         self._outbound.hold_body(self, 0)
-        place = Place(rendered(status, fields, text.encode() + b"\n", close=True), close=True)
-        self._over = True
-        self._places.append(place)
-        self._flush()
+        slot = AnswerSlot(rendered(status, fields, text.encode() + b"\n", close=True), close=True)
+        self._input_ended = True
+        self._slots.append(slot)
+        self._write_ready_answers()
 
     def eof_received(self) -> bool:
-        """The client has closed its connection: what it waited for is of no use to it."""
-        waiting = bool(self._places)
-        self._over = True
-        self._leave()
-        return waiting  # the answers that are due now end the connection
+        """The client has closed its connection: its open requests are abandoned."""
+        is_waiting = bool(self._slots)
+        self._input_ended = True
+        self._notify_client_left()
+        return is_waiting  # keep the transport open for the answers that are still due
 
-    def _leave(self) -> None:
-        for place in list(self._places):
-            if place.output is None and place.leave is not None:
-                place.leave()
+    def _notify_client_left(self) -> None:
+        for slot in list(self._slots):
+            if slot.rendered_answer is None and slot.on_client_left is not None:
+                slot.on_client_left()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
         self._outbound.hold_body(self, 0)
         self._outbound.clients.pop(self, None)
-        self._leave()
+        self._notify_client_left()
 
     def _on_request(self, message: Message) -> None:
-        if self._over:
+        if self._input_ended:
             return
-        place = Place(close=not message.keep_alive)
-        if place.close:
-            self._over = True
+        slot = AnswerSlot(close=not message.keep_alive)
+        if slot.close:
+            self._input_ended = True
             self._reader.stop()
-        self._places.append(place)
-        if len(self._places) >= PIPELINED_MOST and self._transport is not None and not self._paused:
+        self._slots.append(slot)
+        if (
+            len(self._slots) >= MAX_PIPELINED_REQUESTS
+            and self._transport is not None
+            and not self._reading_paused
+        ):
             self._transport.pause_reading()
-            self._paused = True
-        self._outbound.hold_body(self, 0)  # from here on it counts as under way
-        place.leave = self._outbound.handle_request(
-            cast(WholeMessage, message), lambda output: self._answer(place, output)
+            self._reading_paused = True
+        self._outbound.hold_body(self, 0)  # from here on its body is counted by handle_request
+        slot.on_client_left = self._outbound.handle_request(
+            cast(WholeMessage, message), lambda render_answer: self._set_answer(slot, render_answer)
         )
 
-    def _answer(self, place: Place, output: Callable[[bool], bytes]) -> None:
-        if self._outbound.closing and self._places and self._places[-1] is place:
-            place.close = True
-        if place.close:
-            self._over = True
-        place.output = output(place.close)
-        self._flush()
+    def _set_answer(self, slot: AnswerSlot, render_answer: Callable[[bool], bytes]) -> None:
+        if self._outbound.closing and self._slots and self._slots[-1] is slot:
+            slot.close = True
+        if slot.close:
+            self._input_ended = True
+        slot.rendered_answer = render_answer(slot.close)
+        self._write_ready_answers()
 
-    def _flush(self) -> None:
+    def _write_ready_answers(self) -> None:
         transport = self._transport
         if transport is None or transport.is_closing():
             return
-        while self._places and self._places[0].output is not None:
-            place = self._places.popleft()
-            assert place.output is not None
-            transport.write(place.output)
-            self._since = self._outbound.now()
-            if place.close:
-                # Closing on input that was not read would reset the connection, and with it this answer.
-                self._over = True
+        while self._slots and self._slots[0].rendered_answer is not None:
+            slot = self._slots.popleft()
+            assert slot.rendered_answer is not None
+            transport.write(slot.rendered_answer)
+            self._last_activity_at = self._outbound.now()
+            if slot.close:
+                # Closing with unread input would reset the connection and could lose this answer.
+                self._input_ended = True
                 if transport.can_write_eof():
                     transport.write_eof()
                 return
-        if self._paused and len(self._places) < PIPELINED_MOST // 2:
+        if self._reading_paused and len(self._slots) < MAX_PIPELINED_REQUESTS // 2:
             transport.resume_reading()
-            self._paused = False
+            self._reading_paused = False
 
     def busy(self) -> bool:
-        return bool(self._places) or (self._reader.begun and not self._over) or self._unsent()
+        return bool(self._slots) or (self._reader.begun and not self._input_ended) or self._has_unsent_bytes()
 
-    def _unsent(self) -> bool:
+    def _has_unsent_bytes(self) -> bool:
         return self._transport is not None and self._transport.get_write_buffer_size() > 0
 
     def check_timeouts(self, now: float, limits: Limits) -> None:
-        """End what has been waited for long enough."""
-        waited = 1000.0 * (now - self._since)
-        if self._transport is None or self._places:
+        """Enforce the time limits of this connection."""
+        elapsed_ms = 1000.0 * (now - self._last_activity_at)
+        if self._transport is None or self._slots:
             return
-        if self._over:
-            if waited > 1000.0 * (UNREAD_S if self._unsent() else LINGER_S):
-                self.abort()
+        if self._input_ended:
+            if elapsed_ms > 1000.0 * (
+                UNREAD_ANSWER_TIMEOUT_S if self._has_unsent_bytes() else CLOSE_LINGER_S
+            ):
+                self.force_close()
             return
-        if self._unsent():
-            if waited > 1000.0 * UNREAD_S:
-                self.abort()
+        if self._has_unsent_bytes():
+            if elapsed_ms > 1000.0 * UNREAD_ANSWER_TIMEOUT_S:
+                self.force_close()
         elif self._reader.begun:
-            if waited > max(limits.head_wait_ms, limits.idle_ms if self._reader.within else 0.0):
-                self._refuse(408, "the request did not come in whole")
-        elif waited > limits.idle_ms or self._outbound.closing:
+            if elapsed_ms > max(limits.head_wait_ms, limits.idle_ms if self._reader.within else 0.0):
+                self._reject(408, "request was not received completely in time")
+        elif elapsed_ms > limits.idle_ms or self._outbound.closing:
             self._transport.close()
 
-    def abort(self) -> None:
+    def force_close(self) -> None:
         if self._transport is not None:
             self._transport.abort()
 
 
 class OutboundProxy:
-    """All clients.  find: the route of a request; begin: carries it; most_held: bytes of bodies, read or
-    under way, beyond which requests with larger ones are told to come back; late_s: how long what is read
-    now has waited to be read, beyond which requests are told to come back, too.
+    """Accepts client connections and forwards their requests.
+
+    find_route: the route of a host and path; submit: starts a request; has_room: whether another request may
+    be open; max_held_bytes: limit on request bodies in memory, above which larger bodies are refused with
+    Retry-After; lag_s: delay of the event loop, above BEHIND_S of which requests are refused likewise.
     """
 
     def __init__(
         self,
         service: str,
-        find: Find,
-        begin: Begin,
+        find_route: FindRoute,
+        submit: SubmitRequest,
         limits: Callable[[], Limits],
-        room: Callable[[], bool],
-        most_held: float = math.inf,
-        late_s: Callable[[], float] = lambda: 0.0,
+        has_room: Callable[[], bool],
+        max_held_bytes: float = math.inf,
+        lag_s: Callable[[], float] = lambda: 0.0,
     ) -> None:
-        self._late_s = late_s
+        self._lag_s = lag_s
         self._patience = ClientPatience()
-        self.requests_shed = 0  # requests refused because this process was behind, since the start
-        self._most_held = most_held
-        self._held: dict[ClientConnection, int] = {}  # bytes of bodies that are being read
-        self._held_sum = 0  # these, and those of requests under way
+        self.requests_shed = 0  # refused because of event loop lag, since process start
+        self._max_held_bytes = max_held_bytes
+        self._held_bytes: dict[ClientConnection, int] = {}  # of bodies that are being read
+        self._held_bytes_total = 0  # including the bodies of open requests
         self.limits = limits
         self.clients: dict[ClientConnection, None] = {}
         self.closing = False
-        self.unrestricted_until = (
-            math.inf
-        )  # from then on only requests are taken whose time is over before end_by
-        self.answers_due_by = math.inf  # when every answer must have gone out
-        self.has_configuration = (
-            False  # a configuration is known: until then nothing says that there is no route
-        )
+        # After this time only requests whose deadline is before answers_due_by are accepted.
+        self.unrestricted_until = math.inf
+        self.answers_due_by = math.inf  # when the last answer must have been written
+        self.has_configuration = False  # until then a missing route is answered by 503, not by 404
         self.last_request_at = 0.0
-        self.open_requests = 0  # requests that are owed an answer
-        self._calling = b"Calling-Service: %s\r\n" % service.encode("latin-1", "replace")
-        self._find, self._begin, self._room = find, begin, room
+        self.open_requests = 0  # not yet answered
+        self._calling_service_header = b"Calling-Service: %s\r\n" % service.encode("latin-1", "replace")
+        self._find_route, self._submit, self._has_room = find_route, submit, has_room
         self._loop = asyncio.get_running_loop()
         self._server: asyncio.Server | None = None
-        self._loop.call_later(SWEEP_S, self._sweep)
+        self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def now(self) -> float:
         return self._loop.time()
@@ -224,18 +230,18 @@
         self._server = await self._loop.create_server(make, *address, backlog=1024, family=socket.AF_INET)
 
     def _sweep(self) -> None:
-        self._loop.call_later(SWEEP_S, self._sweep)
+        self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now, limits = self.now(), self.limits()
         for client in list(self.clients):
             client.check_timeouts(now, limits)
 
-    def hold_body(self, client: ClientConnection, size: int) -> bool:
-        """So many bytes of a body have come in from a client; False where there is no room for them."""
-        before = self._held.pop(client, 0)
-        if size:
-            self._held[client] = size
-        self._held_sum += size - before
-        return size <= SMALL or self._held_sum <= self._most_held
+    def hold_body(self, client: ClientConnection, body_bytes: int) -> bool:
+        """Set the size of the body that a client is sending; False if it exceeds the memory for bodies."""
+        before = self._held_bytes.pop(client, 0)
+        if body_bytes:
+            self._held_bytes[client] = body_bytes
+        self._held_bytes_total += body_bytes - before
+        return body_bytes <= SMALL_BODY_BYTES or self._held_bytes_total <= self._max_held_bytes
 
     def busy(self) -> bool:
         return self.open_requests > 0 or any(client.busy() for client in self.clients)
@@ -244,16 +250,16 @@
         if self._server is not None:
             self._server.close()
         for client in list(self.clients):
-            client.abort()
+            client.force_close()
 
     # ------------------------------------------------------------ requests
 
     def handle_request(
         self, message: WholeMessage, write: Callable[[Callable[[bool], bytes]], None]
     ) -> Callable[[], None] | None:
-        """A whole request; write is called once, with what renders its answer.
+        """Handle a complete request; write is called once, with a function that renders the answer.
 
-        Returns what is to be called if the client leaves before it; None if the answer was written.
+        Returns a function to call if the client disconnects first; None if the answer was already written.
         """
         self.last_request_at = self.now()
         headers = message.headers
@@ -261,56 +267,64 @@
         host = headers.get(b"host", b"")
         attempt_id = headers.get(b"attempt-id", b"")
         if not host or b"host" in message.repeated or not message.start.startswith(b"/"):
-            return self._plain(write, 400)
-        if not _TOKEN.fullmatch(attempt_id) or b"attempt-id" in message.repeated:
-            return self._plain(write, 400)
-        route = self._find(host.decode("latin-1"), path.decode("latin-1"))
+            return self._answer_status(write, 400)
+        if not _ATTEMPT_ID.fullmatch(attempt_id) or b"attempt-id" in message.repeated:
+            return self._answer_status(write, 400)
+        route = self._find_route(host.decode("latin-1"), path.decode("latin-1"))
         if route is None:
-            return self._plain(write, 404) if self.has_configuration else self._plain(write, 503, COME_BACK)
-        told = headers.get(b"time-left")
-        if told is not None and (not _NUMBER.fullmatch(told) or b"time-left" in message.repeated):
-            return self._plain(write, 400)
-        late_s = self._late_s()
-        left_ms = min(route.give_up_ms, float(told) if told is not None else route.give_up_ms)
+            return (
+                self._answer_status(write, 404)
+                if self.has_configuration
+                else self._answer_status(write, 503, RETRY_AFTER_HEADER)
+            )
+        time_left = headers.get(b"time-left")
+        if time_left is not None and (not _DECIMAL.fullmatch(time_left) or b"time-left" in message.repeated):
+            return self._answer_status(write, 400)
+        lag_s = self._lag_s()
+        left_ms = min(route.give_up_ms, float(time_left) if time_left is not None else route.give_up_ms)
         waited_ms = self._patience.estimate_waited_ms(route.name, left_ms, self.now())
-        left_ms -= 1000.0 * late_s
-        if late_s > BEHIND_S or (late_s > 0.0 and left_ms <= 0.0):
+        left_ms -= 1000.0 * lag_s
+        if lag_s > BEHIND_S or (lag_s > 0.0 and left_ms <= 0.0):
             self.requests_shed += 1
-            return self._plain(write, 503, COME_BACK)
+            return self._answer_status(write, 503, RETRY_AFTER_HEADER)
         if self.now() > self.unrestricted_until and self.now() + left_ms / 1000.0 > self.answers_due_by:
-            return self._plain(write, 503, COME_BACK)
-        size = len(message.body)
-        if not self._room() or (size > SMALL and self._held_sum + size > self._most_held):
-            return self._plain(write, 503, COME_BACK)
+            return self._answer_status(write, 503, RETRY_AFTER_HEADER)
+        body_bytes = len(message.body)
+        if not self._has_room() or (
+            body_bytes > SMALL_BODY_BYTES and self._held_bytes_total + body_bytes > self._max_held_bytes
+        ):
+            return self._answer_status(write, 503, RETRY_AFTER_HEADER)
         self.open_requests += 1
-        self._held_sum += size
+        self._held_bytes_total += body_bytes
 
-        def answered(what: Reply | Verdict) -> None:
+        def answered(result: Reply | Verdict) -> None:
             self.open_requests -= 1
-            self._held_sum -= size
-            write(lambda close: _render(what, attempt_id, close))
+            self._held_bytes_total -= body_bytes
+            write(lambda close: _render_result(result, attempt_id, close))
 
         errand = ClientRequest(
             method=message.method,
             target=message.start,
-            fields=forwarded_headers(message, _OURS) + self._calling,
+            fields=forwarded_headers(message, _REPLACED_HEADERS) + self._calling_service_header,
             body=message.body,
             attempt_id=attempt_id,
             deadline=self.now() + left_ms / 1000.0,
             on_answer=answered,
             waited_ms=waited_ms,
         )
-        return self._begin(route, errand)
+        return self._submit(route, errand)
 
     @staticmethod
-    def _plain(write: Callable[[Callable[[bool], bytes]], None], status: int, fields: bytes = b"") -> None:
+    def _answer_status(
+        write: Callable[[Callable[[bool], bytes]], None], status: int, fields: bytes = b""
+    ) -> None:
         write(lambda close: rendered(status, fields, b"", close=close))
 
 
-def _render(what: Reply | Verdict, attempt_id: bytes, close: bool) -> bytes:
-    if isinstance(what, Reply):
-        return rendered(what.status, what.fields, what.body, close=close)
-    status, fields = what.status(), b"Attempt-Id: %s\r\n" % attempt_id
+def _render_result(result: Reply | Verdict, attempt_id: bytes, close: bool) -> bytes:
+    if isinstance(result, Reply):
+        return rendered(result.status, result.fields, result.body, close=close)
+    status, fields = result.status(), b"Attempt-Id: %s\r\n" % attempt_id
     if status == 503:
-        fields += b"Retry-After: %.3f\r\n" % (max(MIN_RETRY_AFTER_MS, what.retry_ms) / 1000.0)
+        fields += b"Retry-After: %.3f\r\n" % (max(MIN_RETRY_AFTER_MS, result.retry_ms) / 1000.0)
     return rendered(status, fields, b"", close=close)
--- a/leadrudder/data_plane/peer_links.py
+++ b/leadrudder/data_plane/peer_links.py
@@ -1,4 +1,4 @@
-"""Links to the gates of other stations: waybills out, deliveries back, each answered once."""
+"""Links to other nodes: waybills out, deliveries back, exactly one delivery for each waybill."""
 
 from __future__ import annotations
 
@@ -10,70 +10,74 @@
 from leadrudder.protocol.outcome import Ran
 from leadrudder.transport.link import IDLE_DIALLED_S, Link, dial
 
-SILENCE_S = 1.5  # a gate that gives no sign of life for so long while calls are out is not waited for
-PING_S = 0.4
-IDLE_S = 30.0  # a link that carried nothing for so long is closed
+SILENCE_TIMEOUT_S = 1.5  # without frames from a peer while calls are in flight
+PING_INTERVAL_S = 0.4
+IDLE_TIMEOUT_S = 30.0  # after which an unused link is closed
 
 Deliver = Callable[[Delivery], None]
 
 
 class PeerLink:
-    """The link to one station, dialled when it is needed."""
+    """The link to one node, dialled on demand."""
 
     def __init__(self, address: str) -> None:
         self.address = address
         self.last_used = 0.0
         self._loop = asyncio.get_running_loop()
         self._link: Link | None = None
-        self._dialling: asyncio.Task[None] | None = None
-        self._waiting: list[tuple[Waybill, Deliver]] = []
-        self._out: dict[int, Deliver] = {}
-        self._last = 0
+        self._dial_task: asyncio.Task[None] | None = None
+        self._unsent: list[tuple[Waybill, Deliver]] = []
+        self._in_flight: dict[int, Deliver] = {}
+        self._last_number = 0
 
     def send(self, waybill: Waybill, deliver: Deliver) -> Withdraw:
-        """deliver is called once, also where the link breaks; returns what withdraws the waybill."""
+        """deliver is called once, also if the link fails; returns a function to withdraw the waybill."""
         self.last_used = self._loop.time()
-        self._last += 1
-        number = waybill.number = self._last
+        self._last_number += 1
+        number = waybill.number = self._last_number
         if self._link is not None and self._link.up:
             self._write(self._link, waybill, deliver)
         else:
-            self._waiting.append((waybill, deliver))
-            if self._dialling is None:
-                self._dialling = self._loop.create_task(self._dial())
+            self._unsent.append((waybill, deliver))
+            if self._dial_task is None:
+                self._dial_task = self._loop.create_task(self._dial())
         return lambda client_left: self._withdraw(number, client_left)
 
     def _write(self, link: Link, waybill: Waybill, deliver: Deliver) -> None:
         if not link.send(Frame(waybill=waybill)):
             deliver(Delivery(number=waybill.number, ran=Ran.NEVER, why="unreachable"))
             return
-        self._out[waybill.number] = deliver
+        self._in_flight[waybill.number] = deliver
         link.watch()
 
     def _withdraw(self, number: int, client_left: bool) -> None:
-        if self._out.pop(number, None) is not None and self._link is not None:
+        if self._in_flight.pop(number, None) is not None and self._link is not None:
             self._link.send(Frame(withdrawal=Withdrawal(number=number, client_left=client_left)))
-        self._waiting = [(w, d) for w, d in self._waiting if w.number != number]
+        self._unsent = [
+            (queued, on_delivery) for queued, on_delivery in self._unsent if queued.number != number
+        ]
 
     async def _dial(self) -> None:
-        link = await dial(self.address, lambda: Link(self, PING_S, SILENCE_S, peer=self.address))
-        self._dialling = None
-        waiting, self._waiting = self._waiting, []
-        for waybill, deliver in waiting:
+        link = await dial(
+            self.address, lambda: Link(self, PING_INTERVAL_S, SILENCE_TIMEOUT_S, peer=self.address)
+        )
+        self._dial_task = None
+        unsent, self._unsent = self._unsent, []
+        for waybill, deliver in unsent:
             if link is not None and link.up:
                 self._write(link, waybill, deliver)
             else:
                 deliver(Delivery(number=waybill.number, ran=Ran.NEVER, why="unreachable"))
 
     def on_up(self, link: Link) -> None:
-        link.wants_life, link.every_s = False, IDLE_DIALLED_S  # the gate does not wait for us
+        link.wants_life, link.every_s = False, IDLE_DIALLED_S  # the peer does not wait for this node
         self._link = link
 
     def on_frame(self, link: Link, frame: Frame) -> None:
         if frame.WhichOneof("body") != "delivery":
             return
-        deliver = self._out.pop(frame.delivery.number, None)
-        if not self._out:
+        deliver = self._in_flight.pop(frame.delivery.number, None)
+        if not self._in_flight:
             link.wants_life = False
         if deliver is not None:
             deliver(frame.delivery)
@@ -81,12 +85,12 @@
     def on_down(self, link: Link) -> None:
         if self._link is link:
             self._link = None
-            out, self._out = self._out, {}
-            for number, deliver in out.items():
+            in_flight, self._in_flight = self._in_flight, {}
+            for number, deliver in in_flight.items():
                 deliver(Delivery(number=number, ran=Ran.MAYBE, why="link"))
 
     def is_idle(self, now: float) -> bool:
-        return not self._out and not self._waiting and now - self.last_used > IDLE_S
+        return not self._in_flight and not self._unsent and now - self.last_used > IDLE_TIMEOUT_S
 
     def close(self) -> None:
         if self._link is not None:
@@ -94,26 +98,26 @@
 
 
 class PeerLinks:
-    """All of them, by address."""
+    """The links to all other nodes, by address."""
 
     def __init__(self) -> None:
-        self._ways: dict[str, PeerLink] = {}
+        self._links: dict[str, PeerLink] = {}
         self._loop = asyncio.get_running_loop()
 
     def send(self, address: str, waybill: Waybill, deliver: Deliver) -> Withdraw:
-        way = self._ways.get(address)
-        if way is None:
-            way = self._ways[address] = PeerLink(address)
-        return way.send(waybill, deliver)
+        peer_link = self._links.get(address)
+        if peer_link is None:
+            peer_link = self._links[address] = PeerLink(address)
+        return peer_link.send(waybill, deliver)
 
     def close_idle(self) -> None:
-        """Close what is not used any more."""
+        """Close links that have been idle for IDLE_TIMEOUT_S."""
         now = self._loop.time()
-        for address, way in list(self._ways.items()):
-            if way.is_idle(now):
-                way.close()
-                del self._ways[address]
+        for address, peer_link in list(self._links.items()):
+            if peer_link.is_idle(now):
+                peer_link.close()
+                del self._links[address]
 
     def close(self) -> None:
-        for way in self._ways.values():
-            way.close()
+        for peer_link in self._links.values():
+            peer_link.close()
--- a/leadrudder/data_plane/program.py
+++ b/leadrudder/data_plane/program.py
@@ -107,7 +107,7 @@
             now=self._loop.time,
             wall=wall,
             lag_s=self._lag.seconds,
-            note=self.ring.note,
+            log=self.ring.note,
         )
         self._inbound = InboundProxy(
             self.gate,
@@ -188,7 +188,7 @@
             names, shares = zip(*route.split, strict=True)
             service = self._rng.choices(names, shares)[0]
         self._accounting.track(route, service, errand)
-        return self.state.upstreams.balancer(route, service).submit(errand)
+        return self.state.upstreams.load_balancer_for(route, service).submit(errand)
 
     def _carry(
         self,
--- a/leadrudder/data_plane/request_accounting.py
+++ b/leadrudder/data_plane/request_accounting.py
@@ -1,4 +1,4 @@
-"""What becomes of each client request: held against its deadline, counted, and entered in the ledger."""
+"""Accounting of client requests: deadline check, metrics and the maintenance ledger."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from leadrudder.observability.traffic import Answered, Traffic
 from leadrudder.protocol.outcome import Ran, Reply, Verdict
 
-ANSWERED_LATE_S = 0.5  # after its deadline, by which a request is answered in any case
+DEADLINE_TOLERANCE_S = 0.5  # after its deadline, by which every request must have been answered
 
 
-def classify_answer(what: Reply | Verdict, took_ms: float, target_ms: float) -> Answered:
-    """What a client's answer counts as."""
-    if isinstance(what, Verdict):
-        return Answered.REFUSED if what.ran is Ran.NEVER else Answered.FAILED
-    if not 200 <= what.status < 300:
+def classify_answer(result: Reply | Verdict, took_ms: float, target_ms: float) -> Answered:
+    """The metric category of a client's answer."""
+    if isinstance(result, Verdict):
+        return Answered.REFUSED if result.ran is Ran.NEVER else Answered.FAILED
+    if not 200 <= result.status < 300:
         return Answered.FAILED
     return Answered.IN_TARGET if took_ms <= target_ms else Answered.LATE
 
 
 class RequestAccounting:
-    """now: seconds of the event loop; wall: Unix time; lag_s: by how much this process is behind.
+    """now: event loop time in seconds; wall: Unix time in seconds; lag_s: delay of the event loop.
 
-    ledger: None where maintenance windows are off; note: takes a line for the log's ring.
+    ledger: None if maintenance windows are disabled; log: takes a line for the log buffer.
     """
 
     def __init__(
@@ -38,47 +38,49 @@
         now: Callable[[], float],
         wall: Callable[[], float],
         lag_s: Callable[[], float],
-        note: Callable[[str], None],
+        log: Callable[[str], None],
     ) -> None:
         self._traffic, self._invariants, self._ledger = traffic, invariants, ledger
-        self._now, self._wall, self._lag_s, self._note = now, wall, lag_s, note
+        self._now, self._wall, self._lag_s, self._log = now, wall, lag_s, log
 
-    def track(self, route: Route, service: str, errand: ClientRequest) -> None:
-        """A request begins: from here on its answer is accounted for."""
-        answered = errand.on_answer
-        errand.started_at = self._now()
+    def track(self, route: Route, service: str, client_request: ClientRequest) -> None:
+        """Record the start of a request, and its answer when it comes."""
+        on_answer = client_request.on_answer
+        client_request.started_at = self._now()
         if self._ledger is not None:
-            errand.epoch = epoch_of(self._wall())
+            client_request.epoch = epoch_of(self._wall())
 
-        def accounted(what: Reply | Verdict) -> None:
-            took_ms = 1000.0 * (self._now() - errand.started_at)
-            self._traffic.answered[classify_answer(what, took_ms, route.target_ms)] += 1
-            self._check_deadline(errand)
+        def record_answer(result: Reply | Verdict) -> None:
+            took_ms = 1000.0 * (self._now() - client_request.started_at)
+            self._traffic.answered[classify_answer(result, took_ms, route.target_ms)] += 1
+            self._check_deadline(client_request)
             if self._ledger is not None:
-                self._enter(self._ledger, route, service, errand, what, took_ms)
-            answered(what)
+                self._record_in_ledger(self._ledger, route, service, client_request, result, took_ms)
+            on_answer(result)
 
-        errand.on_answer = accounted
+        client_request.on_answer = record_answer
 
-    def _check_deadline(self, errand: ClientRequest) -> None:
-        """A request outlives its deadline by no more than this process itself was held up."""
-        over_s = self._now() - errand.deadline
+    def _check_deadline(self, client_request: ClientRequest) -> None:
+        """Invariant: an answer is no later than the tolerance and the event loop's own delay allow."""
+        over_s = self._now() - client_request.deadline
         self._invariants.check(
             "answered_by_its_deadline",
-            over_s <= ANSWERED_LATE_S + self._lag_s(),
-            lambda: f"{errand.attempt_id.decode('latin-1')} answered {over_s:.3f} s after its deadline",
+            over_s <= DEADLINE_TOLERANCE_S + self._lag_s(),
+            lambda: (
+                f"{client_request.attempt_id.decode('latin-1')} answered {over_s:.3f} s after its deadline"
+            ),
         )
 
-    def _enter(
+    def _record_in_ledger(
         self,
         ledger: Ledger,
         route: Route,
         service: str,
-        errand: ClientRequest,
-        what: Reply | Verdict,
+        client_request: ClientRequest,
+        result: Reply | Verdict,
         took_ms: float,
     ) -> None:
-        name = errand.attempt_id.decode("latin-1")
-        ledger.answered(service, errand.epoch, route.once, name, what, took_ms)
-        if route.once and isinstance(what, Verdict) and what.ran is not Ran.NEVER:
-            self._note(f"in doubt: {name} of {route.name}: {what.why}")
+        request_id = client_request.attempt_id.decode("latin-1")
+        ledger.answered(service, client_request.epoch, route.once, request_id, result, took_ms)
+        if route.once and isinstance(result, Verdict) and result.ran is not Ran.NEVER:
+            self._log(f"in doubt: {request_id} of {route.name}: {result.why}")
--- a/leadrudder/data_plane/retry_budget.py
+++ b/leadrudder/data_plane/retry_budget.py
@@ -1,25 +1,26 @@
-"""The budget of further tries, without a common counter.
+"""The retry budget of a service, kept by each node without a shared counter.
 
-The rule counts what a service gets beyond the first arrival of each request, over all nodes: a ratio of the
-requests for it and an extra. Each node spends a part of the ratio of what it carried itself and its own
-part of the extra; the rest is left to calls that servers make again when their own request is run again.
+The limit applies to the attempts that reach a service beyond the first of each request, over all nodes: a
+ratio of its requests plus a constant extra. Each node uses a fraction of the ratio for the requests it sends,
+and its own share of the extra. The rest is left for calls that servers repeat when their own request is
+retried.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-RATIO_PART = 0.5
-EXTRA_PART = 0.45
+RATIO_FRACTION = 0.5
+EXTRA_FRACTION = 0.45
 
 
 @dataclass(slots=True)
 class RetryBudget:
-    """One node's, for one service.  Tokens are tries."""
+    """Token bucket of one node for one service; a token allows one retry."""
 
     ratio: float
     extra: float
-    nodes: int
+    node_count: int
     tokens: float = field(init=False)
 
     def __post_init__(self) -> None:
@@ -27,14 +28,14 @@
 
     @property
     def max_tokens(self) -> float:
-        return max(1.0, EXTRA_PART * self.extra / max(1, self.nodes))
+        return max(1.0, EXTRA_FRACTION * self.extra / max(1, self.node_count))
 
     def deposit(self) -> None:
-        """A request for the service begins here."""
-        self.tokens = min(self.max_tokens, self.tokens + RATIO_PART * self.ratio)
+        """Credit a new request for the service."""
+        self.tokens = min(self.max_tokens, self.tokens + RATIO_FRACTION * self.ratio)
 
     def try_spend(self) -> bool:
-        """Whether one more arrival of a request that has arrived before may be had."""
+        """Take a token for a retry; False if there is none."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
--- a/leadrudder/data_plane/server_connections.py
+++ b/leadrudder/data_plane/server_connections.py
@@ -1,7 +1,7 @@
-"""The connections to the server on this machine: the node's pool, with answers tied to their request.
+"""Connection pool of the local server; each answer is matched to its request by the attempt id.
 
-A surplus answer may come late, in the place where the next one is due: the id that each carries tells. One
-that carries another id than the request that is out belongs to nobody; the connection is not used again.
+A server may send a surplus answer late, where the answer to the next request is expected. An answer whose
+attempt id is not that of the current request is discarded, and the connection is not reused.
 """
 
 from __future__ import annotations
@@ -17,79 +17,84 @@
 from leadrudder.node.servers import Call, Connection, Peer, Servers
 from leadrudder.transport.http import WholeMessage, WholeReader
 
-ATTEMPT_ID = b"attempt-id"
-SEAL = b"server-seal"
-NOT_RUN = b"not-run"
-CONNECT_S = 0.5
-IDLE_S = 8.0
-ANSWER_MOST = 80 * 1024 * 1024
+ATTEMPT_ID_HEADER = b"attempt-id"
+SERVER_SEAL_HEADER = b"server-seal"
+NOT_RUN_HEADER = b"not-run"
+CONNECT_TIMEOUT_S = 0.5
+SERVER_IDLE_TIMEOUT_S = 8.0
+MAX_ANSWER_BYTES = 80 * 1024 * 1024
 
-Ended = Callable[[Outcome, WholeMessage | None], None]
+OnEnded = Callable[[Outcome, WholeMessage | None], None]
 
 
 @dataclass(frozen=True, slots=True)
 class ServerRequest:
-    """A request as it goes to the server."""
+    """A request as it is sent to the server; called with the remaining time, it renders the message."""
 
-    attempt_id: bytes  # empty: a health call, whose answers carry none
-    head: bytes  # all but the time left
+    attempt_id: bytes  # empty for a health check, whose answer has no id
+    head: bytes  # without the Time-Left header
     body: bytes
 
-    def __call__(self, seconds: float) -> bytes:
-        left = max(1, math.floor(1000.0 * seconds))
-        return b"%sTime-Left: %d\r\n\r\n%s" % (self.head, left, self.body)
+    def __call__(self, left_s: float) -> bytes:
+        left_ms = max(1, math.floor(1000.0 * left_s))
+        return b"%sTime-Left: %d\r\n\r\n%s" % (self.head, left_ms, self.body)
 
 
 class LocalServerConnection(Connection):
-    """One connection to the server."""
+    """One connection to the local server."""
 
     def __init__(self, peer: Peer, servers: Servers) -> None:
-        self._tainted = False
-        self._wanted = b""
+        self._had_foreign_answer = False
+        self._expected_id = b""
         super().__init__(peer, servers)
 
     def reader(self) -> Reader:
-        return WholeReader(self._on_answer, requests=False, body_most=ANSWER_MOST)
+        return WholeReader(self._on_answer, requests=False, body_most=MAX_ANSWER_BYTES)
 
     def carry(self, call: Call) -> None:
         assert isinstance(call.render, ServerRequest)
-        self._wanted = call.render.attempt_id
+        self._expected_id = call.render.attempt_id
         super().carry(call)
 
     def _on_answer(self, message: Message) -> None:
-        told = message.headers.get(ATTEMPT_ID)
-        if self._wanted and told != self._wanted:
-            if told is None:
-                raise MessageError(400, "an answer without an id")
-            self._tainted = True  # it answers an earlier request; ours may still come
+        answer_id = message.headers.get(ATTEMPT_ID_HEADER)
+        if self._expected_id and answer_id != self._expected_id:
+            if answer_id is None:
+                raise MessageError(400, "answer without an Attempt-Id header")
+            self._had_foreign_answer = True  # answers an earlier request; ours may follow
             return
-        if self._tainted:
+        if self._had_foreign_answer:
             message.keep_alive = False
         super()._on_answer(message)
 
 
 class LocalServer(Servers):
-    """The server beside this station: at most one life of it at a time."""
+    """The server on this machine; at most one instance of it at a time."""
 
     connection = LocalServerConnection
 
     def __init__(self, address: Address, max_connections: int, platform: Platform = SYSTEM) -> None:
-        super().__init__(connect_s=CONNECT_S, idle_s=IDLE_S, most_open=max_connections, platform=platform)
+        super().__init__(
+            connect_s=CONNECT_TIMEOUT_S,
+            idle_s=SERVER_IDLE_TIMEOUT_S,
+            most_open=max_connections,
+            platform=platform,
+        )
         self._address = address
 
-    def set_instance(self, server: str) -> None:
-        """Another life of it: connections of the one before are not used any more."""
-        entry = ServerEntry(server.encode(), Readiness.READY)
+    def set_instance(self, instance_id: str) -> None:
+        """Switch to a new instance; connections to the former one are not reused."""
+        entry = ServerEntry(instance_id.encode(), Readiness.READY)
         self.update(Listing(0, True, (entry,), {entry.server: self._address}))
 
     def clear_instance(self) -> None:
         self.update(Listing(0, True, (), {}))
 
-    def run(self, server: str, going: ServerRequest, timeout_s: float, ended: Ended) -> Call:
-        """One request; its end is told once, at the earliest after this returns."""
+    def run(self, instance_id: str, request: ServerRequest, timeout_s: float, ended: OnEnded) -> Call:
+        """Send a request; ended is called exactly once, after this returns."""
 
-        def done(outcome: Outcome, message: Message | None) -> None:
+        def on_done(outcome: Outcome, message: Message | None) -> None:
             assert message is None or isinstance(message, WholeMessage)
             ended(outcome, message)
 
-        return self.call(server.encode(), going, timeout_s, done)
+        return self.call(instance_id.encode(), request, timeout_s, on_done)
--- a/leadrudder/data_plane/upstreams.py
+++ b/leadrudder/data_plane/upstreams.py
@@ -1,4 +1,4 @@
-"""The balancers of a station: one for each route and service that requests have asked for."""
+"""The load balancers of a node: one for each pair of route and service that has had requests."""
 
 from __future__ import annotations
 
@@ -11,104 +11,106 @@
 from leadrudder.data_plane.load_balancer import LoadBalancer, SendAttempt
 from leadrudder.data_plane.retry_budget import RetryBudget
 
-BALANCERS_MOST = 2000  # vectors that are kept
+MAX_LOAD_BALANCERS = 2000  # the oldest is removed when this number is exceeded
 
 
 class Upstreams:
-    """candidates: the servers that a route's requests for a service may go to, as they are now."""
+    """candidates: returns the servers to which requests of a route for a service may go now."""
 
     def __init__(
         self,
         bounds: Bounds,
         candidates: Callable[[str, Route], Candidates],
-        carry: SendAttempt,
-        note: Callable[[str], None],
+        send_attempt: SendAttempt,
+        log: Callable[[str], None],
         rng: Random,
     ) -> None:
-        self.lists_offered = 0  # lists of servers handed to balancers, since the start
-        self._bounds, self._candidates, self._carry = bounds, candidates, carry
-        self._note, self._rng = note, rng
-        self._nodes = 1
-        self._by_route: dict[str, dict[str, LoadBalancer]] = {}  # by the route's name, then by service
-        self._by_service: dict[str, dict[str, LoadBalancer]] = {}  # the same by service, then by route
-        self._laid: dict[tuple[str, str], None] = {}  # route and service, the oldest first
-        self._budgets: dict[str, RetryBudget] = {}  # of further tries, by service
+        self.lists_offered = 0  # server lists passed to load balancers since process start
+        self._bounds, self._candidates, self._send_attempt = bounds, candidates, send_attempt
+        self._log, self._rng = log, rng
+        self._node_count = 1
+        self._by_route: dict[str, dict[str, LoadBalancer]] = {}  # route name -> service
+        self._by_service: dict[str, dict[str, LoadBalancer]] = {}  # service -> route name
+        self._creation_order: dict[tuple[str, str], None] = {}  # (route name, service), oldest first
+        self._retry_budgets: dict[str, RetryBudget] = {}  # by service
 
     def __len__(self) -> int:
-        return len(self._laid)
+        return len(self._creation_order)
 
     def count_for_service(self, service: str) -> int:
-        """How many balancers draw among a service's servers."""
+        """Number of load balancers that select among a service's servers."""
         return len(self._by_service.get(service, ()))
 
-    def count_for_route(self, name: str) -> int:
-        return len(self._by_route.get(name, ()))
+    def count_for_route(self, route_name: str) -> int:
+        return len(self._by_route.get(route_name, ()))
 
     def services(self) -> set[str]:
-        """Those among whose servers any balancer draws."""
+        """Services that have at least one load balancer."""
         return set(self._by_service)
 
-    def balancer(self, route: Route, service: str) -> LoadBalancer:
-        """The balancer of a route, as it is now, and a service; from its first request on."""
+    def load_balancer_for(self, route: Route, service: str) -> LoadBalancer:
+        """The load balancer of a route (as it is now) and a service; created at the first request."""
         found = self._by_route.get(route.name, {}).get(service)
         if found is not None and found.route is not route:
-            self.update_route(route.name, route)  # the next pass would; this request is sent by it already
+            self.update_route(route.name, route)  # this request already uses the new version
             found = self._by_route.get(route.name, {}).get(service)
-        return found if found is not None else self._lay(route, service)
+        return found if found is not None else self._create(route, service)
 
-    def _lay(self, route: Route, service: str) -> LoadBalancer:
-        budget = self._budgets.get(service)
-        if budget is None:
+    def _create(self, route: Route, service: str) -> LoadBalancer:
+        retry_budget = self._retry_budgets.get(service)
+        if retry_budget is None:
             bounds = self._bounds
-            budget = self._budgets[service] = RetryBudget(bounds.retry_ratio, bounds.retry_extra, self._nodes)
+            retry_budget = self._retry_budgets[service] = RetryBudget(
+                bounds.retry_ratio, bounds.retry_extra, self._node_count
+            )
         seed = self._rng.getrandbits(48)
-        points = LoadBalancer(route, service, budget, self._carry, self._note, seed)
-        while len(self._laid) >= BALANCERS_MOST:
-            self._remove(next(iter(self._laid)))
-        self._laid[route.name, service] = None
-        self._by_route.setdefault(route.name, {})[service] = points
-        self._by_service.setdefault(service, {})[route.name] = points
-        self._offer(points, service)
-        return points
-
-    def _remove(self, place: tuple[str, str]) -> None:
-        name, service = place
-        del self._laid[place]
+        load_balancer = LoadBalancer(route, service, retry_budget, self._send_attempt, self._log, seed)
+        while len(self._creation_order) >= MAX_LOAD_BALANCERS:
+            self._remove(next(iter(self._creation_order)))
+        self._creation_order[route.name, service] = None
+        self._by_route.setdefault(route.name, {})[service] = load_balancer
+        self._by_service.setdefault(service, {})[route.name] = load_balancer
+        self._offer_candidates(load_balancer, service)
+        return load_balancer
+
+    def _remove(self, key: tuple[str, str]) -> None:
+        route_name, service = key
+        del self._creation_order[key]
         for table, outer, inner in (
-            (self._by_route, name, service),
-            (self._by_service, service, name),
+            (self._by_route, route_name, service),
+            (self._by_service, service, route_name),
         ):
             del table[outer][inner]
             if not table[outer]:
                 del table[outer]
 
-    def _offer(self, points: LoadBalancer, service: str) -> None:
+    def _offer_candidates(self, load_balancer: LoadBalancer, service: str) -> None:
         self.lists_offered += 1
-        points.offer_candidates(self._candidates(service, points.route))
+        load_balancer.offer_candidates(self._candidates(service, load_balancer.route))
 
     # ------------------------------------------------------------ changes
 
-    def set_node_count(self, nodes: int) -> None:
-        """How many stations share the budgets of further tries."""
-        self._nodes = nodes
-        for budget in self._budgets.values():
-            budget.nodes = nodes
+    def set_node_count(self, node_count: int) -> None:
+        """Set the number of nodes that share each retry budget."""
+        self._node_count = node_count
+        for retry_budget in self._retry_budgets.values():
+            retry_budget.node_count = node_count
 
     def refresh_services(self, services: Iterable[str]) -> None:
-        """The servers of these services have changed."""
+        """Pass new server lists to the load balancers of these services."""
         for service in services:
-            for points in self._by_service.get(service, {}).values():
-                self._offer(points, service)
+            for load_balancer in self._by_service.get(service, {}).values():
+                self._offer_candidates(load_balancer, service)
 
-    def update_route(self, name: str, route: Route | None) -> None:
-        """A route is another, or there is none of that name any more.
+    def update_route(self, route_name: str, route: Route | None) -> None:
+        """A route has changed; None if it was removed.
 
-        Requests that are open at a balancer which goes end there: each holds it until then.
+        A removed load balancer still completes its open requests: each holds a reference to it.
         """
-        called = {service for service, _ in route.split} if route is not None else set()
-        for service, points in list(self._by_route.get(name, {}).items()):
-            if route is None or service not in called or points.route.once != route.once:
-                self._remove((name, service))
+        called_services = {service for service, _ in route.split} if route is not None else set()
+        for service, load_balancer in list(self._by_route.get(route_name, {}).items()):
+            if route is None or service not in called_services or load_balancer.route.once != route.once:
+                self._remove((route_name, service))
             else:
-                points.route = route
-                self._offer(points, service)
+                load_balancer.route = route
+                self._offer_candidates(load_balancer, service)
--- a/tests/mesh/test_load_balancer.py
+++ b/tests/mesh/test_load_balancer.py
@@ -195,9 +195,9 @@
 
     def test_without_a_purse_nothing_is_repeated(self) -> None:
         self.lay()
-        self.points._purse.tokens = 0.0
+        self.points._retry_budget.tokens = 0.0
         self.ask()
-        self.points._purse.tokens = 0.0
+        self.points._retry_budget.tokens = 0.0
         self.end(0.02, ran=1, why="link")
         self.assertEqual(len(self.calls), 1)
         self.assertEqual(len(self.answers), 1)
--- a/tests/mesh/test_outbound.py
+++ b/tests/mesh/test_outbound.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from leadrudder.configuration.items import Limits, Route
-from leadrudder.data_plane.client_patience import SPAN_S, ClientPatience
+from leadrudder.data_plane.client_patience import WINDOW_S, ClientPatience
 from leadrudder.data_plane.load_balancer import ClientRequest
 from leadrudder.data_plane.outbound import ClientConnection, OutboundProxy
 from leadrudder.data_plane.server_connections import LocalServerConnection, ServerRequest
@@ -195,9 +195,9 @@
     def test_a_longest_time_left_is_forgotten_when_clients_have_become_less_patient(self) -> None:
         patience = ClientPatience()
         self.assertEqual(patience.estimate_waited_ms("r", 1000.0, 0.0), 0.0)
-        self.assertEqual(patience.estimate_waited_ms("r", 400.0, SPAN_S), 600.0)
-        self.assertEqual(patience.estimate_waited_ms("r", 400.0, 2 * SPAN_S), 0.0)
-        self.assertEqual(patience.estimate_waited_ms("other", 100.0, 2 * SPAN_S), 0.0)
+        self.assertEqual(patience.estimate_waited_ms("r", 400.0, WINDOW_S), 600.0)
+        self.assertEqual(patience.estimate_waited_ms("r", 400.0, 2 * WINDOW_S), 0.0)
+        self.assertEqual(patience.estimate_waited_ms("other", 100.0, 2 * WINDOW_S), 0.0)
 
     def test_a_promise_is_made_only_where_nothing_ran(self) -> None:
         self.client.data_received(request() + request())
@@ -224,7 +224,7 @@
         self.assertEqual(len(self.errands), 2)
         self.errands[0].answer(Reply(200, b"", b""))
         self.errands[1].answer(Reply(200, b"", b""))
-        self.assertEqual(self.outbound._held_sum, 0)
+        self.assertEqual(self.outbound._held_bytes_total, 0)
 
     def test_nothing_follows_an_answer_that_closes(self) -> None:
         self.client.data_received(request(fields="Connection: close\r\n") + request())
