--- a/tests/mesh/test_full_load.py
+++ b/tests/mesh/test_full_load.py
@@ -1,4 +1,4 @@
-"""A mesh under full load in virtual time: servers that call each other, and no slack for waste."""
+"""A mesh under full load in virtual time, with servers that call each other and no spare capacity."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from leadrudder.emulation.fleet import Fleet, Plan
 from leadrudder.emulation.standins import InternalCall, Wish, Work
 
-AIM_S = 0.3
-INTERNAL_AIM_S = 0.08
-BEGINS_S, ENDS_S = 6.0, 9.0
+TARGET_S = 0.3
+INTERNAL_TARGET_S = 0.08
+TRAFFIC_START_S, TRAFFIC_END_S = 6.0, 9.0
 SERVERS = 6  # of each service
 SLOTS = 5
-LONG_S, INTERNAL_S = 0.08, 0.02
+CLIENT_WORK_S, INTERNAL_WORK_S = 0.08, 0.02
 
 
-def route(host: str, service: str, aim_s: float, priority: int, *, once: bool = False) -> dict[str, Any]:
+def route(host: str, service: str, target_s: float, priority: int, *, once: bool = False) -> dict[str, Any]:
     return {
         "host": host,
         "pathStart": "/",
         "kind": "unsafe" if once else "safe",
-        "giveUp": f"{4 * aim_s}s",
-        "target": f"{aim_s}s",
+        "giveUp": f"{4 * target_s}s",
+        "target": f"{target_s}s",
         "priority": priority,
         "service": service,
         "tries": 2,
@@ -32,63 +32,63 @@
 
 
 def plan(load: float) -> Plan:
-    """Look-ups and bookings, each with a call to the other service, which works on it as well.
+    """Lookups and bookings, each with an internal call to the other service.
 
-    load: slots that work and calls take if nothing ever waits, as a part of all; the same at both services.
+    load: slots in use if no call ever waits, as a fraction of the capacity; the same at both services.
     """
     slots = SLOTS / 2  # of one service, for each machine
-    lookups = bookings = load * slots / (LONG_S + 2 * INTERNAL_S)
+    lookups = bookings = load * slots / (CLIENT_WORK_S + 2 * INTERNAL_WORK_S)
     internal = InternalCall("vapaat.example", 0.25), InternalCall("saannot.example", 0.25)
     return Plan(
         {"kal": SERVERS, "var": SERVERS},
         (
-            Wish("luku.example", once=False, per_s=lookups, deadline_s=4 * AIM_S),
-            Wish("varaus.example", once=True, per_s=bookings, deadline_s=4 * AIM_S),
+            Wish("luku.example", once=False, per_s=lookups, deadline_s=4 * TARGET_S),
+            Wish("varaus.example", once=True, per_s=bookings, deadline_s=4 * TARGET_S),
         ),
         {
-            "luku": route("luku.example", "kal", AIM_S, 2),
-            "varaus": route("varaus.example", "var", AIM_S, 1, once=True),
-            "vapaat": route("vapaat.example", "var", INTERNAL_AIM_S, 1),
-            "saannot": route("saannot.example", "kal", INTERNAL_AIM_S, 1),
+            "luku": route("luku.example", "kal", TARGET_S, 2),
+            "varaus": route("varaus.example", "var", TARGET_S, 1, once=True),
+            "vapaat": route("vapaat.example", "var", INTERNAL_TARGET_S, 1),
+            "saannot": route("saannot.example", "kal", INTERNAL_TARGET_S, 1),
         },
         slots=SLOTS,
         works={
-            "luku.example": Work(LONG_S, (internal[0],)),
-            "varaus.example": Work(LONG_S, (internal[1],)),
-            "vapaat.example": Work(INTERNAL_S),
-            "saannot.example": Work(INTERNAL_S),
+            "luku.example": Work(CLIENT_WORK_S, (internal[0],)),
+            "varaus.example": Work(CLIENT_WORK_S, (internal[1],)),
+            "vapaat.example": Work(INTERNAL_WORK_S),
+            "saannot.example": Work(INTERNAL_WORK_S),
         },
-        traffic=(BEGINS_S, ENDS_S),
+        traffic=(TRAFFIC_START_S, TRAFFIC_END_S),
     )
 
 
-class Loaded(unittest.TestCase):
-    """What it was before the mend is told in docs/incidents/loaded-days.md."""
+class FullLoad(unittest.TestCase):
+    """The incident that this guards against is described in docs/incidents/loaded-days.md."""
 
     def play(self, load: float) -> tuple[float, float]:
-        """The share of requests served in time, and calls refused for each run of a server."""
+        """The share of requests served in time, and the number of refused calls per run of a request."""
         fleet = Fleet(7, plan(load))
-        fleet.play(ENDS_S + 1.5)
+        fleet.play(TRAFFIC_END_S + 1.5)
         self.assertEqual(fleet.faults, [])
         asked = fleet.asked()
-        in_time = sum(bool(a.served) and a.took_s <= AIM_S for a in asked)
+        in_time = sum(bool(a.served) and a.took_s <= TARGET_S for a in asked)
         refused: Counter[str] = Counter()
         for machine in fleet.side:
             assert machine.station is not None
             refused.update(machine.station.traffic.refused)
         return in_time / len(asked), sum(refused.values()) / sum(fleet.runs().values())
 
-    def test_at_four_fifths_of_the_slots_nearly_all_is_served_in_time(self) -> None:
+    def test_at_80_percent_of_capacity_nearly_all_requests_are_in_time(self) -> None:
         in_time, refused = self.play(0.8)
         self.assertGreater(in_time, 0.95)
         self.assertLess(refused, 0.25)
 
-    def test_near_the_last_slot_most_is_served_in_time(self) -> None:
+    def test_at_95_percent_of_capacity_most_requests_are_in_time(self) -> None:
         in_time, refused = self.play(0.95)
         self.assertGreater(in_time, 0.75)
         self.assertLess(refused, 1.0)
 
-    def test_beyond_all_slots_refusals_do_not_eat_what_there_is(self) -> None:
+    def test_above_capacity_refusals_do_not_consume_it(self) -> None:
         in_time, refused = self.play(1.3)
         self.assertGreater(in_time, 0.4)
         self.assertLess(refused, 5.0)
--- a/tests/mesh/test_load_balancer.py
+++ b/tests/mesh/test_load_balancer.py
@@ -1,4 +1,4 @@
-"""The design on the ordinary path of a station, and what gates' refusals come to."""
+"""Load balancing: the learning rule, retries, and refusals by admission control."""
 
 from __future__ import annotations
 
@@ -16,196 +16,210 @@
 
 
 class Clock:
-    """A loop that only tells the time; what is due is called by hand."""
+    """An event loop with a clock set by the test; callbacks run on demand."""
 
     def __init__(self) -> None:
         self.now = 100.0
-        self.soon: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
+        self.callbacks: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
 
     def time(self) -> float:
         return self.now
 
-    def call_later(self, delay: float, do: Callable[..., None], *told: Any) -> None:
-        """Timers are not played."""
+    def call_later(self, delay: float, callback: Callable[..., None], *arguments: Any) -> None:
+        """Timers never fire."""
 
-    def call_soon(self, do: Callable[..., None], *told: Any) -> None:
-        self.soon.append((do, told))
+    def call_soon(self, callback: Callable[..., None], *arguments: Any) -> None:
+        self.callbacks.append((callback, arguments))
 
     def run(self) -> None:
-        while self.soon:
-            do, told = self.soon.pop(0)
-            do(*told)
+        while self.callbacks:
+            callback, arguments = self.callbacks.pop(0)
+            callback(*arguments)
 
 
-class ThePoints(unittest.TestCase):
-    def lay(self, *, once: bool = False, servers: tuple[str, ...] = ("a", "b", "c")) -> None:
+class LoadBalancerTest(unittest.TestCase):
+    def set_up(self, *, once: bool = False, servers: tuple[str, ...] = ("a", "b", "c")) -> None:
         self.clock = Clock()
         self.calls: list[tuple[str, bool, Callable[[Delivery], None]]] = []
         self.answers: list[Reply | Verdict] = []
         self.withdrawn: list[tuple[str, bool]] = []  # servers, and whether because the client had left
         route = Route("r", "h", "/", once, 1000.0, 250.0, 1, (("s", 1.0),), 2, 1)
         with mock.patch("asyncio.get_running_loop", return_value=self.clock):
-            self.points = LoadBalancer(route, "s", RetryBudget(0.2, 55.0, 1), self.carry, lambda text: None)
-        self.points.set_servers(dict.fromkeys(servers, Distance.SAME_ZONE))
+            self.load_balancer = LoadBalancer(
+                route, "s", RetryBudget(0.2, 55.0, 1), self.send_attempt, lambda text: None
+            )
+        self.load_balancer.set_servers(dict.fromkeys(servers, Distance.SAME_ZONE))
 
-    def carry(
+    def send_attempt(
         self,
-        errand: ClientRequest,
+        client_request: ClientRequest,
         route: Route,
         server: str,
         may_wait: bool,
-        again: bool,
+        is_repeat: bool,
         deliver: Callable[[Delivery], None],
     ) -> Callable[[bool], None]:
         self.calls.append((server, may_wait, deliver))
         return lambda client_left: self.withdrawn.append((server, client_left))
 
-    def ask(self) -> Callable[[], None]:
-        errand = ClientRequest(b"GET", b"/", b"", b"", b"id", self.clock.now + 1.0, self.answers.append)
-        return self.points.submit(errand)
+    def send_request(self) -> Callable[[], None]:
+        client_request = ClientRequest(
+            b"GET", b"/", b"", b"", b"id", self.clock.now + 1.0, self.answers.append
+        )
+        return self.load_balancer.submit(client_request)
 
-    def end(self, after_s: float, **told: Any) -> str:
+    def end_last_attempt(self, after_s: float, **delivery_fields: Any) -> str:
         self.clock.now += after_s
         server, _, deliver = self.calls[-1]
-        deliver(Delivery(**told))
+        deliver(Delivery(**delivery_fields))
         self.clock.run()
         return server
 
-    def test_a_client_that_has_left_is_waited_for_no_more_and_no_server_is_blamed(self) -> None:
-        self.lay()
-        leave = self.ask()
-        before = self.state()
+    def test_attempts_of_a_disconnected_client_are_withdrawn_and_no_server_is_blamed(self) -> None:
+        self.set_up()
+        disconnect = self.send_request()
+        before = self.policy_state()
         self.clock.now += 0.05
-        leave()
+        disconnect()
         self.clock.run()
         self.assertEqual(self.withdrawn, [(self.calls[0][0], True)])
         self.assertEqual(len(self.answers), 1)
-        self.assertEqual(self.state(), before)
-        leave()
-        self.calls[0][2](Delivery(ran=2, status=200))  # what still comes is nobody's
+        self.assertEqual(self.policy_state(), before)
+        disconnect()
+        self.calls[0][2](Delivery(ran=2, status=200))  # a late delivery is ignored
         self.clock.run()
         self.assertEqual((len(self.calls), len(self.answers), len(self.withdrawn)), (1, 1, 1))
 
-    def state(self) -> tuple[dict[bytes, float], dict[bytes, float | None]]:
-        automaton = self.points.policy.automaton
+    def policy_state(self) -> tuple[dict[bytes, float], dict[bytes, float | None]]:
+        automaton = self.load_balancer.policy.automaton
         names = automaton.servers
         averages = automaton.averages.values
-        return dict(zip(names, automaton.p, strict=True)), {n: averages[i] for i, n in enumerate(names)}
+        return dict(zip(names, automaton.p, strict=True)), {
+            server: averages[i] for i, server in enumerate(names)
+        }
 
-    def warm(self) -> None:
+    def train(self) -> None:
         for _ in range(30):
-            self.ask()
-            self.end(0.05, ran=2, status=200)
-
-    def test_only_the_chosen_average_moves_and_a_payoff_moves_p(self) -> None:
-        self.lay()
-        self.warm()
-        before_p, before = self.state()
-        self.ask()
-        chosen = self.end(0.01, ran=2, status=200).encode()
-        after_p, after = self.state()
-        self.assertEqual([n for n in before if before[n] != after[n]], [chosen])
-        theta, p_min = self.points.policy.automaton.theta, FLOOR_SHARE / 3
+            self.send_request()
+            self.end_last_attempt(0.05, ran=2, status=200)
+
+    def test_only_the_selected_average_changes_and_a_success_changes_p(self) -> None:
+        self.set_up()
+        self.train()
+        before_p, before = self.policy_state()
+        self.send_request()
+        chosen = self.end_last_attempt(0.01, ran=2, status=200).encode()
+        after_p, after = self.policy_state()
+        self.assertEqual([server for server in before if before[server] != after[server]], [chosen])
+        theta, p_min = self.load_balancer.policy.automaton.theta, FLOOR_SHARE / 3
         self.assertAlmostEqual(
             after_p[chosen], before_p[chosen] + theta * (1 - 2 * p_min - before_p[chosen]), places=9
         )
         for name in before_p.keys() - {chosen}:
             self.assertAlmostEqual(after_p[name], before_p[name] + theta * (p_min - before_p[name]), places=9)
 
-    def test_a_miss_leaves_p_and_a_failure_enters_the_average(self) -> None:
-        for told in ({"ran": 2, "status": 200}, {"ran": 1, "why": "link"}):
-            with self.subTest(told):
-                self.lay()
-                self.warm()
-                before_p, before = self.state()
-                self.ask()
-                chosen = self.end(0.4, **told).encode()
-                after_p, after = self.state()
+    def test_a_late_answer_leaves_p_and_a_failure_enters_the_average(self) -> None:
+        for delivery_fields in ({"ran": 2, "status": 200}, {"ran": 1, "why": "link"}):
+            with self.subTest(delivery_fields):
+                self.set_up()
+                self.train()
+                before_p, before = self.policy_state()
+                self.send_request()
+                chosen = self.end_last_attempt(0.4, **delivery_fields).encode()
+                after_p, after = self.policy_state()
                 self.assertEqual(before_p, after_p)
                 average, old = after[chosen], before[chosen]
                 assert average is not None and old is not None
                 self.assertGreater(average, old)
 
     def test_theta_is_well_below_alpha_and_p_above_its_floor(self) -> None:
-        self.lay()
-        self.warm()
-        automaton = self.points.policy.automaton
+        self.set_up()
+        self.train()
+        automaton = self.load_balancer.policy.automaton
         self.assertLessEqual(automaton.theta, automaton.alpha / 9)
         self.assertGreaterEqual(min(automaton.p), FLOOR_SHARE / 3 - 1e-9)
 
-    def test_a_gates_refusal_is_drawn_again_and_the_last_may_wait(self) -> None:
-        self.lay()
-        self.ask()
-        self.end(0.001, ran=0, why="full", retry_ms=20.0)
-        self.end(0.001, ran=0, why="full", retry_ms=20.0)
+    def test_a_refusal_by_admission_control_is_retried_and_the_last_attempt_may_wait(self) -> None:
+        self.set_up()
+        self.send_request()
+        self.end_last_attempt(0.001, ran=0, why="full", retry_ms=20.0)
+        self.end_last_attempt(0.001, ran=0, why="full", retry_ms=20.0)
         self.assertEqual([may_wait for _, may_wait, _ in self.calls], [False, False, True])
         self.assertEqual(len({server for server, _, _ in self.calls}), 3)
-        self.end(0.05, ran=2, status=200)
-        self.assertEqual([a.status for a in self.answers if isinstance(a, Reply)], [200])
-
-    def test_a_full_server_is_not_drawn_while_it_expects_to_be(self) -> None:
-        self.lay()
-        self.ask()
-        full = self.end(0.001, ran=0, why="full", retry_ms=100.0)
-        self.end(0.001, ran=2, status=200)
+        self.end_last_attempt(0.05, ran=2, status=200)
+        self.assertEqual([answer.status for answer in self.answers if isinstance(answer, Reply)], [200])
+
+    def test_a_full_server_is_not_selected_for_part_of_its_wait(self) -> None:
+        self.set_up()
+        self.send_request()
+        full_server = self.end_last_attempt(0.001, ran=0, why="full", retry_ms=100.0)
+        self.end_last_attempt(0.001, ran=2, status=200)
         for _ in range(30):
-            self.ask()
-            self.assertNotEqual(self.end(0.001, ran=2, status=200), full)
+            self.send_request()
+            self.assertNotEqual(self.end_last_attempt(0.001, ran=2, status=200), full_server)
         self.clock.now += 0.1
-        drawn = set()
+        selected = set()
         for _ in range(300):
-            self.ask()
-            drawn.add(self.end(0.001, ran=2, status=200))
-        self.assertIn(full, drawn)
-
-    def test_a_refusal_is_a_miss_that_makes_no_server_look_quick(self) -> None:
-        self.lay()
-        self.ask()
-        self.end(0.1, ran=2, status=200)
-        before = self.state()
-        self.ask()
-        self.end(0.001, ran=0, why="full", retry_ms=20.0)
-        self.assertEqual(self.state()[0], before[0])
-        self.assertGreaterEqual(min(v for v in self.state()[1].values() if v is not None), 99.0)
-
-    def test_the_own_server_is_drawn_first_and_far_ones_seldom(self) -> None:
+            self.send_request()
+            selected.add(self.end_last_attempt(0.001, ran=2, status=200))
+        self.assertIn(full_server, selected)
+
+    def test_a_refusal_makes_no_server_look_fast(self) -> None:
+        self.set_up()
+        self.send_request()
+        self.end_last_attempt(0.1, ran=2, status=200)
+        before = self.policy_state()
+        self.send_request()
+        self.end_last_attempt(0.001, ran=0, why="full", retry_ms=20.0)
+        self.assertEqual(self.policy_state()[0], before[0])
+        self.assertGreaterEqual(
+            min(average_ms for average_ms in self.policy_state()[1].values() if average_ms is not None), 99.0
+        )
+
+    def test_the_local_server_is_preferred_and_other_zones_are_rare(self) -> None:
         distances = {"own": Distance.LOCAL, "near": Distance.SAME_ZONE, "far": Distance.OTHER_ZONE}
-        self.lay()
-        self.points.set_servers(distances)
-        shares = dict(zip(self.points.policy.automaton.servers, self.points.policy.automaton.p, strict=True))
+        self.set_up()
+        self.load_balancer.set_servers(distances)
+        shares = dict(
+            zip(
+                self.load_balancer.policy.automaton.servers,
+                self.load_balancer.policy.automaton.p,
+                strict=True,
+            )
+        )
         self.assertGreater(shares[b"own"], 1.5 * shares[b"near"])
         self.assertGreater(shares[b"near"], 5 * shares[b"far"])
 
     def test_an_unsafe_request_that_may_have_run_is_not_sent_again(self) -> None:
-        self.lay(once=True)
-        self.ask()
-        self.end(0.05, ran=1, why="link")
+        self.set_up(once=True)
+        self.send_request()
+        self.end_last_attempt(0.05, ran=1, why="link")
         self.assertEqual(len(self.calls), 1)
         (verdict,) = self.answers
         assert isinstance(verdict, Verdict)
         self.assertEqual((verdict.ran, verdict.status()), (Ran.MAYBE, 502))
 
-    def test_a_safe_request_goes_to_as_many_servers_as_its_tries(self) -> None:
-        self.lay()
-        self.ask()
-        self.end(0.02, ran=1, why="link")
-        self.end(0.02, ran=1, why="link")
+    def test_a_safe_request_is_attempted_as_often_as_its_route_allows(self) -> None:
+        self.set_up()
+        self.send_request()
+        self.end_last_attempt(0.02, ran=1, why="link")
+        self.end_last_attempt(0.02, ran=1, why="link")
         self.assertEqual(len(self.calls), 2)
         self.assertEqual(len(self.answers), 1)
 
-    def test_without_a_purse_nothing_is_repeated(self) -> None:
-        self.lay()
-        self.points._retry_budget.tokens = 0.0
-        self.ask()
-        self.points._retry_budget.tokens = 0.0
-        self.end(0.02, ran=1, why="link")
+    def test_without_retry_budget_nothing_is_retried(self) -> None:
+        self.set_up()
+        self.load_balancer._retry_budget.tokens = 0.0
+        self.send_request()
+        self.load_balancer._retry_budget.tokens = 0.0
+        self.end_last_attempt(0.02, ran=1, why="link")
         self.assertEqual(len(self.calls), 1)
         self.assertEqual(len(self.answers), 1)
 
-    def test_a_servers_own_failure_is_passed_on(self) -> None:
-        self.lay(once=True)
-        self.ask()
-        self.end(0.02, ran=2, status=500, body=b"why")
+    def test_an_error_reply_of_a_server_is_forwarded(self) -> None:
+        self.set_up(once=True)
+        self.send_request()
+        self.end_last_attempt(0.02, ran=2, status=500, body=b"why")
         (reply,) = self.answers
         assert isinstance(reply, Reply)
         self.assertEqual((reply.status, reply.body), (500, b"why"))
--- a/tests/mesh/test_shedding.py
+++ b/tests/mesh/test_shedding.py
@@ -1,4 +1,4 @@
-"""A station that is behind refuses calls of other nodes, as never run: they go elsewhere."""
+"""A node with event loop lag refuses calls of other nodes as never run, so they are sent elsewhere."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from leadrudder.protocol.outcome import Ran
 from tests.mesh.test_emulation import PLAN
 
-LATE_AT, LATE_FOR = 8.0, 1.5
+LAG_START_S, LAG_DURATION_S = 8.0, 1.5
 
 
 class Shedding(unittest.TestCase):
@@ -30,24 +30,26 @@
         self.assertEqual((delivery.number, Ran(delivery.ran), delivery.why), (3, Ran.NEVER, "behind"))
         station.on_down(link)
 
-    def test_while_one_node_is_behind_requests_are_served_elsewhere(self) -> None:
+    def test_while_one_node_lags_requests_are_served_elsewhere(self) -> None:
         fleet = Fleet(4, PLAN)
-        fleet.play(LATE_AT)
-        behind = fleet.side[0].station
-        assert behind is not None
-        plain = LoopLag.seconds
+        fleet.play(LAG_START_S)
+        lagging_node = fleet.side[0].station
+        assert lagging_node is not None
+        actual_seconds = LoopLag.seconds
 
         def seconds(lag: LoopLag) -> float:
-            return 2 * BEHIND_S if lag is behind._lag else plain(lag)
+            return 2 * BEHIND_S if lag is lagging_node._lag else actual_seconds(lag)
 
         with mock.patch.object(LoopLag, "seconds", seconds):
-            fleet.play(LATE_AT + LATE_FOR)
-        fleet.play(LATE_AT + LATE_FOR + 2.0)
-        late = [a for a in fleet.asked() if LATE_AT < a.at < LATE_AT + LATE_FOR]
-        elsewhere = [a for a in late if not a.ids[0].startswith("side-0-")]
-        served = sum(bool(a.served) for a in elsewhere)
+            fleet.play(LAG_START_S + LAG_DURATION_S)
+        fleet.play(LAG_START_S + LAG_DURATION_S + 2.0)
+        requests = [
+            request for request in fleet.asked() if LAG_START_S < request.at < LAG_START_S + LAG_DURATION_S
+        ]
+        elsewhere = [request for request in requests if not request.ids[0].startswith("side-0-")]
+        served = sum(bool(request.served) for request in elsewhere)
         self.assertGreater(served, 0.98 * len(elsewhere))
-        self.assertGreater(behind._calls_shed + behind._outbound.requests_shed, 0)
+        self.assertGreater(lagging_node._calls_shed + lagging_node._outbound.requests_shed, 0)
         self.assertEqual(fleet.faults, [])
 
 
--- a/tests/mesh/test_traffic_split.py
+++ b/tests/mesh/test_traffic_split.py
@@ -1,4 +1,4 @@
-"""Routes whose requests are split over services: each gets its share, also of few requests."""
+"""Traffic split of a route over services: each gets its share, even of few requests."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from leadrudder.emulation.fleet import Fleet, Plan
 from leadrudder.emulation.standins import Wish
 
-OFF_MOST = 0.1  # half of what the users' pages allow
+MAX_SHARE_ERROR = 0.1  # half of the documented tolerance
 SHARES = {"kal": 70, "var": 30}
 
 
@@ -19,7 +19,7 @@
     return {**raw, "splitTo": [{"service": name, "share": share} for name, share in SHARES.items()]}
 
 
-class Split(unittest.TestCase):
+class TrafficSplit(unittest.TestCase):
     def test_each_part_gets_its_share_over_all_nodes(self) -> None:
         plan = Plan(
             {"kal": 3, "var": 2},
@@ -36,7 +36,7 @@
                 runs[machine.service] += sum(machine.server.runs.values())
             self.assertGreater(sum(runs.values()), 200)
             for name, share in SHARES.items():
-                self.assertAlmostEqual(runs[name] / sum(runs.values()), share / 100.0, delta=OFF_MOST)
+                self.assertAlmostEqual(runs[name] / sum(runs.values()), share / 100.0, delta=MAX_SHARE_ERROR)
 
 
 if __name__ == "__main__":
