--- a/leadrudder/data_plane/inbound.py
+++ b/leadrudder/data_plane/inbound.py
@@ -108,7 +108,7 @@
         return withdraw
 
     def _run(self, waybill: Waybill, deliver: Deliver) -> Call:
-        began = self._loop.time()
+        started_at = self._loop.time()
         content_length = b""
         if waybill.body or waybill.method not in (b"GET", b"HEAD", b"DELETE"):
             content_length = b"Content-Length: %d\r\n" % len(waybill.body)
@@ -122,11 +122,11 @@
 
         def ended(outcome: Outcome, message: WholeMessage | None) -> None:
             now = self._loop.time()
-            delivery = self._delivery(waybill, outcome, message)
+            delivery = self._make_delivery(waybill, outcome, message)
             if outcome is Outcome.CONNECT_FAILED:
                 self.admission.on_connect_failure(waybill.server, now)
             deliver(delivery)
-            elapsed_ms = None if outcome is Outcome.CANCELLED else 1000.0 * (now - began)
+            elapsed_ms = None if outcome is Outcome.CANCELLED else 1000.0 * (now - started_at)
             self.admission.on_call_ended(elapsed_ms, now, waybill.target_ms)
             self._process_queue()
 
@@ -135,7 +135,7 @@
             waybill.server, request, waybill.left_ms / 1000.0 + SERVER_TIMEOUT_GRACE_S, ended
         )
 
-    def _delivery(self, waybill: Waybill, outcome: Outcome, message: WholeMessage | None) -> Delivery:
+    def _make_delivery(self, waybill: Waybill, outcome: Outcome, message: WholeMessage | None) -> Delivery:
         delivery = Delivery(number=waybill.number)
         if message is None:
             if outcome in (Outcome.CONNECT_FAILED, Outcome.MOOT):
--- a/leadrudder/data_plane/outbound.py
+++ b/leadrudder/data_plane/outbound.py
@@ -302,7 +302,7 @@
             self._held_bytes_total -= body_bytes
             write(lambda close: _render_result(result, attempt_id, close))
 
-        errand = ClientRequest(
+        client_request = ClientRequest(
             method=message.method,
             target=message.start,
             fields=forwarded_headers(message, _REPLACED_HEADERS) + self._calling_service_header,
@@ -312,7 +312,7 @@
             on_answer=answered,
             waited_ms=waited_ms,
         )
-        return self._submit(route, errand)
+        return self._submit(route, client_request)
 
     @staticmethod
     def _answer_status(
