--- a/bench/change_cost.py
+++ b/bench/change_cost.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from leadrudder.bootstrap.settings import read
-from leadrudder.data_plane.admission_control import Gate
+from leadrudder.data_plane.admission_control import AdmissionController
 from leadrudder.data_plane.mesh_state import MeshState
 from leadrudder.observability.invariants import Invariants
 from leadrudder.protocol import mesh_pb2 as wire
@@ -56,7 +56,7 @@
     settings = read(SETTINGS).unwrap()
     made = MeshState(
         settings,
-        Gate(settings.bounds),
+        AdmissionController(settings.bounds),
         Invariants(print),
         carry=lambda *given: lambda client_left: None,
         carried_out=lambda: None,
@@ -72,7 +72,7 @@
     made.take(wire.News(items=[route(i, 1) for i in range(routes)], nodes=nodes, served=nodes))
     made.changes.flush()
     for known in list(made.routing.routes.values())[::BALANCERS_PART]:
-        made.upstreams.balancer(known, known.split[0][0])
+        made.upstreams.load_balancer_for(known, known.split[0][0])
     return made
 
 
