--- a/bench/change_cost.py
+++ b/bench/change_cost.py
@@ -69,14 +69,14 @@
         loans=False,
     )
     nodes = [station(i, 1) for i in range(stations)]
-    made.take(wire.News(items=[route(i, 1) for i in range(routes)], nodes=nodes, served=nodes))
+    made.take(wire.StateUpdate(items=[route(i, 1) for i in range(routes)], nodes=nodes, served=nodes))
     made.changes.flush()
     for known in list(made.routing.routes.values())[::BALANCERS_PART]:
         made.upstreams.balancer(known, known.split[0][0])
     return made
 
 
-def cost_us(made: MeshState, news: Callable[[int], wire.News], rounds: int) -> float:
+def cost_us(made: MeshState, news: Callable[[int], wire.StateUpdate], rounds: int) -> float:
     """Microseconds of processor time of one piece of news and the pass that follows, the median."""
     costs = []
     for i in range(rounds):
@@ -92,9 +92,11 @@
     table: dict[str, list[float]] = {"a route changes": [], "servers of a station change": []}
     for size in SIZES:
         made = state(size, 30)
-        table["a route changes"].append(cost_us(made, lambda v: wire.News(items=[route(7, v)]), rounds))
+        table["a route changes"].append(
+            cost_us(made, lambda v: wire.StateUpdate(items=[route(7, v)]), rounds)
+        )
         made = state(30, size)
-        told = cost_us(made, lambda v: wire.News(served=[station(0, v)]), rounds)
+        told = cost_us(made, lambda v: wire.StateUpdate(served=[station(0, v)]), rounds)
         table["servers of a station change"].append(told)
     return table
 
--- a/bench/mesh.py
+++ b/bench/mesh.py
@@ -21,7 +21,7 @@
 from leadrudder.consensus.outputs import Answer
 from leadrudder.control_simulation.world import Machine, World
 from leadrudder.mesh.demo import Fleet, free_port
-from leadrudder.protocol.mesh_pb2 import Frame, Item, News
+from leadrudder.protocol.mesh_pb2 import Frame, Item, StateUpdate
 from leadrudder.transport.http import WholeMessage, WholeReader, rendered
 from leadrudder.transport.link import packed
 
@@ -132,10 +132,10 @@
 
 def _apply_ms(nodes: int, item: Item) -> float:
     """From the acknowledgement of a change until the last of so many stations has it."""
-    data = packed(Frame(news=News(items=[item])))
+    data = packed(Frame(news=StateUpdate(items=[item])))
     began = time.perf_counter()
     for _ in range(200):
-        packed(Frame(news=News(items=[item])))
+        packed(Frame(news=StateUpdate(items=[item])))
     each_s = (time.perf_counter() - began) / 200
     worst = []
     for seed in range(10):
--- a/leadrudder/consensus/anti_entropy.py
+++ b/leadrudder/consensus/anti_entropy.py
@@ -68,17 +68,17 @@
         if not standing and not held:
             self._alike[peer] = machine.turn.now
             return
-        ranges = wire.Ranges(held=machine.book.ranges if held else (), full=machine.seats.full)
+        ranges = wire.RangeDigests(held=machine.book.ranges if held else (), full=machine.seats.full)
         if standing:
             ranges.standing.extend(machine.standing.ranges)
         machine.send(peer, Frame(ranges=ranges))
 
-    def on_ranges(self, peer: str, ranges: wire.Ranges) -> None:
+    def on_ranges(self, peer: str, ranges: wire.RangeDigests) -> None:
         """A peer's digests by range: it gets what we have in those that differ."""
         machine = self.machine
         standing = machine.standing.differing(ranges.standing)
         if standing:
-            machine.send(peer, Frame(standing=wire.Standing(items=standing)))
+            machine.send(peer, Frame(standing=wire.CommittedItems(items=standing)))
         if not machine.seats.full:
             return
         now = machine.turn.now
--- a/leadrudder/consensus/lease.py
+++ b/leadrudder/consensus/lease.py
@@ -69,9 +69,9 @@
             self._numbers += 1
             self._asking[duty] = Asking(self._numbers, now)
             for voter in voters:
-                machine.send(voter, Frame(lease=wire.Lease(duty=duty, number=self._numbers)))
+                machine.send(voter, Frame(lease=wire.LeaseRequest(duty=duty, number=self._numbers)))
 
-    def on_lease(self, peer: str, lease: wire.Lease, started: float) -> None:
+    def on_lease(self, peer: str, lease: wire.LeaseRequest, started: float) -> None:
         """Another asks, or we ourselves.  started: when this process did, or took its seat over if that was
         later: who held the seat before may just have granted what we know nothing of."""
         machine, now = self._machine, self._machine.turn.now
@@ -81,10 +81,10 @@
         ok = ok and (holder == peer or now >= until)
         if ok:
             self._given[lease.duty] = peer, now + span
-        leased = wire.Leased(duty=lease.duty, number=lease.number, ok=ok, mark=machine.mark())
+        leased = wire.LeaseResponse(duty=lease.duty, number=lease.number, ok=ok, mark=machine.mark())
         machine.send(peer, Frame(leased=leased))
 
-    def on_leased(self, peer: str, leased: wire.Leased) -> None:
+    def on_leased(self, peer: str, leased: wire.LeaseResponse) -> None:
         asking = self._asking.get(leased.duty)
         if asking is None or asking.number != leased.number or not leased.ok or self._machine.resigned:
             return
--- a/leadrudder/consensus/ownership.py
+++ b/leadrudder/consensus/ownership.py
@@ -40,7 +40,7 @@
     until: float = 0.0  # when a claim that is not ready is given up
     promises: Quorum = field(default_factory=Quorum)
     preparing: bool = True
-    waiting: list[tuple[str, wire.Ask]] = field(default_factory=list)
+    waiting: list[tuple[str, wire.ChangeRequest]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
@@ -157,9 +157,9 @@
         self._evened = now
         section = max(mine)
         machine.note(f"hands section {section} over to {poor}")
-        machine.send(poor, Frame(hand=wire.Hand(section=section, epoch=mine[section])))
+        machine.send(poor, Frame(hand=wire.SectionHandover(section=section, epoch=mine[section])))
 
-    def on_hand(self, peer: str, hand: wire.Hand) -> None:
+    def on_hand(self, peer: str, hand: wire.SectionHandover) -> None:
         """A section for us: it is claimed as any other, under a higher epoch."""
         if self.known.get(hand.section, (0, ""))[1] == peer and self._machine.votes(peer):
             self._see(hand.section, hand.epoch)
@@ -251,10 +251,10 @@
         machine = self._machine
         for at, state in self.sections.items():
             if state.ready and section in (None, at):
-                owner = wire.Owner(section=at, epoch=state.epoch, holder=machine.address)
+                owner = wire.OwnerAnnouncement(section=at, epoch=state.epoch, holder=machine.address)
                 machine.send(peer, Frame(owner=owner))
 
-    def on_owner(self, peer: str, owner: wire.Owner) -> None:
+    def on_owner(self, peer: str, owner: wire.OwnerAnnouncement) -> None:
         known = self.known.get(owner.section)
         if known is None or owner.epoch >= known[0]:
             self.known[owner.section] = (owner.epoch, owner.holder)
@@ -334,7 +334,7 @@
 
     # ------------------------------------------------------------ changes
 
-    def on_ask(self, peer: str, ask: wire.Ask) -> None:
+    def on_ask(self, peer: str, ask: wire.ChangeRequest) -> None:
         state = self.sections.get(ask.section)
         if state is None:
             self.claim(ask.section)
@@ -389,7 +389,7 @@
         for call in [c for c, until in self._withdrawn.items() if now >= until]:
             del self._withdrawn[call]
 
-    def _withdraw(self, peer: str, ask: wire.Ask) -> None:
+    def _withdraw(self, peer: str, ask: wire.ChangeRequest) -> None:
         """Another section's owner has refused its part of a call: no part is taken here from now on.
 
         Answers PARTLY_TAKEN where one has been already, whether it stands yet or not.
@@ -409,7 +409,7 @@
             return False
         return item.call == latest.call or item.call in latest.earlier_calls
 
-    def _weigh(self, ask: wire.Ask) -> tuple[Code, list[Item], list[Item]]:
+    def _weigh(self, ask: wire.ChangeRequest) -> tuple[Code, list[Item], list[Item]]:
         """What an ask comes to: the items that are new, and those taken before that do not stand yet."""
         machine = self._machine
         new: list[Item] = []
@@ -488,11 +488,11 @@
 
     def _send_copies(self, number: int, copying: Copying, to: Iterable[str]) -> None:
         epoch = self.sections[copying.section].epoch
-        copy = wire.Copy(number=number, section=copying.section, epoch=epoch, items=copying.items)
+        copy = wire.Replicate(number=number, section=copying.section, epoch=epoch, items=copying.items)
         for voter in to:
             self._machine.send(voter, Frame(copy=copy))
 
-    def on_copied(self, peer: str, copied: wire.Copied) -> None:
+    def on_copied(self, peer: str, copied: wire.ReplicateAck) -> None:
         copying = self._copies.get(copied.number)
         if copying is None:
             return
@@ -524,4 +524,6 @@
                 self._told(peer, asked, Code.DONE)
 
     def _told(self, peer: str, number: int, code: Code, items: Iterable[Item] = ()) -> None:
-        self._machine.send(peer, Frame(told=wire.Told(number=number, outcome=int(code), items=items)))
+        self._machine.send(
+            peer, Frame(told=wire.ChangeResponse(number=number, outcome=int(code), items=items))
+        )
--- a/leadrudder/consensus/quorum.py
+++ b/leadrudder/consensus/quorum.py
@@ -16,7 +16,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from leadrudder.protocol.mesh_pb2 import Mark, Seat
+from leadrudder.protocol.mesh_pb2 import VoterSlot, VoterView
 
 OPEN, HALF_CLOSED, SETTLED = 0, 1, 2
 
@@ -26,22 +26,22 @@
     return seats // 2 + 1
 
 
-def mark(table: Mapping[int, Seat], holder: str) -> Mark:
+def mark(table: Mapping[int, VoterSlot], holder: str) -> VoterView:
     """What a reply tells of its sender's seat, and of all others as the sender knows them."""
     mine = next((i for i, seat in table.items() if seat.holder == holder), 0)
     incarnations = [table[i].incarnation for i in sorted(table)]
     closed = [i for i, seat in table.items() if seat.closed]
     settled = [i for i, seat in table.items() if seat.settled]
-    return Mark(seat=mine, incarnations=incarnations, closed=closed, settled=settled)
+    return VoterView(seat=mine, incarnations=incarnations, closed=closed, settled=settled)
 
 
 @dataclass(slots=True)
 class Quorum:
     """The replies to one question."""
 
-    marks: dict[str, Mark] = field(default_factory=dict)
+    marks: dict[str, VoterView] = field(default_factory=dict)
 
-    def add(self, peer: str, told: Mark) -> None:
+    def add(self, peer: str, told: VoterView) -> None:
         known = self.marks.get(peer)
         if known is None or _own(told) >= _own(known):
             self.marks[peer] = told
@@ -58,7 +58,7 @@
             if newest.get(told.seat, (0, OPEN)) == (_own(told), OPEN)
         }
 
-    def reached(self, table: Mapping[int, Seat]) -> bool:
+    def reached(self, table: Mapping[int, VoterSlot]) -> bool:
         """Whether those that count are a majority of the seats that are not closed for good, by all that is
         known.
 
@@ -67,7 +67,7 @@
         newest = self._newest(table)
         return len(self.members()) >= majority(sum(state != SETTLED for _, state in newest.values()))
 
-    def _newest(self, table: Mapping[int, Seat]) -> dict[int, tuple[int, int]]:
+    def _newest(self, table: Mapping[int, VoterSlot]) -> dict[int, tuple[int, int]]:
         """The highest incarnation of each seat that anybody told of, and what is known of its closing."""
         newest = {i: (seat.incarnation, seat.closed + seat.settled) for i, seat in table.items()}
         for told in self.marks.values():
@@ -83,6 +83,6 @@
         return peer in self.marks
 
 
-def _own(told: Mark) -> int:
+def _own(told: VoterView) -> int:
     """The incarnation of the seat that its sender holds."""
     return told.incarnations[told.seat] if told.seat < len(told.incarnations) else 0
--- a/leadrudder/consensus/quorum_check.py
+++ b/leadrudder/consensus/quorum_check.py
@@ -64,16 +64,16 @@
         while len(self._questions) > OPEN_MOST:
             del self._questions[min(self._questions)]
         for voter in machine.voters():
-            machine.send(voter, Frame(contact=wire.Contact(number=self._number)))
+            machine.send(voter, Frame(contact=wire.QuorumProbe(number=self._number)))
 
-    def on_contact(self, peer: str, contact: wire.Contact) -> None:
+    def on_contact(self, peer: str, contact: wire.QuorumProbe) -> None:
         """Only who counts in a majority answers."""
         machine = self._machine
         if machine.seats.full:
-            contacted = wire.Contacted(number=contact.number, mark=machine.mark())
+            contacted = wire.QuorumProbeAck(number=contact.number, mark=machine.mark())
             machine.send(peer, Frame(contacted=contacted))
 
-    def on_contacted(self, peer: str, contacted: wire.Contacted) -> None:
+    def on_contacted(self, peer: str, contacted: wire.QuorumProbeAck) -> None:
         question = self._questions.get(contacted.number)
         if question is None:
             return
--- a/leadrudder/consensus/reconfiguration.py
+++ b/leadrudder/consensus/reconfiguration.py
@@ -21,7 +21,7 @@
 from leadrudder.consensus.quorum import Quorum
 from leadrudder.consensus.voters import LOST_S
 from leadrudder.protocol import mesh_pb2 as wire
-from leadrudder.protocol.mesh_pb2 import Frame, Seat
+from leadrudder.protocol.mesh_pb2 import Frame, VoterSlot
 
 if TYPE_CHECKING:
     from leadrudder.consensus.state_machine import Interlocking
@@ -35,7 +35,7 @@
 class Closing:
     """A seat that we close: first all is gathered, then those that are left hold it."""
 
-    seat: Seat
+    seat: VoterSlot
     grants: set[str] = field(default_factory=set)
     gathered: bool = False
     filled: Quorum = field(default_factory=Quorum)
@@ -47,7 +47,7 @@
 
     def __init__(self, machine: Interlocking) -> None:
         self._machine = machine
-        self._claim: Seat | None = None
+        self._claim: VoterSlot | None = None
         self._claimed_at = -1.0
         self._grants: set[str] = set()
         self._willing: set[str] = set()  # would grant the claim that we sound out
@@ -64,7 +64,7 @@
 
     # ------------------------------------------------------------ what others know
 
-    def learn(self, told: Iterable[Seat], teller: str = "") -> None:
+    def learn(self, told: Iterable[VoterSlot], teller: str = "") -> None:
         """The table of another; a seat of ours that has another holder now is ours no more.
 
         teller: a full holder, whose word of its own seat counts over another claimant's.
@@ -115,15 +115,15 @@
         if len(chosen) % 2 == 0 and len(chosen) > 2:
             chosen.pop()
         seats = machine.seats
-        seats.table = {i: Seat(index=i, holder=a, incarnation=FOUNDED) for i, a in enumerate(chosen)}
+        seats.table = {i: VoterSlot(index=i, holder=a, incarnation=FOUNDED) for i, a in enumerate(chosen)}
         record = seats.record(full=True)  # we count when it is on disk
-        founding = Frame(founding=wire.Founding(seats=seats.table.values()))
+        founding = Frame(founding=wire.BootstrapVoters(seats=seats.table.values()))
         machine.note(f"founds {len(chosen)} seats")
         machine.write(
             {seats.RECORD: record}, [*(Send(p, founding) for p in machine.connected()), self._seated_now()]
         )
 
-    def on_founding(self, founding: wire.Founding) -> None:
+    def on_founding(self, founding: wire.BootstrapVoters) -> None:
         if not self._machine.seats.table and self._machine.first_run:
             self.learn(founding.seats)
 
@@ -146,14 +146,14 @@
         known = seats.table.get(index)
         last = known.incarnation if known is not None else FOUNDED
         if self._claim is None or self._claim.index != index or self._claim.incarnation <= last:
-            self._claim = Seat(index=index, holder=machine.address, incarnation=last + 1)
+            self._claim = VoterSlot(index=index, holder=machine.address, incarnation=last + 1)
             self._grants, self._willing = set(), set()
         # A grant ends the holder's vote for good: as many as are needed must see it lost before one is asked.
         ours = known is not None and known.holder == machine.address
         sounding = not ours and len(self._willing) < needed
         self._willing.clear()
         for other in others:
-            machine.send(other, Frame(claim=wire.Claim(seat=self._claim, sounding=sounding)))
+            machine.send(other, Frame(claim=wire.SlotClaim(seat=self._claim, sounding=sounding)))
 
     def _which(self) -> int | None:
         """Our own seat, else one whose holder is lost, else a new one where more are wanted."""
@@ -170,7 +170,7 @@
         peer = self._machine.peers.get(holder)
         return peer is None or not peer.up or peer.resigned or not peer.full
 
-    def on_claim(self, peer: str, claim: wire.Claim) -> None:
+    def on_claim(self, peer: str, claim: wire.SlotClaim) -> None:
         machine, seats = self._machine, self._machine.seats
         if claim.seat.closed:
             self._on_close(peer, claim)
@@ -180,7 +180,7 @@
         now, began, wished = machine.turn.now, machine.began, machine.wished
         if claim.sounding:
             ok = seats.would_grant(claim.seat, machine.peers, now, began, wished)
-            told = wire.Grant(seat=claim.seat, ok=ok, sounding=True, seats=seats.table.values())
+            told = wire.SlotGrant(seat=claim.seat, ok=ok, sounding=True, seats=seats.table.values())
             machine.send(peer, Frame(grant=told))
             return
         before = seats.record()
@@ -190,17 +190,17 @@
             known.full = False
         self._send_grant(peer, claim.seat, ok, before)
 
-    def _send_grant(self, peer: str, seat: Seat, ok: bool, before: bytes) -> None:
+    def _send_grant(self, peer: str, seat: VoterSlot, ok: bool, before: bytes) -> None:
         """What we have goes with it, when the seat is on our disk."""
         machine, seats = self._machine, self._machine.seats
-        grant = wire.Grant(seat=seat, ok=ok, seats=seats.table.values())
+        grant = wire.SlotGrant(seat=seat, ok=ok, seats=seats.table.values())
         if ok:
-            grant.promised.extend(wire.Promised(section=s, epoch=e) for s, e in machine.promised.items())
+            grant.promised.extend(wire.PromisedEpoch(section=s, epoch=e) for s, e in machine.promised.items())
             grant.items.extend(machine.book.items.values())
         after = seats.record()
         machine.write({seats.RECORD: after} if after != before else {}, [Send(peer, Frame(grant=grant))])
 
-    def on_grant(self, peer: str, grant: wire.Grant) -> None:
+    def on_grant(self, peer: str, grant: wire.SlotGrant) -> None:
         if grant.seat.closed:
             self._on_close_granted(peer, grant)
             return
@@ -229,7 +229,9 @@
         machine.note(f"seat {claim.index} taken, incarnation {claim.incarnation}")
         machine.write(records, [self._seated_now()])
 
-    def _gathered(self, promised: Iterable[wire.Promised], items: Iterable[wire.Item]) -> dict[str, bytes]:
+    def _gathered(
+        self, promised: Iterable[wire.PromisedEpoch], items: Iterable[wire.Item]
+    ) -> dict[str, bytes]:
         """Merge what another has; returns the records of items that are new here."""
         machine = self._machine
         for told in promised:
@@ -241,7 +243,7 @@
     def _seated_now(self) -> Send:
         """To ourselves, when what makes us full is on disk."""
         address = self._machine.address
-        return Send(address, Frame(greeting=wire.Greeting(address=address, full=True)))
+        return Send(address, Frame(greeting=wire.PeerStatus(address=address, full=True)))
 
     def seated(self) -> None:
         """The records of a seat that was taken over are on disk: from now on we count."""
@@ -272,7 +274,7 @@
             or seats.table[closing.seat.index].incarnation > closing.seat.incarnation
         ):
             index = half if half is not None else seats.least_missed(machine.peers)
-            seat = Seat(index=index, incarnation=seats.table[index].incarnation + 1, closed=True)
+            seat = VoterSlot(index=index, incarnation=seats.table[index].incarnation + 1, closed=True)
             closing = self._closing = Closing(seat)
             machine.note(f"closes seat {index}")
         closing.at = now
@@ -280,9 +282,9 @@
             self._fill(closing)
             return
         for voter in voters:
-            machine.send(voter, Frame(claim=wire.Claim(seat=closing.seat, resumed=half is not None)))
+            machine.send(voter, Frame(claim=wire.SlotClaim(seat=closing.seat, resumed=half is not None)))
 
-    def _on_close(self, peer: str, claim: wire.Claim) -> None:
+    def _on_close(self, peer: str, claim: wire.SlotClaim) -> None:
         """Another closes a seat, or we ourselves; it may be ours."""
         machine, seats, seat = self._machine, self._machine.seats, claim.seat
         before, mine = seats.record(), seats.mine()
@@ -294,7 +296,7 @@
             self._lose(mine)
             self._write_seats()
 
-    def _on_close_granted(self, peer: str, grant: wire.Grant) -> None:
+    def _on_close_granted(self, peer: str, grant: wire.SlotGrant) -> None:
         machine, seats, closing = self._machine, self._machine.seats, self._closing
         if not grant.ok:
             self.learn(grant.seats)
@@ -312,24 +314,24 @@
         if closing.gathered:
             self._fill(closing)
 
-    def _overtake(self, closing: Closing, told: Iterable[Seat]) -> None:
+    def _overtake(self, closing: Closing, told: Iterable[VoterSlot]) -> None:
         """One refused that knows another claim of our incarnation: we close under a higher one."""
         seat = closing.seat
         theirs = next((s for s in told if s.index == seat.index), None)
         if theirs is not None and theirs.incarnation >= seat.incarnation and not theirs.closed:
-            higher = Seat(index=seat.index, incarnation=theirs.incarnation + 1, closed=True)
+            higher = VoterSlot(index=seat.index, incarnation=theirs.incarnation + 1, closed=True)
             self._closing = Closing(higher, at=closing.at)
 
     def _fill(self, closing: Closing) -> None:
         """Have those that are left hold what was gathered."""
         machine = self._machine
-        fill = wire.Fill(seat=closing.seat, items=machine.book.items.values())
-        fill.promised.extend(wire.Promised(section=s, epoch=e) for s, e in machine.promised.items())
+        fill = wire.SlotTransfer(seat=closing.seat, items=machine.book.items.values())
+        fill.promised.extend(wire.PromisedEpoch(section=s, epoch=e) for s, e in machine.promised.items())
         for voter in machine.voters():
             if voter not in closing.filled:
                 machine.send(voter, Frame(fill=fill))
 
-    def on_fill(self, peer: str, fill: wire.Fill) -> None:
+    def on_fill(self, peer: str, fill: wire.SlotTransfer) -> None:
         machine = self._machine
         if not machine.seats.full or not machine.votes(peer):
             return
@@ -337,10 +339,10 @@
         if not machine.seats.full:
             return  # it was ours
         records = self._gathered(fill.promised, fill.items) | machine.promises()
-        filled = wire.Filled(seat=fill.seat, mark=machine.mark())
+        filled = wire.SlotTransferAck(seat=fill.seat, mark=machine.mark())
         machine.write(records, [Send(peer, Frame(filled=filled))])
 
-    def on_filled(self, peer: str, filled: wire.Filled) -> None:
+    def on_filled(self, peer: str, filled: wire.SlotTransferAck) -> None:
         machine, seats, closing = self._machine, self._machine.seats, self._closing
         if closing is None or not closing.gathered or filled.seat != closing.seat:
             return
@@ -348,7 +350,7 @@
         if not closing.filled.reached(seats.table):
             return
         self._closing = None
-        settled = Seat()
+        settled = VoterSlot()
         settled.CopyFrom(closing.seat)
         settled.incarnation, settled.settled = closing.seat.incarnation + 1, True
         machine.note(f"seat {settled.index} is closed")
--- a/leadrudder/consensus/requests.py
+++ b/leadrudder/consensus/requests.py
@@ -151,7 +151,7 @@
         number = self._next()
         change.asked[number] = section
         self._asks[number] = change
-        ask = wire.Ask(
+        ask = wire.ChangeRequest(
             number=number,
             section=section,
             items=change.parts[section],
@@ -162,7 +162,7 @@
         )
         machine.send(holder, Frame(ask=ask))
 
-    def on_told(self, peer: str, told: wire.Told) -> None:
+    def on_told(self, peer: str, told: wire.ChangeResponse) -> None:
         change = self._asks.pop(told.number, None)
         if change is None:
             return
@@ -230,9 +230,9 @@
         reading.at = machine.turn.now + (READ_AGAIN_S if not machine.has_majority() else 0.4)
         self._rounds[reading.round] = reading
         for voter in machine.voters():
-            machine.send(voter, Frame(read=wire.Read(number=reading.round)))
+            machine.send(voter, Frame(read=wire.ReadRequest(number=reading.round)))
 
-    def on_reading(self, peer: str, told: wire.Reading) -> None:
+    def on_reading(self, peer: str, told: wire.ReadResponse) -> None:
         machine = self._machine
         reading = self._rounds.get(told.number)
         if reading is None or not told.ok or not machine.seats.table:
--- a/leadrudder/consensus/state_machine.py
+++ b/leadrudder/consensus/state_machine.py
@@ -36,7 +36,7 @@
 from leadrudder.consensus.requests import Requests
 from leadrudder.consensus.voters import SEATS_RECORD, Peer, Seats
 from leadrudder.protocol import mesh_pb2 as wire
-from leadrudder.protocol.mesh_pb2 import Frame, Item, Seat
+from leadrudder.protocol.mesh_pb2 import Frame, Item, VoterSlot
 
 PROMISED_RECORD, ITEM_RECORD = "promised/", "item/"
 __all__ = ["ITEM_RECORD", "PROMISED_RECORD", "SEATS_RECORD", "Interlocking"]
@@ -194,7 +194,7 @@
     def section_of(self, key: str) -> int:
         return section_of(key, self.sections)
 
-    def mark(self) -> wire.Mark:
+    def mark(self) -> wire.VoterView:
         """For which seat a reply of ours counts."""
         return mark(self.seats.table, self.address)
 
@@ -253,7 +253,7 @@
             ],
         }
 
-    def _seat_state(self, seat: Seat) -> str:
+    def _seat_state(self, seat: VoterSlot) -> str:
         if seat.closed:
             return "closed" if seat.settled else "closing"
         if self.votes(seat.holder):
@@ -282,7 +282,7 @@
         self.turn.out.append(Stands(tuple(taken)))
         if tell:
             for peer in self.connected():
-                self.send(peer, Frame(standing=wire.Standing(items=taken)))
+                self.send(peer, Frame(standing=wire.CommittedItems(items=taken)))
 
     # ------------------------------------------------------------ frames
 
@@ -341,7 +341,7 @@
             self.contact.on_contacted(peer, frame.contacted)
 
     def greet(self, peer: str) -> None:
-        greeting = wire.Greeting(
+        greeting = wire.PeerStatus(
             address=self.address,
             zone=self.zone,
             first_run=self.first_run,
@@ -349,11 +349,11 @@
             resigned=self.resigned,
             seats=list(self.seats.table.values()),
             life=self.life,
-            owned=[wire.Promised(section=s, epoch=e) for s, e in self.owner.owned().items()],
+            owned=[wire.PromisedEpoch(section=s, epoch=e) for s, e in self.owner.owned().items()],
         )
         self.send(peer, Frame(greeting=greeting))
 
-    def _on_greeting(self, peer: str, greeting: wire.Greeting) -> None:
+    def _on_greeting(self, peer: str, greeting: wire.PeerStatus) -> None:
         known = self.peers.setdefault(peer, Peer(peer))
         # A process may be back before the end of its link was noticed: it owns nothing and was told nothing.
         restarted = known.life != greeting.life
@@ -370,7 +370,7 @@
             self.seating.learn(greeting.seats, peer if greeting.full else "")
         if fresh:
             if self.standing.items:
-                self.send(peer, Frame(standing=wire.Standing(items=self.standing.items.values())))
+                self.send(peer, Frame(standing=wire.CommittedItems(items=self.standing.items.values())))
             self.owner.tell(peer)
         self.owner.on_owned(peer, {owned.section: owned.epoch for owned in greeting.owned})
         self.owner.on_peer(peer)
@@ -394,9 +394,9 @@
         promise.items.extend(self.owner.of_section(section))
         self.write({f"{PROMISED_RECORD}{section}": str(epoch).encode()}, [Send(peer, Frame(promise=promise))])
 
-    def _on_copy(self, peer: str, copy: wire.Copy) -> None:
+    def _on_copy(self, peer: str, copy: wire.Replicate) -> None:
         promised = self.promised.get(copy.section, 0)
-        copied = wire.Copied(number=copy.number, promised=promised)
+        copied = wire.ReplicateAck(number=copy.number, promised=promised)
         if not self._may_ask(peer) or copy.epoch < promised:
             self.send(peer, Frame(copied=copied))
             return
@@ -408,8 +408,8 @@
         copied.mark.CopyFrom(self.mark())
         self.write(records, [Send(peer, Frame(copied=copied))])
 
-    def _on_read(self, peer: str, read: wire.Read) -> None:
-        reading = wire.Reading(number=read.number, ok=self.seats.full)
+    def _on_read(self, peer: str, read: wire.ReadRequest) -> None:
+        reading = wire.ReadResponse(number=read.number, ok=self.seats.full)
         if reading.ok:
             reading.items.extend(self.book.items.values())
             reading.mark.CopyFrom(self.mark())
--- a/leadrudder/consensus/voters.py
+++ b/leadrudder/consensus/voters.py
@@ -13,7 +13,7 @@
 from typing import ClassVar
 
 from leadrudder.consensus import quorum
-from leadrudder.protocol.mesh_pb2 import Seat
+from leadrudder.protocol.mesh_pb2 import VoterSlot
 
 SEATS_RECORD = "seats"
 LOST_S = 1.5  # a holder that is not connected for so long may be replaced by a newcomer
@@ -42,7 +42,7 @@
     RECORD: ClassVar[str] = SEATS_RECORD
 
     address: str
-    table: dict[int, Seat] = field(default_factory=dict)
+    table: dict[int, VoterSlot] = field(default_factory=dict)
     full: bool = False  # we hold a seat, and all that belongs to it
     granted: dict[int, float] = field(default_factory=dict)  # when we granted a seat to its present holder
 
@@ -74,7 +74,7 @@
     def holders(self) -> list[str]:
         return [seat.holder for _, seat in sorted(self.opened().items())]
 
-    def opened(self) -> dict[int, Seat]:
+    def opened(self) -> dict[int, VoterSlot]:
         """The seats that count."""
         return {i: seat for i, seat in self.table.items() if not seat.closed}
 
@@ -98,7 +98,7 @@
         peer = peers.get(holder)
         return holder == self.address or (peer is not None and peer.up and peer.full)
 
-    def learn(self, told: Iterable[Seat], teller: str = "") -> bool:
+    def learn(self, told: Iterable[VoterSlot], teller: str = "") -> bool:
         """Take in what a full signalbox knows; True if anything was new.
 
         teller: its address, if it is full: of two claimants of one incarnation it is who got the seat.
@@ -118,7 +118,9 @@
                 new = True
         return new
 
-    def grant(self, claim: Seat, peers: dict[str, Peer], now: float, began: float, wished: int = 0) -> bool:
+    def grant(
+        self, claim: VoterSlot, peers: dict[str, Peer], now: float, began: float, wished: int = 0
+    ) -> bool:
         """Whether a claimant gets the seat; if so the table has it.
 
         began: when we started; wished: how many seats there are to be.
@@ -132,7 +134,7 @@
         return True
 
     def would_grant(
-        self, claim: Seat, peers: dict[str, Peer], now: float, began: float, wished: int = 0
+        self, claim: VoterSlot, peers: dict[str, Peer], now: float, began: float, wished: int = 0
     ) -> bool:
         known = self.table.get(claim.index)
         if not self.full:
@@ -159,7 +161,7 @@
             return False
         return True
 
-    def would_close(self, seat: Seat, wished: int, *, resumed: bool) -> bool:
+    def would_close(self, seat: VoterSlot, wished: int, *, resumed: bool) -> bool:
         """Whether another may close a seat: one that is too many, or that somebody began to close.
 
         resumed: it had begun elsewhere. That must be ended, though more seats are wanted by now: as long as
@@ -195,7 +197,7 @@
     def restore(self, record: bytes) -> None:
         read = json.loads(record)
         self.table = {
-            index: Seat(
+            index: VoterSlot(
                 index=index,
                 holder=holder,
                 incarnation=incarnation,
--- a/leadrudder/control_plane/feeds.py
+++ b/leadrudder/control_plane/feeds.py
@@ -73,7 +73,7 @@
         """Bytes that wait for the station that is furthest behind."""
         return max((link.unsent() for link in self._feeds), default=0)
 
-    def begin(self, link: Link, news: wire.News) -> None:
+    def begin(self, link: Link, news: wire.StateUpdate) -> None:
         """The first that a new session is told: all there is."""
         self._send(link, packed(Frame(news=news)))
 
@@ -103,13 +103,13 @@
             return
         feed.wanted = services
         if served := zone_relays.of_services(known, services):
-            self._send(link, packed(Frame(news=wire.News(served=served))))
+            self._send(link, packed(Frame(news=wire.StateUpdate(served=served))))
 
     # ------------------------------------------------------------ news
 
     def tell_items(self, items: Iterable[Item]) -> None:
         items = list(items)
-        data = packed(Frame(news=wire.News(items=items)))
+        data = packed(Frame(news=wire.StateUpdate(items=items)))
         for feed in list(self._feeds.values()):
             if feed.behind():
                 feed.items.update(dict.fromkeys(item.key for item in items))
@@ -119,7 +119,7 @@
 
     def tell_members(self, nodes: list[Node], but: Link | None = None) -> None:
         """Members that have come, gone or changed; but: the session that they were heard on."""
-        data = packed(Frame(news=wire.News(nodes=map(zone_relays.bare, nodes))))
+        data = packed(Frame(news=wire.StateUpdate(nodes=map(zone_relays.bare, nodes))))
         for feed in list(self._feeds.values()):
             if feed.link is but:
                 continue
@@ -142,7 +142,7 @@
             data = data_by_wanted.get(feed.wanted)
             if data is None:
                 served = zone_relays.of_services(nodes, feed.wanted)
-                data = packed(Frame(news=wire.News(served=served))) if served else b""
+                data = packed(Frame(news=wire.StateUpdate(served=served))) if served else b""
                 data_by_wanted[feed.wanted] = data
             if data:
                 self._send(feed.link, data)
@@ -160,11 +160,11 @@
                 lambda feed=feed: f"{feed.link.unsent()} bytes wait for {feed.station}",  # type: ignore[misc]
             )
 
-    def _waiting(self, feed: Feed) -> wire.News:
+    def _waiting(self, feed: Feed) -> wire.StateUpdate:
         items = [item for key in feed.items if (item := self._item(key)) is not None]
         members = [node for name in feed.members if (node := self._node(name)) is not None]
         servers = [node for name in feed.servers if (node := self._node(name)) is not None]
-        return wire.News(
+        return wire.StateUpdate(
             items=items,
             nodes=map(zone_relays.bare, members),
             served=zone_relays.of_services(servers, feed.wanted or frozenset()),
--- a/leadrudder/control_plane/program.py
+++ b/leadrudder/control_plane/program.py
@@ -282,7 +282,7 @@
 
     # ------------------------------------------------------------ sessions
 
-    def _hello(self, link: Link, hello: wire.Hello) -> None:
+    def _hello(self, link: Link, hello: wire.SessionHello) -> None:
         """A station reports; without fresh contact with a majority it is sent elsewhere.
 
         What we know may be old then.
@@ -295,14 +295,14 @@
             link.cut()
             return
         if new and hello.movable and (near := self._near(node.zone)):
-            link.send(Frame(news=wire.News(near=near)))
+            link.send(Frame(news=wire.StateUpdate(near=near)))
             return
         if new:
             self._feeds.add(link, node.name)
         self._tell(self._register.hello(node), but=None if new else link)
         if new:
             settled = self._loop.time() >= self._settled_at
-            news = wire.News(
+            news = wire.StateUpdate(
                 items=self.interlocking.standing.items.values(),
                 nodes=map(zone_relays.bare, self._register.members()),
                 whole=settled,
--- a/leadrudder/data_plane/admission_control.py
+++ b/leadrudder/data_plane/admission_control.py
@@ -14,7 +14,7 @@
 from leadrudder.bootstrap.settings import Bounds
 from leadrudder.data_plane.admission_queue import AdmissionQueue, QueuedCall, Rank
 from leadrudder.data_plane.service_times import ArrivalRate, ServiceTimes
-from leadrudder.protocol.mesh_pb2 import Waybill
+from leadrudder.protocol.mesh_pb2 import ForwardRequest
 from leadrudder.protocol.outcome import Ran, Verdict
 
 SEEN_MOST = 50_000  # ids of unsafe requests that are remembered
@@ -124,7 +124,11 @@
     # ------------------------------------------------------------ calls
 
     def admit(
-        self, waybill: Waybill, now: float, start: Callable[[], None], refuse: Callable[[Verdict], None]
+        self,
+        waybill: ForwardRequest,
+        now: float,
+        start: Callable[[], None],
+        refuse: Callable[[Verdict], None],
     ) -> QueuedCall | None:
         """Start it, refuse it, or keep it in the queue, which is returned then."""
         verdict = self._bars(waybill, now)
@@ -151,12 +155,12 @@
         until = now + (waybill.left_ms - least_left_ms) / 1000.0
         return self._queue.push(rank, waybill, until=until, came=now, start=start, refuse=refuse)
 
-    def _has_slot(self, waybill: Waybill, now: float) -> bool:
+    def _has_slot(self, waybill: ForwardRequest, now: float) -> bool:
         """Whether the server has a slot for it, besides one that is kept for short calls."""
         assert self.life is not None
         return self.running < self.life.capacity - self._reserved(waybill, now)
 
-    def _reserved(self, waybill: Waybill, now: float) -> int:
+    def _reserved(self, waybill: ForwardRequest, now: float) -> int:
         """Slots that it may not have: one is kept for short calls, while they come often enough to use it.
 
         A short call is mostly one that a server makes while it holds a slot elsewhere, and holds for as long
@@ -168,7 +172,7 @@
         short_for_each_long = self._short_calls.per_s(now) * self._times.long_ms / 1000.0
         return 1 if short_for_each_long > RESERVE_FROM else 0
 
-    def _rank(self, waybill: Waybill, now: float) -> tuple[Rank, float]:
+    def _rank(self, waybill: ForwardRequest, now: float) -> tuple[Rank, float]:
         """Its place among those that wait, and for how many milliseconds it would, about."""
         in_time = Rank(waybill.priority, False, now + waybill.aim_ms / 1000.0)
         wait_ms = self._wait_ms(waybill, in_time, now)
@@ -183,12 +187,12 @@
         while len(self._seen) > SEEN_MOST:
             self._seen.popitem(last=False)
 
-    def _forget(self, waybill: Waybill) -> None:
+    def _forget(self, waybill: ForwardRequest) -> None:
         """A refusal: it has not run, and may come again."""
         if waybill.once:
             self._seen.pop(waybill.attempt_id, None)
 
-    def _bars(self, waybill: Waybill, now: float) -> Verdict | None:
+    def _bars(self, waybill: ForwardRequest, now: float) -> Verdict | None:
         life = self.life
         if life is None or life.id != waybill.server:
             return Verdict(Ran.NEVER, "gone")
@@ -219,7 +223,7 @@
         last.refuse(Verdict(Ran.NEVER, "full", self._times.usual_ms))
         return True
 
-    def _wait_ms(self, waybill: Waybill, rank: Rank, now: float) -> float:
+    def _wait_ms(self, waybill: ForwardRequest, rank: Rank, now: float) -> float:
         """How long it would wait for its turn at this rank, about."""
         assert self.life is not None
         ahead = 1 + self._queue.ahead_of(rank)
--- a/leadrudder/data_plane/admission_queue.py
+++ b/leadrudder/data_plane/admission_queue.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from leadrudder.protocol.mesh_pb2 import Waybill
+from leadrudder.protocol.mesh_pb2 import ForwardRequest
 from leadrudder.protocol.outcome import Verdict
 
 
@@ -26,7 +26,7 @@
 
     rank: Rank
     number: int
-    waybill: Waybill = field(compare=False)
+    waybill: ForwardRequest = field(compare=False)
     until: float = field(compare=False)
     came: float = field(compare=False)
     start: Callable[[], None] = field(compare=False)
@@ -50,7 +50,7 @@
     def push(
         self,
         rank: Rank,
-        waybill: Waybill,
+        waybill: ForwardRequest,
         *,
         until: float,
         came: float,
--- a/leadrudder/data_plane/endpoint_discovery.py
+++ b/leadrudder/data_plane/endpoint_discovery.py
@@ -59,7 +59,7 @@
             return
         for link, services in list(self._subscribers.items()):
             if told := zone_relays.of_services(new, services):
-                link.send(Frame(news=wire.News(served=told)))
+                link.send(Frame(news=wire.StateUpdate(served=told)))
         self._heard([node.name for node in new])
 
     def forget(self, names: set[str]) -> None:
@@ -142,7 +142,7 @@
         self._subscribers[link] = services
         self._count()
         if told := zone_relays.of_services(self.served.values(), services):
-            link.send(Frame(news=wire.News(served=told)))
+            link.send(Frame(news=wire.StateUpdate(served=told)))
         self._sources_changed()
 
     def serves(self, link: Link) -> bool:
--- a/leadrudder/data_plane/inbound.py
+++ b/leadrudder/data_plane/inbound.py
@@ -9,7 +9,7 @@
 from leadrudder.data_plane.server_connections import NOT_RUN, SEAL, Going, OwnServer
 from leadrudder.interface import Outcome
 from leadrudder.node.servers import Call
-from leadrudder.protocol.mesh_pb2 import Delivery, Waybill
+from leadrudder.protocol.mesh_pb2 import ForwardRequest, ForwardResponse
 from leadrudder.protocol.outcome import Ran, Verdict
 from leadrudder.transport.http import WholeMessage
 
@@ -29,7 +29,7 @@
     )
 )
 
-Deliver = Callable[[Delivery], None]
+Deliver = Callable[[ForwardResponse], None]
 Withdraw = Callable[[bool], None]  # the argument: whether it is because the client has left
 
 
@@ -52,7 +52,7 @@
         gate: Gate,
         own: OwnServer,
         note: Callable[[str], None],
-        lent: Callable[[Waybill], bool] = lambda waybill: False,
+        lent: Callable[[ForwardRequest], bool] = lambda waybill: False,
         ran: Callable[[int], None] | None = None,
     ) -> None:
         """lent: whether this machine is out of a waybill's traffic just now.
@@ -63,7 +63,7 @@
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
 
-    def take(self, waybill: Waybill, deliver: Deliver) -> Withdraw:
+    def take(self, waybill: ForwardRequest, deliver: Deliver) -> Withdraw:
         """Returns what withdraws it: while it has not been started, or if its client has left.
 
         A run that may be repeated is broken off then; one that may not goes on to its end.
@@ -72,7 +72,7 @@
 
         def refuse(verdict: Verdict) -> None:
             deliver(
-                Delivery(
+                ForwardResponse(
                     number=waybill.number, ran=int(verdict.ran), why=verdict.why, retry_ms=verdict.retry_ms
                 )
             )
@@ -95,7 +95,7 @@
             self._look_again()
         return withdraw
 
-    def _run(self, waybill: Waybill, deliver: Deliver) -> Call:
+    def _run(self, waybill: ForwardRequest, deliver: Deliver) -> Call:
         began = self._loop.time()
         length = b""
         if waybill.body or waybill.method not in (b"GET", b"HEAD", b"DELETE"):
@@ -121,8 +121,10 @@
         going = Going(waybill.attempt_id, head, waybill.body)
         return self._own.run(waybill.server, going, waybill.left_ms / 1000.0 + OVER_S, ended)
 
-    def _delivery(self, waybill: Waybill, outcome: Outcome, message: WholeMessage | None) -> Delivery:
-        delivery = Delivery(number=waybill.number)
+    def _delivery(
+        self, waybill: ForwardRequest, outcome: Outcome, message: WholeMessage | None
+    ) -> ForwardResponse:
+        delivery = ForwardResponse(number=waybill.number)
         if message is None:
             if outcome in (Outcome.CONNECT_FAILED, Outcome.MOOT):
                 delivery.ran, delivery.why = Ran.NEVER, "down"
--- a/leadrudder/data_plane/load_balancer.py
+++ b/leadrudder/data_plane/load_balancer.py
@@ -18,7 +18,7 @@
 from leadrudder.data_plane.retry_budget import Purse
 from leadrudder.interface import Effect, Outcome, ServerId
 from leadrudder.policy.decide import Balancer
-from leadrudder.protocol.mesh_pb2 import Delivery
+from leadrudder.protocol.mesh_pb2 import ForwardResponse
 from leadrudder.protocol.outcome import Ran, Reply, Verdict, worst
 from leadrudder.recovery.strain import Strain
 
@@ -70,7 +70,7 @@
             self.answered(what)
 
 
-Carry = Callable[[Errand, Route, str, bool, bool, Callable[[Delivery], None]], Callable[[bool], None]]
+Carry = Callable[[Errand, Route, str, bool, bool, Callable[[ForwardResponse], None]], Callable[[bool], None]]
 
 
 class Points:
@@ -231,7 +231,7 @@
         errand.out[attempt] = lambda client_left: None
         over = False
 
-        def delivered(delivery: Delivery) -> None:
+        def delivered(delivery: ForwardResponse) -> None:
             nonlocal over
             over = True
             self._delivered(number, attempt, action.server, began, errand, delivery)
@@ -261,7 +261,13 @@
         self._forget(number, errand)
 
     def _delivered(
-        self, number: int, attempt: int, server: ServerId, began: float, errand: Errand, delivery: Delivery
+        self,
+        number: int,
+        attempt: int,
+        server: ServerId,
+        began: float,
+        errand: Errand,
+        delivery: ForwardResponse,
     ) -> None:
         if attempt not in errand.out:
             return
@@ -277,7 +283,7 @@
         self._post(api.AttemptEnded(number, attempt, server, outcome, elapsed, errand.done, rest_ms=rest_ms))
         self._forget(number, errand)
 
-    def _judge(self, errand: Errand, server: ServerId, elapsed: float, delivery: Delivery) -> Outcome:
+    def _judge(self, errand: Errand, server: ServerId, elapsed: float, delivery: ForwardResponse) -> Outcome:
         """What the end of an attempt says, in the module's terms; a success is handed on at once."""
         ran = Ran(delivery.ran)
         if delivery.status:
--- a/leadrudder/data_plane/mesh_state.py
+++ b/leadrudder/data_plane/mesh_state.py
@@ -84,7 +84,7 @@
 
     # ------------------------------------------------------------ news
 
-    def take(self, news: wire.News) -> None:
+    def take(self, news: wire.StateUpdate) -> None:
         """What a signalbox tells: items, members, or all of both."""
         self._take_items(news.items)
         pending = self.changes.pending
--- a/leadrudder/data_plane/peer_links.py
+++ b/leadrudder/data_plane/peer_links.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from leadrudder.data_plane.inbound import Withdraw
-from leadrudder.protocol.mesh_pb2 import Delivery, Frame, Waybill, Withdrawal
+from leadrudder.protocol.mesh_pb2 import CancelRequest, ForwardRequest, ForwardResponse, Frame
 from leadrudder.protocol.outcome import Ran
 from leadrudder.transport.link import IDLE_DIALLED_S, Link, dial
 
@@ -14,7 +14,7 @@
 PING_S = 0.4
 IDLE_S = 30.0  # a link that carried nothing for so long is closed
 
-Deliver = Callable[[Delivery], None]
+Deliver = Callable[[ForwardResponse], None]
 
 
 class Way:
@@ -26,11 +26,11 @@
         self._loop = asyncio.get_running_loop()
         self._link: Link | None = None
         self._dialling: asyncio.Task[None] | None = None
-        self._waiting: list[tuple[Waybill, Deliver]] = []
+        self._waiting: list[tuple[ForwardRequest, Deliver]] = []
         self._out: dict[int, Deliver] = {}
         self._last = 0
 
-    def send(self, waybill: Waybill, deliver: Deliver) -> Withdraw:
+    def send(self, waybill: ForwardRequest, deliver: Deliver) -> Withdraw:
         """deliver is called once, also where the link breaks; returns what withdraws the waybill."""
         self.used = self._loop.time()
         self._last += 1
@@ -43,16 +43,16 @@
                 self._dialling = self._loop.create_task(self._dial())
         return lambda client_left: self._withdraw(number, client_left)
 
-    def _write(self, link: Link, waybill: Waybill, deliver: Deliver) -> None:
+    def _write(self, link: Link, waybill: ForwardRequest, deliver: Deliver) -> None:
         if not link.send(Frame(waybill=waybill)):
-            deliver(Delivery(number=waybill.number, ran=Ran.NEVER, why="unreachable"))
+            deliver(ForwardResponse(number=waybill.number, ran=Ran.NEVER, why="unreachable"))
             return
         self._out[waybill.number] = deliver
         link.watch()
 
     def _withdraw(self, number: int, client_left: bool) -> None:
         if self._out.pop(number, None) is not None and self._link is not None:
-            self._link.send(Frame(withdrawal=Withdrawal(number=number, client_left=client_left)))
+            self._link.send(Frame(withdrawal=CancelRequest(number=number, client_left=client_left)))
         self._waiting = [(w, d) for w, d in self._waiting if w.number != number]
 
     async def _dial(self) -> None:
@@ -63,7 +63,7 @@
             if link is not None and link.up:
                 self._write(link, waybill, deliver)
             else:
-                deliver(Delivery(number=waybill.number, ran=Ran.NEVER, why="unreachable"))
+                deliver(ForwardResponse(number=waybill.number, ran=Ran.NEVER, why="unreachable"))
 
     def on_up(self, link: Link) -> None:
         link.wants_life, link.every_s = False, IDLE_DIALLED_S  # the gate does not wait for us
@@ -83,7 +83,7 @@
             self._link = None
             out, self._out = self._out, {}
             for number, deliver in out.items():
-                deliver(Delivery(number=number, ran=Ran.MAYBE, why="link"))
+                deliver(ForwardResponse(number=number, ran=Ran.MAYBE, why="link"))
 
     def idle(self, now: float) -> bool:
         return not self._out and not self._waiting and now - self.used > IDLE_S
@@ -100,7 +100,7 @@
         self._ways: dict[str, Way] = {}
         self._loop = asyncio.get_running_loop()
 
-    def send(self, address: str, waybill: Waybill, deliver: Deliver) -> Withdraw:
+    def send(self, address: str, waybill: ForwardRequest, deliver: Deliver) -> Withdraw:
         way = self._ways.get(address)
         if way is None:
             way = self._ways[address] = Way(address)
--- a/leadrudder/data_plane/program.py
+++ b/leadrudder/data_plane/program.py
@@ -35,7 +35,7 @@
 from leadrudder.observability.metrics import Metrics
 from leadrudder.observability.traffic import Traffic
 from leadrudder.protocol import mesh_pb2 as wire
-from leadrudder.protocol.mesh_pb2 import Delivery, Frame, Waybill
+from leadrudder.protocol.mesh_pb2 import ForwardRequest, ForwardResponse, Frame
 from leadrudder.protocol.outcome import Ran
 from leadrudder.transport.http import ControlServer
 from leadrudder.transport.link import IDLE_TAKEN_S, PING_S, Link
@@ -197,11 +197,11 @@
         server: str,
         may_wait: bool,
         again: bool,
-        deliver: Callable[[Delivery], None],
+        deliver: Callable[[ForwardResponse], None],
     ) -> Withdraw:
         """One attempt, to the gate beside its server."""
         now = self._loop.time()
-        waybill = Waybill(
+        waybill = ForwardRequest(
             server=server,
             method=errand.method,
             target=errand.target,
@@ -220,7 +220,7 @@
 
         self.traffic.calls += 1
 
-        def counted(delivery: Delivery) -> None:
+        def counted(delivery: ForwardResponse) -> None:
             if delivery.why:
                 self._refused[delivery.why] += 1
                 self.traffic.refused[delivery.why] += 1
@@ -228,7 +228,7 @@
 
         endpoint = self.state.endpoints.server(server)
         if endpoint is None:
-            counted(Delivery(ran=0, why="gone"))
+            counted(ForwardResponse(ran=0, why="gone"))
             return nothing_to_withdraw
         if endpoint.address == self._address:
             return self._inbound.take(waybill, counted)
@@ -253,7 +253,7 @@
         if kind == "waybill":
             number = frame.waybill.number
 
-            def deliver(delivery: Delivery) -> None:
+            def deliver(delivery: ForwardResponse) -> None:
                 waiting.pop(number, None)
                 if not waiting and not self.state.newsstand.serves(link):
                     link.every_s = IDLE_TAKEN_S
@@ -263,7 +263,7 @@
             late_s = self._lag.seconds()
             if late_s > BEHIND_S:
                 self._calls_shed += 1
-                deliver(Delivery(ran=Ran.NEVER, why=BEHIND, retry_ms=1000.0 * late_s))
+                deliver(ForwardResponse(ran=Ran.NEVER, why=BEHIND, retry_ms=1000.0 * late_s))
                 return
             frame.waybill.left_ms -= 1000.0 * late_s  # it has waited here for so long
             waiting[number] = nothing_to_withdraw
@@ -280,12 +280,12 @@
 
     # ------------------------------------------------------------ what we are told
 
-    def _news(self, news: wire.News) -> None:
+    def _news(self, news: wire.StateUpdate) -> None:
         """What a signalbox tells."""
         self.state.take(news)
         self._outbound.informed = self._session.informed and bool(self.state.routing.routes)
 
-    def _lent_here(self, waybill: Waybill) -> bool:
+    def _lent_here(self, waybill: ForwardRequest) -> bool:
         """Whether our server is out of the traffic that a waybill is of, and others are not."""
         state, life = self.state, self.gate.life
         if not state.lent.some() or life is None:
--- a/leadrudder/data_plane/session.py
+++ b/leadrudder/data_plane/session.py
@@ -21,7 +21,7 @@
         self,
         seeds: tuple[str, ...],
         hello: Callable[[], wire.Node],
-        news: Callable[[wire.News], None],
+        news: Callable[[wire.StateUpdate], None],
         ended: Callable[[], None],
         rng: Random,
         note: Callable[[str], None],
@@ -66,7 +66,7 @@
 
     def on_up(self, link: Link) -> None:
         self._link = link
-        link.send(Frame(hello=wire.Hello(node=self._hello(), movable=not self._sent_on)))
+        link.send(Frame(hello=wire.SessionHello(node=self._hello(), movable=not self._sent_on)))
 
     def on_frame(self, link: Link, frame: Frame) -> None:
         if frame.news.near and link is self._link:
@@ -102,7 +102,7 @@
     def say(self, node: wire.Node) -> None:
         """Something about us has changed; without a session the next one begins with it."""
         if self._link is not None:
-            self._link.send(Frame(hello=wire.Hello(node=node)))
+            self._link.send(Frame(hello=wire.SessionHello(node=node)))
 
     def close(self) -> None:
         if self._task is not None:
--- a/leadrudder/maintenance/ledger.py
+++ b/leadrudder/maintenance/ledger.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from leadrudder.protocol.mesh_pb2 import Tally
+from leadrudder.protocol.mesh_pb2 import RequestCounts
 from leadrudder.protocol.outcome import Ran, Reply, Verdict
 
 EPOCH_S = 8.0
@@ -50,8 +50,8 @@
     """One station's.  closed: counts through the epoch `through`; open: those after it, by epoch."""
 
     through: int = 0
-    closed: dict[str, Tally] = field(default_factory=dict)
-    open: dict[int, dict[str, Tally]] = field(default_factory=dict)
+    closed: dict[str, RequestCounts] = field(default_factory=dict)
+    open: dict[int, dict[str, RequestCounts]] = field(default_factory=dict)
 
     def close(self, wall: float) -> bool:
         """Close what is over; True if anything was."""
@@ -64,13 +64,13 @@
         self.through = through
         return True
 
-    def _of(self, service: str, epoch: int) -> Tally:
+    def _of(self, service: str, epoch: int) -> RequestCounts:
         tallies = self.open.setdefault(epoch, {}) if epoch > self.through else self.closed
         tally = tallies.get(service)
         if tally is None:
             while len(tallies) >= SERVICES_MOST:
                 del tallies[next(iter(tallies))]
-            tally = tallies[service] = Tally(service=service, lookups=[0] * BUCKETS)
+            tally = tallies[service] = RequestCounts(service=service, lookups=[0] * BUCKETS)
         return tally
 
     def answered(
@@ -104,9 +104,9 @@
 class Totals:
     """What all stations told, remembered for the latest epochs of each."""
 
-    told: dict[str, dict[int, list[Tally]]] = field(default_factory=dict)
+    told: dict[str, dict[int, list[RequestCounts]]] = field(default_factory=dict)
 
-    def take(self, station: str, through: int, tallies: Iterable[Tally]) -> None:
+    def take(self, station: str, through: int, tallies: Iterable[RequestCounts]) -> None:
         if not through:
             return
         epochs = self.told.setdefault(station, {})
@@ -129,11 +129,11 @@
         return through, counts(summed(t for epochs in self.told.values() for t in epochs[through]))
 
 
-def summed(tallies: Iterable[Tally]) -> dict[str, Tally]:
+def summed(tallies: Iterable[RequestCounts]) -> dict[str, RequestCounts]:
     """Those of several stations, by service."""
-    total: dict[str, Tally] = {}
+    total: dict[str, RequestCounts] = {}
     for tally in tallies:
-        known = total.setdefault(tally.service, Tally(service=tally.service, lookups=[0] * BUCKETS))
+        known = total.setdefault(tally.service, RequestCounts(service=tally.service, lookups=[0] * BUCKETS))
         for name in ("asked", "landed", "failed", "refused", "doubt", "ran"):
             setattr(known, name, getattr(known, name) + getattr(tally, name))
         for i, count in enumerate(tally.lookups[:BUCKETS]):
@@ -143,7 +143,7 @@
     return total
 
 
-def counts(total: dict[str, Tally]) -> Counts:
+def counts(total: dict[str, RequestCounts]) -> Counts:
     """As they are kept with a window."""
     return {
         service: [t.asked, t.landed, t.failed, t.refused, t.doubt, t.ran, *t.lookups]
--- a/leadrudder/storage/store.py
+++ b/leadrudder/storage/store.py
@@ -23,7 +23,7 @@
 
 from google.protobuf.message import DecodeError
 
-from leadrudder.protocol.mesh_pb2 import Batch
+from leadrudder.protocol.mesh_pb2 import RecordBatch
 
 _HEAD = struct.Struct(">I")  # the seal of what follows
 _LINE = re.compile(rb"'[0-9]{12}', \([0-9]+, [0-9]+\)")
@@ -70,7 +70,7 @@
 
 def sealed(records: Mapping[str, bytes]) -> bytes:
     """A batch with its checksum in front."""
-    body = Batch(format=FORMAT, records=records).SerializeToString(deterministic=True)
+    body = RecordBatch(format=FORMAT, records=records).SerializeToString(deterministic=True)
     return _HEAD.pack(zlib.crc32(body)) + body
 
 
@@ -86,7 +86,7 @@
         if body.startswith(b"{"):
             old = json.loads(body)
             return {name: bytes.fromhex(value) for name, value in old["records"].items()}
-        batch = Batch.FromString(body)
+        batch = RecordBatch.FromString(body)
     except (ValueError, KeyError, TypeError, AttributeError, DecodeError):
         return None
     if batch.format != FORMAT:
--- a/tests/mesh/planted_faults.py
+++ b/tests/mesh/planted_faults.py
@@ -23,7 +23,7 @@
 from leadrudder.control_simulation.scenario import FAULTS, RESIZING, Course
 from leadrudder.model_checker.state import Move
 from leadrudder.protocol import mesh_pb2 as wire
-from leadrudder.protocol.mesh_pb2 import Frame, Item, Seat
+from leadrudder.protocol.mesh_pb2 import Frame, Item, VoterSlot
 
 
 @contextmanager
@@ -50,7 +50,7 @@
 def one_version_two_values() -> Any:
     """The owner does not look whether a version has a value already."""
 
-    def weigh(self: Owner, ask: wire.Ask) -> tuple[Code, list[Item], list[Item]]:
+    def weigh(self: Owner, ask: wire.ChangeRequest) -> tuple[Code, list[Item], list[Item]]:
         return Code.DONE, [Item.FromString(item.SerializeToString()) for item in ask.items], []
 
     return put(Owner, "_weigh", weigh)
@@ -59,7 +59,7 @@
 def lower_is_done_at_once() -> Any:
     """What a higher version has overtaken is acknowledged while that is on its way."""
 
-    def weigh(self: Owner, ask: wire.Ask) -> tuple[Code, list[Item], list[Item]]:
+    def weigh(self: Owner, ask: wire.ChangeRequest) -> tuple[Code, list[Item], list[Item]]:
         code, new, _ = whole(self, ask)
         return code, new, []
 
@@ -68,7 +68,7 @@
 
 
 def read_by_one() -> Any:
-    def on_reading(self: Requests, peer: str, told: wire.Reading) -> None:
+    def on_reading(self: Requests, peer: str, told: wire.ReadResponse) -> None:
         reading = self._rounds.get(told.number)
         if reading is not None and told.ok:
             self._end_read(reading, Code.DONE, told.items)
@@ -79,7 +79,7 @@
 def grants_to_all() -> Any:
     """A granter does not look whether another has the duty."""
 
-    def on_lease(self: Leases, peer: str, lease: wire.Lease, started: float) -> None:
+    def on_lease(self: Leases, peer: str, lease: wire.LeaseRequest, started: float) -> None:
         self._given.clear()
         whole(self, peer, lease, started)
 
@@ -160,7 +160,7 @@
 def old_epoch_taken() -> Any:
     """A copy under an epoch that another promise has overtaken is taken."""
 
-    def on_copy(self: Interlocking, peer: str, copy: wire.Copy) -> None:
+    def on_copy(self: Interlocking, peer: str, copy: wire.Replicate) -> None:
         promised = self.promised.pop(copy.section, 0)
         whole(self, peer, copy)
         self.promised[copy.section] = max(promised, self.promised.get(copy.section, 0))
@@ -211,7 +211,7 @@
 def refused_before_it_stands() -> Any:
     """A version is told as taken by a value that may yet come to nothing."""
 
-    def weigh(self: Owner, ask: wire.Ask) -> tuple[Code, list[Item], list[Item]]:
+    def weigh(self: Owner, ask: wire.ChangeRequest) -> tuple[Code, list[Item], list[Item]]:
         code, new, waits = whole(self, ask)
         return (Code.CONFLICT if code is Code.BUSY else code), new, waits
 
@@ -234,7 +234,7 @@
 def wiped_counts_at_once() -> Any:
     """One whose disk is empty votes as soon as it hears of its seat."""
 
-    def learn(self: Seats, told: Iterable[Seat], teller: str = "") -> bool:
+    def learn(self: Seats, told: Iterable[VoterSlot], teller: str = "") -> bool:
         new = whole(self, told, teller)
         self.full = self.full or self.mine() is not None
         return new
@@ -250,7 +250,7 @@
 def full_before_the_sync() -> Any:
     """A newcomer counts before what it was given is on its disk."""
 
-    def on_grant(self: Seating, peer: str, grant: wire.Grant) -> None:
+    def on_grant(self: Seating, peer: str, grant: wire.SlotGrant) -> None:
         claim = self._claim
         whole(self, peer, grant)
         if claim is not None and self._claim is None:
@@ -268,8 +268,8 @@
 def granted_without_items() -> Any:
     """A newcomer is given the seat, and not what belongs to it."""
 
-    def on_grant(self: Seating, peer: str, grant: wire.Grant) -> None:
-        bare = wire.Grant()
+    def on_grant(self: Seating, peer: str, grant: wire.SlotGrant) -> None:
+        bare = wire.SlotGrant()
         bare.CopyFrom(grant)
         del bare.items[:]
         whole(self, peer, bare)
@@ -302,7 +302,7 @@
 def size_not_told() -> Any:
     """How many replies are needed follows from what the asker knows alone."""
 
-    def reached(self: Quorum, table: Mapping[int, Seat]) -> bool:
+    def reached(self: Quorum, table: Mapping[int, VoterSlot]) -> bool:
         return len(self.members()) >= quorum.majority(sum(not seat.settled for seat in table.values()))
 
     return put(Quorum, "reached", reached)
@@ -313,10 +313,10 @@
     return put(Quorum, "reached", _reached_by_one_fill())
 
 
-def _reached_by_one_fill() -> Callable[[Quorum, Mapping[int, Seat]], bool]:
+def _reached_by_one_fill() -> Callable[[Quorum, Mapping[int, VoterSlot]], bool]:
     whole = Quorum.reached
 
-    def reached(self: Quorum, table: Mapping[int, Seat]) -> bool:
+    def reached(self: Quorum, table: Mapping[int, VoterSlot]) -> bool:
         half = any(seat.closed and not seat.settled for seat in table.values())
         return (half and len(self) > 0) or whole(self, table)
 
@@ -345,8 +345,8 @@
 def restart_not_noticed() -> Any:
     """A process that is back is taken for the one before."""
 
-    def on_greeting(self: Interlocking, peer: str, greeting: wire.Greeting) -> None:
-        same = wire.Greeting()
+    def on_greeting(self: Interlocking, peer: str, greeting: wire.PeerStatus) -> None:
+        same = wire.PeerStatus()
         same.CopyFrom(greeting)
         same.life = 1
         whole(self, peer, same)
@@ -373,7 +373,7 @@
 def lease_kept_too_long() -> Any:
     """A holder counts from when it was granted, and leaves no room for clocks."""
 
-    def on_leased(self: Leases, peer: str, leased: wire.Leased) -> None:
+    def on_leased(self: Leases, peer: str, leased: wire.LeaseResponse) -> None:
         whole(self, peer, leased)
         if leased.duty in self._until:
             self._until[leased.duty] += 1.0
@@ -389,7 +389,7 @@
 def granted_anew_after_a_restart() -> Any:
     """A process that has just started grants at once what it may have granted before."""
 
-    def on_lease(self: Leases, peer: str, asked: wire.Lease, started: float) -> None:
+    def on_lease(self: Leases, peer: str, asked: wire.LeaseRequest, started: float) -> None:
         whole(self, peer, asked, -1e9)
 
     whole = Leases.on_lease
--- a/tests/mesh/test_admission_control.py
+++ b/tests/mesh/test_admission_control.py
@@ -8,7 +8,7 @@
 from leadrudder.data_plane.admission_control import Gate, Life
 from leadrudder.data_plane.retry_budget import Purse
 from leadrudder.data_plane.service_times import KINDS_MOST, ServiceTimes
-from leadrudder.protocol.mesh_pb2 import Waybill
+from leadrudder.protocol.mesh_pb2 import ForwardRequest
 from leadrudder.protocol.outcome import Ran, Verdict, worst
 
 
@@ -22,7 +22,7 @@
     def take(self, now: float, **fields: object) -> None:
         told = {"server": "i-1", "left_ms": 1000.0, "may_wait": True, "priority": 1, **fields}
         number = len(self.started) + len(self.refused) + 100
-        self.gate.admit(Waybill(**told), now, lambda: self.started.append(number), self.refused.append)  # type: ignore[arg-type]
+        self.gate.admit(ForwardRequest(**told), now, lambda: self.started.append(number), self.refused.append)  # type: ignore[arg-type]
 
     def whys(self) -> list[str]:
         return [verdict.why for verdict in self.refused]
@@ -105,7 +105,7 @@
         times: list[float] = []
         for i in range(3000):
             now = 0.001 * i
-            waybill = Waybill(server="i-1", left_ms=500.0, may_wait=True, priority=1)
+            waybill = ForwardRequest(server="i-1", left_ms=500.0, may_wait=True, priority=1)
             self.gate.admit(waybill, now, lambda now=now: times.append(now), lambda verdict: None)  # type: ignore[misc]
             self.gate.advance(now)
             self.gate.running = 0
@@ -132,7 +132,7 @@
     def take(self, name: str, now: float, target_ms: float = LOOKUP, **fields: object) -> None:
         told = {"server": "i-1", "left_ms": 1000.0, "aim_ms": target_ms, "priority": 1, **fields}
         self.gate.admit(
-            Waybill(target_ms=target_ms, **told),  # type: ignore[arg-type]
+            ForwardRequest(target_ms=target_ms, **told),  # type: ignore[arg-type]
             now,
             lambda: self.started.append(name),
             lambda verdict: self.refused.append((name, verdict)),
--- a/tests/mesh/test_anti_entropy.py
+++ b/tests/mesh/test_anti_entropy.py
@@ -12,7 +12,7 @@
 from leadrudder.consensus.quorum import Quorum
 from leadrudder.consensus.state_machine import Interlocking
 from leadrudder.protocol import mesh_pb2 as wire
-from leadrudder.protocol.mesh_pb2 import Frame, Item, Mark
+from leadrudder.protocol.mesh_pb2 import Frame, Item, VoterView
 
 NAMES = ("10.0.0.1:1", "10.1.0.1:1", "10.2.0.1:1")
 
@@ -108,9 +108,9 @@
     def test_late_news_of_an_owner_that_died_is_put_right_by_its_next_greeting(self) -> None:
         one = machine(0)
         one.tick(0.0)
-        greeting = wire.Greeting(address=NAMES[1], full=True, life=7)
+        greeting = wire.PeerStatus(address=NAMES[1], full=True, life=7)
         one.frame(NAMES[1], Frame(greeting=greeting), 0.0)
-        news = wire.Owner(section=3, epoch=513, holder=NAMES[1])
+        news = wire.OwnerAnnouncement(section=3, epoch=513, holder=NAMES[1])
         one.frame(NAMES[1], Frame(owner=news), 0.1)  # late: of a process before
         self.assertEqual(one.owner.known[3], (513, NAMES[1]))
         one.frame(NAMES[1], Frame(greeting=greeting), 0.5)
@@ -123,26 +123,26 @@
 class Votes(unittest.TestCase):
     def test_a_reply_given_before_its_sender_lost_its_disk_does_not_count(self) -> None:
         have = Quorum()
-        have.add("a", Mark(seat=0, incarnations=[1, 1, 1, 1, 1]))
-        have.add("m", Mark(seat=1, incarnations=[1, 1, 1, 1, 1]))
+        have.add("a", VoterView(seat=0, incarnations=[1, 1, 1, 1, 1]))
+        have.add("m", VoterView(seat=1, incarnations=[1, 1, 1, 1, 1]))
         self.assertEqual(have.members(), {"a", "m"})
-        have.add("b", Mark(seat=2, incarnations=[1, 2, 1, 1, 1]))  # it has granted m's seat anew
+        have.add("b", VoterView(seat=2, incarnations=[1, 2, 1, 1, 1]))  # it has granted m's seat anew
         self.assertEqual(have.members(), {"a", "b"})
-        have.add("m", Mark(seat=1, incarnations=[1, 2, 1, 1, 1]))
+        have.add("m", VoterView(seat=1, incarnations=[1, 2, 1, 1, 1]))
         self.assertEqual(len(have), 3)
-        have.add("m", Mark(seat=1, incarnations=[1, 1, 1, 1, 1]))  # late
+        have.add("m", VoterView(seat=1, incarnations=[1, 1, 1, 1, 1]))  # late
         self.assertEqual(len(have), 3)
 
     def test_who_took_a_seat_over_grants_no_duty_until_what_was_granted_before_is_over(self) -> None:
         newcomer = machine(2, full=False)
         newcomer.tick(0.0)
         for peer in NAMES[:2]:
-            greeting = wire.Greeting(address=peer, full=True, life=7)
+            greeting = wire.PeerStatus(address=peer, full=True, life=7)
             newcomer.frame(peer, Frame(greeting=greeting), 0.0)
-        seated = Frame(greeting=wire.Greeting(address=NAMES[2], full=True))
+        seated = Frame(greeting=wire.PeerStatus(address=NAMES[2], full=True))
         newcomer.frame(NAMES[2], seated, 100.0)  # its records are on disk: it counts
         for now, ok in ((100.1, False), (101.9, False), (102.5, True)):
-            ask = Frame(lease=wire.Lease(duty="sweep", number=1))
+            ask = Frame(lease=wire.LeaseRequest(duty="sweep", number=1))
             answers = frames(newcomer.frame(NAMES[0], ask, now), NAMES[0])
             self.assertEqual([f.leased.ok for f in answers if f.WhichOneof("body") == "leased"], [ok])
 
--- a/tests/mesh/test_backup.py
+++ b/tests/mesh/test_backup.py
@@ -20,7 +20,7 @@
 from leadrudder.consensus.outputs import Answer, Code
 from leadrudder.control_simulation.world import World
 from leadrudder.mesh.__main__ import main
-from leadrudder.protocol.mesh_pb2 import Batch, Item
+from leadrudder.protocol.mesh_pb2 import Item, RecordBatch
 from leadrudder.storage import store as store_module
 from leadrudder.storage.store import DiskError, DumbStore
 
@@ -161,7 +161,7 @@
                 self.assertEqual(DumbStore(folder).open(), {"a": b"1", "b": b"\xff\0"})
 
     def test_a_later_format_is_told_and_not_taken_for_an_empty_disk(self) -> None:
-        body = Batch(format=3, records={"a": b"1"}).SerializeToString()
+        body = RecordBatch(format=3, records={"a": b"1"}).SerializeToString()
         data = struct.pack(">I", zlib.crc32(body)) + body
         with tempfile.TemporaryDirectory() as folder:
             with mock.patch.object(store_module, "sealed", lambda records: data):
--- a/tests/mesh/test_link.py
+++ b/tests/mesh/test_link.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, cast
 
-from leadrudder.protocol.mesh_pb2 import Frame, Item, Read, Standing
+from leadrudder.protocol.mesh_pb2 import CommittedItems, Frame, Item, ReadRequest
 from leadrudder.transport import link as link_module
 from leadrudder.transport.link import Link, dial
 
@@ -103,9 +103,9 @@
 
     def test_frames_arrive_whole_and_in_order(self) -> None:
         async def main(a: End, b: End, link: Link) -> None:
-            sent = [Frame(read=Read(number=i)) for i in range(50)]
+            sent = [Frame(read=ReadRequest(number=i)) for i in range(50)]
             items = [Item(key=f"k{i}", value=bytes(200)) for i in range(300)]
-            sent.insert(20, Frame(standing=Standing(items=items)))
+            sent.insert(20, Frame(standing=CommittedItems(items=items)))
             assert all(link.send(frame) for frame in sent)
             await until(lambda: len(b.frames) == len(sent))
             assert b.frames == sent and not a.frames
@@ -116,10 +116,10 @@
         async def main(a: End, b: End, link: Link) -> None:
             link.cut()
             link.cut()
-            assert not link.send(Frame(read=Read(number=1)))
+            assert not link.send(Frame(read=ReadRequest(number=1)))
             await until(lambda: b.downs)
             assert (a.downs, b.downs) == (1, 1)
-            assert not b.links[0].send(Frame(read=Read(number=1)))
+            assert not b.links[0].send(Frame(read=ReadRequest(number=1)))
 
         self.play(main)
 
@@ -130,9 +130,9 @@
         ):
 
             async def main(a: End, b: End, link: Link, garbage: bytes = garbage) -> None:
-                link.send(Frame(read=Read(number=1)))
+                link.send(Frame(read=ReadRequest(number=1)))
                 link.send_packed(garbage)
-                link.send(Frame(read=Read(number=2)))
+                link.send(Frame(read=ReadRequest(number=2)))
                 await until(lambda: a.downs and b.downs)
                 assert [frame.read.number for frame in b.frames] == [1]
 
@@ -142,7 +142,7 @@
         async def main(a: End, b: End, link: Link) -> None:
             most, link_module.UNSENT_MOST = link_module.UNSENT_MOST, 100_000
             try:
-                one = Frame(standing=Standing(items=[Item(key="k", value=bytes(1_000_000))]))
+                one = Frame(standing=CommittedItems(items=[Item(key="k", value=bytes(1_000_000))]))
                 while link.up:
                     link.send(one)
             finally:
--- a/tests/mesh/test_load_balancer.py
+++ b/tests/mesh/test_load_balancer.py
@@ -11,7 +11,7 @@
 from leadrudder.data_plane.candidates import Distance
 from leadrudder.data_plane.load_balancer import FLOOR_SHARE, Errand, Points
 from leadrudder.data_plane.retry_budget import Purse
-from leadrudder.protocol.mesh_pb2 import Delivery
+from leadrudder.protocol.mesh_pb2 import ForwardResponse
 from leadrudder.protocol.outcome import Ran, Reply, Verdict
 
 
@@ -40,7 +40,7 @@
 class ThePoints(unittest.TestCase):
     def lay(self, *, once: bool = False, servers: tuple[str, ...] = ("a", "b", "c")) -> None:
         self.clock = Clock()
-        self.calls: list[tuple[str, bool, Callable[[Delivery], None]]] = []
+        self.calls: list[tuple[str, bool, Callable[[ForwardResponse], None]]] = []
         self.answers: list[Reply | Verdict] = []
         self.withdrawn: list[tuple[str, bool]] = []  # servers, and whether because the client had left
         route = Route("r", "h", "/", once, 1000.0, 250.0, 1, (("s", 1.0),), 2, 1)
@@ -55,7 +55,7 @@
         server: str,
         may_wait: bool,
         again: bool,
-        deliver: Callable[[Delivery], None],
+        deliver: Callable[[ForwardResponse], None],
     ) -> Callable[[bool], None]:
         self.calls.append((server, may_wait, deliver))
         return lambda client_left: self.withdrawn.append((server, client_left))
@@ -67,7 +67,7 @@
     def end(self, after_s: float, **told: Any) -> str:
         self.clock.now += after_s
         server, _, deliver = self.calls[-1]
-        deliver(Delivery(**told))
+        deliver(ForwardResponse(**told))
         self.clock.run()
         return server
 
@@ -82,7 +82,7 @@
         self.assertEqual(len(self.answers), 1)
         self.assertEqual(self.state(), before)
         leave()
-        self.calls[0][2](Delivery(ran=2, status=200))  # what still comes is nobody's
+        self.calls[0][2](ForwardResponse(ran=2, status=200))  # what still comes is nobody's
         self.clock.run()
         self.assertEqual((len(self.calls), len(self.answers), len(self.withdrawn)), (1, 1, 1))
 
--- a/tests/mesh/test_shedding.py
+++ b/tests/mesh/test_shedding.py
@@ -8,7 +8,7 @@
 
 from leadrudder.emulation.fleet import Fleet
 from leadrudder.observability.loop_lag import BEHIND_S, LoopLag
-from leadrudder.protocol.mesh_pb2 import Frame, Waybill
+from leadrudder.protocol.mesh_pb2 import ForwardRequest, Frame
 from leadrudder.protocol.outcome import Ran
 from tests.mesh.test_emulation import PLAN
 
@@ -23,7 +23,7 @@
         assert station is not None
         link = mock.Mock()
         station.on_up(link)
-        waybill = Waybill(number=3, server="i-side-0-0", method=b"GET", target=b"/", left_ms=900.0)
+        waybill = ForwardRequest(number=3, server="i-side-0-0", method=b"GET", target=b"/", left_ms=900.0)
         with mock.patch.object(LoopLag, "seconds", lambda lag: 2 * BEHIND_S):
             station.on_frame(link, Frame(waybill=waybill))
         delivery = cast(Any, link.send.call_args.args[0]).delivery
