--- a/bench/control.py
+++ b/bench/control.py
@@ -19,8 +19,8 @@
 
 from leadrudder.configuration.items import CORE
 from leadrudder.consensus import anti_entropy
-from leadrudder.consensus.outputs import SECTIONS, Answer, Code, Output, Send, Write, section_of
-from leadrudder.consensus.state_machine import Interlocking
+from leadrudder.consensus.outputs import SECTIONS, Answer, Output, ResultCode, Send, Write, section_of
+from leadrudder.consensus.state_machine import ControlStateMachine
 from leadrudder.control_simulation.scenario import FAULTS, RESIZING, Course
 from leadrudder.control_simulation.world import Broken, Machine, World
 from leadrudder.model_checker.scenarios import SCENES, WALKED
@@ -133,7 +133,7 @@
         began = world.now
 
         def answered(answer: Answer, answers: list[float] = answers) -> None:
-            if answer.code is Code.DONE:
+            if answer.code is ResultCode.DONE:
                 answers.append(world.now)
 
         machine = world.rng.choice(list(world.machines.values()))
@@ -148,7 +148,7 @@
     done: list[Answer] = []
     world.call(next(iter(world.machines.values())), items, done.append)
     world.play(world.now + 2.0)
-    assert done and done[0].code is Code.DONE, done
+    assert done and done[0].code is ResultCode.DONE, done
 
 
 def failovers(machines: int, times: int = 12) -> list[float]:
@@ -206,13 +206,13 @@
     book = [Item(key=f"routes/r{i}", version=1, epoch=256, value=b"x" * size) for i in range(items)]
     kept = {f"item/{item.key}": item.SerializeToString() for item in book}
     a, b = (
-        Interlocking(
+        ControlStateMachine(
             names[i], "z", first_run=False, seeds=names, losses=1, rng=Random(i), kept={**has, "seats": seats}
         )
         for i, has in enumerate((kept, {}))
     )
     ends = {a.address: a, b.address: b}
-    bound, anti_entropy.BYTES_S = anti_entropy.BYTES_S, float("inf")
+    bound, anti_entropy.MAX_BYTES_PER_S = anti_entropy.MAX_BYTES_PER_S, float("inf")
     began = time.process_time()
     try:
         _deliver(
@@ -220,12 +220,12 @@
         )
         _deliver(ends, [(m, o) for m in (a, b) for o in m.tick(1.0)])
     finally:
-        anti_entropy.BYTES_S = bound
+        anti_entropy.MAX_BYTES_PER_S = bound
     assert a.book.digest == b.book.digest
     return sum(item.ByteSize() for item in book) / 1e6 / (time.process_time() - began)
 
 
-def _deliver(ends: dict[str, Interlocking], work: list[tuple[Interlocking, Output]]) -> None:
+def _deliver(ends: dict[str, ControlStateMachine], work: list[tuple[ControlStateMachine, Output]]) -> None:
     """Frames between two machines, each at once."""
     while work:
         one, output = work.pop(0)
--- a/bench/window.py
+++ b/bench/window.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from leadrudder.configuration.items import read_route
-from leadrudder.consensus.lease import POSSESSION
+from leadrudder.consensus.lease import MAINTENANCE
 from leadrudder.emulation.fleet import Bookings, Fleet, Machine, Plan
 from leadrudder.emulation.standins import Wish
 from leadrudder.simulation.world import EPOCH_S
@@ -184,7 +184,7 @@
 
 def _holds(machine: Machine, now: float) -> bool:
     box = machine.signalbox
-    return box is not None and box.interlocking.leases.holds(POSSESSION, now)
+    return box is not None and box.interlocking.leases.holds(MAINTENANCE, now)
 
 
 def pair(seed: int) -> tuple[Day, Day]:
--- a/leadrudder/backup/snapshot.py
+++ b/leadrudder/backup/snapshot.py
@@ -19,9 +19,9 @@
 
 from leadrudder.configuration.item_store import Book
 from leadrudder.consensus.outputs import SECTIONS
-from leadrudder.consensus.state_machine import ITEM_RECORD, PROMISED_RECORD, SEATS_RECORD
+from leadrudder.consensus.state_machine import ITEM_RECORD, PROMISED_RECORD, VOTERS_RECORD
 from leadrudder.protocol.mesh_pb2 import Item
-from leadrudder.storage.store import DiskError, DumbStore, Spoilt, sealed, unsealed
+from leadrudder.storage.store import CorruptStoreError, DbmStore, DiskError, decode_batch, encode_batch
 
 META = "meta"
 _NAME = re.compile(r"[0-9]{8}T[0-9]{6}Z-[0-9]{4}\.snapshot")
@@ -65,15 +65,15 @@
     """A snapshot's bytes."""
     records = {ITEM_RECORD + item.key: item.SerializeToString() for item in items}
     records |= {f"{PROMISED_RECORD}{section}": str(epoch).encode() for section, epoch in promised.items()}
-    records[SEATS_RECORD] = json.dumps({"seats": list(map(list, seats)), "full": False}).encode()
+    records[VOTERS_RECORD] = json.dumps({"seats": list(map(list, seats)), "full": False}).encode()
     records[META] = json.dumps({"taken_s": taken_s}).encode()
-    return sealed(records)
+    return encode_batch(records)
 
 
 def unpack(data: bytes) -> Result[Snapshot, str]:
     """What a snapshot holds; else why it cannot be used."""
     try:
-        records = unsealed(data)
+        records = decode_batch(data)
     except DiskError as error:
         return Failure(str(error))
     if records is None:
@@ -96,7 +96,7 @@
                 held.book.take([item])
             elif name.startswith(PROMISED_RECORD):
                 held.promised[int(name[len(PROMISED_RECORD) :])] = int(value)
-            elif name == SEATS_RECORD:
+            elif name == VOTERS_RECORD:
                 held.seats = [(int(i), str(h), int(n)) for i, h, n, *_ in json.loads(value)["seats"]]
             elif name == META:
                 held.taken_s = float(json.loads(value)["taken_s"])
@@ -109,7 +109,7 @@
     """A snapshot's file, or a signalbox's folder, which is left as it is."""
     try:
         if os.path.isdir(path):
-            records = DumbStore(path).look()
+            records = DbmStore(path).look()
             if not records:
                 return Failure(f"{path}: no records")
             return read(records).alt(lambda why: f"{path}: {why}")
@@ -117,7 +117,7 @@
             return unpack(file.read()).alt(lambda why: f"{path}: {why}")
     except OSError as error:
         return Failure(f"{path}: {error.strerror}")
-    except (DiskError, Spoilt) as error:
+    except (DiskError, CorruptStoreError) as error:
         return Failure(f"{path}: {error}")
 
 
@@ -165,5 +165,5 @@
     for section in range(max((*held.promised, SECTIONS - 1)) + 1):
         records[f"{PROMISED_RECORD}{section}"] = str(epoch).encode()
     rows = [[index, holder, incarnation] for index, holder in enumerate(holders)]
-    records[SEATS_RECORD] = json.dumps({"seats": rows, "full": True}).encode()
+    records[VOTERS_RECORD] = json.dumps({"seats": rows, "full": True}).encode()
     return records
--- a/leadrudder/consensus/anti_entropy.py
+++ b/leadrudder/consensus/anti_entropy.py
@@ -16,14 +16,14 @@
 from leadrudder.protocol.mesh_pb2 import Frame, Item
 
 if TYPE_CHECKING:
-    from leadrudder.consensus.state_machine import Interlocking
+    from leadrudder.consensus.state_machine import ControlStateMachine
 
-EACH_S = 0.5
-BYTES_S = 1_000_000.0  # handed over by one machine, at most, in the mean over a second
+COMPARE_INTERVAL_S = 0.5
+MAX_BYTES_PER_S = 1_000_000.0  # handed over by one machine, at most, in the mean over a second
 
 
 @dataclass(frozen=True, slots=True)
-class Owed:
+class ReplicaLag:
     """What a holder of a seat misses, as far as we know.  since_s: how long ago it last had all."""
 
     holder: str
@@ -35,16 +35,16 @@
 
 
 @dataclass(slots=True)
-class Repair:
+class AntiEntropy:
     """The part of the interlocking that repairs."""
 
-    machine: Interlocking
+    machine: ControlStateMachine
     handed: int = 0  # bytes, since the start
     _compared: dict[str, float] = field(default_factory=dict)
     _alike: dict[str, float] = field(default_factory=dict)  # when a peer last had all that we have
     _changed: dict[str, float] = field(default_factory=dict)  # when what we hold last changed, by key
     _at: dict[str, str] = field(default_factory=dict)  # the last key handed over to a peer
-    _credit: float = BYTES_S
+    _credit: float = MAX_BYTES_PER_S
     _credited: float = 0.0
 
     def changed(self, items: Iterable[Item]) -> None:
@@ -56,7 +56,7 @@
         machine, now = self.machine, self.machine.turn.now
         digest = wire.Digest(standing=machine.standing.digest, held=machine.book.digest)
         for peer in machine.connected():
-            if now - self._compared.get(peer, 0.0) >= EACH_S:
+            if now - self._compared.get(peer, 0.0) >= COMPARE_INTERVAL_S:
                 self._compared[peer] = now
                 machine.greet(peer)
                 machine.send(peer, Frame(digest=digest))
@@ -82,7 +82,7 @@
         if not machine.seats.full:
             return
         now = machine.turn.now
-        self._credit = min(BYTES_S, self._credit + BYTES_S * (now - self._credited))
+        self._credit = min(MAX_BYTES_PER_S, self._credit + MAX_BYTES_PER_S * (now - self._credited))
         self._credited = now
         items: list[Item] = []
         missed = machine.book.differing(ranges.held)
@@ -99,7 +99,7 @@
             self._at[peer] = items[-1].key
             machine.send(peer, Frame(repair=wire.Repair(items=items)))
 
-    def owed(self) -> list[Owed]:
+    def owed(self) -> list[ReplicaLag]:
         """What each other holder of a seat misses."""
         machine, now = self.machine, self.machine.turn.now
         told = []
@@ -116,7 +116,7 @@
                 if not full or self._changed.get(key, 0.0) > alike
             ]
             told.append(
-                Owed(
+                ReplicaLag(
                     holder,
                     peer is not None and peer.up,
                     full,
--- a/leadrudder/consensus/lease.py
+++ b/leadrudder/consensus/lease.py
@@ -17,18 +17,18 @@
 from leadrudder.protocol.mesh_pb2 import Frame
 
 if TYPE_CHECKING:
-    from leadrudder.consensus.state_machine import Interlocking
+    from leadrudder.consensus.state_machine import ControlStateMachine
 
-SPAN_S = 2.0
-DRIFT = 0.1  # part by which two clocks may run apart over a lease
-ASK_EACH_S = 0.5
-SWEEP = "sweep"  # tells members of a signalbox that is gone as gone
-POSSESSION = "possession"  # carries out maintenance windows; where they are on
-DUTIES = (SWEEP,)
+LEASE_S = 2.0
+MAX_CLOCK_DRIFT = 0.1  # part by which two clocks may run apart over a lease
+RENEW_INTERVAL_S = 0.5
+MEMBER_EXPIRY = "sweep"  # tells members of a signalbox that is gone as gone
+MAINTENANCE = "possession"  # carries out maintenance windows; where they are on
+DUTIES = (MEMBER_EXPIRY,)
 
 
 @dataclass(slots=True)
-class Asking:
+class LeaseRound:
     """Our latest question for a duty."""
 
     number: int
@@ -39,9 +39,9 @@
 class Leases:
     """The part of the interlocking that asks for leases and grants them."""
 
-    def __init__(self, machine: Interlocking) -> None:
+    def __init__(self, machine: ControlStateMachine) -> None:
         self._machine = machine
-        self._asking: dict[str, Asking] = {}
+        self._asking: dict[str, LeaseRound] = {}
         self._until: dict[str, float] = {}  # what we hold
         self._given: dict[str, tuple[str, float]] = {}  # to whom, and until when no other gets it
         self._numbers = machine.rng.getrandbits(48)
@@ -62,12 +62,12 @@
         voters = machine.voters()
         for duty in machine.duties:
             asking = self._asking.get(duty)
-            if asking is not None and now - asking.at < ASK_EACH_S:
+            if asking is not None and now - asking.at < RENEW_INTERVAL_S:
                 continue
             if not self.holds(duty, now) and voters[0] != machine.address:
                 continue
             self._numbers += 1
-            self._asking[duty] = Asking(self._numbers, now)
+            self._asking[duty] = LeaseRound(self._numbers, now)
             for voter in voters:
                 machine.send(voter, Frame(lease=wire.LeaseRequest(duty=duty, number=self._numbers)))
 
@@ -75,7 +75,7 @@
         """Another asks, or we ourselves.  started: when this process did, or took its seat over if that was
         later: who held the seat before may just have granted what we know nothing of."""
         machine, now = self._machine, self._machine.turn.now
-        span = SPAN_S * (1.0 + DRIFT)
+        span = LEASE_S * (1.0 + MAX_CLOCK_DRIFT)
         holder, until = self._given.get(lease.duty, ("", 0.0))
         ok = machine.votes(peer) and machine.seats.full and now - started >= span
         ok = ok and (holder == peer or now >= until)
@@ -90,7 +90,7 @@
             return
         asking.grants.add(peer, leased.mark)
         if asking.grants.reached(self._machine.seats.table):
-            self._until[leased.duty] = asking.at + SPAN_S * (1.0 - DRIFT)
+            self._until[leased.duty] = asking.at + LEASE_S * (1.0 - MAX_CLOCK_DRIFT)
 
     def resign(self) -> None:
         self._until.clear()
--- a/leadrudder/consensus/outputs.py
+++ b/leadrudder/consensus/outputs.py
@@ -16,7 +16,7 @@
     return zlib.crc32(key.encode()) % sections
 
 
-class Code(IntEnum):
+class ResultCode(IntEnum):
     """What became of a change."""
 
     DONE = 0  # it stands
@@ -45,29 +45,29 @@
     """The end of a change or a read that this process was asked for."""
 
     number: int
-    code: Code
+    code: ResultCode
     items: tuple[Item, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Stands:
+class Committed:
     """Items that stand from now on: for the stations."""
 
     items: tuple[Item, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class LogLine:
     """A line for the ring."""
 
     text: str
 
 
-Output = Send | Write | Answer | Stands | Note
+Output = Send | Write | Answer | Committed | LogLine
 
 
 @dataclass(slots=True)
-class Turn:
+class Step:
     """The input at hand: its time, and what is returned."""
 
     now: float = 0.0
--- a/leadrudder/consensus/ownership.py
+++ b/leadrudder/consensus/ownership.py
@@ -8,31 +8,31 @@
 
 from leadrudder.configuration.item_store import newer
 from leadrudder.configuration.items import ORDERS
-from leadrudder.consensus.outputs import Code
+from leadrudder.consensus.outputs import ResultCode
 from leadrudder.consensus.quorum import Quorum
 from leadrudder.protocol import mesh_pb2 as wire
 from leadrudder.protocol.mesh_pb2 import Frame, Item
 
 if TYPE_CHECKING:
-    from leadrudder.consensus.state_machine import Interlocking
+    from leadrudder.consensus.state_machine import ControlStateMachine
 
-CLAIM_S = 0.8  # for a majority to promise, and to have the copies of what was found
-AGAIN_S = 0.25  # pause after a claim that failed, and up to as much again
-SETTLED_S = 0.2  # an owner that was lost for less may come back
-TWO_OTHERS_S = 0.25  # to wait for a second copy elsewhere once a majority has it
-RESERVED_S = 1.0  # a version that was checked is kept for its call so long
-WITHDRAWN_S = 3.0  # late asks of a call that was withdrawn are turned away for so long
-EVEN_EACH_S = 1.0  # between sections that are handed over
-SETTLE_EACH_S = 0.2  # how often it is looked for what was left half done
-EARLIER_CALLS_MOST = 8  # overtaken calls of several items that a key remembers: 8 bytes each
-COPY_AGAIN_S = 0.7  # a copy that was not answered is sent again
+CLAIM_TIMEOUT_S = 0.8  # for a majority to promise, and to have the copies of what was found
+CLAIM_BACKOFF_S = 0.25  # pause after a claim that failed, and up to as much again
+OWNER_LOST_S = 0.2  # an owner that was lost for less may come back
+EXTRA_REPLICA_WAIT_S = 0.25  # to wait for a second copy elsewhere once a majority has it
+RESERVATION_S = 1.0  # a version that was checked is kept for its call so long
+WITHDRAWAL_S = 3.0  # late asks of a call that was withdrawn are turned away for so long
+REBALANCE_INTERVAL_S = 1.0  # between sections that are handed over
+RECOVERY_INTERVAL_S = 0.2  # how often it is looked for what was left half done
+MAX_EARLIER_CALLS = 8  # overtaken calls of several items that a key remembers: 8 bytes each
+RESEND_INTERVAL_S = 0.7  # a copy that was not answered is sent again
 
 
-_NO_COPIES: dict[int, Item] = {}
+_NO_ITEMS: dict[int, Item] = {}
 
 
 @dataclass(slots=True)
-class Section:
+class OwnedSection:
     """A section that we own, or try to."""
 
     epoch: int
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class Copying:
+class Replication:
     """Items on their way to a majority's disks."""
 
     section: int
@@ -57,14 +57,14 @@
     stood: bool = False
 
 
-class Owner:
+class SectionOwnership:
     """The part of the interlocking that owns."""
 
-    def __init__(self, machine: Interlocking) -> None:
+    def __init__(self, machine: ControlStateMachine) -> None:
         self._machine = machine
-        self.sections: dict[int, Section] = {}
+        self.sections: dict[int, OwnedSection] = {}
         self.known: dict[int, tuple[int, str]] = {}  # the latest owner told of each section: epoch, holder
-        self._copies: dict[int, Copying] = {}
+        self._copies: dict[int, Replication] = {}
         self._copies_of_key: dict[str, dict[int, Item]] = {}  # the items of these, by key and number
         self._numbers = machine.rng.getrandbits(48)  # not those of an earlier process at our address
         self._again: dict[int, float] = {}  # when a section may be claimed again
@@ -121,11 +121,11 @@
                 machine.seats.full
                 and not machine.resigned
                 and self.next_holder(section, voters) == machine.address
-                and now - since >= (SETTLED_S if known is not None else 0.0)
+                and now - since >= (OWNER_LOST_S if known is not None else 0.0)
             ):
                 self.claim(section)
         for number, copying in list(self._copies.items()):
-            if not copying.stood and now - copying.sent >= COPY_AGAIN_S:
+            if not copying.stood and now - copying.sent >= RESEND_INTERVAL_S:
                 copying.sent = now
                 self._send_copies(number, copying, [v for v in voters if v not in copying.have])
             self._conclude(number, copying)
@@ -140,7 +140,7 @@
         seat is there, and every section has an owner.
         """
         machine, now = self._machine, self._machine.turn.now
-        if not machine.wished or now - self._evened < EVEN_EACH_S or machine.resigned:
+        if not machine.wished or now - self._evened < REBALANCE_INTERVAL_S or machine.resigned:
             return
         counts = dict.fromkeys(machine.seats.holders(), 0)
         for section in range(machine.sections):
@@ -171,7 +171,7 @@
         It was on its way when an earlier owner was lost; until it stands, reads wait for it.
         """
         machine, now = self._machine, self._machine.turn.now
-        if not machine.unsettled or now < self._settled + SETTLE_EACH_S:
+        if not machine.unsettled or now < self._settled + RECOVERY_INTERVAL_S:
             return
         self._settled = now
         found: dict[int, list[Item]] = {}
@@ -196,7 +196,7 @@
             return
         highest = max(machine.promised.get(section, 0), self.known.get(section, (0, ""))[0])
         epoch = ((highest >> 8) + 1) << 8 | mine
-        self.sections[section] = Section(epoch, until=now + CLAIM_S)
+        self.sections[section] = OwnedSection(epoch, until=now + CLAIM_TIMEOUT_S)
         for voter in machine.voters():
             machine.send(voter, Frame(prepare=wire.Prepare(section=section, epoch=epoch)))
 
@@ -304,14 +304,14 @@
     def _give_up(self, section: int) -> None:
         machine = self._machine
         state = self.sections.pop(section)
-        self._again[section] = machine.turn.now + AGAIN_S * (1.0 + machine.rng.random())
+        self._again[section] = machine.turn.now + CLAIM_BACKOFF_S * (1.0 + machine.rng.random())
         for peer, ask in state.waiting:
-            self._told(peer, ask.number, Code.BUSY)
+            self._told(peer, ask.number, ResultCode.BUSY)
         for number, copying in list(self._copies.items()):
             if copying.section == section:
                 self._forget_copy(number)
                 for peer, asked in copying.asked:
-                    self._told(peer, asked, Code.BUSY)
+                    self._told(peer, asked, ResultCode.BUSY)
         if state.ready:
             machine.note(f"owns section {section} no more, epoch {state.epoch}")
 
@@ -340,26 +340,26 @@
             self.claim(ask.section)
             state = self.sections.get(ask.section)
         if state is None:
-            self._told(peer, ask.number, Code.BUSY)
+            self._told(peer, ask.number, ResultCode.BUSY)
             return
         if not state.ready:
             if len(state.waiting) < 1000:
                 state.waiting.append((peer, ask))
             else:
-                self._told(peer, ask.number, Code.BUSY)
+                self._told(peer, ask.number, ResultCode.BUSY)
             return
         if ask.withdraw:
             self._withdraw(peer, ask)
             return
         code, new, waits = self._weigh(ask)
-        if code is not Code.DONE or ask.only_check:
-            if code is Code.DONE:
+        if code is not ResultCode.DONE or ask.only_check:
+            if code is ResultCode.DONE:
                 self._reserve(new)
-                code = Code.RESERVED
+                code = ResultCode.RESERVED
             self._told(peer, ask.number, code, self._current(ask.items))
             return
         if ask.reserved and not all(self._is_reserved(item) for item in new):
-            self._told(peer, ask.number, Code.BUSY)
+            self._told(peer, ask.number, ResultCode.BUSY)
             return
         for item in new:
             self._reserved.pop((item.key, item.version), None)
@@ -367,14 +367,14 @@
         for item in new + waits:
             item.epoch = state.epoch
         if not new and not waits:
-            self._told(peer, ask.number, Code.DONE)
+            self._told(peer, ask.number, ResultCode.DONE)
             return
         # What was taken before and does not stand yet is copied with it: all or none is acknowledged.
         self._copy(ask.section, new + waits, asked=(peer, ask.number))
 
     def _reserve(self, items: Iterable[Item]) -> None:
         """A call that was withdrawn may be checked, so that it is refused again, but is never made."""
-        until = self._machine.turn.now + RESERVED_S
+        until = self._machine.turn.now + RESERVATION_S
         for item in items:
             if item.call not in self._withdrawn:
                 self._reserved[item.key, item.version] = (item.call, until)
@@ -396,11 +396,11 @@
         """
         now = self._machine.turn.now
         for item in ask.items:
-            self._withdrawn[item.call] = now + WITHDRAWN_S
+            self._withdrawn[item.call] = now + WITHDRAWAL_S
             if self._is_reserved(item):
                 del self._reserved[item.key, item.version]
         taken = any(self._is_taken(item) for item in ask.items)
-        self._told(peer, ask.number, Code.PARTLY_TAKEN if taken else Code.DONE)
+        self._told(peer, ask.number, ResultCode.PARTLY_TAKEN if taken else ResultCode.DONE)
 
     def _is_taken(self, item: Item) -> bool:
         """Whether the very call that an item is of gave its version a value, be it overtaken since."""
@@ -409,7 +409,7 @@
             return False
         return item.call == latest.call or item.call in latest.earlier_calls
 
-    def _weigh(self, ask: wire.ChangeRequest) -> tuple[Code, list[Item], list[Item]]:
+    def _weigh(self, ask: wire.ChangeRequest) -> tuple[ResultCode, list[Item], list[Item]]:
         """What an ask comes to: the items that are new, and those taken before that do not stand yet."""
         machine = self._machine
         new: list[Item] = []
@@ -419,7 +419,7 @@
             if old is None or item.version > old.version:
                 reserved_for = self._reserved.get((item.key, item.version), (item.call, 0.0))[0]
                 if reserved_for != item.call:
-                    return Code.BUSY, [], []
+                    return ResultCode.BUSY, [], []
                 new.append(self._following(item, old))
                 continue
             # Only what stands may be told of: what is on its way may yet come to nothing.
@@ -429,14 +429,14 @@
             if other and (item.version == old.version or item.key.startswith(ORDERS)):
                 # For an order: its count has moved on.
                 if not stands:
-                    return Code.BUSY, [], []
+                    return ResultCode.BUSY, [], []
                 taken = any(self._is_taken(each) for each in ask.items)
-                return (Code.PARTLY_TAKEN if taken else Code.CONFLICT), [], []
+                return (ResultCode.PARTLY_TAKEN if taken else ResultCode.CONFLICT), [], []
             if not stands:
                 again = Item()
                 again.CopyFrom(old)
                 waits.append(again)
-        return Code.DONE, new, waits
+        return ResultCode.DONE, new, waits
 
     @staticmethod
     def _following(item: Item, old: Item | None) -> Item:
@@ -446,13 +446,13 @@
         del fresh.earlier_calls[:]
         if old is not None:
             calls = [*old.earlier_calls, *([old.call] if old.call else [])]
-            fresh.earlier_calls.extend(calls[-EARLIER_CALLS_MOST:])
+            fresh.earlier_calls.extend(calls[-MAX_EARLIER_CALLS:])
         return fresh
 
     def _latest(self, key: str) -> Item | None:
         """The highest that this owner knows, what is on its way to the disks included."""
         latest = self._machine.book.items.get(key)
-        for item in self._copies_of_key.get(key, _NO_COPIES).values():
+        for item in self._copies_of_key.get(key, _NO_ITEMS).values():
             if newer(item, latest):
                 latest = item
         return latest
@@ -466,7 +466,7 @@
         machine = self._machine
         self._numbers += 1
         now = machine.turn.now
-        copying = Copying(section, items, now, now, claim=claim)
+        copying = Replication(section, items, now, now, claim=claim)
         if asked is not None:
             copying.asked.append(asked)
         self._copies[self._numbers] = copying
@@ -474,7 +474,7 @@
             self._copies_of_key.setdefault(item.key, {})[self._numbers] = item
         self._send_copies(self._numbers, copying, machine.voters())
 
-    def _forget_copy(self, number: int) -> Copying | None:
+    def _forget_copy(self, number: int) -> Replication | None:
         """Take a copy off the list; None if it has been taken off before."""
         copying = self._copies.pop(number, None)
         if copying is None:
@@ -486,7 +486,7 @@
                 self._copies_of_key.pop(item.key, None)
         return copying
 
-    def _send_copies(self, number: int, copying: Copying, to: Iterable[str]) -> None:
+    def _send_copies(self, number: int, copying: Replication, to: Iterable[str]) -> None:
         epoch = self.sections[copying.section].epoch
         copy = wire.Replicate(number=number, section=copying.section, epoch=epoch, items=copying.items)
         for voter in to:
@@ -504,7 +504,7 @@
         copying.have.add(peer, copied.mark)
         self._conclude(copied.number, copying)
 
-    def _conclude(self, number: int, copying: Copying) -> None:
+    def _conclude(self, number: int, copying: Replication) -> None:
         """It stands once a majority has it; it is acknowledged then, or a moment later with two others."""
         machine = self._machine
         if not copying.have.reached(machine.seats.table):
@@ -516,14 +516,14 @@
                 self._ready(copying.section)
         others = len(copying.have.members() - {machine.address})
         reachable = len([v for v in machine.voters() if v != machine.address])
-        late = machine.turn.now - copying.began >= TWO_OTHERS_S
+        late = machine.turn.now - copying.began >= EXTRA_REPLICA_WAIT_S
         if others < min(2, reachable) and not late:
             return
         if self._forget_copy(number) is not None:
             for peer, asked in copying.asked:
-                self._told(peer, asked, Code.DONE)
+                self._told(peer, asked, ResultCode.DONE)
 
-    def _told(self, peer: str, number: int, code: Code, items: Iterable[Item] = ()) -> None:
+    def _told(self, peer: str, number: int, code: ResultCode, items: Iterable[Item] = ()) -> None:
         self._machine.send(
             peer, Frame(told=wire.ChangeResponse(number=number, outcome=int(code), items=items))
         )
--- a/leadrudder/consensus/quorum_check.py
+++ b/leadrudder/consensus/quorum_check.py
@@ -16,29 +16,29 @@
 from leadrudder.protocol.mesh_pb2 import Frame
 
 if TYPE_CHECKING:
-    from leadrudder.consensus.state_machine import Interlocking
+    from leadrudder.consensus.state_machine import ControlStateMachine
 
-ASK_EACH_S = 0.3  # while contact is fresh; at each tick otherwise
-OPEN_MOST = 8  # questions whose answers still count
-FRESH_S = 1.0  # a new session is taken only on a confirmation that is no older
-LOST_S = 1.7  # sessions that stand are ended when the latest confirmation is older
+PROBE_INTERVAL_S = 0.3  # while contact is fresh; at each tick otherwise
+MAX_OPEN_PROBES = 8  # questions whose answers still count
+FRESH_AGE_S = 1.0  # a new session is taken only on a confirmation that is no older
+LOST_AGE_S = 1.7  # sessions that stand are ended when the latest confirmation is older
 
 
 @dataclass(slots=True)
-class Question:
+class ProbeRound:
     """One question to all voters: when it was sent, and who has answered."""
 
     sent: float
     answers: Quorum = field(default_factory=Quorum)
 
 
-class Contact:
+class QuorumCheck:
     """The part of the interlocking that keeps asking whether a majority is there."""
 
-    def __init__(self, machine: Interlocking) -> None:
+    def __init__(self, machine: ControlStateMachine) -> None:
         self._machine = machine
         self._number = machine.rng.getrandbits(48)  # not those of an earlier process at our address
-        self._questions: dict[int, Question] = {}
+        self._questions: dict[int, ProbeRound] = {}
         self._asked = float("-inf")
         self._confirmed = float("-inf")
 
@@ -48,20 +48,20 @@
 
     def fresh(self, now: float) -> bool:
         """Whether what we know may be handed to somebody new."""
-        return self.age(now) <= FRESH_S
+        return self.age(now) <= FRESH_AGE_S
 
     def lost(self, now: float) -> bool:
         """Whether a majority may have decided things without us for too long."""
-        return self.age(now) > LOST_S
+        return self.age(now) > LOST_AGE_S
 
     def tick(self) -> None:
         machine, now = self._machine, self._machine.turn.now
-        if not machine.has_majority() or (self.fresh(now) and now - self._asked < ASK_EACH_S):
+        if not machine.has_majority() or (self.fresh(now) and now - self._asked < PROBE_INTERVAL_S):
             return
         self._asked = now
         self._number += 1
-        self._questions[self._number] = Question(now)
-        while len(self._questions) > OPEN_MOST:
+        self._questions[self._number] = ProbeRound(now)
+        while len(self._questions) > MAX_OPEN_PROBES:
             del self._questions[min(self._questions)]
         for voter in machine.voters():
             machine.send(voter, Frame(contact=wire.QuorumProbe(number=self._number)))
--- a/leadrudder/consensus/reconfiguration.py
+++ b/leadrudder/consensus/reconfiguration.py
@@ -19,20 +19,20 @@
 
 from leadrudder.consensus.outputs import Send
 from leadrudder.consensus.quorum import Quorum
-from leadrudder.consensus.voters import LOST_S
+from leadrudder.consensus.voters import HOLDER_LOST_S
 from leadrudder.protocol import mesh_pb2 as wire
 from leadrudder.protocol.mesh_pb2 import Frame, VoterSlot
 
 if TYPE_CHECKING:
-    from leadrudder.consensus.state_machine import Interlocking
+    from leadrudder.consensus.state_machine import ControlStateMachine
 
-FOUND_LATEST_S = 4.0  # the first seed founds with those that are there, if some do not come
-CLAIM_EACH_S = 0.4
-FOUNDED = 1  # the incarnation of founding seats; those added later begin above it
+BOOTSTRAP_LATEST_S = 4.0  # the first seed founds with those that are there, if some do not come
+CLAIM_INTERVAL_S = 0.4
+BOOTSTRAP_INCARNATION = 1  # the incarnation of founding seats; those added later begin above it
 
 
 @dataclass(slots=True)
-class Closing:
+class SlotRemoval:
     """A seat that we close: first all is gathered, then those that are left hold it."""
 
     seat: VoterSlot
@@ -42,16 +42,16 @@
     at: float = -1.0  # when it was last asked
 
 
-class Seating:
+class Reconfiguration:
     """The part of the interlocking that deals in seats."""
 
-    def __init__(self, machine: Interlocking) -> None:
+    def __init__(self, machine: ControlStateMachine) -> None:
         self._machine = machine
         self._claim: VoterSlot | None = None
         self._claimed_at = -1.0
         self._grants: set[str] = set()
         self._willing: set[str] = set()  # would grant the claim that we sound out
-        self._closing: Closing | None = None
+        self._closing: SlotRemoval | None = None
 
     def tick(self) -> None:
         machine = self._machine
@@ -91,7 +91,11 @@
     def _is_founder(self) -> bool:
         mine = self._machine.seats.mine()
         table = self._machine.seats.table
-        return mine is not None and table[mine].incarnation == FOUNDED and not self._machine.promised
+        return (
+            mine is not None
+            and table[mine].incarnation == BOOTSTRAP_INCARNATION
+            and not self._machine.promised
+        )
 
     def _greet_all(self) -> None:
         for peer in self._machine.connected():
@@ -108,14 +112,16 @@
         if not machine.first_run or not machine.seeds or machine.seeds[0] != machine.address:
             return
         there = {machine.address} | {p.address for p in machine.peers.values() if p.up and p.first_run}
-        if len(there) < machine.wanted and machine.turn.now - machine.began < FOUND_LATEST_S:
+        if len(there) < machine.wanted and machine.turn.now - machine.began < BOOTSTRAP_LATEST_S:
             return
         order = [a for a in machine.seeds if a in there] + sorted(there - set(machine.seeds))
         chosen = order[: machine.wanted]
         if len(chosen) % 2 == 0 and len(chosen) > 2:
             chosen.pop()
         seats = machine.seats
-        seats.table = {i: VoterSlot(index=i, holder=a, incarnation=FOUNDED) for i, a in enumerate(chosen)}
+        seats.table = {
+            i: VoterSlot(index=i, holder=a, incarnation=BOOTSTRAP_INCARNATION) for i, a in enumerate(chosen)
+        }
         record = seats.record(full=True)  # we count when it is on disk
         founding = Frame(founding=wire.BootstrapVoters(seats=seats.table.values()))
         machine.note(f"founds {len(chosen)} seats")
@@ -133,7 +139,7 @@
         """Without a seat, or with one whose records are lost: ask for one."""
         machine, seats = self._machine, self._machine.seats
         now = machine.turn.now
-        if now - self._claimed_at < CLAIM_EACH_S:
+        if now - self._claimed_at < CLAIM_INTERVAL_S:
             return
         self._claimed_at = now + 0.2 * machine.rng.random()
         index = self._which()
@@ -144,7 +150,7 @@
         if len(others) < needed:
             return
         known = seats.table.get(index)
-        last = known.incarnation if known is not None else FOUNDED
+        last = known.incarnation if known is not None else BOOTSTRAP_INCARNATION
         if self._claim is None or self._claim.index != index or self._claim.incarnation <= last:
             self._claim = VoterSlot(index=index, holder=machine.address, incarnation=last + 1)
             self._grants, self._willing = set(), set()
@@ -213,7 +219,7 @@
         if grant.sounding:
             self._willing.add(peer)
             if len(self._willing) == needed:
-                self._claimed_at = -CLAIM_EACH_S  # ask for them now
+                self._claimed_at = -CLAIM_INTERVAL_S  # ask for them now
             return
         self._grants.add(peer)
         records = self._gathered(grant.promised, grant.items)
@@ -261,12 +267,12 @@
         voters, now = machine.voters(), machine.turn.now
         half = seats.half_closed()
         too_many = bool(machine.wished) and len(seats.opened()) > machine.wished
-        first = bool(voters) and voters[0] == machine.address and now - machine.counts_since >= LOST_S
+        first = bool(voters) and voters[0] == machine.address and now - machine.counts_since >= HOLDER_LOST_S
         if not (half is not None or too_many) or not first or machine.resigned:
             self._closing = None
             return
         closing = self._closing
-        if closing is not None and now - closing.at < CLAIM_EACH_S:
+        if closing is not None and now - closing.at < CLAIM_INTERVAL_S:
             return
         if (
             closing is None
@@ -275,7 +281,7 @@
         ):
             index = half if half is not None else seats.least_missed(machine.peers)
             seat = VoterSlot(index=index, incarnation=seats.table[index].incarnation + 1, closed=True)
-            closing = self._closing = Closing(seat)
+            closing = self._closing = SlotRemoval(seat)
             machine.note(f"closes seat {index}")
         closing.at = now
         if closing.gathered:
@@ -314,15 +320,15 @@
         if closing.gathered:
             self._fill(closing)
 
-    def _overtake(self, closing: Closing, told: Iterable[VoterSlot]) -> None:
+    def _overtake(self, closing: SlotRemoval, told: Iterable[VoterSlot]) -> None:
         """One refused that knows another claim of our incarnation: we close under a higher one."""
         seat = closing.seat
         theirs = next((s for s in told if s.index == seat.index), None)
         if theirs is not None and theirs.incarnation >= seat.incarnation and not theirs.closed:
             higher = VoterSlot(index=seat.index, incarnation=theirs.incarnation + 1, closed=True)
-            self._closing = Closing(higher, at=closing.at)
+            self._closing = SlotRemoval(higher, at=closing.at)
 
-    def _fill(self, closing: Closing) -> None:
+    def _fill(self, closing: SlotRemoval) -> None:
         """Have those that are left hold what was gathered."""
         machine = self._machine
         fill = wire.SlotTransfer(seat=closing.seat, items=machine.book.items.values())
--- a/leadrudder/consensus/requests.py
+++ b/leadrudder/consensus/requests.py
@@ -9,19 +9,19 @@
 from typing import TYPE_CHECKING
 
 from leadrudder.configuration.item_store import Book
-from leadrudder.consensus.outputs import Code
+from leadrudder.consensus.outputs import ResultCode
 from leadrudder.consensus.quorum import Quorum
 from leadrudder.protocol import mesh_pb2 as wire
 from leadrudder.protocol.mesh_pb2 import Frame, Item
 
 if TYPE_CHECKING:
-    from leadrudder.consensus.state_machine import Interlocking
+    from leadrudder.consensus.state_machine import ControlStateMachine
 
-CHANGE_S = 0.9  # an operator waits a second
-ASK_AGAIN_S = 0.1  # an owner that could not answer is asked again after so long
-READ_S = 0.9
-READ_AGAIN_S = 0.06  # where a change is under way: it will stand, or be seen not to
-SETTLE_AFTER = 4  # reads, after which the section is claimed so that what was left half done stands
+CHANGE_TIMEOUT_S = 0.9  # an operator waits a second
+RETRY_DELAY_S = 0.1  # an owner that could not answer is asked again after so long
+READ_TIMEOUT_S = 0.9
+READ_RETRY_DELAY_S = 0.06  # where a change is under way: it will stand, or be seen not to
+RECOVER_AFTER_READS = 4  # reads, after which the section is claimed so that what was left half done stands
 
 
 class Phase(IntEnum):
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class Change:
+class PendingChange:
     """An operator's call.
 
     Reserving in one order everywhere keeps two calls that share several versions from each holding a part
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True)
-class Reading:
+class PendingRead:
     number: int
     until: float
     tries: int = 0
@@ -69,15 +69,15 @@
     have: Quorum = field(default_factory=Quorum)
 
 
-class Requests:
+class OperatorRequests:
     """The part of the interlocking that asks."""
 
-    def __init__(self, machine: Interlocking) -> None:
+    def __init__(self, machine: ControlStateMachine) -> None:
         self._machine = machine
-        self._changes: dict[int, Change] = {}
-        self._asks: dict[int, Change] = {}
-        self._reads: dict[int, Reading] = {}
-        self._rounds: dict[int, Reading] = {}
+        self._changes: dict[int, PendingChange] = {}
+        self._asks: dict[int, PendingChange] = {}
+        self._reads: dict[int, PendingRead] = {}
+        self._rounds: dict[int, PendingRead] = {}
         # Late words to an earlier process at our address must not be taken for answers to us.
         self._last = machine.rng.getrandbits(48)
 
@@ -89,7 +89,7 @@
         now = self._machine.turn.now
         for change in list(self._changes.values()):
             if now >= change.until:
-                self._end(change, Code.BUSY)
+                self._end(change, ResultCode.BUSY)
                 continue
             due, change.again = (
                 [s for at, s in change.again if at <= now],
@@ -99,7 +99,7 @@
                 self._ask(change, section)
         for reading in list(self._reads.values()):
             if now >= reading.until:
-                self._end_read(reading, Code.BUSY)
+                self._end_read(reading, ResultCode.BUSY)
             elif reading.at and now >= reading.at:
                 self._ask_all(reading)
 
@@ -112,41 +112,41 @@
             item.call = identity
             parts.setdefault(self._machine.section_of(item.key), []).append(item)
         several = len(parts) > 1
-        change = Change(
-            number, parts, self._machine.turn.now + CHANGE_S, Phase.RESERVE if several else Phase.MAKE
+        change = PendingChange(
+            number, parts, self._machine.turn.now + CHANGE_TIMEOUT_S, Phase.RESERVE if several else Phase.MAKE
         )
         self._changes[number] = change
         if not parts:
-            self._end(change, Code.DONE)
+            self._end(change, ResultCode.DONE)
         elif several:
             self._reserve_all(change)
         else:
             self._make_all(change)
 
-    def _reserve_all(self, change: Change) -> None:
+    def _reserve_all(self, change: PendingChange) -> None:
         """From the first section on, also where a later owner has forgotten what was reserved with it."""
         change.phase = Phase.RESERVE
         self._forget_asks(change)
         change.to_reserve = sorted(change.parts)
         self._ask(change, change.to_reserve[0])
 
-    def _make_all(self, change: Change) -> None:
+    def _make_all(self, change: PendingChange) -> None:
         change.phase = Phase.MAKE
         for section in change.parts:
             self._ask(change, section)
 
-    def _withdraw_all(self, change: Change, conflicts: Iterable[Item]) -> None:
+    def _withdraw_all(self, change: PendingChange, conflicts: Iterable[Item]) -> None:
         change.phase = Phase.WITHDRAW
         change.conflicts = list(conflicts)
         self._forget_asks(change)
         for section in change.parts:
             self._ask(change, section)
 
-    def _ask(self, change: Change, section: int) -> None:
+    def _ask(self, change: PendingChange, section: int) -> None:
         machine = self._machine
         holder = machine.owner.holder(section)
         if holder is None:
-            change.again.append((machine.turn.now + ASK_AGAIN_S, section))
+            change.again.append((machine.turn.now + RETRY_DELAY_S, section))
             return
         number = self._next()
         change.asked[number] = section
@@ -167,51 +167,51 @@
         if change is None:
             return
         section = change.asked.pop(told.number)
-        code = Code(told.outcome)
+        code = ResultCode(told.outcome)
         if change.phase is Phase.WITHDRAW:
             self._on_withdrawn(change, section, code)
-        elif code is Code.CONFLICT and len(change.parts) > 1:
+        elif code is ResultCode.CONFLICT and len(change.parts) > 1:
             self._withdraw_all(change, told.items)
-        elif code is Code.CONFLICT:
+        elif code is ResultCode.CONFLICT:
             self._end(change, code, told.items)
-        elif code is Code.PARTLY_TAKEN:
-            self._end(change, Code.BUSY)
-        elif code is Code.BUSY and change.phase is Phase.MAKE and len(change.parts) > 1:
+        elif code is ResultCode.PARTLY_TAKEN:
+            self._end(change, ResultCode.BUSY)
+        elif code is ResultCode.BUSY and change.phase is Phase.MAKE and len(change.parts) > 1:
             change.phase = Phase.RESERVE  # its owner may be another, which has reserved nothing
             self._forget_asks(change)
             change.to_reserve = sorted(change.parts)
-            change.again.append((self._machine.turn.now + ASK_AGAIN_S, change.to_reserve[0]))
-        elif code is Code.BUSY:
-            change.again.append((self._machine.turn.now + ASK_AGAIN_S, section))
+            change.again.append((self._machine.turn.now + RETRY_DELAY_S, change.to_reserve[0]))
+        elif code is ResultCode.BUSY:
+            change.again.append((self._machine.turn.now + RETRY_DELAY_S, section))
         elif change.phase is Phase.RESERVE:
             self._on_reserved(change, section)
         elif not change.asked and not change.again:
-            self._end(change, Code.DONE)
+            self._end(change, ResultCode.DONE)
 
-    def _on_reserved(self, change: Change, section: int) -> None:
+    def _on_reserved(self, change: PendingChange, section: int) -> None:
         change.to_reserve.remove(section)
         if change.to_reserve:
             self._ask(change, change.to_reserve[0])
         else:
             self._make_all(change)
 
-    def _on_withdrawn(self, change: Change, section: int, code: Code) -> None:
+    def _on_withdrawn(self, change: PendingChange, section: int, code: ResultCode) -> None:
         """Refused only when no owner has taken a part, and none will: what was taken is never refused."""
-        if code is Code.BUSY:
-            change.again.append((self._machine.turn.now + ASK_AGAIN_S, section))
-        elif code is Code.PARTLY_TAKEN:
-            self._end(change, Code.BUSY)
+        if code is ResultCode.BUSY:
+            change.again.append((self._machine.turn.now + RETRY_DELAY_S, section))
+        elif code is ResultCode.PARTLY_TAKEN:
+            self._end(change, ResultCode.BUSY)
         elif not change.asked and not change.again:
-            self._end(change, Code.CONFLICT, change.conflicts)
+            self._end(change, ResultCode.CONFLICT, change.conflicts)
 
-    def _forget_asks(self, change: Change) -> None:
+    def _forget_asks(self, change: PendingChange) -> None:
         """Answers that are still out count no more."""
         for number in change.asked:
             self._asks.pop(number, None)
         change.asked.clear()
         change.again.clear()
 
-    def _end(self, change: Change, code: Code, items: Iterable[Item] = ()) -> None:
+    def _end(self, change: PendingChange, code: ResultCode, items: Iterable[Item] = ()) -> None:
         self._forget_asks(change)
         if self._changes.pop(change.number, None) is not None:
             self._machine.answer(change.number, code, items)
@@ -219,15 +219,15 @@
     # ------------------------------------------------------------ reads
 
     def read(self, number: int) -> None:
-        reading = Reading(number, self._machine.turn.now + READ_S)
+        reading = PendingRead(number, self._machine.turn.now + READ_TIMEOUT_S)
         self._reads[number] = reading
         self._ask_all(reading)
 
-    def _ask_all(self, reading: Reading) -> None:
+    def _ask_all(self, reading: PendingRead) -> None:
         machine = self._machine
         self._rounds.pop(reading.round, None)
         reading.round, reading.replies, reading.have = self._next(), {}, Quorum()
-        reading.at = machine.turn.now + (READ_AGAIN_S if not machine.has_majority() else 0.4)
+        reading.at = machine.turn.now + (READ_RETRY_DELAY_S if not machine.has_majority() else 0.4)
         self._rounds[reading.round] = reading
         for voter in machine.voters():
             machine.send(voter, Frame(read=wire.ReadRequest(number=reading.round)))
@@ -246,12 +246,12 @@
             found.take(items)
         open_keys = [key for key, item in found.items.items() if not self._stands(item)]
         if not open_keys:
-            self._end_read(reading, Code.DONE, found.items.values())
+            self._end_read(reading, ResultCode.DONE, found.items.values())
             return
         reading.tries += 1
-        reading.at = machine.turn.now + READ_AGAIN_S
+        reading.at = machine.turn.now + READ_RETRY_DELAY_S
         self._rounds.pop(reading.round, None)
-        if reading.tries == SETTLE_AFTER:
+        if reading.tries == RECOVER_AFTER_READS:
             for section in {machine.section_of(key) for key in open_keys}:
                 machine.owner.settle(section)
 
@@ -261,7 +261,7 @@
             return False
         return stood.version > item.version or (stood.value, stood.dropped) == (item.value, item.dropped)
 
-    def _end_read(self, reading: Reading, code: Code, items: Iterable[Item] = ()) -> None:
+    def _end_read(self, reading: PendingRead, code: ResultCode, items: Iterable[Item] = ()) -> None:
         self._rounds.pop(reading.round, None)
         if self._reads.pop(reading.number, None) is not None:
             self._machine.answer(reading.number, code, items)
--- a/leadrudder/consensus/state_machine.py
+++ b/leadrudder/consensus/state_machine.py
@@ -15,34 +15,34 @@
 
 from leadrudder.configuration.item_store import Book, newer
 from leadrudder.configuration.items import CORE, read_core
-from leadrudder.consensus.anti_entropy import Repair
+from leadrudder.consensus.anti_entropy import AntiEntropy
 from leadrudder.consensus.lease import DUTIES, Leases
 from leadrudder.consensus.outputs import (
     SECTIONS,
     Answer,
-    Code,
-    Note,
+    Committed,
+    LogLine,
     Output,
+    ResultCode,
     Send,
-    Stands,
-    Turn,
+    Step,
     Write,
     section_of,
 )
-from leadrudder.consensus.ownership import Owner
+from leadrudder.consensus.ownership import SectionOwnership
 from leadrudder.consensus.quorum import mark
-from leadrudder.consensus.quorum_check import Contact
-from leadrudder.consensus.reconfiguration import Seating
-from leadrudder.consensus.requests import Requests
-from leadrudder.consensus.voters import SEATS_RECORD, Peer, Seats
+from leadrudder.consensus.quorum_check import QuorumCheck
+from leadrudder.consensus.reconfiguration import Reconfiguration
+from leadrudder.consensus.requests import OperatorRequests
+from leadrudder.consensus.voters import VOTERS_RECORD, Peer, VoterTable
 from leadrudder.protocol import mesh_pb2 as wire
 from leadrudder.protocol.mesh_pb2 import Frame, Item, VoterSlot
 
 PROMISED_RECORD, ITEM_RECORD = "promised/", "item/"
-__all__ = ["ITEM_RECORD", "PROMISED_RECORD", "SEATS_RECORD", "Interlocking"]
+__all__ = ["ITEM_RECORD", "PROMISED_RECORD", "VOTERS_RECORD", "ControlStateMachine"]
 
 
-class Interlocking:
+class ControlStateMachine:
     """The state machine.  address: this signalbox's link address, its name among the others."""
 
     def __init__(
@@ -67,9 +67,9 @@
         self.wanted = max(3, 2 * losses + 1) if len(seeds) >= 3 else max(1, len(seeds))
         self.rng = rng
         self.life = rng.getrandbits(48)
-        self.turn = Turn()
+        self.turn = Step()
         self.peers: dict[str, Peer] = {}
-        self.seats = Seats(address)
+        self.seats = VoterTable(address)
         self.promised: dict[int, int] = {}
         self.book = Book()  # what this seat holds
         self.standing = Book()  # what a majority holds
@@ -78,12 +78,12 @@
         self.resigned = False
         self._began: float | None = None
         self.counts_since = 0.0  # when we started, or took our seat over if that was later
-        self.seating = Seating(self)
-        self.owner = Owner(self)
-        self.requests = Requests(self)
+        self.seating = Reconfiguration(self)
+        self.owner = SectionOwnership(self)
+        self.requests = OperatorRequests(self)
         self.leases = Leases(self)
-        self.repair = Repair(self)
-        self.contact = Contact(self)
+        self.repair = AntiEntropy(self)
+        self.contact = QuorumCheck(self)
         self._restore(kept)
 
     def _restore(self, kept: dict[str, bytes]) -> None:
@@ -92,8 +92,8 @@
                 self._take_into_book([Item.FromString(value)])
             elif name.startswith(PROMISED_RECORD):
                 self.promised[int(name[len(PROMISED_RECORD) :])] = int(value)
-        if SEATS_RECORD in kept:
-            self.seats.restore(kept[SEATS_RECORD])
+        if VOTERS_RECORD in kept:
+            self.seats.restore(kept[VOTERS_RECORD])
 
     # ------------------------------------------------------------ inputs
 
@@ -186,9 +186,9 @@
         self.turn.out.append(Write(records, tuple(then)))
 
     def note(self, text: str) -> None:
-        self.turn.out.append(Note(text))
+        self.turn.out.append(LogLine(text))
 
-    def answer(self, number: int, code: Code, items: Iterable[Item] = ()) -> None:
+    def answer(self, number: int, code: ResultCode, items: Iterable[Item] = ()) -> None:
         self.turn.out.append(Answer(number, code, tuple(items)))
 
     def section_of(self, key: str) -> int:
@@ -279,7 +279,7 @@
             held = self.book.items.get(item.key)
             if held is None or not newer(held, item):
                 self.unsettled.pop(item.key, None)
-        self.turn.out.append(Stands(tuple(taken)))
+        self.turn.out.append(Committed(tuple(taken)))
         if tell:
             for peer in self.connected():
                 self.send(peer, Frame(standing=wire.CommittedItems(items=taken)))
--- a/leadrudder/consensus/voters.py
+++ b/leadrudder/consensus/voters.py
@@ -15,9 +15,9 @@
 from leadrudder.consensus import quorum
 from leadrudder.protocol.mesh_pb2 import VoterSlot
 
-SEATS_RECORD = "seats"
-LOST_S = 1.5  # a holder that is not connected for so long may be replaced by a newcomer
-STUCK_S = 1.5  # a claimant that was granted a seat and is not full after so long may be replaced
+VOTERS_RECORD = "seats"
+HOLDER_LOST_S = 1.5  # a holder that is not connected for so long may be replaced by a newcomer
+TRANSFER_STUCK_S = 1.5  # a claimant that was granted a seat and is not full after so long may be replaced
 
 
 @dataclass(slots=True)
@@ -36,10 +36,10 @@
 
 
 @dataclass(slots=True)
-class Seats:
+class VoterTable:
     """The table of seats, and which of them is ours."""
 
-    RECORD: ClassVar[str] = SEATS_RECORD
+    RECORD: ClassVar[str] = VOTERS_RECORD
 
     address: str
     table: dict[int, VoterSlot] = field(default_factory=dict)
@@ -177,13 +177,13 @@
     def _lost(self, index: int, holder: str, peers: dict[str, Peer], now: float, began: float) -> bool:
         peer = peers.get(holder)
         if peer is None:
-            return now - began >= LOST_S
+            return now - began >= HOLDER_LOST_S
         if peer.resigned:
             return True
         if not peer.up:
-            return now - peer.since >= LOST_S
+            return now - peer.since >= HOLDER_LOST_S
         # When it was granted may be forgotten, by a process that was started anew: then since both are here.
-        return not peer.full and now - self.granted.get(index, max(began, peer.since)) >= STUCK_S
+        return not peer.full and now - self.granted.get(index, max(began, peer.since)) >= TRANSFER_STUCK_S
 
     def record(self, *, full: bool | None = None) -> bytes:
         """The table as it is kept on disk.  full: as it will be when it is there; else as it is."""
--- a/leadrudder/control_plane/feeds.py
+++ b/leadrudder/control_plane/feeds.py
@@ -119,7 +119,7 @@
 
     def tell_members(self, nodes: list[Node], but: Link | None = None) -> None:
         """Members that have come, gone or changed; but: the session that they were heard on."""
-        data = packed(Frame(news=wire.StateUpdate(nodes=map(zone_relays.bare, nodes))))
+        data = packed(Frame(news=wire.StateUpdate(nodes=map(zone_relays.without_servers, nodes))))
         for feed in list(self._feeds.values()):
             if feed.link is but:
                 continue
@@ -166,6 +166,6 @@
         servers = [node for name in feed.servers if (node := self._node(name)) is not None]
         return wire.StateUpdate(
             items=items,
-            nodes=map(zone_relays.bare, members),
+            nodes=map(zone_relays.without_servers, members),
             served=zone_relays.of_services(servers, feed.wanted or frozenset()),
         )
--- a/leadrudder/control_plane/maintenance.py
+++ b/leadrudder/control_plane/maintenance.py
@@ -20,7 +20,7 @@
 from leadrudder.configuration.items import CONTRACT, USED
 from leadrudder.configuration.routing_table import RoutingTable
 from leadrudder.configuration.validation import Finding
-from leadrudder.consensus.outputs import Answer, Code
+from leadrudder.consensus.outputs import Answer, ResultCode
 from leadrudder.maintenance import contract, controller, ledger, planner, window
 from leadrudder.maintenance.contract import Span
 from leadrudder.maintenance.controller import Keeper
@@ -156,9 +156,9 @@
             async with asyncio.timeout(1.0):
                 code = (await self._set(moved, count)).code
         except TimeoutError:
-            code = Code.BUSY
+            code = ResultCode.BUSY
         self._keeper.told(moved.name)
-        if code is Code.DONE:
+        if code is ResultCode.DONE:
             stages = ", ".join(f"{s.machine} {s.stage}{': ' + s.why if s.why else ''}" for s in moved.steps)
             self._ring.note(f"window {moved.name}: {stages}")
 
@@ -248,7 +248,7 @@
             Item(key=c.key, version=c.version, dropped=c.value is None, value=c.value or b"") for c in changes
         ]
         answer = await self._change(made)
-        if answer.code is not Code.DONE:
+        if answer.code is not ResultCode.DONE:
             return _answered(answer.code)
         now = self._wall()
         read = contract.standing((i.key[len(CONTRACT) :], i) for i in made if not i.dropped)
@@ -269,7 +269,7 @@
             return _json(told(made))
         made = dataclasses.replace(made, planned=self._totals.latest()[1])
         answer = await self._set(made, self._next(name))
-        if answer.code is not Code.DONE:
+        if answer.code is not ResultCode.DONE:
             return _answered(answer.code)
         await self._forget()
         return _json(told(made))
@@ -289,11 +289,11 @@
             if altered is None:
                 return Told(409, f"it is {known.state()}\n".encode())
             answer = await self._set(altered, self._next(name))
-            if answer.code is Code.DONE:
+            if answer.code is ResultCode.DONE:
                 return _json(told(altered))
-            if answer.code is not Code.CONFLICT:
+            if answer.code is not ResultCode.CONFLICT:
                 return _answered(answer.code)
-        return _answered(Code.BUSY)
+        return _answered(ResultCode.BUSY)
 
 
 def told(each: Window) -> dict[str, Any]:
@@ -319,7 +319,7 @@
     return Told(status, "".join(f"{finding}\n" for finding in findings[:20]).encode())
 
 
-def _answered(code: Code) -> Told:
-    if code is Code.CONFLICT:
+def _answered(code: ResultCode) -> Told:
+    if code is ResultCode.CONFLICT:
         return Told(409, b"somebody was before you: look again\n")
     return Told(503, b"no majority answered in time\n", _COME_BACK)
--- a/leadrudder/control_plane/operator_api.py
+++ b/leadrudder/control_plane/operator_api.py
@@ -14,8 +14,8 @@
 from leadrudder.configuration import validation
 from leadrudder.configuration.item_store import Book
 from leadrudder.configuration.items import CORE, EVACUATION, SEATS_MOST, SERVICE
-from leadrudder.consensus.anti_entropy import Owed
-from leadrudder.consensus.outputs import Answer, Code
+from leadrudder.consensus.anti_entropy import ReplicaLag
+from leadrudder.consensus.outputs import Answer, ResultCode
 from leadrudder.protocol.mesh_pb2 import Item
 from leadrudder.transport.http import PLAIN_TEXT, Call, Told
 
@@ -43,7 +43,7 @@
         zones: Iterable[str],
         ring: Ring,
         pack: Pack = lambda items: b"",
-        owed: Callable[[], list[Owed]] = list,
+        owed: Callable[[], list[ReplicaLag]] = list,
         core: Callable[[], dict[str, Any]] = dict,
         least: int = 1,
         more: Callable[[Call], Awaitable[Told | None]] | None = None,
@@ -103,7 +103,7 @@
         if findings:
             # What this process knows may be old: a majority knows whether there is such a service.
             answer = await self._read()
-            if answer.code is not Code.DONE:
+            if answer.code is not ResultCode.DONE:
                 return Told(503, b"no majority answered in time\n", _COME_BACK)
             book = Book()
             book.take(answer.items)
@@ -115,9 +115,9 @@
             for c in call.changes
         ]
         answer = await self._change(changed)
-        if answer.code is Code.DONE:
+        if answer.code is ResultCode.DONE:
             return Told(200, b"{}", _JSON)
-        if answer.code is Code.CONFLICT:
+        if answer.code is ResultCode.CONFLICT:
             self._ring.note(f"409: {[c.key for c in call.changes][:3]}")
             return Told(409, b"an item's version has another value already\n")
         return Told(503, b"no majority answered in time\n", _COME_BACK)
@@ -128,7 +128,7 @@
 
     async def _get(self) -> Told:
         answer = await self._read()
-        if answer.code is not Code.DONE:
+        if answer.code is not ResultCode.DONE:
             return Told(503, b"no majority answered in time\n", _COME_BACK)
         book = Book()
         book.take(answer.items)
@@ -136,7 +136,7 @@
 
     async def _snapshot(self) -> Told:
         answer = await self._read()
-        if answer.code is not Code.DONE:
+        if answer.code is not ResultCode.DONE:
             return Told(503, b"no majority answered in time\n", _COME_BACK)
         return Told(200, self._pack(answer.items), b"Content-Type: application/octet-stream\r\n")
 
@@ -158,8 +158,8 @@
             # Orders have no version: each counts on from the one before, so a late one finds it has moved on.
             version = 1 if known is None else known.version + (known.value != value)
             answer = await self._change([Item(key=key, version=version, value=value)])
-            if answer.code is Code.DONE:
+            if answer.code is ResultCode.DONE:
                 return Told(200)
-            if answer.code is not Code.CONFLICT:
+            if answer.code is not ResultCode.CONFLICT:
                 return Told(503, b"no majority answered in time\n", _COME_BACK)
             known = next((item for item in answer.items if item.key == key), None)
--- a/leadrudder/control_plane/program.py
+++ b/leadrudder/control_plane/program.py
@@ -15,20 +15,20 @@
 from leadrudder.bootstrap.log_buffer import Ring
 from leadrudder.bootstrap.settings import Settings
 from leadrudder.configuration.item_store import Book
-from leadrudder.consensus.lease import DUTIES, POSSESSION, SWEEP
-from leadrudder.consensus.outputs import Answer, Note, Output, Send, Stands, Write
-from leadrudder.consensus.state_machine import Interlocking
+from leadrudder.consensus.lease import DUTIES, MAINTENANCE, MEMBER_EXPIRY
+from leadrudder.consensus.outputs import Answer, Committed, LogLine, Output, Send, Write
+from leadrudder.consensus.state_machine import ControlStateMachine
 from leadrudder.control_plane.feeds import Feeds
 from leadrudder.control_plane.operator_api import Operator
 from leadrudder.membership import zone_relays
-from leadrudder.membership.registry import Register
+from leadrudder.membership.registry import MemberRegistry
 from leadrudder.observability.invariants import Invariants
 from leadrudder.observability.loop_lag import LoopLag
 from leadrudder.observability.metrics import Metrics
 from leadrudder.protocol import mesh_pb2 as wire
 from leadrudder.protocol.mesh_pb2 import Frame, Item, Node
-from leadrudder.storage.store import DiskError, DumbStore, MemoryStore, Store
-from leadrudder.storage.writer import Writer, Writes
+from leadrudder.storage.store import DbmStore, DiskError, MemoryStore, Store
+from leadrudder.storage.writer import BatchWriter, ThreadedWriter
 from leadrudder.transport.http import ControlServer
 from leadrudder.transport.link import Link, dial
 
@@ -54,7 +54,7 @@
         possession: bool = False,
         rng: Random | None = None,
         wall: Callable[[], float] = time.time,
-        writer: Callable[[Store, Callable[[str], None]], Writes] = Writer,
+        writer: Callable[[Store, Callable[[str], None]], BatchWriter] = ThreadedWriter,
         store: Store | None = None,
         monotonic: Callable[[], float] | None = None,
     ) -> None:
@@ -69,9 +69,9 @@
         self._lag = LoopLag(time.monotonic if monotonic is None else monotonic)
         self._loop = asyncio.get_running_loop()
         self._store: Store = store or (
-            DumbStore(settings.data_folder) if settings.data_folder else MemoryStore()
+            DbmStore(settings.data_folder) if settings.data_folder else MemoryStore()
         )
-        self._register = Register(self.address)
+        self._register = MemberRegistry(self.address)
         self._links: dict[str, list[Link]] = {}  # to other signalboxes, the newest last
         self._feeds = Feeds(
             lambda key: self._known().items.get(key), self._register.nodes.get, self.invariants
@@ -92,7 +92,7 @@
             self.ring.wrong(f"disk spoilt, counts as lost: {spoilt}")
         self.ring.say(f"starts with {len(kept)} records, first run: {self.settings.first_run}")
         self._writer = self._make_writer(self._store, self.ring.wrong)
-        self.interlocking = Interlocking(
+        self.interlocking = ControlStateMachine(
             self.address,
             self.settings.zone,
             first_run=self.settings.first_run and not spoilt,
@@ -100,7 +100,7 @@
             losses=self.settings.losses,
             rng=self._rng,
             kept=kept,
-            duties=(*DUTIES, POSSESSION) if self._possession else DUTIES,
+            duties=(*DUTIES, MAINTENANCE) if self._possession else DUTIES,
         )
         if self._possession:
             from leadrudder.control_plane.maintenance import Possessions
@@ -172,13 +172,13 @@
                 self._send(output)
             elif isinstance(output, Write):
                 self._write(output)
-            elif isinstance(output, Stands):
+            elif isinstance(output, Committed):
                 self._feeds.tell_items(output.items)
             elif isinstance(output, Answer):
                 future = self._waiting.pop(output.number, None)
                 if future is not None and not future.done():
                     future.set_result(output)
-            elif isinstance(output, Note):
+            elif isinstance(output, LogLine):
                 self.ring.note(output.text)
 
     def _send(self, output: Send) -> None:
@@ -304,7 +304,7 @@
             settled = self._loop.time() >= self._settled_at
             news = wire.StateUpdate(
                 items=self.interlocking.standing.items.values(),
-                nodes=map(zone_relays.bare, self._register.members()),
+                nodes=map(zone_relays.without_servers, self._register.members()),
                 whole=settled,
                 signalboxes=self._signalboxes(),
             )
@@ -346,11 +346,11 @@
             self._settled_at = min(self._settled_at, now + SETTLED_S)
         self._carry_out(self.interlocking.tick(now))
         self._leave_when_safe(now)
-        self._tell(self._register.tick(now, self.interlocking.leases.holds(SWEEP, now)))
+        self._tell(self._register.tick(now, self.interlocking.leases.holds(MEMBER_EXPIRY, now)))
         self._register.forget()
         self._feeds.catch_up()
         if self._possessions is not None:
-            self._possessions.tick(self.interlocking.leases.holds(POSSESSION, now))
+            self._possessions.tick(self.interlocking.leases.holds(MAINTENANCE, now))
         if self.interlocking.contact.lost(now):
             self._settled_at = float("inf")
             for link in self._feeds.links():
--- a/leadrudder/control_simulation/incidents.py
+++ b/leadrudder/control_simulation/incidents.py
@@ -12,7 +12,7 @@
 from enum import StrEnum
 from random import Random
 
-from leadrudder.consensus.outputs import Answer, Code
+from leadrudder.consensus.outputs import Answer, ResultCode
 from leadrudder.control_simulation.nodes import Stations
 from leadrudder.control_simulation.world import Broken, World
 from leadrudder.control_simulation.world import Machine as CoreMachine
@@ -83,12 +83,12 @@
                 answered = True
                 if ended:
                     return
-                if answer.code is Code.BUSY:
+                if answer.code is ResultCode.BUSY:
                     world.after(PAUSE_S, lambda: send(machine.address))
                     return
                 ended = True
                 self.open -= 1
-                self.refused += answer.code is Code.CONFLICT
+                self.refused += answer.code is ResultCode.CONFLICT
                 self.waits.append(world.now - began)
 
             world.call(machine, [item], take)
@@ -180,12 +180,12 @@
 
 def read_back(world: World) -> None:
     """Every machine answers a read in calm; the world holds it against what was acknowledged."""
-    answers: list[Code] = []
+    answers: list[ResultCode] = []
     running = [m for m in world.machines.values() if m.process is not None]
     for machine in running:
         world.read(machine, lambda answer: answers.append(answer.code))
     world.play(world.now + 2.0)
-    if answers != [Code.DONE] * len(running):
+    if answers != [ResultCode.DONE] * len(running):
         world.broken(f"reads in calm end with {answers}")
 
 
--- a/leadrudder/control_simulation/nodes.py
+++ b/leadrudder/control_simulation/nodes.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from leadrudder.configuration.item_store import Book
-from leadrudder.consensus.quorum_check import FRESH_S
+from leadrudder.consensus.quorum_check import FRESH_AGE_S
 from leadrudder.control_simulation.world import DELAY_S, Machine, World
 from leadrudder.protocol.mesh_pb2 import Item
 
@@ -78,7 +78,7 @@
     def _judge(self, home: Machine, told: Book) -> None:
         """What a station begins with is no older than what was acknowledged a moment before."""
         for acknowledged in self._world.acknowledgements:
-            if acknowledged.at > self._world.now - FRESH_S:
+            if acknowledged.at > self._world.now - FRESH_AGE_S:
                 break
             item = told.items.get(acknowledged.key)
             if item is None or item.version < acknowledged.version:
--- a/leadrudder/control_simulation/scenario.py
+++ b/leadrudder/control_simulation/scenario.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from leadrudder.configuration.items import CORE
-from leadrudder.consensus.outputs import Answer, Code
+from leadrudder.consensus.outputs import Answer, ResultCode
 from leadrudder.control_simulation.nodes import Stations
 from leadrudder.control_simulation.world import Broken, Machine, World
 from leadrudder.protocol.mesh_pb2 import Item
@@ -140,11 +140,11 @@
 
         def answered(answer: Answer) -> None:
             nonlocal done
-            if answer.code in (Code.DONE, Code.CONFLICT) and not done:
+            if answer.code in (ResultCode.DONE, ResultCode.CONFLICT) and not done:
                 done = True
                 self._open.remove(items)
                 world.tell(f"{items[0].key} v{items[0].version} {items[0].value!r}: {answer.code.name}")
-                if answer.code is Code.DONE and self._fatal is not None:
+                if answer.code is ResultCode.DONE and self._fatal is not None:
                     self._after_ack(asked[-1])
 
         def again() -> None:
@@ -279,7 +279,7 @@
             address = machine.address
 
             def answered(answer: Answer, address: str = address) -> None:
-                if answer.code is Code.DONE:
+                if answer.code is ResultCode.DONE:
                     read.append(address)
 
             world.read(machine, answered)
--- a/leadrudder/control_simulation/world.py
+++ b/leadrudder/control_simulation/world.py
@@ -18,9 +18,9 @@
 
 from leadrudder.configuration.item_store import Book
 from leadrudder.configuration.items import ORDERS
-from leadrudder.consensus.lease import SWEEP
-from leadrudder.consensus.outputs import Answer, Code, Output, Send, Stands, Write
-from leadrudder.consensus.state_machine import Interlocking
+from leadrudder.consensus.lease import MEMBER_EXPIRY
+from leadrudder.consensus.outputs import Answer, Committed, Output, ResultCode, Send, Write
+from leadrudder.consensus.state_machine import ControlStateMachine
 from leadrudder.control_simulation.linearizability import Operation, Outcome, Register, wrong_keys
 from leadrudder.protocol.mesh_pb2 import Frame, Item
 
@@ -49,7 +49,7 @@
     address: str
     first_run: bool
     disk: dict[str, bytes] = field(default_factory=dict)
-    process: Interlocking | None = None
+    process: ControlStateMachine | None = None
     life: int = 0
     queue: list[Pending] = field(default_factory=list)
     writing: bool = False
@@ -150,7 +150,7 @@
         if machine.gone or machine.process is not None:
             return
         machine.life += 1
-        machine.process = Interlocking(
+        machine.process = ControlStateMachine(
             machine.address,
             "zone",
             first_run=machine.first_run,
@@ -311,7 +311,7 @@
                 self._send(machine, output)
             elif isinstance(output, Write):
                 self._put(machine, Pending(output.records, output.then))
-            elif isinstance(output, Stands):
+            elif isinstance(output, Committed):
                 for item in output.items:
                     self._stood(machine, item)
                 for told in self.on_stands:
@@ -323,7 +323,7 @@
         holders = [
             m.address
             for m in self.machines.values()
-            if m.process is not None and not m.frozen and m.process.leases.holds(SWEEP, self.now)
+            if m.process is not None and not m.frozen and m.process.leases.holds(MEMBER_EXPIRY, self.now)
         ]
         if len(holders) > 1:
             self.broken(f"one duty has two holders: {holders}")
@@ -397,13 +397,13 @@
                 for each in tried:
                     self.history.remove(each)
                 self.history += [self._operation(item, outcome, began, self.now) for item in items]
-            if answer.code is Code.DONE:
+            if answer.code is ResultCode.DONE:
                 for item in items:
                     self.acknowledgements.append(Acknowledged(self.now, item.key, item.version))
                     old = self.acknowledged.get(item.key)
                     if old is None or item.version > old.version:
                         self.acknowledged[item.key] = item
-            elif answer.code is Code.CONFLICT:
+            elif answer.code is ResultCode.CONFLICT:
                 self._refused(items)
             answered(answer)
 
@@ -424,10 +424,10 @@
     @staticmethod
     def _outcome(answer: Answer, items: list[Item]) -> Outcome:
         """A refusal of several does not tell which of them is refused."""
-        if answer.code is Code.DONE:
+        if answer.code is ResultCode.DONE:
             return Outcome.CONFIRMED
         alone = len(items) == 1 and not items[0].key.startswith(ORDERS)
-        return Outcome.REFUSED if answer.code is Code.CONFLICT and alone else Outcome.UNKNOWN
+        return Outcome.REFUSED if answer.code is ResultCode.CONFLICT and alone else Outcome.UNKNOWN
 
     def explained(self) -> None:
         """All answers so far are such as one register a key would have given."""
@@ -469,7 +469,7 @@
         began = self.now
 
         def judged(answer: Answer) -> None:
-            if answer.code is Code.DONE:
+            if answer.code is ResultCode.DONE:
                 found = Book()
                 found.take(answer.items)
                 for item in found.items.values():
--- a/leadrudder/data_plane/endpoint_discovery.py
+++ b/leadrudder/data_plane/endpoint_discovery.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 
 from leadrudder.membership import zone_relays
-from leadrudder.membership.registry import rank
-from leadrudder.membership.zone_relays import Homes
+from leadrudder.membership.registry import freshness
+from leadrudder.membership.zone_relays import ZoneRelays
 from leadrudder.protocol import mesh_pb2 as wire
 from leadrudder.protocol.mesh_pb2 import Frame, Node
 from leadrudder.transport.link import Link, dial
@@ -35,7 +35,7 @@
         sources_changed: Callable[[], None],
     ) -> None:
         self.served: dict[str, Node] = {}  # the newest entry with servers, by station
-        self._homes = Homes(name, zone)
+        self._homes = ZoneRelays(name, zone)
         self._ask, self._fed = ask, fed
         self._heard, self._sources_changed = heard, sources_changed
         self._loop = asyncio.get_running_loop()
@@ -52,7 +52,7 @@
         new = []
         for node in served:
             old = self.served.get(node.name)
-            if old is None or rank(node) > rank(old):
+            if old is None or freshness(node) > freshness(old):
                 self.served[node.name] = node
                 new.append(node)
         if not new:
--- a/leadrudder/data_plane/mesh_state.py
+++ b/leadrudder/data_plane/mesh_state.py
@@ -22,7 +22,7 @@
 from leadrudder.data_plane.load_balancer import Carry
 from leadrudder.data_plane.machine_drains import Lent
 from leadrudder.data_plane.upstreams import Upstreams
-from leadrudder.membership.registry import Register
+from leadrudder.membership.registry import MemberRegistry
 from leadrudder.observability.invariants import Invariants
 from leadrudder.observability.metrics import Metrics
 from leadrudder.protocol import mesh_pb2 as wire
@@ -54,7 +54,7 @@
     ) -> None:
         self.book = Book()
         self.routing = RoutingTable()
-        self.members = Register("")
+        self.members = MemberRegistry("")
         self.endpoints = EndpointTable()
         self.upstreams = Upstreams(settings.bounds, self.candidates, carry, note, rng)
         self.changes = ChangeQueue(self._carry_out, monotonic)
--- a/leadrudder/data_plane/program.py
+++ b/leadrudder/data_plane/program.py
@@ -339,7 +339,7 @@
     def _hello(self) -> wire.Node:
         self._number += 1
         node = self._node()
-        self.state.take_own(zone_relays.bare(node), node)
+        self.state.take_own(zone_relays.without_servers(node), node)
         return node
 
     def _report(self) -> None:
--- a/leadrudder/membership/registry.py
+++ b/leadrudder/membership/registry.py
@@ -13,21 +13,21 @@
 from leadrudder.configuration.item_store import sealed
 from leadrudder.protocol.mesh_pb2 import Node
 
-MOVE_S = 0.8  # for a station that lost its signalbox to find another
-ORPHAN_S = 3.0  # the same where the signalbox itself is gone
+RECONNECT_GRACE_S = 0.8  # for a station that lost its signalbox to find another
+ORPHAN_GRACE_S = 3.0  # the same where the signalbox itself is gone
 
 
-def rank(node: Node) -> tuple[int, int, bool]:
+def freshness(node: Node) -> tuple[int, int, bool]:
     """The newest of a station's entries has the highest."""
     return node.life, node.number, node.gone
 
 
-def seal(node: Node) -> int:
+def entry_digest(node: Node) -> int:
     return sealed(f"{node.name}|{node.life}|{node.number}|{node.gone}")
 
 
 @dataclass(slots=True)
-class Register:
+class MemberRegistry:
     """address: of the signalbox whose register it is."""
 
     address: str
@@ -43,8 +43,8 @@
         taken = []
         for node in news:
             old = self.nodes.get(node.name)
-            if old is None or rank(node) > rank(old):
-                self.digest ^= seal(node) ^ (seal(old) if old is not None else 0)
+            if old is None or freshness(node) > freshness(old):
+                self.digest ^= entry_digest(node) ^ (entry_digest(old) if old is not None else 0)
                 self.nodes[node.name] = node
                 taken.append(node)
                 if node.holder == self.address and not node.gone and node.name not in self.sessions:
@@ -65,7 +65,7 @@
         self.sessions.discard(name)
         node = self.nodes.get(name)
         if node is not None and node.holder == self.address and not node.gone:
-            self._leaving[name] = (now + MOVE_S, node)
+            self._leaving[name] = (now + RECONNECT_GRACE_S, node)
 
     def signalbox(self, address: str, up: bool, now: float) -> None:
         if up:
@@ -83,7 +83,7 @@
                     gone.append(node)
         self._leave_strays(now)
         if sweeps and self._lost:
-            orphaned = {a for a, since in self._lost.items() if now - since >= ORPHAN_S}
+            orphaned = {a for a, since in self._lost.items() if now - since >= ORPHAN_GRACE_S}
             gone += [n for n in self.nodes.values() if n.holder in orphaned and not n.gone]
         return self.take(_as_gone(node) for node in gone)
 
@@ -93,7 +93,7 @@
             node = self.nodes.get(name)
             ours = node is not None and node.holder == self.address and not node.gone
             if node is not None and ours and name not in self.sessions:
-                self._leaving.setdefault(name, (now + ORPHAN_S, node))
+                self._leaving.setdefault(name, (now + ORPHAN_GRACE_S, node))
         self._strays.clear()
 
     def members(self) -> list[Node]:
@@ -103,9 +103,11 @@
         """Bounded memory: the oldest of those that are gone go first."""
         if len(self.nodes) <= most:
             return
-        for node in sorted((n for n in self.nodes.values() if n.gone), key=rank)[: len(self.nodes) - most]:
+        for node in sorted((n for n in self.nodes.values() if n.gone), key=freshness)[
+            : len(self.nodes) - most
+        ]:
             del self.nodes[node.name]
-            self.digest ^= seal(node)
+            self.digest ^= entry_digest(node)
 
 
 def _as_gone(node: Node) -> Node:
--- a/leadrudder/membership/zone_relays.py
+++ b/leadrudder/membership/zone_relays.py
@@ -14,10 +14,10 @@
 
 from leadrudder.protocol.mesh_pb2 import Node
 
-BAD_S = 3.0  # one that could not be reached, or told that it knows nothing, is passed over so long
+UNREACHABLE_S = 3.0  # one that could not be reached, or told that it knows nothing, is passed over so long
 
 
-def bare(node: Node) -> Node:
+def without_servers(node: Node) -> Node:
     """The same entry without its servers and counts: who is there, for everybody."""
     entry = Node()
     entry.CopyFrom(node)
@@ -28,10 +28,10 @@
 
 def of_services(nodes: Iterable[Node], services: frozenset[str]) -> list[Node]:
     """Entries of stations beside such servers, also where a server has just gone; without their counts."""
-    return [_uncounted(node) for node in nodes if node.service in services]
+    return [_without_counts(node) for node in nodes if node.service in services]
 
 
-def _uncounted(node: Node) -> Node:
+def _without_counts(node: Node) -> Node:
     if not node.tallies:
         return node
     entry = Node()
@@ -40,14 +40,14 @@
     return entry
 
 
-def order(service: str, members: Iterable[Node], zone: str) -> list[Node]:
+def relay_order(service: str, members: Iterable[Node], zone: str) -> list[Node]:
     """The zone's stations in the order in which they are home for a service."""
     near = [node for node in members if node.zone == zone and not node.gone]
     return sorted(near, key=lambda node: (zlib.crc32(f"{service}|{node.name}".encode()), node.name))
 
 
 @dataclass(slots=True)
-class Homes:
+class ZoneRelays:
     """A station's choice of whom to ask.  name, zone: its own; times are seconds."""
 
     name: str
@@ -58,7 +58,7 @@
     _orders: dict[str, list[Node]] = field(default_factory=dict)  # by service
 
     def failed(self, address: str, now: float) -> None:
-        self.bad[address] = now + BAD_S
+        self.bad[address] = now + UNREACHABLE_S
 
     def sources(self, services: Iterable[str], members: list[Node], now: float) -> dict[str, set[str]]:
         """What to ask whom: services by the address of a station, or by "" for our signalbox.
@@ -79,7 +79,7 @@
             return ""  # others rest on us: what we tell them must not come round
         ordered = self._orders.get(service)
         if ordered is None:
-            ordered = self._orders[service] = order(service, members, self.zone)
+            ordered = self._orders[service] = relay_order(service, members, self.zone)
         for node in ordered:
             if node.name == self.name:
                 return ""
--- a/leadrudder/mesh/snapshots.py
+++ b/leadrudder/mesh/snapshots.py
@@ -12,7 +12,7 @@
 
 from leadrudder.backup import snapshot
 from leadrudder.backup.snapshot import Snapshot
-from leadrudder.storage.store import DiskError, DumbStore
+from leadrudder.storage.store import DbmStore, DiskError
 
 CALL_S = 5.0
 
@@ -128,7 +128,7 @@
         try:
             if os.path.isdir(folder) and os.listdir(folder):
                 return _fail(f"{folder}: is not empty")
-            store = DumbStore(folder)
+            store = DbmStore(folder)
             store.open()
             store.commit(records)
             store.close()
--- a/leadrudder/model_checker/machine_states.py
+++ b/leadrudder/model_checker/machine_states.py
@@ -18,9 +18,14 @@
 
 from leadrudder.configuration.item_store import Book
 from leadrudder.consensus.lease import DUTIES
-from leadrudder.consensus.outputs import Answer, Output, Send, Stands, Write
-from leadrudder.consensus.state_machine import ITEM_RECORD, PROMISED_RECORD, SEATS_RECORD, Interlocking
-from leadrudder.consensus.voters import Seats
+from leadrudder.consensus.outputs import Answer, Committed, Output, Send, Write
+from leadrudder.consensus.state_machine import (
+    ITEM_RECORD,
+    PROMISED_RECORD,
+    VOTERS_RECORD,
+    ControlStateMachine,
+)
+from leadrudder.consensus.voters import VoterTable
 from leadrudder.protocol import mesh_pb2
 from leadrudder.protocol.mesh_pb2 import Frame, Item
 
@@ -146,14 +151,14 @@
             effects.append(sent(output))
         elif isinstance(output, Write):
             effects.append(ToWrite(tuple(sorted(output.records.items())), tuple(map(sent, output.then))))
-        elif isinstance(output, Stands):
+        elif isinstance(output, Committed):
             effects.append(Stood(tuple(map(fact, output.items))))
         elif isinstance(output, Answer):
             effects.append(Answered(output.number, int(output.code), tuple(map(fact, output.items))))
     return tuple(effects)
 
 
-Maker = Callable[[str, int, bool, dict[str, bytes]], Interlocking]  # address, life, first run, disk
+Maker = Callable[[str, int, bool, dict[str, bytes]], ControlStateMachine]  # address, life, first run, disk
 
 
 class Locals:
@@ -231,13 +236,13 @@
         view = self._disk_views.get(disk)
         if view is None:
             items = {}
-            seats = Seats("")
+            seats = VoterTable("")
             full = False
             for name, value in self.disks[disk].items():
                 if name.startswith(ITEM_RECORD):
                     item = Item.FromString(value)
                     items[item.key] = fact(item)
-                elif name == SEATS_RECORD:
+                elif name == VOTERS_RECORD:
                     seats.restore(value)
                     full = bool(json.loads(value)["full"])
                 else:
@@ -245,7 +250,7 @@
             view = self._disk_views[disk] = DiskView(full, _rows(seats), items)
         return view
 
-    def _number(self, machine: Interlocking) -> int:
+    def _number(self, machine: ControlStateMachine) -> int:
         machine.turn.out, machine.turn.inbox = [], []
         into = io.BytesIO()
         _Pickler(into, 5).dump(machine)
@@ -260,7 +265,7 @@
         return known
 
 
-def _feed(machine: Interlocking, given: Input) -> list[Output]:
+def _feed(machine: ControlStateMachine, given: Input) -> list[Output]:
     kind, now = given[0], given[-1]
     if kind == "frame":
         return machine.frame(given[1], Frame.FromString(given[2]), now)
@@ -278,14 +283,14 @@
     return machine.resign(now)
 
 
-def _rows(seats: Seats) -> tuple[SeatRow, ...]:
+def _rows(seats: VoterTable) -> tuple[SeatRow, ...]:
     return tuple(
         (i, CLOSED if seat.settled else seat.holder, seat.incarnation)
         for i, seat in sorted(seats.table.items())
     )
 
 
-def _view(machine: Interlocking) -> View:
+def _view(machine: ControlStateMachine) -> View:
     owned = {section: state.epoch for section, state in machine.owner.sections.items() if state.ready}
     mine = machine.seats.mine()
     return View(
--- a/leadrudder/model_checker/world.py
+++ b/leadrudder/model_checker/world.py
@@ -13,9 +13,9 @@
 from typing import Any
 
 from leadrudder.configuration.items import ORDERS
-from leadrudder.consensus.outputs import Code
-from leadrudder.consensus.quorum_check import Contact
-from leadrudder.consensus.state_machine import Interlocking
+from leadrudder.consensus.outputs import ResultCode
+from leadrudder.consensus.quorum_check import QuorumCheck
+from leadrudder.consensus.state_machine import ControlStateMachine
 from leadrudder.model_checker.machine_states import (
     Answered,
     Effect,
@@ -45,7 +45,7 @@
 from leadrudder.protocol.mesh_pb2 import Item
 
 
-class Unasked(Contact):
+class Unasked(QuorumCheck):
     """Asks nobody: it decides nothing here, and its numbers would make every state a new one.
 
     What rests on it, telling stations, is played in rehearsals (tests/mesh/test_concurrent_operators.py).
@@ -65,8 +65,8 @@
         self.pairs = tuple(combinations(range(len(self.addresses)), 2))
         seeds = self.addresses[: min(3, scene.machines)]
 
-        def make(address: str, life: int, first_run: bool, disk: dict[str, bytes]) -> Interlocking:
-            machine = Interlocking(
+        def make(address: str, life: int, first_run: bool, disk: dict[str, bytes]) -> ControlStateMachine:
+            machine = ControlStateMachine(
                 address,
                 "zone",
                 first_run=first_run,
@@ -437,17 +437,17 @@
         for c, asked in enumerate(state.asked):
             if asked.number != answer.number or asked.at != i:
                 continue
-            code = Code(answer.code)
-            clear = code in (Code.DONE, Code.CONFLICT)
+            code = ResultCode(answer.code)
+            clear = code in (ResultCode.DONE, ResultCode.CONFLICT)
             after = asked._replace(at=-1, done=clear, tries=0 if clear else asked.tries)
             state = state._replace(asked=(*state.asked[:c], after, *state.asked[c + 1 :]))
             if not asked.items:
-                if code is Code.DONE:
+                if code is ResultCode.DONE:
                     self._read(asked.owed, answer.items)
-            elif code is Code.DONE:
+            elif code is ResultCode.DONE:
                 state = state._replace(acknowledged=state.acknowledged | frozenset(asked.items))
                 self._kept(state)
-            elif code is Code.CONFLICT and not asked.items[0][0].startswith(ORDERS):
+            elif code is ResultCode.CONFLICT and not asked.items[0][0].startswith(ORDERS):
                 # An order's count has moved on; of a call of several items no part stands.
                 state = state._replace(refused=state.refused | frozenset(asked.items))
                 self._stands(state, ())
--- a/leadrudder/storage/store.py
+++ b/leadrudder/storage/store.py
@@ -25,13 +25,13 @@
 
 from leadrudder.protocol.mesh_pb2 import RecordBatch
 
-_HEAD = struct.Struct(">I")  # the seal of what follows
-_LINE = re.compile(rb"'[0-9]{12}', \([0-9]+, [0-9]+\)")
-GENERATION_MOST = 4000  # batches, after which a new generation is begun
+_CHECKSUM = struct.Struct(">I")  # the seal of what follows
+_INDEX_LINE = re.compile(rb"'[0-9]{12}', \([0-9]+, [0-9]+\)")
+MAX_GENERATION_BATCHES = 4000  # batches, after which a new generation is begun
 FORMAT = 2
 
 
-class Spoilt(Exception):  # noqa: N818 - it says what is the matter with a file
+class CorruptStoreError(Exception):  # noqa: N818 - it says what is the matter with a file
     """Bytes that had been synced have changed: what the disk held is not known any more."""
 
 
@@ -68,20 +68,20 @@
         pass
 
 
-def sealed(records: Mapping[str, bytes]) -> bytes:
+def encode_batch(records: Mapping[str, bytes]) -> bytes:
     """A batch with its checksum in front."""
     body = RecordBatch(format=FORMAT, records=records).SerializeToString(deterministic=True)
-    return _HEAD.pack(zlib.crc32(body)) + body
+    return _CHECKSUM.pack(zlib.crc32(body)) + body
 
 
-def unsealed(data: bytes) -> dict[str, bytes] | None:
+def decode_batch(data: bytes) -> dict[str, bytes] | None:
     """The batch, or None where any of it is torn; DiskError where its format is of a later release.
 
     Format 1 was JSON with the values in hexadecimal digits.
     """
-    if len(data) < _HEAD.size or _HEAD.unpack_from(data)[0] != zlib.crc32(data[_HEAD.size :]):
+    if len(data) < _CHECKSUM.size or _CHECKSUM.unpack_from(data)[0] != zlib.crc32(data[_CHECKSUM.size :]):
         return None
-    body = data[_HEAD.size :]
+    body = data[_CHECKSUM.size :]
     try:
         if body.startswith(b"{"):
             old = json.loads(body)
@@ -94,7 +94,7 @@
     return dict(batch.records)
 
 
-class DumbStore:
+class DbmStore:
     """Records in a folder, in generations of `dbm.dumb` files."""
 
     _NAME = re.compile(r"g([0-9]{8})\.dat")
@@ -127,7 +127,7 @@
             self.spoilt = ""
             try:
                 self._held = self.look()
-            except Spoilt as spoilt:
+            except CorruptStoreError as spoilt:
                 self.spoilt, self._held = str(spoilt), {}
             self._begin(max(found, default=0) + 1, found)
         except (OSError, dbm.dumb.error) as error:
@@ -136,7 +136,7 @@
 
     def commit(self, records: Mapping[str, bytes]) -> None:
         try:
-            if self._count >= GENERATION_MOST or self._db is None:
+            if self._count >= MAX_GENERATION_BATCHES or self._db is None:
                 self._held.update(records)
                 self._begin(self._generation + 1, [self._generation])
             else:
@@ -172,17 +172,17 @@
         for raw in filter(None, lines):
             number, batch = expected, None
             line = raw.strip(b"\0")  # what a torn write leaves
-            if _LINE.search(line) and not _LINE.fullmatch(line):
-                raise Spoilt(f"{path}.dir: record {expected} cannot be read")
-            if _LINE.fullmatch(line):
+            if _INDEX_LINE.search(line) and not _INDEX_LINE.fullmatch(line):
+                raise CorruptStoreError(f"{path}.dir: record {expected} cannot be read")
+            if _INDEX_LINE.fullmatch(line):
                 name, _, place = line.partition(b", ")
                 at, size = (int(part) for part in place.strip(b"()").split(b", "))
-                number, batch = int(name.strip(b"'")), unsealed(data[at : at + size])
+                number, batch = int(name.strip(b"'")), decode_batch(data[at : at + size])
             if batch is None:
                 torn = torn or f"{path}.dat: record {number} cannot be read"
                 continue
             if torn or number != expected:
-                raise Spoilt(torn or f"{path}.dat: record {expected} cannot be read")
+                raise CorruptStoreError(torn or f"{path}.dat: record {expected} cannot be read")
             expected += 1
             if held is None:
                 held = batch
@@ -204,7 +204,7 @@
 
     def _append(self, records: Mapping[str, bytes], *, new: bool = False) -> None:
         assert self._db is not None
-        self._db[f"{self._count:012d}"] = sealed(records)
+        self._db[f"{self._count:012d}"] = encode_batch(records)
         self._count += 1
         if new:
             path = self._path(self._generation)
--- a/leadrudder/storage/writer.py
+++ b/leadrudder/storage/writer.py
@@ -12,21 +12,21 @@
 
 from leadrudder.storage.store import DiskError, Store
 
-Done = Callable[[], None]
-RETRY_S = 0.2
+Callback = Callable[[], None]
+RETRY_DELAY_S = 0.2
 
 
-class Writes(Protocol):
+class BatchWriter(Protocol):
     """What a signalbox asks of whatever writes its batches."""
 
-    def put(self, records: dict[str, bytes], done: Done) -> None: ...
+    def put(self, records: dict[str, bytes], done: Callback) -> None: ...
 
-    def after(self, done: Done) -> None: ...
+    def after(self, done: Callback) -> None: ...
 
     def stop(self, wait_s: float) -> None: ...
 
 
-class Writer:
+class ThreadedWriter:
     """done is called in the loop once its records are on disk; a disk that refuses is tried again."""
 
     def __init__(self, store: Store, told: Callable[[str], None]) -> None:
@@ -35,19 +35,19 @@
         self._loop = asyncio.get_running_loop()
         self._lock = threading.Condition()
         self._waiting: dict[str, bytes] = {}
-        self._callbacks: list[Done] = []
+        self._callbacks: list[Callback] = []
         self._busy = False
         self._stopped = False
         self._thread = threading.Thread(target=self._work, name="depot", daemon=True)
         self._thread.start()
 
-    def put(self, records: dict[str, bytes], done: Done) -> None:
+    def put(self, records: dict[str, bytes], done: Callback) -> None:
         with self._lock:
             self._waiting.update(records)
             self._callbacks.append(done)
             self._lock.notify()
 
-    def after(self, done: Done) -> None:
+    def after(self, done: Callback) -> None:
         """Call done once all that was put so far is on disk: at once where nothing waits."""
         with self._lock:
             if self._busy or self._callbacks:
@@ -82,13 +82,13 @@
                     with self._lock:
                         if self._stopped:
                             return
-                        self._lock.wait(RETRY_S)
+                        self._lock.wait(RETRY_DELAY_S)
             with self._lock:
                 self._busy = False
             for done in callbacks:
                 self._call(done)
 
-    def _call(self, done: Done) -> None:
+    def _call(self, done: Callback) -> None:
         try:
             self._loop.call_soon_threadsafe(done)
         except RuntimeError:
--- a/tests/mesh/planted_faults.py
+++ b/tests/mesh/planted_faults.py
@@ -12,14 +12,14 @@
 
 from leadrudder.consensus import lease, ownership, quorum, state_machine
 from leadrudder.consensus.lease import Leases
-from leadrudder.consensus.outputs import Code, Output, Send
-from leadrudder.consensus.ownership import Owner
+from leadrudder.consensus.outputs import Output, ResultCode, Send
+from leadrudder.consensus.ownership import SectionOwnership
 from leadrudder.consensus.quorum import Quorum
-from leadrudder.consensus.quorum_check import Contact
-from leadrudder.consensus.reconfiguration import Seating
-from leadrudder.consensus.requests import Change, Phase, Requests
-from leadrudder.consensus.state_machine import Interlocking
-from leadrudder.consensus.voters import Seats
+from leadrudder.consensus.quorum_check import QuorumCheck
+from leadrudder.consensus.reconfiguration import Reconfiguration
+from leadrudder.consensus.requests import OperatorRequests, PendingChange, Phase
+from leadrudder.consensus.state_machine import ControlStateMachine
+from leadrudder.consensus.voters import VoterTable
 from leadrudder.control_simulation.scenario import FAULTS, RESIZING, Course
 from leadrudder.model_checker.state import Move
 from leadrudder.protocol import mesh_pb2 as wire
@@ -44,36 +44,36 @@
 
 def promise_without_items() -> Any:
     """A new owner hears nothing of what stood before."""
-    return put(Owner, "of_section", lambda self, section: [])
+    return put(SectionOwnership, "of_section", lambda self, section: [])
 
 
 def one_version_two_values() -> Any:
     """The owner does not look whether a version has a value already."""
 
-    def weigh(self: Owner, ask: wire.ChangeRequest) -> tuple[Code, list[Item], list[Item]]:
-        return Code.DONE, [Item.FromString(item.SerializeToString()) for item in ask.items], []
+    def weigh(self: SectionOwnership, ask: wire.ChangeRequest) -> tuple[ResultCode, list[Item], list[Item]]:
+        return ResultCode.DONE, [Item.FromString(item.SerializeToString()) for item in ask.items], []
 
-    return put(Owner, "_weigh", weigh)
+    return put(SectionOwnership, "_weigh", weigh)
 
 
 def lower_is_done_at_once() -> Any:
     """What a higher version has overtaken is acknowledged while that is on its way."""
 
-    def weigh(self: Owner, ask: wire.ChangeRequest) -> tuple[Code, list[Item], list[Item]]:
+    def weigh(self: SectionOwnership, ask: wire.ChangeRequest) -> tuple[ResultCode, list[Item], list[Item]]:
         code, new, _ = whole(self, ask)
         return code, new, []
 
-    whole = Owner._weigh
-    return put(Owner, "_weigh", weigh)
+    whole = SectionOwnership._weigh
+    return put(SectionOwnership, "_weigh", weigh)
 
 
 def read_by_one() -> Any:
-    def on_reading(self: Requests, peer: str, told: wire.ReadResponse) -> None:
+    def on_reading(self: OperatorRequests, peer: str, told: wire.ReadResponse) -> None:
         reading = self._rounds.get(told.number)
         if reading is not None and told.ok:
-            self._end_read(reading, Code.DONE, told.items)
+            self._end_read(reading, ResultCode.DONE, told.items)
 
-    return put(Requests, "on_reading", on_reading)
+    return put(OperatorRequests, "on_reading", on_reading)
 
 
 def grants_to_all() -> Any:
@@ -93,26 +93,26 @@
 def acknowledged_before_the_sync() -> Any:
     """What follows a write is said at once."""
 
-    def write(self: Interlocking, records: dict[str, bytes], then: Iterable[Send] = ()) -> None:
+    def write(self: ControlStateMachine, records: dict[str, bytes], then: Iterable[Send] = ()) -> None:
         whole(self, records)
         for send in then:
             self.send(send.to, send.frame)
 
-    whole = Interlocking.write
-    return put(Interlocking, "write", write)
+    whole = ControlStateMachine.write
+    return put(ControlStateMachine, "write", write)
 
 
 def copy_not_kept() -> Any:
     """One that is asked for a copy says that it has it, and keeps nothing."""
-    return put(Interlocking, "keep", lambda self, items: {})
+    return put(ControlStateMachine, "keep", lambda self, items: {})
 
 
 def drop_forgotten() -> Any:
-    def keep(self: Interlocking, items: Iterable[Item]) -> dict[str, bytes]:
+    def keep(self: ControlStateMachine, items: Iterable[Item]) -> dict[str, bytes]:
         return whole(self, [item for item in items if not item.dropped])
 
-    whole = Interlocking.keep
-    return put(Interlocking, "keep", keep)
+    whole = ControlStateMachine.keep
+    return put(ControlStateMachine, "keep", keep)
 
 
 def older_overwrites_newer() -> Any:
@@ -123,7 +123,7 @@
 def promise_not_written() -> Any:
     """A promise is kept in memory alone."""
 
-    def write(self: Interlocking, records: dict[str, bytes], then: Iterable[Send] = ()) -> None:
+    def write(self: ControlStateMachine, records: dict[str, bytes], then: Iterable[Send] = ()) -> None:
         kept = {
             name: value
             for name, value in records.items()
@@ -131,8 +131,8 @@
         }
         whole(self, kept, then)
 
-    whole = Interlocking.write
-    return put(Interlocking, "write", write)
+    whole = ControlStateMachine.write
+    return put(ControlStateMachine, "write", write)
 
 
 # ---------------------------------------------------------------- owners, epochs
@@ -148,84 +148,86 @@
 def epoch_not_raised() -> Any:
     """A claim takes the epoch that it knows, its seat in the low bits as ever."""
 
-    def claim(self: Owner, section: int) -> None:
+    def claim(self: SectionOwnership, section: int) -> None:
         self._machine.promised = _Low(self._machine.promised)
         whole(self, section)
         self._machine.promised = dict(self._machine.promised)
 
-    whole = Owner.claim
-    return put(Owner, "claim", claim)
+    whole = SectionOwnership.claim
+    return put(SectionOwnership, "claim", claim)
 
 
 def old_epoch_taken() -> Any:
     """A copy under an epoch that another promise has overtaken is taken."""
 
-    def on_copy(self: Interlocking, peer: str, copy: wire.Replicate) -> None:
+    def on_copy(self: ControlStateMachine, peer: str, copy: wire.Replicate) -> None:
         promised = self.promised.pop(copy.section, 0)
         whole(self, peer, copy)
         self.promised[copy.section] = max(promised, self.promised.get(copy.section, 0))
 
-    whole = Interlocking._on_copy
-    return put(Interlocking, "_on_copy", on_copy)
+    whole = ControlStateMachine._on_copy
+    return put(ControlStateMachine, "_on_copy", on_copy)
 
 
 def promised_to_all() -> Any:
     """A lower epoch is promised after a higher one."""
 
-    def on_prepare(self: Interlocking, peer: str, prepare: wire.Prepare) -> None:
+    def on_prepare(self: ControlStateMachine, peer: str, prepare: wire.Prepare) -> None:
         self.promised.pop(prepare.section, None)
         whole(self, peer, prepare)
 
-    whole = Interlocking._on_prepare
-    return put(Interlocking, "_on_prepare", on_prepare)
+    whole = ControlStateMachine._on_prepare
+    return put(ControlStateMachine, "_on_prepare", on_prepare)
 
 
 def found_is_not_copied() -> Any:
     """A new owner takes what it found for standing, without a copy under its own epoch."""
 
-    def copy(self: Owner, section: int, items: list[Item], **given: Any) -> None:
+    def copy(self: SectionOwnership, section: int, items: list[Item], **given: Any) -> None:
         if given.get("claim"):
             self._machine.stands(items)
             self._ready(section)
         else:
             whole(self, section, items, **given)
 
-    whole = Owner._copy
-    return put(Owner, "_copy", copy)
+    whole = SectionOwnership._copy
+    return put(SectionOwnership, "_copy", copy)
 
 
 def old_epoch_kept() -> Any:
     """What was taken under an earlier owner is copied on under that one's epoch."""
 
-    def send_copies(self: Owner, number: int, copying: ownership.Copying, to: Iterable[str]) -> None:
+    def send_copies(
+        self: SectionOwnership, number: int, copying: ownership.Replication, to: Iterable[str]
+    ) -> None:
         for item in copying.items:
             held = self._machine.book.items.get(item.key)
             if held is not None and held.version == item.version and held.value == item.value:
                 item.epoch = held.epoch
         whole(self, number, copying, to)
 
-    whole = Owner._send_copies
-    return put(Owner, "_send_copies", send_copies)
+    whole = SectionOwnership._send_copies
+    return put(SectionOwnership, "_send_copies", send_copies)
 
 
 def refused_before_it_stands() -> Any:
     """A version is told as taken by a value that may yet come to nothing."""
 
-    def weigh(self: Owner, ask: wire.ChangeRequest) -> tuple[Code, list[Item], list[Item]]:
+    def weigh(self: SectionOwnership, ask: wire.ChangeRequest) -> tuple[ResultCode, list[Item], list[Item]]:
         code, new, waits = whole(self, ask)
-        return (Code.CONFLICT if code is Code.BUSY else code), new, waits
+        return (ResultCode.CONFLICT if code is ResultCode.BUSY else code), new, waits
 
-    whole = Owner._weigh
-    return put(Owner, "_weigh", weigh)
+    whole = SectionOwnership._weigh
+    return put(SectionOwnership, "_weigh", weigh)
 
 
 def stale_owner_believed() -> Any:
-    return put(Owner, "on_owned", lambda self, peer, owned: None)
+    return put(SectionOwnership, "on_owned", lambda self, peer, owned: None)
 
 
 def left_half_done() -> Any:
     """What repair brings of an earlier owner's is left to lie."""
-    return put(Owner, "_settle_found", lambda self: None)
+    return put(SectionOwnership, "_settle_found", lambda self: None)
 
 
 # ---------------------------------------------------------------- seats
@@ -234,30 +236,30 @@
 def wiped_counts_at_once() -> Any:
     """One whose disk is empty votes as soon as it hears of its seat."""
 
-    def learn(self: Seats, told: Iterable[VoterSlot], teller: str = "") -> bool:
+    def learn(self: VoterTable, told: Iterable[VoterSlot], teller: str = "") -> bool:
         new = whole(self, told, teller)
         self.full = self.full or self.mine() is not None
         return new
 
-    whole = Seats.learn
-    return put(Seats, "learn", learn)
+    whole = VoterTable.learn
+    return put(VoterTable, "learn", learn)
 
 
 def newcomer_asks_one() -> Any:
-    return put(Seats, "grants_needed", lambda self, index: 1)
+    return put(VoterTable, "grants_needed", lambda self, index: 1)
 
 
 def full_before_the_sync() -> Any:
     """A newcomer counts before what it was given is on its disk."""
 
-    def on_grant(self: Seating, peer: str, grant: wire.SlotGrant) -> None:
+    def on_grant(self: Reconfiguration, peer: str, grant: wire.SlotGrant) -> None:
         claim = self._claim
         whole(self, peer, grant)
         if claim is not None and self._claim is None:
             self.seated()
 
-    whole = Seating.on_grant
-    return put(Seating, "on_grant", on_grant)
+    whole = Reconfiguration.on_grant
+    return put(Reconfiguration, "on_grant", on_grant)
 
 
 def lost_votes_count() -> Any:
@@ -268,14 +270,14 @@
 def granted_without_items() -> Any:
     """A newcomer is given the seat, and not what belongs to it."""
 
-    def on_grant(self: Seating, peer: str, grant: wire.SlotGrant) -> None:
+    def on_grant(self: Reconfiguration, peer: str, grant: wire.SlotGrant) -> None:
         bare = wire.SlotGrant()
         bare.CopyFrom(grant)
         del bare.items[:]
         whole(self, peer, bare)
 
-    whole = Seating.on_grant
-    return put(Seating, "on_grant", on_grant)
+    whole = Reconfiguration.on_grant
+    return put(Reconfiguration, "on_grant", on_grant)
 
 
 class _Many(set[str]):
@@ -291,12 +293,12 @@
 def ousted_by_one_view() -> Any:
     """A seat is asked for without sounding who else sees its holder lost."""
 
-    def ask_for_one(self: Seating) -> None:
+    def ask_for_one(self: Reconfiguration) -> None:
         self._willing = _Many()
         whole(self)
 
-    whole = Seating._ask_for_one
-    return put(Seating, "_ask_for_one", ask_for_one)
+    whole = Reconfiguration._ask_for_one
+    return put(Reconfiguration, "_ask_for_one", ask_for_one)
 
 
 def size_not_told() -> Any:
@@ -325,18 +327,18 @@
 
 def two_closed_at_once() -> Any:
     """Another seat is closed before the last one is settled."""
-    return put(Seats, "half_closed", lambda self: None)
+    return put(VoterTable, "half_closed", lambda self: None)
 
 
 def new_seat_by_one() -> Any:
     """A seat that is new is granted by one of those that have one."""
 
-    def grants_needed(self: Seats, index: int) -> int:
+    def grants_needed(self: VoterTable, index: int) -> int:
         known = self.table.get(index)
         return whole(self, index) if known is not None and not known.closed else 1
 
-    whole = Seats.grants_needed
-    return put(Seats, "grants_needed", grants_needed)
+    whole = VoterTable.grants_needed
+    return put(VoterTable, "grants_needed", grants_needed)
 
 
 # ---------------------------------------------------------------- links, duties
@@ -345,20 +347,20 @@
 def restart_not_noticed() -> Any:
     """A process that is back is taken for the one before."""
 
-    def on_greeting(self: Interlocking, peer: str, greeting: wire.PeerStatus) -> None:
+    def on_greeting(self: ControlStateMachine, peer: str, greeting: wire.PeerStatus) -> None:
         same = wire.PeerStatus()
         same.CopyFrom(greeting)
         same.life = 1
         whole(self, peer, same)
 
-    whole = Interlocking._on_greeting
-    return put(Interlocking, "_on_greeting", on_greeting)
+    whole = ControlStateMachine._on_greeting
+    return put(ControlStateMachine, "_on_greeting", on_greeting)
 
 
 def new_link_not_told() -> Any:
     """A link that replaces another is not told anew what stands."""
 
-    def up(self: Interlocking, peer: str, now: float) -> list[Output]:
+    def up(self: ControlStateMachine, peer: str, now: float) -> list[Output]:
         known = self.peers.get(peer)
         told = known is not None and known.told
         outputs = whole(self, peer, now)
@@ -366,8 +368,8 @@
             known.told = told
         return outputs
 
-    whole = Interlocking.up
-    return put(Interlocking, "up", up)
+    whole = ControlStateMachine.up
+    return put(ControlStateMachine, "up", up)
 
 
 def lease_kept_too_long() -> Any:
@@ -383,7 +385,7 @@
 
 
 def no_room_for_clocks() -> Any:
-    return mock.patch.object(lease, "DRIFT", 0.0)
+    return mock.patch.object(lease, "MAX_CLOCK_DRIFT", 0.0)
 
 
 def granted_anew_after_a_restart() -> Any:
@@ -399,39 +401,39 @@
 def nothing_repaired() -> Any:
     """What others miss is not handed over."""
 
-    def send(self: Interlocking, to: str, frame: Frame) -> None:
+    def send(self: ControlStateMachine, to: str, frame: Frame) -> None:
         if frame.WhichOneof("body") not in ("repair", "standing"):
             whole(self, to, frame)
 
-    whole = Interlocking.send
-    return put(Interlocking, "send", send)
+    whole = ControlStateMachine.send
+    return put(ControlStateMachine, "send", send)
 
 
 def reserved_in_no_order() -> Any:
     """A call over several sections asks all owners at once for its versions."""
 
-    def reserve_all(self: Requests, change: Change) -> None:
+    def reserve_all(self: OperatorRequests, change: PendingChange) -> None:
         change.phase = Phase.RESERVE
         self._forget_asks(change)
         change.to_reserve = sorted(change.parts)
         for section in change.parts:
             self._ask(change, section)
 
-    def reserved(self: Requests, change: Change, section: int) -> None:
+    def reserved(self: OperatorRequests, change: PendingChange, section: int) -> None:
         change.to_reserve.remove(section)
         if not change.to_reserve:
             self._make_all(change)
 
-    return put_all(Requests, _reserve_all=reserve_all, _on_reserved=reserved)
+    return put_all(OperatorRequests, _reserve_all=reserve_all, _on_reserved=reserved)
 
 
 def links_believed() -> Any:
     """Contact with a majority is what the links seem to be, not what was answered lately."""
 
-    def fresh(self: Contact, now: float) -> bool:
+    def fresh(self: QuorumCheck, now: float) -> bool:
         return self._machine.has_majority()
 
-    return put(Contact, "fresh", fresh)
+    return put(QuorumCheck, "fresh", fresh)
 
 
 PLANTS: dict[str, Callable[[], Any]] = {
--- a/tests/mesh/test_anti_entropy.py
+++ b/tests/mesh/test_anti_entropy.py
@@ -10,19 +10,21 @@
 from leadrudder.consensus import anti_entropy
 from leadrudder.consensus.outputs import Output, Send, Write
 from leadrudder.consensus.quorum import Quorum
-from leadrudder.consensus.state_machine import Interlocking
+from leadrudder.consensus.state_machine import ControlStateMachine
 from leadrudder.protocol import mesh_pb2 as wire
 from leadrudder.protocol.mesh_pb2 import Frame, Item, VoterView
 
 NAMES = ("10.0.0.1:1", "10.1.0.1:1", "10.2.0.1:1")
 
 
-def machine(i: int, *items: Item, full: bool = True) -> Interlocking:
+def machine(i: int, *items: Item, full: bool = True) -> ControlStateMachine:
     """One of three seats' holders, which has these items and its records on disk."""
     seats = {"seats": [[n, name, 1] for n, name in enumerate(NAMES)], "full": full}
     kept = {f"item/{item.key}": item.SerializeToString() for item in items}
     kept["seats"] = json.dumps(seats).encode()
-    return Interlocking(NAMES[i], "zone", first_run=False, seeds=NAMES, losses=1, rng=Random(i), kept=kept)
+    return ControlStateMachine(
+        NAMES[i], "zone", first_run=False, seeds=NAMES, losses=1, rng=Random(i), kept=kept
+    )
 
 
 def frames(outputs: list[Output], to: str) -> list[Frame]:
@@ -34,7 +36,7 @@
 class Pair:
     """Two machines with a link, each frame delivered at once; counts bytes by kind."""
 
-    def __init__(self, a: Interlocking, b: Interlocking) -> None:
+    def __init__(self, a: ControlStateMachine, b: ControlStateMachine) -> None:
         self.ends = (a, b)
         self.bytes: dict[str, int] = {}
         for one, other in ((a, b), (b, a)):
@@ -45,7 +47,9 @@
         for one, other in ((a, b), (b, a)):
             self._pass(one, other, one.tick(now), now)
 
-    def _pass(self, one: Interlocking, other: Interlocking, outputs: list[Output], now: float) -> None:
+    def _pass(
+        self, one: ControlStateMachine, other: ControlStateMachine, outputs: list[Output], now: float
+    ) -> None:
         for frame in frames(outputs, other.address):
             kind = frame.WhichOneof("body") or ""
             self.bytes[kind] = self.bytes.get(kind, 0) + frame.ByteSize()
@@ -83,11 +87,11 @@
         pair = Pair(machine(0, *many), machine(1))
         pair.tick(1.0)
         first = pair.ends[0].repair.handed
-        self.assertLessEqual(first, anti_entropy.BYTES_S + many[-1].ByteSize())
+        self.assertLessEqual(first, anti_entropy.MAX_BYTES_PER_S + many[-1].ByteSize())
         for step in range(2, 12):
             pair.tick(0.5 * step)
         self.assertEqual(pair.ends[0].book.digest, pair.ends[1].book.digest)
-        self.assertLessEqual(pair.ends[0].repair.handed, (1 + 5.5) * anti_entropy.BYTES_S)
+        self.assertLessEqual(pair.ends[0].repair.handed, (1 + 5.5) * anti_entropy.MAX_BYTES_PER_S)
 
     def test_what_is_owed_can_be_seen(self) -> None:
         a = machine(0, *items(5))
--- a/tests/mesh/test_backup.py
+++ b/tests/mesh/test_backup.py
@@ -17,12 +17,12 @@
 
 from leadrudder.backup.snapshot import Snapshot, keep, load, pack, restored, unpack
 from leadrudder.configuration.item_store import Book
-from leadrudder.consensus.outputs import Answer, Code
+from leadrudder.consensus.outputs import Answer, ResultCode
 from leadrudder.control_simulation.world import World
 from leadrudder.mesh.__main__ import main
 from leadrudder.protocol.mesh_pb2 import Item, RecordBatch
 from leadrudder.storage import store as store_module
-from leadrudder.storage.store import DiskError, DumbStore
+from leadrudder.storage.store import DbmStore, DiskError
 
 SEATS = [(i, f"10.{i}.0.1:1", 1) for i in range(3)]
 
@@ -64,7 +64,7 @@
             ("promised/x", b"1"),
             ("seats", b'{"seats": [[1]]}'),
         ):
-            data = store_module.sealed({name: value, "meta": b'{"taken_s": 1}'})
+            data = store_module.encode_batch({name: value, "meta": b'{"taken_s": 1}'})
             found = unpack(data)
             assert isinstance(found, Failure)
             self.assertIn(name, found.failure())
@@ -127,7 +127,7 @@
         for machine in world.machines.values():
             world.read(machine, answers.append)
         world.play(7.0)
-        self.assertEqual([a.code for a in answers], [Code.DONE] * 3)
+        self.assertEqual([a.code for a in answers], [ResultCode.DONE] * 3)
         self.assertEqual({i.value for a in answers for i in a.items}, {b"kept"})
         self.assertTrue(old.process is not None and old.process.seats.full, "it has a seat again by a claim")
 
@@ -139,7 +139,7 @@
             with redirect_stdout(io.StringIO()), redirect_stderr(io.StringIO()):
                 self.assertEqual(main(arguments), 0)
                 self.assertEqual(main(arguments), 2, "folders that are not empty are left alone")
-            disks = [DumbStore(os.path.join(into, name)).open() for name in sorted(os.listdir(into))]
+            disks = [DbmStore(os.path.join(into, name)).open() for name in sorted(os.listdir(into))]
             self.assertEqual(len(disks), 3)
             self.assertEqual(disks[0], disks[2])
             self.assertTrue(json.loads(disks[0]["seats"])["full"])
@@ -148,28 +148,28 @@
 class Formats(unittest.TestCase):
     def test_an_older_disk_is_read_and_written_anew(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            with mock.patch.object(store_module, "sealed", old_sealed):
-                store = DumbStore(folder)
+            with mock.patch.object(store_module, "encode_batch", old_sealed):
+                store = DbmStore(folder)
                 store.open()
                 store.commit({"a": b"1"})
                 store.commit({"b": b"\xff\0"})
                 store.close()
-            self.assertEqual(DumbStore(folder).open(), {"a": b"1", "b": b"\xff\0"})
+            self.assertEqual(DbmStore(folder).open(), {"a": b"1", "b": b"\xff\0"})
             with mock.patch(
                 "leadrudder.storage.store.json.loads", side_effect=AssertionError("nothing old is left")
             ):
-                self.assertEqual(DumbStore(folder).open(), {"a": b"1", "b": b"\xff\0"})
+                self.assertEqual(DbmStore(folder).open(), {"a": b"1", "b": b"\xff\0"})
 
     def test_a_later_format_is_told_and_not_taken_for_an_empty_disk(self) -> None:
         body = RecordBatch(format=3, records={"a": b"1"}).SerializeToString()
         data = struct.pack(">I", zlib.crc32(body)) + body
         with tempfile.TemporaryDirectory() as folder:
-            with mock.patch.object(store_module, "sealed", lambda records: data):
-                store = DumbStore(folder)
+            with mock.patch.object(store_module, "encode_batch", lambda records: data):
+                store = DbmStore(folder)
                 store.open()
                 store.close()
             with self.assertRaisesRegex(DiskError, "format 3"):
-                DumbStore(folder).open()
+                DbmStore(folder).open()
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_concurrent_operators.py
+++ b/tests/mesh/test_concurrent_operators.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from unittest import mock
 
-from leadrudder.consensus.outputs import Answer, Code
-from leadrudder.consensus.requests import Change, Phase, Requests
+from leadrudder.consensus.outputs import Answer, ResultCode
+from leadrudder.consensus.requests import OperatorRequests, PendingChange, Phase
 from leadrudder.control_simulation.nodes import Stations
 from leadrudder.control_simulation.scenario import FAULTS, STANDSTILL, Course
 from leadrudder.control_simulation.world import Broken, Machine, World
@@ -49,9 +49,9 @@
         )
         return first, second
 
-    def _send(self, at: Machine, call: list[tuple[str, bytes]]) -> list[Code]:
+    def _send(self, at: Machine, call: list[tuple[str, bytes]]) -> list[ResultCode]:
         """An operator's call at one machine; its answer is in the list when it has come."""
-        codes: list[Code] = []
+        codes: list[ResultCode] = []
 
         def answered(answer: Answer) -> None:
             codes.append(answer.code)
@@ -71,13 +71,13 @@
         world = self.world
         asked = next(iter(world.machines.values()))
         first, second = self._owner(self.call[0][0]), self._owner(self.call[1][0])
-        make_all = Requests._make_all
+        make_all = OperatorRequests._make_all
 
-        def lost_on_the_way(requests: Requests, change: Change) -> None:
+        def lost_on_the_way(requests: OperatorRequests, change: PendingChange) -> None:
             world.kill(second)
             make_all(requests, change)
 
-        with mock.patch.object(Requests, "_make_all", lost_on_the_way):
+        with mock.patch.object(OperatorRequests, "_make_all", lost_on_the_way):
             self._send(asked, self.call)
             self._until(lambda: (self.call[0][0], 7) in world.values)
         self.assertIsNotNone(first.process)
@@ -87,33 +87,33 @@
         asked = self._lose_the_second_owner_after_the_first_part()
         taken = self._send(asked, self.rival)
         self._until(lambda: bool(taken), most_s=12.0)
-        if taken == [Code.BUSY]:
+        if taken == [ResultCode.BUSY]:
             taken = self._send(asked, self.rival)
             self._until(lambda: bool(taken), most_s=12.0)
-        self.assertEqual(taken, [Code.DONE])
+        self.assertEqual(taken, [ResultCode.DONE])
         again = self._send(asked, self.call)
         self._until(lambda: bool(again))
-        self.assertEqual(again, [Code.BUSY], "a part of it stands")
+        self.assertEqual(again, [ResultCode.BUSY], "a part of it stands")
 
     def test_nor_once_a_higher_version_has_overtaken_that_part(self) -> None:
         # Course 10 of bench.incidents: the part's version was 7, and 10 when the call was refused.
         asked = self._lose_the_second_owner_after_the_first_part()
         higher = [Item(key=self.call[0][0], version=9, value=b"later")]
         for items in (higher, [Item(key=key, version=7, value=value) for key, value in self.rival]):
-            codes: list[Code] = []
-            while Code.DONE not in codes:
+            codes: list[ResultCode] = []
+            while ResultCode.DONE not in codes:
                 sent = len(codes)
                 self.world.call(asked, items, lambda answer, codes=codes: codes.append(answer.code))  # type: ignore[misc]
                 self._until(lambda sent=sent, codes=codes: len(codes) > sent)  # type: ignore[misc]
         again = self._send(asked, self.call)
         self._until(lambda: bool(again))
-        self.assertEqual(again, [Code.BUSY])
+        self.assertEqual(again, [ResultCode.BUSY])
 
     def test_without_the_withdrawal_it_would_be_refused(self) -> None:
-        def refuse(requests: Requests, change: Change, conflicts: object) -> None:
-            requests._end(change, Code.CONFLICT)
+        def refuse(requests: OperatorRequests, change: PendingChange, conflicts: object) -> None:
+            requests._end(change, ResultCode.CONFLICT)
 
-        with mock.patch.object(Requests, "_withdraw_all", refuse), self.assertRaises(Broken):
+        with mock.patch.object(OperatorRequests, "_withdraw_all", refuse), self.assertRaises(Broken):
             self.test_a_call_that_was_taken_in_part_is_not_refused()
 
     def test_a_call_no_part_of_which_was_taken_is_refused_each_time(self) -> None:
@@ -123,7 +123,7 @@
         for _ in range(3):
             refused = self._send(asked, self.call)
             self._until(lambda refused=refused: bool(refused))  # type: ignore[misc]
-            self.assertEqual(refused, [Code.CONFLICT])
+            self.assertEqual(refused, [ResultCode.CONFLICT])
         self.assertNotIn((self.call[0][0], 7), self.world.values)
 
     def test_what_stands_already_by_another_call_does_not_keep_one_from_being_refused(self) -> None:
@@ -131,14 +131,14 @@
         for earlier in ([self.call[0]], self.rival):
             taken = self._send(asked, earlier)
             self._until(lambda taken=taken: bool(taken))  # type: ignore[misc]
-        refused: list[Code] = []
+        refused: list[ResultCode] = []
         items = [Item(key=key, version=7, value=value) for key, value in self.call]
         process = asked.process
         assert process is not None
         self.world.answers[asked.address, 10**6] = lambda answer: refused.append(answer.code)
         self.world._carry_out(asked, process.change(10**6, items, self.world.now))
         self._until(lambda: bool(refused))
-        self.assertEqual(refused, [Code.CONFLICT])
+        self.assertEqual(refused, [ResultCode.CONFLICT])
 
     def test_a_make_that_comes_after_the_withdrawal_takes_nothing(self) -> None:
         """The first try's last words arrive when the second try has been refused."""
@@ -150,24 +150,24 @@
         self._until(lambda: bool(refused))
         process = asked.process
         assert process is not None
-        late = Change(99, {}, world.now + 0.9, Phase.MAKE)
+        late = PendingChange(99, {}, world.now + 0.9, Phase.MAKE)
         items = [Item(key=key, version=7, value=value) for key, value in self.call]
-        with mock.patch.object(Requests, "_reserve_all", Requests._make_all):
+        with mock.patch.object(OperatorRequests, "_reserve_all", OperatorRequests._make_all):
             world.answers[asked.address, 99] = lambda answer: None
             world._carry_out(asked, process.change(late.number, items, world.now))
             world.play(world.now + 3.0)
         self.assertNotIn((self.call[0][0], 7), world.values)
 
-    def _two_calls_that_share_both_versions(self) -> list[Code]:
+    def _two_calls_that_share_both_versions(self) -> list[ResultCode]:
         """Each operator asks the owner of one, and sends again while the answer is unclear."""
         keys = [key for key, _ in self.call]
-        ended: list[Code] = []
+        ended: list[ResultCode] = []
 
         def send(at: Machine, value: bytes) -> None:
             items = [Item(key=key, version=7, value=value) for key in keys]
 
             def answered(answer: Answer) -> None:
-                if answer.code is Code.BUSY:
+                if answer.code is ResultCode.BUSY:
                     self.world.after(0.05, lambda: send(at, value))
                 else:
                     ended.append(answer.code)
@@ -180,7 +180,9 @@
         return ended
 
     def test_of_two_calls_that_share_several_versions_one_is_confirmed_and_one_refused(self) -> None:
-        self.assertEqual(sorted(self._two_calls_that_share_both_versions()), [Code.DONE, Code.CONFLICT])
+        self.assertEqual(
+            sorted(self._two_calls_that_share_both_versions()), [ResultCode.DONE, ResultCode.CONFLICT]
+        )
 
     def test_reserved_in_no_order_each_waits_for_the_other_without_end(self) -> None:
         with PLANTS["reserved_in_no_order"]():
@@ -210,11 +212,11 @@
         world.freeze(frozen)
         station.home = ""
         stations._hello(station, frozen)
-        codes: list[Code] = []
+        codes: list[ResultCode] = []
         world.play(6.0)
         world.call(other, [Item(key="routes/r1", version=1, value=b"new")], lambda a: codes.append(a.code))
         world.play(24.0)
-        self.assertEqual(codes, [Code.DONE])
+        self.assertEqual(codes, [ResultCode.DONE])
         station.home = ""  # its session with another has ended just now
         world.thaw(frozen)
         world.play(30.0)
--- a/tests/mesh/test_control.py
+++ b/tests/mesh/test_control.py
@@ -18,10 +18,10 @@
 from leadrudder.bootstrap.settings import read
 from leadrudder.bootstrap.start import start
 from leadrudder.configuration.item_store import Book
-from leadrudder.consensus.outputs import Answer, Code
+from leadrudder.consensus.outputs import Answer, ResultCode
 from leadrudder.control_plane.operator_api import Operator
 from leadrudder.data_plane.server_api import Beat, Beats
-from leadrudder.membership.registry import MOVE_S, ORPHAN_S, Register
+from leadrudder.membership.registry import ORPHAN_GRACE_S, RECONNECT_GRACE_S, MemberRegistry
 from leadrudder.protocol.mesh_pb2 import Item, Node
 from leadrudder.transport.http import Call, Told
 
@@ -91,42 +91,42 @@
         # Sums of a CRC are alike for these two, so nobody would have told the other.
         digests = set()
         for one, two in ((1, 2), (2, 1)):
-            register = Register("a")
+            register = MemberRegistry("a")
             register.take([Node(name="s1", life=7, number=one), Node(name="s2", life=7, number=two)])
             digests.add(register.digest)
         self.assertEqual(len(digests), 2)
-        many = Register("a")
+        many = MemberRegistry("a")
         many.take(Node(name=f"side-{i}", life=7, number=1) for i in range(12))
         self.assertNotEqual(many.digest, 0)
 
     def test_a_station_that_finds_another_signalbox_stays_a_member(self) -> None:
-        register = Register("a")
+        register = MemberRegistry("a")
         register.hello(Node(name="s", life=1, number=1))
         register.ended("s", 10.0)
         register.take([Node(name="s", life=1, number=2, holder="b")])
-        self.assertEqual(register.tick(10.0 + MOVE_S, True), [])
+        self.assertEqual(register.tick(10.0 + RECONNECT_GRACE_S, True), [])
         self.assertEqual(len(register.members()), 1)
 
     def test_one_whose_session_ended_is_told_as_gone_and_its_old_news_changes_nothing(self) -> None:
-        register = Register("a")
+        register = MemberRegistry("a")
         register.hello(Node(name="s", life=1, number=1))
         register.ended("s", 10.0)
-        self.assertEqual(register.tick(10.0 + MOVE_S / 2, True), [])
-        (gone,) = register.tick(10.0 + MOVE_S, True)
+        self.assertEqual(register.tick(10.0 + RECONNECT_GRACE_S / 2, True), [])
+        (gone,) = register.tick(10.0 + RECONNECT_GRACE_S, True)
         self.assertTrue(gone.gone)
         self.assertEqual(register.take([Node(name="s", life=1, number=1)]), [])
         self.assertEqual(len(register.take([Node(name="s", life=2, number=1)])), 1)
 
     def test_members_of_a_lost_signalbox_go_only_with_a_majority(self) -> None:
-        register = Register("a")
+        register = MemberRegistry("a")
         register.take([Node(name="s", life=1, number=1, holder="b")])
         register.signalbox("b", False, 0.0)
-        self.assertEqual(register.tick(ORPHAN_S, False), [])
-        self.assertEqual([n.name for n in register.tick(ORPHAN_S, True)], ["s"])
+        self.assertEqual(register.tick(ORPHAN_GRACE_S, False), [])
+        self.assertEqual([n.name for n in register.tick(ORPHAN_GRACE_S, True)], ["s"])
 
     def test_equal_registers_have_equal_digests(self) -> None:
         nodes = [Node(name=f"s{i}", life=i, number=1) for i in range(5)]
-        one, other = Register("a"), Register("b")
+        one, other = MemberRegistry("a"), MemberRegistry("b")
         one.take(nodes)
         other.take(reversed(nodes))
         other.take(nodes)
@@ -144,7 +144,7 @@
         return self.answers.pop(0)
 
     async def _read(self) -> Answer:
-        return Answer(0, Code.DONE, tuple(self.book.items.values()))
+        return Answer(0, ResultCode.DONE, tuple(self.book.items.values()))
 
     def call(self, method: str, *segments: str, body: bytes = b"") -> Told:
         operator = Operator(lambda: self.book, self._change, self._read, ("z",), Ring("r"))
@@ -164,14 +164,14 @@
         self.assertEqual(self.changes, [])
 
     def test_answers_follow_what_became_of_the_change(self) -> None:
-        for code, status in ((Code.DONE, 200), (Code.CONFLICT, 409), (Code.BUSY, 503)):
+        for code, status in ((ResultCode.DONE, 200), (ResultCode.CONFLICT, 409), (ResultCode.BUSY, 503)):
             with self.subTest(code):
                 self.answers = [Answer(0, code)]
                 self.assertEqual(self.call("PATCH", "config", body=b'{"addOrReplace":{}}').status, status)
 
     def test_an_evacuation_counts_on_from_what_stands(self) -> None:
         standing = Item(key="evacuations/z", version=4, value=b"0")
-        self.answers = [Answer(0, Code.CONFLICT, (standing,)), Answer(0, Code.DONE)]
+        self.answers = [Answer(0, ResultCode.CONFLICT, (standing,)), Answer(0, ResultCode.DONE)]
         self.assertEqual(self.call("POST", "evacuate", "z").status, 200)
         self.assertEqual([(i.version, i.value) for (i,) in self.changes], [(1, b"1"), (5, b"1")])
 
--- a/tests/mesh/test_emulation.py
+++ b/tests/mesh/test_emulation.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from bench.window import LOOKUPS, contracts, route
-from leadrudder.consensus.lease import POSSESSION
+from leadrudder.consensus.lease import MAINTENANCE
 from leadrudder.emulation.fleet import COLD_PER_S, Bookings, Fleet, Machine, Plan
 from leadrudder.emulation.standins import Wish
 from leadrudder.maintenance.ledger import EPOCH_S, LAG, Ledger, Totals, report
@@ -256,7 +256,7 @@
 
     def holds(self, machine: Machine, fleet: Fleet) -> bool:
         box = machine.signalbox
-        return box is not None and box.interlocking.leases.holds(POSSESSION, fleet.now)
+        return box is not None and box.interlocking.leases.holds(MAINTENANCE, fleet.now)
 
     def state(self, fleet: Fleet) -> str:
         """The window's, as a signalbox that is left has it."""
@@ -310,7 +310,7 @@
         fleet.play(14.0)
         self.assertEqual(len(self.lent(fleet)), 5)
         holders = [
-            m for m in fleet.core if m.signalbox and m.signalbox.interlocking.leases.holds(POSSESSION, 14.0)
+            m for m in fleet.core if m.signalbox and m.signalbox.interlocking.leases.holds(MAINTENANCE, 14.0)
         ]
         self.assertEqual(len(holders), 1)
         fleet.kill(holders[0], "signalbox")
--- a/tests/mesh/test_graceful_shutdown.py
+++ b/tests/mesh/test_graceful_shutdown.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from leadrudder.configuration.items import Limits, Route
-from leadrudder.consensus.state_machine import Interlocking
+from leadrudder.consensus.state_machine import ControlStateMachine
 from leadrudder.data_plane.load_balancer import Errand
 from leadrudder.emulation.fleet import Fleet, Machine
 from leadrudder.storage.store import MemoryStore
@@ -64,7 +64,7 @@
         self.assertEqual(after, [200])
 
     def test_one_that_left_at_once_would_leave_no_majority(self) -> None:
-        with mock.patch.object(Interlocking, "may_leave", lambda self: True):
+        with mock.patch.object(ControlStateMachine, "may_leave", lambda self: True):
             fleet, _, leaving = self._wiped_and_another_told_to_end()
             fleet.play(fleet.now + 1.0)
             fleet.kill(leaving, "signalbox")
--- a/tests/mesh/test_store.py
+++ b/tests/mesh/test_store.py
@@ -9,7 +9,7 @@
 from unittest import mock
 
 from leadrudder.storage import store as store_module
-from leadrudder.storage.store import DumbStore, MemoryStore, Store
+from leadrudder.storage.store import DbmStore, MemoryStore, Store
 
 
 class Contract:
@@ -50,14 +50,14 @@
         self.folder = Path(folder.name)
 
     def again(self) -> Store:
-        return DumbStore(str(self.folder))
+        return DbmStore(str(self.folder))
 
     def _files(self, ending: str) -> list[Path]:
         return sorted(self.folder.glob(f"*{ending}"))
 
     def _left_open(self) -> None:
         """A process that was killed after two batches: nothing was closed."""
-        store = DumbStore(str(self.folder))
+        store = DbmStore(str(self.folder))
         store.open()
         store.commit({"a": b"1"})
         store.commit({"b": b"2"})
@@ -85,7 +85,7 @@
         self.assertEqual(len(self._files(".dat")), 1)
 
     def test_a_new_generation_holds_all(self) -> None:
-        most, store_module.GENERATION_MOST = store_module.GENERATION_MOST, 3
+        most, store_module.MAX_GENERATION_BATCHES = store_module.MAX_GENERATION_BATCHES, 3
         try:
             store = self.again()
             store.open()
@@ -93,12 +93,12 @@
                 store.commit({f"k{i}": b"v"})
             store.close()
         finally:
-            store_module.GENERATION_MOST = most
+            store_module.MAX_GENERATION_BATCHES = most
         self.assertEqual(len(self.again().open()), 10)
         self.assertEqual(len(self._files(".dat")), 1)
 
     def test_any_changed_byte_is_told_or_the_last_batch_alone_is_gone(self) -> None:
-        store = DumbStore(str(self.folder))
+        store = DbmStore(str(self.folder))
         store.open()
         for batch in ({"a": b"1", "b": b"1"}, {"a": b"2"}, {"c": b"3"}):
             store.commit(batch)
@@ -112,9 +112,9 @@
                 spoilt[at] ^= 1 << (at % 8)
                 file.write_bytes(spoilt)
                 try:
-                    found = DumbStore(str(self.folder)).look()
+                    found = DbmStore(str(self.folder)).look()
                     self.assertIn(found, (whole, without), f"byte {at} of {file.name}")
-                except store_module.Spoilt as why:
+                except store_module.CorruptStoreError as why:
                     told += 1
                     self.assertRegex(str(why), r"g00000001\.(dat|dir): record [0-9]+ cannot be read")
             file.write_bytes(raw)
@@ -126,7 +126,7 @@
         raw = bytearray(data.read_bytes())
         raw[0] ^= 1
         data.write_bytes(raw)
-        store = DumbStore(str(self.folder))
+        store = DbmStore(str(self.folder))
         self.assertEqual(store.open(), {})
         self.assertIn("record 0", store.spoilt)
         self.assertEqual(self.again().open(), {}, "and stays so")
--- a/tests/mesh/test_zone_relays.py
+++ b/tests/mesh/test_zone_relays.py
@@ -4,7 +4,13 @@
 
 import unittest
 
-from leadrudder.membership.zone_relays import BAD_S, Homes, bare, of_services, order
+from leadrudder.membership.zone_relays import (
+    UNREACHABLE_S,
+    ZoneRelays,
+    of_services,
+    relay_order,
+    without_servers,
+)
 from leadrudder.protocol.mesh_pb2 import Node, Server
 
 
@@ -19,39 +25,39 @@
 
 class TheHomes(unittest.TestCase):
     def test_all_of_a_zone_agree_and_nobody_elsewhere_is_home(self) -> None:
-        first = order("s", MEMBERS, "z")[0].name
+        first = relay_order("s", MEMBERS, "z")[0].name
         for node in MEMBERS[:6]:
-            (source,) = Homes(node.name, "z").sources(["s"], list(reversed(MEMBERS)), 0.0)
+            (source,) = ZoneRelays(node.name, "z").sources(["s"], list(reversed(MEMBERS)), 0.0)
             self.assertEqual(source, "" if node.name == first else f"{first}:1")
 
     def test_one_that_cannot_be_reached_is_passed_over_for_a_while(self) -> None:
-        first, second, *_, last = order("s", MEMBERS, "z")
-        homes = Homes(last.name, "z")
+        first, second, *_, last = relay_order("s", MEMBERS, "z")
+        homes = ZoneRelays(last.name, "z")
         homes.failed(first.address, 10.0)
         self.assertEqual(set(homes.sources(["s"], MEMBERS, 10.1)), {second.address})
-        self.assertEqual(set(homes.sources(["s"], MEMBERS, 10.0 + BAD_S)), {first.address})
+        self.assertEqual(set(homes.sources(["s"], MEMBERS, 10.0 + UNREACHABLE_S)), {first.address})
 
     def test_with_nobody_in_the_zone_the_signalbox_is_asked(self) -> None:
-        homes = Homes("far", "y")
+        homes = ZoneRelays("far", "y")
         self.assertEqual(homes.sources(["s"], MEMBERS, 0.0), {"": {"s"}})
 
     def test_who_is_asked_asks_the_signalbox_whoever_is_home(self) -> None:
-        last = order("s", MEMBERS, "z")[-1]
-        homes = Homes(last.name, "z", serving={"s": 1, "other": 2})
+        last = relay_order("s", MEMBERS, "z")[-1]
+        homes = ZoneRelays(last.name, "z", serving={"s": 1, "other": 2})
         self.assertEqual(homes.sources(["s"], MEMBERS, 0.0), {"": {"s", "other"}})
 
     def test_one_that_goes_moves_its_own_services_only(self) -> None:
         services = [f"s{i}" for i in range(50)]
-        before = {s: order(s, MEMBERS, "z")[0].name for s in services}
+        before = {s: relay_order(s, MEMBERS, "z")[0].name for s in services}
         left = [node for node in MEMBERS if node.name != "n3"]
-        after = {s: order(s, left, "z")[0].name for s in services}
+        after = {s: relay_order(s, left, "z")[0].name for s in services}
         self.assertEqual(
             {s for s in services if before[s] != after[s]}, {s for s in services if before[s] == "n3"}
         )
         self.assertGreater(len(set(before.values())), 3)
 
     def test_a_server_that_has_gone_is_told_too(self) -> None:
-        without = bare(member("n1"))
+        without = without_servers(member("n1"))
         self.assertEqual(of_services([without, member("n2", service="t")], frozenset({"s"})), [without])
 
 
