--- a/bench/control.py
+++ b/bench/control.py
@@ -172,7 +172,7 @@
 
 
 def _owns(machine: Machine, section: int) -> bool:
-    return machine.process is not None and section in machine.process.owner.owned()
+    return machine.process is not None and section in machine.process.ownership.owned_sections()
 
 
 def moved(items: int = 10_000) -> tuple[float, float]:
@@ -194,8 +194,10 @@
 
 
 def _even(world: World, seats: int) -> bool:
-    owned = [len(m.process.owner.owned()) for m in world.machines.values() if m.process is not None]
-    full = all(m.process is not None and m.process.seats.full for m in world.machines.values())
+    owned = [
+        len(m.process.ownership.owned_sections()) for m in world.machines.values() if m.process is not None
+    ]
+    full = all(m.process is not None and m.process.voter_table.full for m in world.machines.values())
     return full and len(owned) == seats and sum(owned) == SECTIONS and max(owned) - min(owned) <= 1
 
 
@@ -221,7 +223,7 @@
         _deliver(ends, [(m, o) for m in (a, b) for o in m.tick(1.0)])
     finally:
         anti_entropy.MAX_BYTES_PER_S = bound
-    assert a.book.digest == b.book.digest
+    assert a.accepted.digest == b.accepted.digest
     return sum(item.ByteSize() for item in book) / 1e6 / (time.process_time() - began)
 
 
--- a/leadrudder/backup/snapshot.py
+++ b/leadrudder/backup/snapshot.py
@@ -109,7 +109,7 @@
     """A snapshot's file, or a signalbox's folder, which is left as it is."""
     try:
         if os.path.isdir(path):
-            records = DbmStore(path).look()
+            records = DbmStore(path).peek()
             if not records:
                 return Failure(f"{path}: no records")
             return read(records).alt(lambda why: f"{path}: {why}")
--- a/leadrudder/consensus/anti_entropy.py
+++ b/leadrudder/consensus/anti_entropy.py
@@ -39,81 +39,83 @@
     """The part of the interlocking that repairs."""
 
     machine: ControlStateMachine
-    handed: int = 0  # bytes, since the start
-    _compared: dict[str, float] = field(default_factory=dict)
-    _alike: dict[str, float] = field(default_factory=dict)  # when a peer last had all that we have
-    _changed: dict[str, float] = field(default_factory=dict)  # when what we hold last changed, by key
-    _at: dict[str, str] = field(default_factory=dict)  # the last key handed over to a peer
+    bytes_sent: int = 0  # bytes, since the start
+    _compared_at: dict[str, float] = field(default_factory=dict)
+    _in_sync_at: dict[str, float] = field(default_factory=dict)  # when a peer last had all that we have
+    _changed_at: dict[str, float] = field(default_factory=dict)  # when what we hold last changed, by key
+    _resume_after: dict[str, str] = field(default_factory=dict)  # the last key handed over to a peer
     _credit: float = MAX_BYTES_PER_S
-    _credited: float = 0.0
+    _credited_at: float = 0.0
 
-    def changed(self, items: Iterable[Item]) -> None:
+    def on_accepted(self, items: Iterable[Item]) -> None:
         """Items were taken into what we hold."""
         for item in items:
-            self._changed[item.key] = self.machine.turn.now
+            self._changed_at[item.key] = self.machine.step.now
 
     def tick(self) -> None:
-        machine, now = self.machine, self.machine.turn.now
-        digest = wire.Digest(standing=machine.standing.digest, held=machine.book.digest)
+        machine, now = self.machine, self.machine.step.now
+        digest = wire.Digest(standing=machine.committed.digest, held=machine.accepted.digest)
         for peer in machine.connected():
-            if now - self._compared.get(peer, 0.0) >= COMPARE_INTERVAL_S:
-                self._compared[peer] = now
-                machine.greet(peer)
+            if now - self._compared_at.get(peer, 0.0) >= COMPARE_INTERVAL_S:
+                self._compared_at[peer] = now
+                machine.send_status(peer)
                 machine.send(peer, Frame(digest=digest))
 
     def on_digest(self, peer: str, digest: wire.Digest) -> None:
         machine = self.machine
-        standing = digest.standing != machine.standing.digest
-        held = digest.held != machine.book.digest and machine.seats.full
+        standing = digest.standing != machine.committed.digest
+        held = digest.held != machine.accepted.digest and machine.voter_table.full
         if not standing and not held:
-            self._alike[peer] = machine.turn.now
+            self._in_sync_at[peer] = machine.step.now
             return
-        ranges = wire.RangeDigests(held=machine.book.ranges if held else (), full=machine.seats.full)
+        ranges = wire.RangeDigests(
+            held=machine.accepted.ranges if held else (), full=machine.voter_table.full
+        )
         if standing:
-            ranges.standing.extend(machine.standing.ranges)
+            ranges.standing.extend(machine.committed.ranges)
         machine.send(peer, Frame(ranges=ranges))
 
     def on_ranges(self, peer: str, ranges: wire.RangeDigests) -> None:
         """A peer's digests by range: it gets what we have in those that differ."""
         machine = self.machine
-        standing = machine.standing.differing(ranges.standing)
+        standing = machine.committed.differing(ranges.standing)
         if standing:
             machine.send(peer, Frame(standing=wire.CommittedItems(items=standing)))
-        if not machine.seats.full:
+        if not machine.voter_table.full:
             return
-        now = machine.turn.now
-        self._credit = min(MAX_BYTES_PER_S, self._credit + MAX_BYTES_PER_S * (now - self._credited))
-        self._credited = now
+        now = machine.step.now
+        self._credit = min(MAX_BYTES_PER_S, self._credit + MAX_BYTES_PER_S * (now - self._credited_at))
+        self._credited_at = now
         items: list[Item] = []
-        missed = machine.book.differing(ranges.held)
+        missed = machine.accepted.differing(ranges.held)
         # Those after the last one handed over come first: a range larger than the bound is gone through, too.
-        at = self._at.get(peer, "")
+        at = self._resume_after.get(peer, "")
         for item in sorted(missed, key=lambda item: (item.key <= at, item.key)):
             if self._credit <= 0.0:
                 break  # the rest when they compare again
             size = item.ByteSize()
             self._credit -= size
-            self.handed += size
+            self.bytes_sent += size
             items.append(item)
         if items:
-            self._at[peer] = items[-1].key
+            self._resume_after[peer] = items[-1].key
             machine.send(peer, Frame(repair=wire.Repair(items=items)))
 
-    def owed(self) -> list[ReplicaLag]:
+    def replica_lag(self) -> list[ReplicaLag]:
         """What each other holder of a seat misses."""
-        machine, now = self.machine, self.machine.turn.now
+        machine, now = self.machine, self.machine.step.now
         told = []
-        for holder in machine.seats.holders():
+        for holder in machine.voter_table.holders():
             if holder == machine.address:
                 continue
             peer = machine.peers.get(holder)
-            alike = self._alike.get(holder, -1.0)
+            alike = self._in_sync_at.get(holder, -1.0)
             full = peer is not None and peer.full
             # One that is connected has all that came before it last compared alike; an empty one has nothing.
             missed = [
                 item
-                for key, item in machine.book.items.items()
-                if not full or self._changed.get(key, 0.0) > alike
+                for key, item in machine.accepted.items.items()
+                if not full or self._changed_at.get(key, 0.0) > alike
             ]
             told.append(
                 ReplicaLag(
--- a/leadrudder/consensus/lease.py
+++ b/leadrudder/consensus/lease.py
@@ -32,7 +32,7 @@
     """Our latest question for a duty."""
 
     number: int
-    at: float
+    asked_at: float
     grants: Quorum = field(default_factory=Quorum)
 
 
@@ -41,10 +41,10 @@
 
     def __init__(self, machine: ControlStateMachine) -> None:
         self._machine = machine
-        self._asking: dict[str, LeaseRound] = {}
+        self._rounds: dict[str, LeaseRound] = {}
         self._until: dict[str, float] = {}  # what we hold
-        self._given: dict[str, tuple[str, float]] = {}  # to whom, and until when no other gets it
-        self._numbers = machine.rng.getrandbits(48)
+        self._granted: dict[str, tuple[str, float]] = {}  # to whom, and until when no other gets it
+        self._last_number = machine.rng.getrandbits(48)
 
     def holds(self, duty: str, now: float) -> bool:
         """Whether the duty is ours: to be asked at each step of it."""
@@ -56,41 +56,41 @@
 
     def tick(self) -> None:
         """Ask where the duty is ours, or we are the first who could have it."""
-        machine, now = self._machine, self._machine.turn.now
-        if not machine.seats.full or machine.resigned or not machine.has_majority():
+        machine, now = self._machine, self._machine.step.now
+        if not machine.voter_table.full or machine.resigned or not machine.has_majority():
             return
         voters = machine.voters()
         for duty in machine.duties:
-            asking = self._asking.get(duty)
-            if asking is not None and now - asking.at < RENEW_INTERVAL_S:
+            asking = self._rounds.get(duty)
+            if asking is not None and now - asking.asked_at < RENEW_INTERVAL_S:
                 continue
             if not self.holds(duty, now) and voters[0] != machine.address:
                 continue
-            self._numbers += 1
-            self._asking[duty] = LeaseRound(self._numbers, now)
+            self._last_number += 1
+            self._rounds[duty] = LeaseRound(self._last_number, now)
             for voter in voters:
-                machine.send(voter, Frame(lease=wire.LeaseRequest(duty=duty, number=self._numbers)))
+                machine.send(voter, Frame(lease=wire.LeaseRequest(duty=duty, number=self._last_number)))
 
-    def on_lease(self, peer: str, lease: wire.LeaseRequest, started: float) -> None:
+    def on_lease_request(self, peer: str, lease: wire.LeaseRequest, started: float) -> None:
         """Another asks, or we ourselves.  started: when this process did, or took its seat over if that was
         later: who held the seat before may just have granted what we know nothing of."""
-        machine, now = self._machine, self._machine.turn.now
+        machine, now = self._machine, self._machine.step.now
         span = LEASE_S * (1.0 + MAX_CLOCK_DRIFT)
-        holder, until = self._given.get(lease.duty, ("", 0.0))
-        ok = machine.votes(peer) and machine.seats.full and now - started >= span
+        holder, until = self._granted.get(lease.duty, ("", 0.0))
+        ok = machine.is_voter(peer) and machine.voter_table.full and now - started >= span
         ok = ok and (holder == peer or now >= until)
         if ok:
-            self._given[lease.duty] = peer, now + span
-        leased = wire.LeaseResponse(duty=lease.duty, number=lease.number, ok=ok, mark=machine.mark())
+            self._granted[lease.duty] = peer, now + span
+        leased = wire.LeaseResponse(duty=lease.duty, number=lease.number, ok=ok, mark=machine.voter_view())
         machine.send(peer, Frame(leased=leased))
 
-    def on_leased(self, peer: str, leased: wire.LeaseResponse) -> None:
-        asking = self._asking.get(leased.duty)
+    def on_lease_response(self, peer: str, leased: wire.LeaseResponse) -> None:
+        asking = self._rounds.get(leased.duty)
         if asking is None or asking.number != leased.number or not leased.ok or self._machine.resigned:
             return
         asking.grants.add(peer, leased.mark)
-        if asking.grants.reached(self._machine.seats.table):
-            self._until[leased.duty] = asking.at + LEASE_S * (1.0 - MAX_CLOCK_DRIFT)
+        if asking.grants.reached(self._machine.voter_table.slots):
+            self._until[leased.duty] = asking.asked_at + LEASE_S * (1.0 - MAX_CLOCK_DRIFT)
 
     def resign(self) -> None:
         self._until.clear()
--- a/leadrudder/consensus/quorum.py
+++ b/leadrudder/consensus/quorum.py
@@ -39,22 +39,22 @@
 class Quorum:
     """The replies to one question."""
 
-    marks: dict[str, VoterView] = field(default_factory=dict)
+    views: dict[str, VoterView] = field(default_factory=dict)
 
     def add(self, peer: str, told: VoterView) -> None:
-        known = self.marks.get(peer)
+        known = self.views.get(peer)
         if known is None or _own(told) >= _own(known):
-            self.marks[peer] = told
+            self.views[peer] = told
 
     def drop(self, peer: str) -> None:
-        self.marks.pop(peer, None)
+        self.views.pop(peer, None)
 
     def members(self) -> set[str]:
         """Those whose replies count."""
         newest = self._newest({})
         return {
             peer
-            for peer, told in self.marks.items()
+            for peer, told in self.views.items()
             if newest.get(told.seat, (0, OPEN)) == (_own(told), OPEN)
         }
 
@@ -70,7 +70,7 @@
     def _newest(self, table: Mapping[int, VoterSlot]) -> dict[int, tuple[int, int]]:
         """The highest incarnation of each seat that anybody told of, and what is known of its closing."""
         newest = {i: (seat.incarnation, seat.closed + seat.settled) for i, seat in table.items()}
-        for told in self.marks.values():
+        for told in self.views.values():
             for i, incarnation in enumerate(told.incarnations):
                 state = (i in told.closed) + (i in told.settled)
                 newest[i] = max(newest.get(i, (0, OPEN)), (incarnation, state))
@@ -80,7 +80,7 @@
         return len(self.members())
 
     def __contains__(self, peer: str) -> bool:
-        return peer in self.marks
+        return peer in self.views
 
 
 def _own(told: VoterView) -> int:
--- a/leadrudder/consensus/quorum_check.py
+++ b/leadrudder/consensus/quorum_check.py
@@ -28,8 +28,8 @@
 class ProbeRound:
     """One question to all voters: when it was sent, and who has answered."""
 
-    sent: float
-    answers: Quorum = field(default_factory=Quorum)
+    sent_at: float
+    acks: Quorum = field(default_factory=Quorum)
 
 
 class QuorumCheck:
@@ -38,13 +38,13 @@
     def __init__(self, machine: ControlStateMachine) -> None:
         self._machine = machine
         self._number = machine.rng.getrandbits(48)  # not those of an earlier process at our address
-        self._questions: dict[int, ProbeRound] = {}
-        self._asked = float("-inf")
-        self._confirmed = float("-inf")
+        self._rounds: dict[int, ProbeRound] = {}
+        self._last_probe_at = float("-inf")
+        self._confirmed_at = float("-inf")
 
     def age(self, now: float) -> float:
         """Seconds since a question was sent that a majority has answered; infinite if none ever was."""
-        return now - self._confirmed
+        return now - self._confirmed_at
 
     def fresh(self, now: float) -> bool:
         """Whether what we know may be handed to somebody new."""
@@ -55,29 +55,29 @@
         return self.age(now) > LOST_AGE_S
 
     def tick(self) -> None:
-        machine, now = self._machine, self._machine.turn.now
-        if not machine.has_majority() or (self.fresh(now) and now - self._asked < PROBE_INTERVAL_S):
+        machine, now = self._machine, self._machine.step.now
+        if not machine.has_majority() or (self.fresh(now) and now - self._last_probe_at < PROBE_INTERVAL_S):
             return
-        self._asked = now
+        self._last_probe_at = now
         self._number += 1
-        self._questions[self._number] = ProbeRound(now)
-        while len(self._questions) > MAX_OPEN_PROBES:
-            del self._questions[min(self._questions)]
+        self._rounds[self._number] = ProbeRound(now)
+        while len(self._rounds) > MAX_OPEN_PROBES:
+            del self._rounds[min(self._rounds)]
         for voter in machine.voters():
             machine.send(voter, Frame(contact=wire.QuorumProbe(number=self._number)))
 
-    def on_contact(self, peer: str, contact: wire.QuorumProbe) -> None:
+    def on_probe(self, peer: str, contact: wire.QuorumProbe) -> None:
         """Only who counts in a majority answers."""
         machine = self._machine
-        if machine.seats.full:
-            contacted = wire.QuorumProbeAck(number=contact.number, mark=machine.mark())
+        if machine.voter_table.full:
+            contacted = wire.QuorumProbeAck(number=contact.number, mark=machine.voter_view())
             machine.send(peer, Frame(contacted=contacted))
 
-    def on_contacted(self, peer: str, contacted: wire.QuorumProbeAck) -> None:
-        question = self._questions.get(contacted.number)
+    def on_probe_ack(self, peer: str, contacted: wire.QuorumProbeAck) -> None:
+        question = self._rounds.get(contacted.number)
         if question is None:
             return
-        question.answers.add(peer, contacted.mark)
-        if question.answers.reached(self._machine.seats.table):
-            self._confirmed = max(self._confirmed, question.sent)
-            del self._questions[contacted.number]
+        question.acks.add(peer, contacted.mark)
+        if question.acks.reached(self._machine.voter_table.slots):
+            self._confirmed_at = max(self._confirmed_at, question.sent_at)
+            del self._rounds[contacted.number]
--- a/leadrudder/consensus/reconfiguration.py
+++ b/leadrudder/consensus/reconfiguration.py
@@ -35,11 +35,11 @@
 class SlotRemoval:
     """A seat that we close: first all is gathered, then those that are left hold it."""
 
-    seat: VoterSlot
+    slot: VoterSlot
     grants: set[str] = field(default_factory=set)
     gathered: bool = False
-    filled: Quorum = field(default_factory=Quorum)
-    at: float = -1.0  # when it was last asked
+    transferred: Quorum = field(default_factory=Quorum)
+    asked_at: float = -1.0  # when it was last asked
 
 
 class Reconfiguration:
@@ -50,147 +50,158 @@
         self._claim: VoterSlot | None = None
         self._claimed_at = -1.0
         self._grants: set[str] = set()
-        self._willing: set[str] = set()  # would grant the claim that we sound out
-        self._closing: SlotRemoval | None = None
+        self._consenting: set[str] = set()  # would grant the claim that we sound out
+        self._removal: SlotRemoval | None = None
 
     def tick(self) -> None:
         machine = self._machine
-        if not machine.seats.table:
-            self._found()
-        elif not machine.seats.full and not machine.resigned:
-            self._ask_for_one()
-        elif machine.seats.full:
-            self._close_one()
+        if not machine.voter_table.slots:
+            self._bootstrap()
+        elif not machine.voter_table.full and not machine.resigned:
+            self._request_slot()
+        elif machine.voter_table.full:
+            self._remove_slot()
 
     # ------------------------------------------------------------ what others know
 
-    def learn(self, told: Iterable[VoterSlot], teller: str = "") -> None:
+    def merge_slots(self, told: Iterable[VoterSlot], teller: str = "") -> None:
         """The table of another; a seat of ours that has another holder now is ours no more.
 
         teller: a full holder, whose word of its own seat counts over another claimant's.
         """
         machine = self._machine
-        mine = machine.seats.mine()
-        if not machine.seats.learn(told, teller):
+        mine = machine.voter_table.own_slot()
+        if not machine.voter_table.merge(told, teller):
             return
-        if machine.seats.mine() != mine and mine is not None:
-            self._lose(mine)
-        elif machine.first_run and not machine.book.items and not machine.seats.full and self._is_founder():
-            machine.seats.full = True  # founded with us, and nothing of ours can have counted yet
-            machine.note("holds a founding seat")
-            self._greet_all()
-        self._write_seats()
-
-    def _lose(self, mine: int) -> None:
+        if machine.voter_table.own_slot() != mine and mine is not None:
+            self._on_slot_lost(mine)
+        elif (
+            machine.first_run
+            and not machine.accepted.items
+            and not machine.voter_table.full
+            and self._is_bootstrap_voter()
+        ):
+            machine.voter_table.full = True  # founded with us, and nothing of ours can have counted yet
+            machine.log("holds a founding seat")
+            self._send_status_to_all()
+        self._write_voters()
+
+    def _on_slot_lost(self, mine: int) -> None:
         machine = self._machine
-        machine.seats.full = False
-        machine.owner.lose_all()
-        holder = machine.seats.table[mine].holder
-        machine.note(f"seat {mine} was {'taken over by ' + holder if holder else 'closed'}")
-
-    def _is_founder(self) -> bool:
-        mine = self._machine.seats.mine()
-        table = self._machine.seats.table
+        machine.voter_table.full = False
+        machine.ownership.release_all()
+        holder = machine.voter_table.slots[mine].holder
+        machine.log(f"seat {mine} was {'taken over by ' + holder if holder else 'closed'}")
+
+    def _is_bootstrap_voter(self) -> bool:
+        mine = self._machine.voter_table.own_slot()
+        table = self._machine.voter_table.slots
         return (
             mine is not None
             and table[mine].incarnation == BOOTSTRAP_INCARNATION
             and not self._machine.promised
         )
 
-    def _greet_all(self) -> None:
+    def _send_status_to_all(self) -> None:
         for peer in self._machine.connected():
-            self._machine.greet(peer)
+            self._machine.send_status(peer)
 
-    def _write_seats(self) -> None:
-        self._machine.write({self._machine.seats.RECORD: self._machine.seats.record()})
+    def _write_voters(self) -> None:
+        self._machine.write({self._machine.voter_table.RECORD: self._machine.voter_table.record()})
 
     # ------------------------------------------------------------ founding
 
-    def _found(self) -> None:
+    def _bootstrap(self) -> None:
         """The first seed founds, once: whom it names is on its disk before anybody hears of it."""
         machine = self._machine
         if not machine.first_run or not machine.seeds or machine.seeds[0] != machine.address:
             return
         there = {machine.address} | {p.address for p in machine.peers.values() if p.up and p.first_run}
-        if len(there) < machine.wanted and machine.turn.now - machine.began < BOOTSTRAP_LATEST_S:
+        if (
+            len(there) < machine.bootstrap_voters
+            and machine.step.now - machine.started_at < BOOTSTRAP_LATEST_S
+        ):
             return
         order = [a for a in machine.seeds if a in there] + sorted(there - set(machine.seeds))
-        chosen = order[: machine.wanted]
+        chosen = order[: machine.bootstrap_voters]
         if len(chosen) % 2 == 0 and len(chosen) > 2:
             chosen.pop()
-        seats = machine.seats
-        seats.table = {
+        voter_table = machine.voter_table
+        voter_table.slots = {
             i: VoterSlot(index=i, holder=a, incarnation=BOOTSTRAP_INCARNATION) for i, a in enumerate(chosen)
         }
-        record = seats.record(full=True)  # we count when it is on disk
-        founding = Frame(founding=wire.BootstrapVoters(seats=seats.table.values()))
-        machine.note(f"founds {len(chosen)} seats")
+        record = voter_table.record(full=True)  # we count when it is on disk
+        founding = Frame(founding=wire.BootstrapVoters(seats=voter_table.slots.values()))
+        machine.log(f"founds {len(chosen)} seats")
         machine.write(
-            {seats.RECORD: record}, [*(Send(p, founding) for p in machine.connected()), self._seated_now()]
+            {voter_table.RECORD: record},
+            [*(Send(p, founding) for p in machine.connected()), self._slot_written()],
         )
 
-    def on_founding(self, founding: wire.BootstrapVoters) -> None:
-        if not self._machine.seats.table and self._machine.first_run:
-            self.learn(founding.seats)
+    def on_bootstrap(self, founding: wire.BootstrapVoters) -> None:
+        if not self._machine.voter_table.slots and self._machine.first_run:
+            self.merge_slots(founding.seats)
 
     # ------------------------------------------------------------ a seat for us
 
-    def _ask_for_one(self) -> None:
+    def _request_slot(self) -> None:
         """Without a seat, or with one whose records are lost: ask for one."""
-        machine, seats = self._machine, self._machine.seats
-        now = machine.turn.now
+        machine, voter_table = self._machine, self._machine.voter_table
+        now = machine.step.now
         if now - self._claimed_at < CLAIM_INTERVAL_S:
             return
         self._claimed_at = now + 0.2 * machine.rng.random()
-        index = self._which()
+        index = self._choose_slot()
         if index is None:
             return
         others = [v for v in machine.voters() if v != machine.address]
-        needed = seats.grants_needed(index)
+        needed = voter_table.required_grants(index)
         if len(others) < needed:
             return
-        known = seats.table.get(index)
+        known = voter_table.slots.get(index)
         last = known.incarnation if known is not None else BOOTSTRAP_INCARNATION
         if self._claim is None or self._claim.index != index or self._claim.incarnation <= last:
             self._claim = VoterSlot(index=index, holder=machine.address, incarnation=last + 1)
-            self._grants, self._willing = set(), set()
+            self._grants, self._consenting = set(), set()
         # A grant ends the holder's vote for good: as many as are needed must see it lost before one is asked.
         ours = known is not None and known.holder == machine.address
-        sounding = not ours and len(self._willing) < needed
-        self._willing.clear()
+        sounding = not ours and len(self._consenting) < needed
+        self._consenting.clear()
         for other in others:
             machine.send(other, Frame(claim=wire.SlotClaim(seat=self._claim, sounding=sounding)))
 
-    def _which(self) -> int | None:
+    def _choose_slot(self) -> int | None:
         """Our own seat, else one whose holder is lost, else a new one where more are wanted."""
-        seats = self._machine.seats
-        mine = seats.mine()
+        voter_table = self._machine.voter_table
+        mine = voter_table.own_slot()
         if mine is not None:
             return mine
-        lost = [i for i, seat in seats.opened().items() if self._is_lost(seat.holder)]
+        lost = [i for i, seat in voter_table.open_slots().items() if self._is_lost(seat.holder)]
         if lost:
             return self._machine.rng.choice(lost)
-        return seats.free() if len(seats.opened()) < self._machine.wished else None
+        return (
+            voter_table.free_index() if len(voter_table.open_slots()) < self._machine.desired_voters else None
+        )
 
     def _is_lost(self, holder: str) -> bool:
         peer = self._machine.peers.get(holder)
         return peer is None or not peer.up or peer.resigned or not peer.full
 
-    def on_claim(self, peer: str, claim: wire.SlotClaim) -> None:
-        machine, seats = self._machine, self._machine.seats
+    def on_slot_claim(self, peer: str, claim: wire.SlotClaim) -> None:
+        machine, voter_table = self._machine, self._machine.voter_table
         if claim.seat.closed:
-            self._on_close(peer, claim)
+            self._on_removal_claim(peer, claim)
             return
         if claim.seat.holder != peer:
             return
-        now, began, wished = machine.turn.now, machine.began, machine.wished
+        now, began, wished = machine.step.now, machine.started_at, machine.desired_voters
         if claim.sounding:
-            ok = seats.would_grant(claim.seat, machine.peers, now, began, wished)
-            told = wire.SlotGrant(seat=claim.seat, ok=ok, sounding=True, seats=seats.table.values())
+            ok = voter_table.may_grant(claim.seat, machine.peers, now, began, wished)
+            told = wire.SlotGrant(seat=claim.seat, ok=ok, sounding=True, seats=voter_table.slots.values())
             machine.send(peer, Frame(grant=told))
             return
-        before = seats.record()
-        ok = seats.grant(claim.seat, machine.peers, now, began, wished)
+        before = voter_table.record()
+        ok = voter_table.grant(claim.seat, machine.peers, now, began, wished)
         known = machine.peers.get(peer)
         if ok and known is not None:
             known.full = False
@@ -198,44 +209,46 @@
 
     def _send_grant(self, peer: str, seat: VoterSlot, ok: bool, before: bytes) -> None:
         """What we have goes with it, when the seat is on our disk."""
-        machine, seats = self._machine, self._machine.seats
-        grant = wire.SlotGrant(seat=seat, ok=ok, seats=seats.table.values())
+        machine, voter_table = self._machine, self._machine.voter_table
+        grant = wire.SlotGrant(seat=seat, ok=ok, seats=voter_table.slots.values())
         if ok:
             grant.promised.extend(wire.PromisedEpoch(section=s, epoch=e) for s, e in machine.promised.items())
-            grant.items.extend(machine.book.items.values())
-        after = seats.record()
-        machine.write({seats.RECORD: after} if after != before else {}, [Send(peer, Frame(grant=grant))])
+            grant.items.extend(machine.accepted.items.values())
+        after = voter_table.record()
+        machine.write(
+            {voter_table.RECORD: after} if after != before else {}, [Send(peer, Frame(grant=grant))]
+        )
 
-    def on_grant(self, peer: str, grant: wire.SlotGrant) -> None:
+    def on_slot_grant(self, peer: str, grant: wire.SlotGrant) -> None:
         if grant.seat.closed:
-            self._on_close_granted(peer, grant)
+            self._on_removal_granted(peer, grant)
             return
-        machine, seats, claim = self._machine, self._machine.seats, self._claim
-        if seats.full or claim is None or not grant.ok or grant.seat != claim:
-            if not grant.ok and not seats.full:
-                self.learn(grant.seats)
+        machine, voter_table, claim = self._machine, self._machine.voter_table, self._claim
+        if voter_table.full or claim is None or not grant.ok or grant.seat != claim:
+            if not grant.ok and not voter_table.full:
+                self.merge_slots(grant.seats)
             return
-        needed = seats.grants_needed(claim.index)
+        needed = voter_table.required_grants(claim.index)
         if grant.sounding:
-            self._willing.add(peer)
-            if len(self._willing) == needed:
+            self._consenting.add(peer)
+            if len(self._consenting) == needed:
                 self._claimed_at = -CLAIM_INTERVAL_S  # ask for them now
             return
         self._grants.add(peer)
-        records = self._gathered(grant.promised, grant.items)
-        seats.learn(s for s in grant.seats if s.index != claim.index)
-        if len(self._grants) < max(needed, seats.grants_needed(claim.index)):
+        records = self._merge_grant(grant.promised, grant.items)
+        voter_table.merge(s for s in grant.seats if s.index != claim.index)
+        if len(self._grants) < max(needed, voter_table.required_grants(claim.index)):
             machine.write(records)
             return
-        seats.table[claim.index] = claim
+        voter_table.slots[claim.index] = claim
         self._claim = None
         # All of it must be on disk before anybody counts us: what follows is sent when it is.
-        records = machine.whole_book() | machine.promises()
-        records[seats.RECORD] = seats.record(full=True)
-        machine.note(f"seat {claim.index} taken, incarnation {claim.incarnation}")
-        machine.write(records, [self._seated_now()])
+        records = machine.item_records() | machine.promise_records()
+        records[voter_table.RECORD] = voter_table.record(full=True)
+        machine.log(f"seat {claim.index} taken, incarnation {claim.incarnation}")
+        machine.write(records, [self._slot_written()])
 
-    def _gathered(
+    def _merge_grant(
         self, promised: Iterable[wire.PromisedEpoch], items: Iterable[wire.Item]
     ) -> dict[str, bytes]:
         """Merge what another has; returns the records of items that are new here."""
@@ -243,122 +256,124 @@
         for told in promised:
             if told.epoch > machine.promised.get(told.section, 0):
                 machine.promised[told.section] = told.epoch
-                machine.owner.overtaken(told.section, told.epoch)
-        return machine.keep(items)
+                machine.ownership.on_higher_epoch(told.section, told.epoch)
+        return machine.accept(items)
 
-    def _seated_now(self) -> Send:
+    def _slot_written(self) -> Send:
         """To ourselves, when what makes us full is on disk."""
         address = self._machine.address
         return Send(address, Frame(greeting=wire.PeerStatus(address=address, full=True)))
 
-    def seated(self) -> None:
+    def on_slot_written(self) -> None:
         """The records of a seat that was taken over are on disk: from now on we count."""
         machine = self._machine
-        if machine.seats.mine() is not None and not machine.seats.full:
-            machine.seats.full = True
-            machine.counts_since = machine.turn.now
-            self._greet_all()
+        if machine.voter_table.own_slot() is not None and not machine.voter_table.full:
+            machine.voter_table.full = True
+            machine.voting_since = machine.step.now
+            self._send_status_to_all()
 
     # ------------------------------------------------------------ a seat less
 
-    def _close_one(self) -> None:
+    def _remove_slot(self) -> None:
         """The first voter closes, one seat at a time; a closing left half done goes first."""
-        machine, seats = self._machine, self._machine.seats
-        voters, now = machine.voters(), machine.turn.now
-        half = seats.half_closed()
-        too_many = bool(machine.wished) and len(seats.opened()) > machine.wished
-        first = bool(voters) and voters[0] == machine.address and now - machine.counts_since >= HOLDER_LOST_S
+        machine, voter_table = self._machine, self._machine.voter_table
+        voters, now = machine.voters(), machine.step.now
+        half = voter_table.closing_slot()
+        too_many = bool(machine.desired_voters) and len(voter_table.open_slots()) > machine.desired_voters
+        first = bool(voters) and voters[0] == machine.address and now - machine.voting_since >= HOLDER_LOST_S
         if not (half is not None or too_many) or not first or machine.resigned:
-            self._closing = None
+            self._removal = None
             return
-        closing = self._closing
-        if closing is not None and now - closing.at < CLAIM_INTERVAL_S:
+        removal = self._removal
+        if removal is not None and now - removal.asked_at < CLAIM_INTERVAL_S:
             return
         if (
-            closing is None
-            or (half is not None and closing.seat.index != half)
-            or seats.table[closing.seat.index].incarnation > closing.seat.incarnation
+            removal is None
+            or (half is not None and removal.slot.index != half)
+            or voter_table.slots[removal.slot.index].incarnation > removal.slot.incarnation
         ):
-            index = half if half is not None else seats.least_missed(machine.peers)
-            seat = VoterSlot(index=index, incarnation=seats.table[index].incarnation + 1, closed=True)
-            closing = self._closing = SlotRemoval(seat)
-            machine.note(f"closes seat {index}")
-        closing.at = now
-        if closing.gathered:
-            self._fill(closing)
+            index = half if half is not None else voter_table.slot_to_remove(machine.peers)
+            seat = VoterSlot(index=index, incarnation=voter_table.slots[index].incarnation + 1, closed=True)
+            removal = self._removal = SlotRemoval(seat)
+            machine.log(f"closes seat {index}")
+        removal.asked_at = now
+        if removal.gathered:
+            self._transfer(removal)
             return
         for voter in voters:
-            machine.send(voter, Frame(claim=wire.SlotClaim(seat=closing.seat, resumed=half is not None)))
+            machine.send(voter, Frame(claim=wire.SlotClaim(seat=removal.slot, resumed=half is not None)))
 
-    def _on_close(self, peer: str, claim: wire.SlotClaim) -> None:
+    def _on_removal_claim(self, peer: str, claim: wire.SlotClaim) -> None:
         """Another closes a seat, or we ourselves; it may be ours."""
-        machine, seats, seat = self._machine, self._machine.seats, claim.seat
-        before, mine = seats.record(), seats.mine()
-        ok = machine.votes(peer) and seats.would_close(seat, machine.wished, resumed=claim.resumed)
-        if ok and seat.incarnation > seats.table[seat.index].incarnation:
-            seats.table[seat.index] = seat
+        machine, voter_table, seat = self._machine, self._machine.voter_table, claim.seat
+        before, mine = voter_table.record(), voter_table.own_slot()
+        ok = machine.is_voter(peer) and voter_table.may_remove(
+            seat, machine.desired_voters, resumed=claim.resumed
+        )
+        if ok and seat.incarnation > voter_table.slots[seat.index].incarnation:
+            voter_table.slots[seat.index] = seat
         self._send_grant(peer, seat, ok, before)
-        if seats.mine() != mine and mine is not None:
-            self._lose(mine)
-            self._write_seats()
+        if voter_table.own_slot() != mine and mine is not None:
+            self._on_slot_lost(mine)
+            self._write_voters()
 
-    def _on_close_granted(self, peer: str, grant: wire.SlotGrant) -> None:
-        machine, seats, closing = self._machine, self._machine.seats, self._closing
+    def _on_removal_granted(self, peer: str, grant: wire.SlotGrant) -> None:
+        machine, voter_table, removal = self._machine, self._machine.voter_table, self._removal
         if not grant.ok:
-            self.learn(grant.seats)
-            if closing is not None and grant.seat == closing.seat:
-                self._overtake(closing, grant.seats)
+            self.merge_slots(grant.seats)
+            if removal is not None and grant.seat == removal.slot:
+                self._raise_incarnation(removal, grant.seats)
             return
-        if closing is None or grant.seat != closing.seat or closing.gathered or not seats.full:
+        if removal is None or grant.seat != removal.slot or removal.gathered or not voter_table.full:
             return
-        needed = seats.grants_needed(closing.seat.index)
-        records = self._gathered(grant.promised, grant.items) | machine.promises()
-        seats.learn(grant.seats)
-        closing.grants.add(peer)
-        closing.gathered = len(closing.grants) >= max(needed, seats.grants_needed(closing.seat.index))
+        needed = voter_table.required_grants(removal.slot.index)
+        records = self._merge_grant(grant.promised, grant.items) | machine.promise_records()
+        voter_table.merge(grant.seats)
+        removal.grants.add(peer)
+        removal.gathered = len(removal.grants) >= max(needed, voter_table.required_grants(removal.slot.index))
         machine.write(records)
-        if closing.gathered:
-            self._fill(closing)
+        if removal.gathered:
+            self._transfer(removal)
 
-    def _overtake(self, closing: SlotRemoval, told: Iterable[VoterSlot]) -> None:
+    def _raise_incarnation(self, removal: SlotRemoval, told: Iterable[VoterSlot]) -> None:
         """One refused that knows another claim of our incarnation: we close under a higher one."""
-        seat = closing.seat
+        seat = removal.slot
         theirs = next((s for s in told if s.index == seat.index), None)
         if theirs is not None and theirs.incarnation >= seat.incarnation and not theirs.closed:
             higher = VoterSlot(index=seat.index, incarnation=theirs.incarnation + 1, closed=True)
-            self._closing = SlotRemoval(higher, at=closing.at)
+            self._removal = SlotRemoval(higher, asked_at=removal.asked_at)
 
-    def _fill(self, closing: SlotRemoval) -> None:
+    def _transfer(self, removal: SlotRemoval) -> None:
         """Have those that are left hold what was gathered."""
         machine = self._machine
-        fill = wire.SlotTransfer(seat=closing.seat, items=machine.book.items.values())
+        fill = wire.SlotTransfer(seat=removal.slot, items=machine.accepted.items.values())
         fill.promised.extend(wire.PromisedEpoch(section=s, epoch=e) for s, e in machine.promised.items())
         for voter in machine.voters():
-            if voter not in closing.filled:
+            if voter not in removal.transferred:
                 machine.send(voter, Frame(fill=fill))
 
-    def on_fill(self, peer: str, fill: wire.SlotTransfer) -> None:
+    def on_slot_transfer(self, peer: str, fill: wire.SlotTransfer) -> None:
         machine = self._machine
-        if not machine.seats.full or not machine.votes(peer):
+        if not machine.voter_table.full or not machine.is_voter(peer):
             return
-        self.learn([fill.seat])
-        if not machine.seats.full:
+        self.merge_slots([fill.seat])
+        if not machine.voter_table.full:
             return  # it was ours
-        records = self._gathered(fill.promised, fill.items) | machine.promises()
-        filled = wire.SlotTransferAck(seat=fill.seat, mark=machine.mark())
+        records = self._merge_grant(fill.promised, fill.items) | machine.promise_records()
+        filled = wire.SlotTransferAck(seat=fill.seat, mark=machine.voter_view())
         machine.write(records, [Send(peer, Frame(filled=filled))])
 
-    def on_filled(self, peer: str, filled: wire.SlotTransferAck) -> None:
-        machine, seats, closing = self._machine, self._machine.seats, self._closing
-        if closing is None or not closing.gathered or filled.seat != closing.seat:
+    def on_slot_transfer_ack(self, peer: str, filled: wire.SlotTransferAck) -> None:
+        machine, voter_table, removal = self._machine, self._machine.voter_table, self._removal
+        if removal is None or not removal.gathered or filled.seat != removal.slot:
             return
-        closing.filled.add(peer, filled.mark)
-        if not closing.filled.reached(seats.table):
+        removal.transferred.add(peer, filled.mark)
+        if not removal.transferred.reached(voter_table.slots):
             return
-        self._closing = None
+        self._removal = None
         settled = VoterSlot()
-        settled.CopyFrom(closing.seat)
-        settled.incarnation, settled.settled = closing.seat.incarnation + 1, True
-        machine.note(f"seat {settled.index} is closed")
-        self.learn([settled])
-        self._greet_all()
+        settled.CopyFrom(removal.slot)
+        settled.incarnation, settled.settled = removal.slot.incarnation + 1, True
+        machine.log(f"seat {settled.index} is closed")
+        self.merge_slots([settled])
+        self._send_status_to_all()
--- a/leadrudder/consensus/requests.py
+++ b/leadrudder/consensus/requests.py
@@ -42,11 +42,13 @@
 
     number: int
     parts: dict[int, list[Item]]
-    until: float
+    deadline: float
     phase: Phase
     to_reserve: list[int] = field(default_factory=list)  # sections that are not reserved yet, in order
-    asked: dict[int, int] = field(default_factory=dict)  # numbers of asks that are out, and their sections
-    again: list[tuple[float, int]] = field(default_factory=list)  # sections to be asked again, and when
+    open_requests: dict[int, int] = field(
+        default_factory=dict
+    )  # numbers of asks that are out, and their sections
+    retries: list[tuple[float, int]] = field(default_factory=list)  # sections to be asked again, and when
     conflicts: list[Item] = field(default_factory=list)  # what stands where a part was refused
 
 
@@ -61,12 +63,12 @@
 @dataclass(slots=True)
 class PendingRead:
     number: int
-    until: float
-    tries: int = 0
-    at: float = 0.0  # when it is asked again
+    deadline: float
+    attempts: int = 0
+    retry_at: float = 0.0  # when it is asked again
     round: int = 0
     replies: dict[str, list[Item]] = field(default_factory=dict)
-    have: Quorum = field(default_factory=Quorum)
+    quorum: Quorum = field(default_factory=Quorum)
 
 
 class OperatorRequests:
@@ -75,33 +77,33 @@
     def __init__(self, machine: ControlStateMachine) -> None:
         self._machine = machine
         self._changes: dict[int, PendingChange] = {}
-        self._asks: dict[int, PendingChange] = {}
+        self._change_requests: dict[int, PendingChange] = {}
         self._reads: dict[int, PendingRead] = {}
         self._rounds: dict[int, PendingRead] = {}
         # Late words to an earlier process at our address must not be taken for answers to us.
-        self._last = machine.rng.getrandbits(48)
+        self._last_number = machine.rng.getrandbits(48)
 
-    def _next(self) -> int:
-        self._last += 1
-        return self._last
+    def _next_number(self) -> int:
+        self._last_number += 1
+        return self._last_number
 
     def tick(self) -> None:
-        now = self._machine.turn.now
+        now = self._machine.step.now
         for change in list(self._changes.values()):
-            if now >= change.until:
-                self._end(change, ResultCode.BUSY)
+            if now >= change.deadline:
+                self._finish(change, ResultCode.BUSY)
                 continue
-            due, change.again = (
-                [s for at, s in change.again if at <= now],
-                [(at, s) for at, s in change.again if at > now],
+            due, change.retries = (
+                [s for at, s in change.retries if at <= now],
+                [(at, s) for at, s in change.retries if at > now],
             )
             for section in due:
-                self._ask(change, section)
+                self._send_request(change, section)
         for reading in list(self._reads.values()):
-            if now >= reading.until:
-                self._end_read(reading, ResultCode.BUSY)
-            elif reading.at and now >= reading.at:
-                self._ask_all(reading)
+            if now >= reading.deadline:
+                self._finish_read(reading, ResultCode.BUSY)
+            elif reading.retry_at and now >= reading.retry_at:
+                self._query_voters(reading)
 
     # ------------------------------------------------------------ changes
 
@@ -113,44 +115,44 @@
             parts.setdefault(self._machine.section_of(item.key), []).append(item)
         several = len(parts) > 1
         change = PendingChange(
-            number, parts, self._machine.turn.now + CHANGE_TIMEOUT_S, Phase.RESERVE if several else Phase.MAKE
+            number, parts, self._machine.step.now + CHANGE_TIMEOUT_S, Phase.RESERVE if several else Phase.MAKE
         )
         self._changes[number] = change
         if not parts:
-            self._end(change, ResultCode.DONE)
+            self._finish(change, ResultCode.DONE)
         elif several:
             self._reserve_all(change)
         else:
-            self._make_all(change)
+            self._apply_all(change)
 
     def _reserve_all(self, change: PendingChange) -> None:
         """From the first section on, also where a later owner has forgotten what was reserved with it."""
         change.phase = Phase.RESERVE
-        self._forget_asks(change)
+        self._forget_requests(change)
         change.to_reserve = sorted(change.parts)
-        self._ask(change, change.to_reserve[0])
+        self._send_request(change, change.to_reserve[0])
 
-    def _make_all(self, change: PendingChange) -> None:
+    def _apply_all(self, change: PendingChange) -> None:
         change.phase = Phase.MAKE
         for section in change.parts:
-            self._ask(change, section)
+            self._send_request(change, section)
 
     def _withdraw_all(self, change: PendingChange, conflicts: Iterable[Item]) -> None:
         change.phase = Phase.WITHDRAW
         change.conflicts = list(conflicts)
-        self._forget_asks(change)
+        self._forget_requests(change)
         for section in change.parts:
-            self._ask(change, section)
+            self._send_request(change, section)
 
-    def _ask(self, change: PendingChange, section: int) -> None:
+    def _send_request(self, change: PendingChange, section: int) -> None:
         machine = self._machine
-        holder = machine.owner.holder(section)
+        holder = machine.ownership.owner_or_candidate(section)
         if holder is None:
-            change.again.append((machine.turn.now + RETRY_DELAY_S, section))
+            change.retries.append((machine.step.now + RETRY_DELAY_S, section))
             return
-        number = self._next()
-        change.asked[number] = section
-        self._asks[number] = change
+        number = self._next_number()
+        change.open_requests[number] = section
+        self._change_requests[number] = change
         ask = wire.ChangeRequest(
             number=number,
             section=section,
@@ -162,106 +164,106 @@
         )
         machine.send(holder, Frame(ask=ask))
 
-    def on_told(self, peer: str, told: wire.ChangeResponse) -> None:
-        change = self._asks.pop(told.number, None)
+    def on_change_response(self, peer: str, told: wire.ChangeResponse) -> None:
+        change = self._change_requests.pop(told.number, None)
         if change is None:
             return
-        section = change.asked.pop(told.number)
+        section = change.open_requests.pop(told.number)
         code = ResultCode(told.outcome)
         if change.phase is Phase.WITHDRAW:
             self._on_withdrawn(change, section, code)
         elif code is ResultCode.CONFLICT and len(change.parts) > 1:
             self._withdraw_all(change, told.items)
         elif code is ResultCode.CONFLICT:
-            self._end(change, code, told.items)
+            self._finish(change, code, told.items)
         elif code is ResultCode.PARTLY_TAKEN:
-            self._end(change, ResultCode.BUSY)
+            self._finish(change, ResultCode.BUSY)
         elif code is ResultCode.BUSY and change.phase is Phase.MAKE and len(change.parts) > 1:
             change.phase = Phase.RESERVE  # its owner may be another, which has reserved nothing
-            self._forget_asks(change)
+            self._forget_requests(change)
             change.to_reserve = sorted(change.parts)
-            change.again.append((self._machine.turn.now + RETRY_DELAY_S, change.to_reserve[0]))
+            change.retries.append((self._machine.step.now + RETRY_DELAY_S, change.to_reserve[0]))
         elif code is ResultCode.BUSY:
-            change.again.append((self._machine.turn.now + RETRY_DELAY_S, section))
+            change.retries.append((self._machine.step.now + RETRY_DELAY_S, section))
         elif change.phase is Phase.RESERVE:
             self._on_reserved(change, section)
-        elif not change.asked and not change.again:
-            self._end(change, ResultCode.DONE)
+        elif not change.open_requests and not change.retries:
+            self._finish(change, ResultCode.DONE)
 
     def _on_reserved(self, change: PendingChange, section: int) -> None:
         change.to_reserve.remove(section)
         if change.to_reserve:
-            self._ask(change, change.to_reserve[0])
+            self._send_request(change, change.to_reserve[0])
         else:
-            self._make_all(change)
+            self._apply_all(change)
 
     def _on_withdrawn(self, change: PendingChange, section: int, code: ResultCode) -> None:
         """Refused only when no owner has taken a part, and none will: what was taken is never refused."""
         if code is ResultCode.BUSY:
-            change.again.append((self._machine.turn.now + RETRY_DELAY_S, section))
+            change.retries.append((self._machine.step.now + RETRY_DELAY_S, section))
         elif code is ResultCode.PARTLY_TAKEN:
-            self._end(change, ResultCode.BUSY)
-        elif not change.asked and not change.again:
-            self._end(change, ResultCode.CONFLICT, change.conflicts)
+            self._finish(change, ResultCode.BUSY)
+        elif not change.open_requests and not change.retries:
+            self._finish(change, ResultCode.CONFLICT, change.conflicts)
 
-    def _forget_asks(self, change: PendingChange) -> None:
+    def _forget_requests(self, change: PendingChange) -> None:
         """Answers that are still out count no more."""
-        for number in change.asked:
-            self._asks.pop(number, None)
-        change.asked.clear()
-        change.again.clear()
+        for number in change.open_requests:
+            self._change_requests.pop(number, None)
+        change.open_requests.clear()
+        change.retries.clear()
 
-    def _end(self, change: PendingChange, code: ResultCode, items: Iterable[Item] = ()) -> None:
-        self._forget_asks(change)
+    def _finish(self, change: PendingChange, code: ResultCode, items: Iterable[Item] = ()) -> None:
+        self._forget_requests(change)
         if self._changes.pop(change.number, None) is not None:
             self._machine.answer(change.number, code, items)
 
     # ------------------------------------------------------------ reads
 
     def read(self, number: int) -> None:
-        reading = PendingRead(number, self._machine.turn.now + READ_TIMEOUT_S)
+        reading = PendingRead(number, self._machine.step.now + READ_TIMEOUT_S)
         self._reads[number] = reading
-        self._ask_all(reading)
+        self._query_voters(reading)
 
-    def _ask_all(self, reading: PendingRead) -> None:
+    def _query_voters(self, reading: PendingRead) -> None:
         machine = self._machine
         self._rounds.pop(reading.round, None)
-        reading.round, reading.replies, reading.have = self._next(), {}, Quorum()
-        reading.at = machine.turn.now + (READ_RETRY_DELAY_S if not machine.has_majority() else 0.4)
+        reading.round, reading.replies, reading.quorum = self._next_number(), {}, Quorum()
+        reading.retry_at = machine.step.now + (READ_RETRY_DELAY_S if not machine.has_majority() else 0.4)
         self._rounds[reading.round] = reading
         for voter in machine.voters():
             machine.send(voter, Frame(read=wire.ReadRequest(number=reading.round)))
 
-    def on_reading(self, peer: str, told: wire.ReadResponse) -> None:
+    def on_read_response(self, peer: str, told: wire.ReadResponse) -> None:
         machine = self._machine
         reading = self._rounds.get(told.number)
-        if reading is None or not told.ok or not machine.seats.table:
+        if reading is None or not told.ok or not machine.voter_table.slots:
             return
         reading.replies[peer] = list(told.items)
-        reading.have.add(peer, told.mark)
-        if not reading.have.reached(machine.seats.table):
+        reading.quorum.add(peer, told.mark)
+        if not reading.quorum.reached(machine.voter_table.slots):
             return
         found = Book()
         for items in reading.replies.values():
             found.take(items)
-        open_keys = [key for key, item in found.items.items() if not self._stands(item)]
+        open_keys = [key for key, item in found.items.items() if not self._is_committed(item)]
         if not open_keys:
-            self._end_read(reading, ResultCode.DONE, found.items.values())
+            self._finish_read(reading, ResultCode.DONE, found.items.values())
             return
-        reading.tries += 1
-        reading.at = machine.turn.now + READ_RETRY_DELAY_S
+        reading.attempts += 1
+        reading.retry_at = machine.step.now + READ_RETRY_DELAY_S
         self._rounds.pop(reading.round, None)
-        if reading.tries == RECOVER_AFTER_READS:
+        if reading.attempts == RECOVER_AFTER_READS:
             for section in {machine.section_of(key) for key in open_keys}:
-                machine.owner.settle(section)
+                machine.ownership.reclaim(section)
 
-    def _stands(self, item: Item) -> bool:
-        stood = self._machine.standing.items.get(item.key)
+    def _is_committed(self, item: Item) -> bool:
+        stood = self._machine.committed.items.get(item.key)
         if stood is None or stood.version < item.version:
             return False
         return stood.version > item.version or (stood.value, stood.dropped) == (item.value, item.dropped)
 
-    def _end_read(self, reading: PendingRead, code: ResultCode, items: Iterable[Item] = ()) -> None:
+    def _finish_read(self, reading: PendingRead, code: ResultCode, items: Iterable[Item] = ()) -> None:
         self._rounds.pop(reading.round, None)
         if self._reads.pop(reading.number, None) is not None:
             self._machine.answer(reading.number, code, items)
--- a/leadrudder/consensus/state_machine.py
+++ b/leadrudder/consensus/state_machine.py
@@ -64,58 +64,60 @@
         self.zone = zone
         self.first_run = first_run
         self.seeds = seeds
-        self.wanted = max(3, 2 * losses + 1) if len(seeds) >= 3 else max(1, len(seeds))
+        self.bootstrap_voters = max(3, 2 * losses + 1) if len(seeds) >= 3 else max(1, len(seeds))
         self.rng = rng
         self.life = rng.getrandbits(48)
-        self.turn = Step()
+        self.step = Step()
         self.peers: dict[str, Peer] = {}
-        self.seats = VoterTable(address)
+        self.voter_table = VoterTable(address)
         self.promised: dict[int, int] = {}
-        self.book = Book()  # what this seat holds
-        self.standing = Book()  # what a majority holds
-        self.unsettled: dict[str, None] = {}  # keys of which the book holds something newer than what stands
+        self.accepted = Book()  # what this seat holds
+        self.committed = Book()  # what a majority holds
+        self.uncommitted: dict[
+            str, None
+        ] = {}  # keys of which the book holds something newer than what stands
         self.keys_by_section: dict[int, dict[str, None]] = {}  # of the book
         self.resigned = False
-        self._began: float | None = None
-        self.counts_since = 0.0  # when we started, or took our seat over if that was later
-        self.seating = Reconfiguration(self)
-        self.owner = SectionOwnership(self)
+        self._started_at: float | None = None
+        self.voting_since = 0.0  # when we started, or took our seat over if that was later
+        self.reconfiguration = Reconfiguration(self)
+        self.ownership = SectionOwnership(self)
         self.requests = OperatorRequests(self)
         self.leases = Leases(self)
-        self.repair = AntiEntropy(self)
-        self.contact = QuorumCheck(self)
+        self.anti_entropy = AntiEntropy(self)
+        self.quorum_check = QuorumCheck(self)
         self._restore(kept)
 
     def _restore(self, kept: dict[str, bytes]) -> None:
         for name, value in kept.items():
             if name.startswith(ITEM_RECORD):
-                self._take_into_book([Item.FromString(value)])
+                self._merge_accepted([Item.FromString(value)])
             elif name.startswith(PROMISED_RECORD):
                 self.promised[int(name[len(PROMISED_RECORD) :])] = int(value)
         if VOTERS_RECORD in kept:
-            self.seats.restore(kept[VOTERS_RECORD])
+            self.voter_table.restore(kept[VOTERS_RECORD])
 
     # ------------------------------------------------------------ inputs
 
     def _begin(self, now: float) -> None:
-        self.turn.now, self.turn.out = now, []
-        if self._began is None:
-            self._began = self.counts_since = now
+        self.step.now, self.step.out = now, []
+        if self._started_at is None:
+            self._started_at = self.voting_since = now
 
     def _end(self) -> list[Output]:
-        while self.turn.inbox:
-            self._take(self.address, self.turn.inbox.pop(0))
-        return self.turn.out
+        while self.step.inbox:
+            self._dispatch(self.address, self.step.inbox.pop(0))
+        return self.step.out
 
     def tick(self, now: float) -> list[Output]:
         """To be called some ten times a second."""
         self._begin(now)
-        self.seating.tick()
-        self.owner.tick()
+        self.reconfiguration.tick()
+        self.ownership.tick()
         self.requests.tick()
         self.leases.tick()
-        self.repair.tick()
-        self.contact.tick()
+        self.anti_entropy.tick()
+        self.quorum_check.tick()
         return self._end()
 
     def up(self, peer: str, now: float) -> list[Output]:
@@ -125,21 +127,21 @@
         """
         self._begin(now)
         if peer in self.peers:
-            self.peers[peer].told = False
-        self.greet(peer)
+            self.peers[peer].informed = False
+        self.send_status(peer)
         return self._end()
 
     def down(self, peer: str, now: float) -> list[Output]:
         self._begin(now)
         known = self.peers.get(peer)
         if known is not None and known.up:
-            known.up, known.full, known.told, known.since = False, False, False, now
+            known.up, known.full, known.informed, known.changed_at = False, False, False, now
         return self._end()
 
     def frame(self, peer: str, frame: Frame, now: float) -> list[Output]:
         """A frame of another signalbox's."""
         self._begin(now)
-        self._take(peer, frame)
+        self._dispatch(peer, frame)
         return self._end()
 
     def change(self, number: int, items: Iterable[Item], now: float) -> list[Output]:
@@ -158,266 +160,268 @@
         """This process is about to end: own nothing any more, and let others take over."""
         self._begin(now)
         self.resigned = True
-        self.owner.resign()
+        self.ownership.resign()
         self.leases.resign()
         for peer in self.connected():
-            self.greet(peer)
+            self.send_status(peer)
         return self._end()
 
     # ------------------------------------------------------------ what its parts use
 
     @property
-    def began(self) -> float:
+    def started_at(self) -> float:
         """When this process had its first input; until then 0."""
-        return self._began if self._began is not None else 0.0
+        return self._started_at if self._started_at is not None else 0.0
 
     @property
-    def wished(self) -> int:
+    def desired_voters(self) -> int:
         """How many seats the operator wants, as it stands; 0: it was never said, and they stay as founded."""
-        return read_core(self.standing.items.get(CORE))
+        return read_core(self.committed.items.get(CORE))
 
     def send(self, to: str, frame: Frame) -> None:
         if to == self.address:
-            self.turn.inbox.append(frame)
+            self.step.inbox.append(frame)
         else:
-            self.turn.out.append(Send(to, frame))
+            self.step.out.append(Send(to, frame))
 
     def write(self, records: dict[str, bytes], then: Iterable[Send] = ()) -> None:
-        self.turn.out.append(Write(records, tuple(then)))
+        self.step.out.append(Write(records, tuple(then)))
 
-    def note(self, text: str) -> None:
-        self.turn.out.append(LogLine(text))
+    def log(self, text: str) -> None:
+        self.step.out.append(LogLine(text))
 
     def answer(self, number: int, code: ResultCode, items: Iterable[Item] = ()) -> None:
-        self.turn.out.append(Answer(number, code, tuple(items)))
+        self.step.out.append(Answer(number, code, tuple(items)))
 
     def section_of(self, key: str) -> int:
         return section_of(key, self.sections)
 
-    def mark(self) -> wire.VoterView:
+    def voter_view(self) -> wire.VoterView:
         """For which seat a reply of ours counts."""
-        return mark(self.seats.table, self.address)
+        return mark(self.voter_table.slots, self.address)
 
     def connected(self) -> list[str]:
         return [address for address, peer in self.peers.items() if peer.up]
 
     def voters(self) -> list[str]:
         """Full holders of seats that can be reached, in the order of their seats; we may be one."""
-        return [holder for holder in self.seats.holders() if self.votes(holder)]
+        return [holder for holder in self.voter_table.holders() if self.is_voter(holder)]
 
-    def votes(self, holder: str) -> bool:
+    def is_voter(self, holder: str) -> bool:
         if holder == self.address:
-            return self.seats.full
+            return self.voter_table.full
         peer = self.peers.get(holder)
         return peer is not None and peer.up and peer.full
 
     def has_majority(self) -> bool:
-        return bool(self.seats.table) and len(self.voters()) >= self.seats.majority
+        return bool(self.voter_table.slots) and len(self.voters()) >= self.voter_table.majority
 
     def may_leave(self) -> bool:
         """Whether the others that can be reached are a majority without us: then our end costs nothing."""
         others = [holder for holder in self.voters() if holder != self.address]
-        return not self.seats.full or len(others) >= self.seats.majority
+        return not self.voter_table.full or len(others) >= self.voter_table.majority
 
-    def keep(self, items: Iterable[Item]) -> dict[str, bytes]:
+    def accept(self, items: Iterable[Item]) -> dict[str, bytes]:
         """Take items into what this seat holds; returns the records to be written."""
-        taken = self._take_into_book(items)
-        self.repair.changed(taken)
+        taken = self._merge_accepted(items)
+        self.anti_entropy.on_accepted(taken)
         return {ITEM_RECORD + item.key: item.SerializeToString() for item in taken}
 
-    def _take_into_book(self, items: Iterable[Item]) -> list[Item]:
-        taken = self.book.take(items)
+    def _merge_accepted(self, items: Iterable[Item]) -> list[Item]:
+        taken = self.accepted.take(items)
         for item in taken:
             self.keys_by_section.setdefault(self.section_of(item.key), {})[item.key] = None
-            if newer(item, self.standing.items.get(item.key)):
-                self.unsettled[item.key] = None
+            if newer(item, self.committed.items.get(item.key)):
+                self.uncommitted[item.key] = None
         return taken
 
-    def told_core(self) -> dict[str, Any]:
+    def describe_voters(self) -> dict[str, Any]:
         """Seats, their holders and what they own, as this process sees them: for operators."""
         owned: dict[str, list[int]] = {}
-        for section, (_, holder) in sorted(self.owner.known.items()):
+        for section, (_, holder) in sorted(self.ownership.known_owners.items()):
             owned.setdefault(holder, []).append(section)
         return {
-            "wanted": self.wished or None,
-            "majority": self.seats.majority,
+            "wanted": self.desired_voters or None,
+            "majority": self.voter_table.majority,
             "seats": [
                 {
                     "seat": index,
                     "holder": seat.holder,
                     "incarnation": seat.incarnation,
-                    "state": self._seat_state(seat),
+                    "state": self._slot_state(seat),
                     "sections": owned.get(seat.holder, []) if seat.holder else [],
                 }
-                for index, seat in sorted(self.seats.table.items())
+                for index, seat in sorted(self.voter_table.slots.items())
             ],
         }
 
-    def _seat_state(self, seat: VoterSlot) -> str:
+    def _slot_state(self, seat: VoterSlot) -> str:
         if seat.closed:
             return "closed" if seat.settled else "closing"
-        if self.votes(seat.holder):
+        if self.is_voter(seat.holder):
             return "full"
         peer = self.peers.get(seat.holder)
         here = seat.holder == self.address or (peer is not None and peer.up)
         return "empty" if here else "not connected"
 
-    def whole_book(self) -> dict[str, bytes]:
+    def item_records(self) -> dict[str, bytes]:
         """The records of all that this seat holds."""
-        return {ITEM_RECORD + item.key: item.SerializeToString() for item in self.book.items.values()}
+        return {ITEM_RECORD + item.key: item.SerializeToString() for item in self.accepted.items.values()}
 
-    def promises(self) -> dict[str, bytes]:
+    def promise_records(self) -> dict[str, bytes]:
         """The records of the epochs that were promised."""
         return {f"{PROMISED_RECORD}{s}": str(e).encode() for s, e in self.promised.items()}
 
-    def stands(self, items: Iterable[Item], tell: bool = True) -> None:
+    def mark_committed(self, items: Iterable[Item], tell: bool = True) -> None:
         """Items are known to be on disk at a majority."""
-        taken = self.standing.take(items)
+        taken = self.committed.take(items)
         if not taken:
             return
         for item in taken:
-            held = self.book.items.get(item.key)
+            held = self.accepted.items.get(item.key)
             if held is None or not newer(held, item):
-                self.unsettled.pop(item.key, None)
-        self.turn.out.append(Committed(tuple(taken)))
+                self.uncommitted.pop(item.key, None)
+        self.step.out.append(Committed(tuple(taken)))
         if tell:
             for peer in self.connected():
                 self.send(peer, Frame(standing=wire.CommittedItems(items=taken)))
 
     # ------------------------------------------------------------ frames
 
-    def _take(self, peer: str, frame: Frame) -> None:
+    def _dispatch(self, peer: str, frame: Frame) -> None:
         kind = frame.WhichOneof("body")
         if kind == "greeting" and peer == self.address:
-            self.seating.seated()
+            self.reconfiguration.on_slot_written()
         elif kind == "greeting":
-            self._on_greeting(peer, frame.greeting)
+            self._on_peer_status(peer, frame.greeting)
         elif kind == "founding":
-            self.seating.on_founding(frame.founding)
+            self.reconfiguration.on_bootstrap(frame.founding)
         elif kind == "claim":
-            self.seating.on_claim(peer, frame.claim)
+            self.reconfiguration.on_slot_claim(peer, frame.claim)
         elif kind == "grant":
-            self.seating.on_grant(peer, frame.grant)
+            self.reconfiguration.on_slot_grant(peer, frame.grant)
         elif kind == "fill":
-            self.seating.on_fill(peer, frame.fill)
+            self.reconfiguration.on_slot_transfer(peer, frame.fill)
         elif kind == "filled":
-            self.seating.on_filled(peer, frame.filled)
+            self.reconfiguration.on_slot_transfer_ack(peer, frame.filled)
         elif kind == "hand":
-            self.owner.on_hand(peer, frame.hand)
+            self.ownership.on_handover(peer, frame.hand)
         elif kind == "prepare":
             self._on_prepare(peer, frame.prepare)
         elif kind == "promise":
-            self.owner.on_promise(peer, frame.promise)
+            self.ownership.on_promise(peer, frame.promise)
         elif kind == "copy":
-            self._on_copy(peer, frame.copy)
+            self._on_replicate(peer, frame.copy)
         elif kind == "copied":
-            self.owner.on_copied(peer, frame.copied)
+            self.ownership.on_replicate_ack(peer, frame.copied)
         elif kind == "owner":
-            self.owner.on_owner(peer, frame.owner)
+            self.ownership.on_announcement(peer, frame.owner)
         elif kind == "ask":
-            self.owner.on_ask(peer, frame.ask)
+            self.ownership.on_change_request(peer, frame.ask)
         elif kind == "told":
-            self.requests.on_told(peer, frame.told)
+            self.requests.on_change_response(peer, frame.told)
         elif kind == "read":
             self._on_read(peer, frame.read)
         elif kind == "reading":
-            self.requests.on_reading(peer, frame.reading)
+            self.requests.on_read_response(peer, frame.reading)
         elif kind == "standing":
-            self.stands(frame.standing.items)
-            self._hold(frame.standing.items)
+            self.mark_committed(frame.standing.items)
+            self._accept_and_write(frame.standing.items)
         elif kind == "lease":
-            self.leases.on_lease(peer, frame.lease, self.counts_since)
+            self.leases.on_lease_request(peer, frame.lease, self.voting_since)
         elif kind == "leased":
-            self.leases.on_leased(peer, frame.leased)
+            self.leases.on_lease_response(peer, frame.leased)
         elif kind == "repair":
-            self._hold(frame.repair.items)
+            self._accept_and_write(frame.repair.items)
         elif kind == "digest":
-            self.repair.on_digest(peer, frame.digest)
+            self.anti_entropy.on_digest(peer, frame.digest)
         elif kind == "ranges":
-            self.repair.on_ranges(peer, frame.ranges)
+            self.anti_entropy.on_ranges(peer, frame.ranges)
         elif kind == "contact":
-            self.contact.on_contact(peer, frame.contact)
+            self.quorum_check.on_probe(peer, frame.contact)
         elif kind == "contacted":
-            self.contact.on_contacted(peer, frame.contacted)
+            self.quorum_check.on_probe_ack(peer, frame.contacted)
 
-    def greet(self, peer: str) -> None:
+    def send_status(self, peer: str) -> None:
         greeting = wire.PeerStatus(
             address=self.address,
             zone=self.zone,
             first_run=self.first_run,
-            full=self.seats.full and not self.resigned,
+            full=self.voter_table.full and not self.resigned,
             resigned=self.resigned,
-            seats=list(self.seats.table.values()),
+            seats=list(self.voter_table.slots.values()),
             life=self.life,
-            owned=[wire.PromisedEpoch(section=s, epoch=e) for s, e in self.owner.owned().items()],
+            owned=[
+                wire.PromisedEpoch(section=s, epoch=e) for s, e in self.ownership.owned_sections().items()
+            ],
         )
         self.send(peer, Frame(greeting=greeting))
 
-    def _on_greeting(self, peer: str, greeting: wire.PeerStatus) -> None:
+    def _on_peer_status(self, peer: str, greeting: wire.PeerStatus) -> None:
         known = self.peers.setdefault(peer, Peer(peer))
         # A process may be back before the end of its link was noticed: it owns nothing and was told nothing.
         restarted = known.life != greeting.life
         if restarted and known.life:
-            self.owner.restarted(peer)
+            self.ownership.on_peer_restarted(peer)
         known.life = greeting.life
-        fresh = restarted or not known.told
+        fresh = restarted or not known.informed
         if fresh:
-            known.since = self.turn.now
-        known.told = True
+            known.changed_at = self.step.now
+        known.informed = True
         known.up, known.zone, known.resigned = True, greeting.zone, greeting.resigned
         known.full, known.first_run = greeting.full, greeting.first_run
-        if greeting.full or not self.seats.table:
-            self.seating.learn(greeting.seats, peer if greeting.full else "")
+        if greeting.full or not self.voter_table.slots:
+            self.reconfiguration.merge_slots(greeting.seats, peer if greeting.full else "")
         if fresh:
-            if self.standing.items:
-                self.send(peer, Frame(standing=wire.CommittedItems(items=self.standing.items.values())))
-            self.owner.tell(peer)
-        self.owner.on_owned(peer, {owned.section: owned.epoch for owned in greeting.owned})
-        self.owner.on_peer(peer)
+            if self.committed.items:
+                self.send(peer, Frame(standing=wire.CommittedItems(items=self.committed.items.values())))
+            self.ownership.announce(peer)
+        self.ownership.on_owned_sections(peer, {owned.section: owned.epoch for owned in greeting.owned})
+        self.ownership.on_peer_connected(peer)
 
     # ------------------------------------------------------------ the part that accepts
 
-    def _may_ask(self, peer: str) -> bool:
-        return self.seats.full and self.votes(peer)
+    def _accepts_from(self, peer: str) -> bool:
+        return self.voter_table.full and self.is_voter(peer)
 
     def _on_prepare(self, peer: str, prepare: wire.Prepare) -> None:
         section, epoch = prepare.section, prepare.epoch
         promised = self.promised.get(section, 0)
         promise = wire.Promise(section=section, epoch=epoch, promised=promised)
-        if not self._may_ask(peer) or epoch <= promised:
+        if not self._accepts_from(peer) or epoch <= promised:
             self.send(peer, Frame(promise=promise))
             return
         self.promised[section] = epoch
-        self.owner.overtaken(section, epoch)
+        self.ownership.on_higher_epoch(section, epoch)
         promise.ok, promise.promised = True, epoch
-        promise.mark.CopyFrom(self.mark())
-        promise.items.extend(self.owner.of_section(section))
+        promise.mark.CopyFrom(self.voter_view())
+        promise.items.extend(self.ownership.items_of(section))
         self.write({f"{PROMISED_RECORD}{section}": str(epoch).encode()}, [Send(peer, Frame(promise=promise))])
 
-    def _on_copy(self, peer: str, copy: wire.Replicate) -> None:
+    def _on_replicate(self, peer: str, copy: wire.Replicate) -> None:
         promised = self.promised.get(copy.section, 0)
         copied = wire.ReplicateAck(number=copy.number, promised=promised)
-        if not self._may_ask(peer) or copy.epoch < promised:
+        if not self._accepts_from(peer) or copy.epoch < promised:
             self.send(peer, Frame(copied=copied))
             return
-        records = self.keep(copy.items)
+        records = self.accept(copy.items)
         if copy.epoch > promised:
             self.promised[copy.section] = copy.epoch
             records[f"{PROMISED_RECORD}{copy.section}"] = str(copy.epoch).encode()
         copied.ok = True
-        copied.mark.CopyFrom(self.mark())
+        copied.mark.CopyFrom(self.voter_view())
         self.write(records, [Send(peer, Frame(copied=copied))])
 
     def _on_read(self, peer: str, read: wire.ReadRequest) -> None:
-        reading = wire.ReadResponse(number=read.number, ok=self.seats.full)
+        reading = wire.ReadResponse(number=read.number, ok=self.voter_table.full)
         if reading.ok:
-            reading.items.extend(self.book.items.values())
-            reading.mark.CopyFrom(self.mark())
+            reading.items.extend(self.accepted.items.values())
+            reading.mark.CopyFrom(self.voter_view())
         self.write({}, [Send(peer, Frame(reading=reading))])
 
     # ------------------------------------------------------------ repair
 
-    def _hold(self, items: Iterable[Item]) -> None:
+    def _accept_and_write(self, items: Iterable[Item]) -> None:
         """What others have kept for us."""
-        if self.seats.full and (records := self.keep(items)):
+        if self.voter_table.full and (records := self.accept(items)):
             self.write(records)
--- a/leadrudder/control_plane/program.py
+++ b/leadrudder/control_plane/program.py
@@ -87,7 +87,7 @@
 
     async def start(self) -> None:
         kept = await self._open()
-        spoilt = getattr(self._store, "spoilt", "")
+        spoilt = getattr(self._store, "corrupt", "")
         if spoilt:
             self.ring.wrong(f"disk spoilt, counts as lost: {spoilt}")
         self.ring.say(f"starts with {len(kept)} records, first run: {self.settings.first_run}")
@@ -115,8 +115,8 @@
             (),
             self.ring,
             self._pack,
-            self.interlocking.repair.owed,
-            self.interlocking.told_core,
+            self.interlocking.anti_entropy.replica_lag,
+            self.interlocking.describe_voters,
             2 * self.settings.losses + 1,
             self._possessions.dispatch if self._possessions is not None else None,
             self._metrics().text,
@@ -136,8 +136,8 @@
         interlocking, feeds = self.interlocking, self._feeds
         metrics.add("sessions", lambda: len(feeds))
         metrics.add("members", lambda: len(self._register.members()))
-        metrics.add("items", lambda: len(interlocking.book.items))
-        metrics.add("items_unsettled", lambda: len(interlocking.unsettled))
+        metrics.add("items", lambda: len(interlocking.accepted.items))
+        metrics.add("items_unsettled", lambda: len(interlocking.uncommitted))
         metrics.add("operator_calls_open", lambda: len(self._waiting))
         metrics.add("news_merged_total", lambda: feeds.merged)
         metrics.add("session_unsent_bytes", feeds.most_unsent)
@@ -219,7 +219,7 @@
             self._feeds.subscribe(link, frozenset(frame.subscribe.services), self._register.members())
             return
         if kind == "members":
-            self._tell(self._register.take(frame.members.nodes))
+            self._tell(self._register.merge(frame.members.nodes))
             return
         if kind == "greeting":
             if not link.peer:
@@ -240,7 +240,7 @@
     def _add(self, peer: str, link: Link) -> None:
         self._links.setdefault(peer, []).append(link)
         now = self._loop.time()
-        self._register.signalbox(peer, True, now)
+        self._register.peer_link_changed(peer, True, now)
         link.send(Frame(members=wire.Members(nodes=self._register.nodes.values())))
         self._carry_out(self.interlocking.up(peer, now))
 
@@ -248,13 +248,13 @@
         now = self._loop.time()
         station = self._feeds.remove(link)
         if station is not None:
-            self._register.ended(station, now)
+            self._register.session_ended(station, now)
         links = self._links.get(link.peer, [])
         if link in links:
             links.remove(link)
             if not links:
                 del self._links[link.peer]
-                self._register.signalbox(link.peer, False, now)
+                self._register.peer_link_changed(link.peer, False, now)
                 if self._possessions is not None:
                     self._possessions.clocks.pop(link.peer, None)
                 self._carry_out(self.interlocking.down(link.peer, now))
@@ -263,7 +263,7 @@
         if self._done.is_set():
             return  # a dial begun now would outlive the event loop
         self._loop.call_later(DIAL_S, self._dial_all)
-        seats = self.interlocking.seats.holders()
+        seats = self.interlocking.voter_table.holders()
         for address in [a for a in {**self._others, **dict.fromkeys(seats)} if a != self.address]:
             if address not in self._links and address not in self._dialling:
                 self._dialling.add(address)
@@ -299,11 +299,11 @@
             return
         if new:
             self._feeds.add(link, node.name)
-        self._tell(self._register.hello(node), but=None if new else link)
+        self._tell(self._register.report(node), but=None if new else link)
         if new:
             settled = self._loop.time() >= self._settled_at
             news = wire.StateUpdate(
-                items=self.interlocking.standing.items.values(),
+                items=self.interlocking.committed.items.values(),
                 nodes=map(zone_relays.without_servers, self._register.members()),
                 whole=settled,
                 signalboxes=self._signalboxes(),
@@ -332,9 +332,9 @@
 
     def _serves(self, new: bool) -> bool:
         """Whether a station may be told what we know; new: it has no session here yet."""
-        contact, now = self.interlocking.contact, self._loop.time()
+        contact, now = self.interlocking.quorum_check, self._loop.time()
         in_contact = contact.fresh(now) if new else not contact.lost(now)
-        return in_contact and self.interlocking.owner.complete()
+        return in_contact and self.interlocking.ownership.knows_all_sections()
 
     def _leaving(self) -> bool:
         return self._done.is_set() or self.interlocking.resigned
@@ -347,11 +347,11 @@
         self._carry_out(self.interlocking.tick(now))
         self._leave_when_safe(now)
         self._tell(self._register.tick(now, self.interlocking.leases.holds(MEMBER_EXPIRY, now)))
-        self._register.forget()
+        self._register.evict()
         self._feeds.catch_up()
         if self._possessions is not None:
             self._possessions.tick(self.interlocking.leases.holds(MAINTENANCE, now))
-        if self.interlocking.contact.lost(now):
+        if self.interlocking.quorum_check.lost(now):
             self._settled_at = float("inf")
             for link in self._feeds.links():
                 link.cut()
@@ -359,10 +359,12 @@
     # ------------------------------------------------------------ operators
 
     def _known(self) -> Book:
-        return self.interlocking.standing
+        return self.interlocking.committed
 
     def _pack(self, items: Iterable[Item]) -> bytes:
-        seats = [(i, seat.holder, seat.incarnation) for i, seat in self.interlocking.seats.table.items()]
+        seats = [
+            (i, seat.holder, seat.incarnation) for i, seat in self.interlocking.voter_table.slots.items()
+        ]
         return snapshot.pack(items, seats, self.interlocking.promised, self._wall())
 
     async def _change(self, items: list[Item]) -> Answer:
--- a/leadrudder/control_simulation/incidents.py
+++ b/leadrudder/control_simulation/incidents.py
@@ -164,7 +164,7 @@
 
     def lose_second() -> None:
         process = fresh[0].process
-        wiped.append(process is not None and process.seats.full)
+        wiped.append(process is not None and process.voter_table.full)
         world.kill(two, power=True, wipe=wiped[0])
         world.after(1.5, lambda: world.start(two))
 
@@ -226,10 +226,12 @@
         others = [m.process for m in world.machines.values() if m is not machine and m.process is not None]
         while world.now < began + 60.0:
             process = machine.process
-            whole = process is not None and process.seats.full and process.owner.complete()
+            whole = (
+                process is not None and process.voter_table.full and process.ownership.knows_all_sections()
+            )
             if whole and process is not None:
-                known = process.standing.digest
-                if all(known == other.standing.digest for other in others):
+                known = process.committed.digest
+                if all(known == other.committed.digest for other in others):
                     return world.now - began
             world.play(world.now + 0.02)
         world.broken(f"{machine.address} has not caught up after a minute")
--- a/leadrudder/control_simulation/scenario.py
+++ b/leadrudder/control_simulation/scenario.py
@@ -302,12 +302,12 @@
         for machine in self._running():
             process = machine.process
             assert process is not None
-            holders = process.seats.holders()
-            full = [h for h in holders if process.votes(h)]
+            holders = process.voter_table.holders()
+            full = [h for h in holders if process.is_voter(h)]
             if len(full) != self._seats:
                 world.broken(f"{machine.address} sees {full} of {holders}, {self._seats} are wanted")
             if machine.address in holders:
-                owned[machine.address] = len(process.owner.owned())
+                owned[machine.address] = len(process.ownership.owned_sections())
         if max(owned.values()) - min(owned.values()) > 1:
             world.broken(f"sections are not even: {owned}")
 
--- a/leadrudder/control_simulation/world.py
+++ b/leadrudder/control_simulation/world.py
@@ -329,7 +329,7 @@
             self.broken(f"one duty has two holders: {holders}")
         self.held += bool(holders)
         if machine.process is not None:
-            for section, state in machine.process.owner.sections.items():
+            for section, state in machine.process.ownership.sections.items():
                 if state.ready:
                     holder = self.owners.setdefault((section, state.epoch), machine.address)
                     if holder != machine.address:
--- a/leadrudder/data_plane/endpoint_discovery.py
+++ b/leadrudder/data_plane/endpoint_discovery.py
@@ -73,7 +73,7 @@
 
     def follow(self, services: frozenset[str], members: list[Node]) -> None:
         """Ask for these services where they are to be had now; called after any change and at times."""
-        sources = self._homes.sources(services, members, self._loop.time())
+        sources = self._homes.sources_for(services, members, self._loop.time())
         for address in [a for a in self._links if a not in sources]:
             self._links.pop(address).close()
             self._asked.pop(address, None)
@@ -112,7 +112,7 @@
         link = await dial(address, lambda: Link(self, PING_S, SILENCE_S, peer=address))
         self._dialling.discard(address)
         if link is None or not link.up:
-            self._homes.failed(address, self._loop.time())
+            self._homes.mark_unreachable(address, self._loop.time())
         else:
             self._links[address] = link
             self._asked.pop(address, None)
@@ -129,7 +129,7 @@
         if self._links.get(link.peer) is link:
             del self._links[link.peer]
             self._asked.pop(link.peer, None)
-            self._homes.failed(link.peer, self._loop.time())
+            self._homes.mark_unreachable(link.peer, self._loop.time())
             self._sources_changed()
 
     # ------------------------------------------------------------ who asks us
@@ -158,7 +158,7 @@
         for services in self._subscribers.values():
             for service in services:
                 serving[service] = serving.get(service, 0) + 1
-        self._homes.serving = serving
+        self._homes.dependents = serving
 
     def close(self) -> None:
         for link in [*self._links.values(), *self._subscribers]:
--- a/leadrudder/data_plane/mesh_state.py
+++ b/leadrudder/data_plane/mesh_state.py
@@ -88,7 +88,7 @@
         """What a signalbox tells: items, members, or all of both."""
         self._take_items(news.items)
         pending = self.changes.pending
-        members = {node.name for node in self.members.take(news.nodes)}
+        members = {node.name for node in self.members.merge(news.nodes)}
         if news.whole:
             members |= self._forget_members({node.name for node in news.nodes})
         if members:
@@ -105,7 +105,7 @@
 
     def take_own(self, member: Node, entry: Node) -> None:
         """Our own membership, and the same with our server; carried out with the next pass."""
-        if self.members.take([member]):
+        if self.members.merge([member]):
             self.changes.pending.members = True
         self.newsstand.take([entry])
 
--- a/leadrudder/membership/registry.py
+++ b/leadrudder/membership/registry.py
@@ -34,11 +34,13 @@
     nodes: dict[str, Node] = field(default_factory=dict)
     digest: int = 0
     sessions: set[str] = field(default_factory=set)  # stations whose session with us stands
-    _strays: set[str] = field(default_factory=set)  # told of as ours, and without a session with us
-    _leaving: dict[str, tuple[float, Node]] = field(default_factory=dict)  # when to tell it as gone
-    _lost: dict[str, float] = field(default_factory=dict)  # signalboxes that are not connected, since when
+    _unclaimed: set[str] = field(default_factory=set)  # told of as ours, and without a session with us
+    _departing: dict[str, tuple[float, Node]] = field(default_factory=dict)  # when to tell it as gone
+    _lost_peers: dict[str, float] = field(
+        default_factory=dict
+    )  # signalboxes that are not connected, since when
 
-    def take(self, news: Iterable[Node]) -> list[Node]:
+    def merge(self, news: Iterable[Node]) -> list[Node]:
         """Merge entries; returns those that were new."""
         taken = []
         for node in news:
@@ -48,58 +50,58 @@
                 self.nodes[node.name] = node
                 taken.append(node)
                 if node.holder == self.address and not node.gone and node.name not in self.sessions:
-                    self._strays.add(node.name)
+                    self._unclaimed.add(node.name)
         return taken
 
-    def hello(self, node: Node) -> list[Node]:
+    def report(self, node: Node) -> list[Node]:
         """A station of ours reports."""
         entry = Node()
         entry.CopyFrom(node)
         entry.gone, entry.holder = False, self.address
         self.sessions.add(node.name)
-        self._leaving.pop(node.name, None)
-        return self.take([entry])
+        self._departing.pop(node.name, None)
+        return self.merge([entry])
 
-    def ended(self, name: str, now: float) -> None:
+    def session_ended(self, name: str, now: float) -> None:
         """A station's session with us has ended."""
         self.sessions.discard(name)
         node = self.nodes.get(name)
         if node is not None and node.holder == self.address and not node.gone:
-            self._leaving[name] = (now + RECONNECT_GRACE_S, node)
+            self._departing[name] = (now + RECONNECT_GRACE_S, node)
 
-    def signalbox(self, address: str, up: bool, now: float) -> None:
+    def peer_link_changed(self, address: str, up: bool, now: float) -> None:
         if up:
-            self._lost.pop(address, None)
+            self._lost_peers.pop(address, None)
         else:
-            self._lost.setdefault(address, now)
+            self._lost_peers.setdefault(address, now)
 
     def tick(self, now: float, sweeps: bool) -> list[Node]:
         """Entries that are told as gone now. sweeps: the duty for members of lost signalboxes is ours."""
         gone = []
-        for name, (due, node) in list(self._leaving.items()):
+        for name, (due, node) in list(self._departing.items()):
             if now >= due:
-                del self._leaving[name]
+                del self._departing[name]
                 if self.nodes.get(name) is node:
                     gone.append(node)
-        self._leave_strays(now)
-        if sweeps and self._lost:
-            orphaned = {a for a, since in self._lost.items() if now - since >= ORPHAN_GRACE_S}
+        self._expire_unclaimed(now)
+        if sweeps and self._lost_peers:
+            orphaned = {a for a, since in self._lost_peers.items() if now - since >= ORPHAN_GRACE_S}
             gone += [n for n in self.nodes.values() if n.holder in orphaned and not n.gone]
-        return self.take(_as_gone(node) for node in gone)
+        return self.merge(_as_gone(node) for node in gone)
 
-    def _leave_strays(self, now: float) -> None:
+    def _expire_unclaimed(self, now: float) -> None:
         """Sessions with an earlier process at our address: their stations have a moment to come back."""
-        for name in self._strays:
+        for name in self._unclaimed:
             node = self.nodes.get(name)
             ours = node is not None and node.holder == self.address and not node.gone
             if node is not None and ours and name not in self.sessions:
-                self._leaving.setdefault(name, (now + ORPHAN_GRACE_S, node))
-        self._strays.clear()
+                self._departing.setdefault(name, (now + ORPHAN_GRACE_S, node))
+        self._unclaimed.clear()
 
     def members(self) -> list[Node]:
         return [node for node in self.nodes.values() if not node.gone]
 
-    def forget(self, most: int = 4096) -> None:
+    def evict(self, most: int = 4096) -> None:
         """Bounded memory: the oldest of those that are gone go first."""
         if len(self.nodes) <= most:
             return
--- a/leadrudder/membership/zone_relays.py
+++ b/leadrudder/membership/zone_relays.py
@@ -52,15 +52,15 @@
 
     name: str
     zone: str
-    bad: dict[str, float] = field(default_factory=dict)  # addresses that are passed over, until when
-    serving: dict[str, int] = field(default_factory=dict)  # services that others ask us for, by how many
+    unreachable: dict[str, float] = field(default_factory=dict)  # addresses that are passed over, until when
+    dependents: dict[str, int] = field(default_factory=dict)  # services that others ask us for, by how many
     _members: list[Node] | None = None  # those that the orders below are of
     _orders: dict[str, list[Node]] = field(default_factory=dict)  # by service
 
-    def failed(self, address: str, now: float) -> None:
-        self.bad[address] = now + UNREACHABLE_S
+    def mark_unreachable(self, address: str, now: float) -> None:
+        self.unreachable[address] = now + UNREACHABLE_S
 
-    def sources(self, services: Iterable[str], members: list[Node], now: float) -> dict[str, set[str]]:
+    def sources_for(self, services: Iterable[str], members: list[Node], now: float) -> dict[str, set[str]]:
         """What to ask whom: services by the address of a station, or by "" for our signalbox.
 
         members: the same list for as long as they are the same, as the orders that follow from it are kept.
@@ -68,14 +68,14 @@
         if members is not self._members:
             self._members = members
             self._orders.clear()
-        self.bad = {address: until for address, until in self.bad.items() if until > now}
+        self.unreachable = {address: until for address, until in self.unreachable.items() if until > now}
         ask: dict[str, set[str]] = {}
-        for service in {*services, *self.serving}:
+        for service in {*services, *self.dependents}:
             ask.setdefault(self._source(service, members), set()).add(service)
         return ask
 
     def _source(self, service: str, members: list[Node]) -> str:
-        if service in self.serving:
+        if service in self.dependents:
             return ""  # others rest on us: what we tell them must not come round
         ordered = self._orders.get(service)
         if ordered is None:
@@ -83,6 +83,6 @@
         for node in ordered:
             if node.name == self.name:
                 return ""
-            if node.address not in self.bad:
+            if node.address not in self.unreachable:
                 return node.address
         return ""
--- a/leadrudder/model_checker/machine_states.py
+++ b/leadrudder/model_checker/machine_states.py
@@ -136,7 +136,7 @@
     if isinstance(obj, Book):
         return _frozen(obj.items)  # its digests follow from them
     names = getattr(obj, "__slots__", None) or sorted(vars(obj))
-    return tuple((n, _frozen(getattr(obj, n))) for n in names if n not in ("_machine", "machine", "turn"))
+    return tuple((n, _frozen(getattr(obj, n))) for n in names if n not in ("_machine", "machine", "step"))
 
 
 def encoded(outputs: list[Output]) -> tuple[Effect, ...]:
@@ -251,7 +251,7 @@
         return view
 
     def _number(self, machine: ControlStateMachine) -> int:
-        machine.turn.out, machine.turn.inbox = [], []
+        machine.step.out, machine.step.inbox = [], []
         into = io.BytesIO()
         _Pickler(into, 5).dump(machine)
         blob = into.getvalue()
@@ -286,20 +286,20 @@
 def _rows(seats: VoterTable) -> tuple[SeatRow, ...]:
     return tuple(
         (i, CLOSED if seat.settled else seat.holder, seat.incarnation)
-        for i, seat in sorted(seats.table.items())
+        for i, seat in sorted(seats.slots.items())
     )
 
 
 def _view(machine: ControlStateMachine) -> View:
-    owned = {section: state.epoch for section, state in machine.owner.sections.items() if state.ready}
-    mine = machine.seats.mine()
+    owned = {section: state.epoch for section, state in machine.ownership.sections.items() if state.ready}
+    mine = machine.voter_table.own_slot()
     return View(
         ready=frozenset(owned.items()),
         leases=tuple((duty, machine.leases.until(duty)) for duty in DUTIES if machine.leases.until(duty)),
-        seats=_rows(machine.seats),
-        full=machine.seats.full,
-        standing=frozenset(map(fact, machine.standing.items.values())),
-        whole=machine.owner.complete(),
+        seats=_rows(machine.voter_table),
+        full=machine.voter_table.full,
+        standing=frozenset(map(fact, machine.committed.items.values())),
+        whole=machine.ownership.knows_all_sections(),
         resigned=machine.resigned,
-        story=f"seat {mine}{'' if machine.seats.full else ' (empty)'}, owns {owned or 'nothing'}",
+        story=f"seat {mine}{'' if machine.voter_table.full else ' (empty)'}, owns {owned or 'nothing'}",
     )
--- a/leadrudder/model_checker/world.py
+++ b/leadrudder/model_checker/world.py
@@ -76,7 +76,7 @@
                 kept=disk,
                 sections=scene.sections,
             )
-            machine.contact = Unasked(machine)
+            machine.quorum_check = Unasked(machine)
             return machine
 
         self.locals = Locals(make)
--- a/leadrudder/storage/store.py
+++ b/leadrudder/storage/store.py
@@ -56,13 +56,13 @@
     """A store that keeps nothing after its process; for tests and for machines without a disk."""
 
     def __init__(self) -> None:
-        self._held: dict[str, bytes] = {}
+        self._records: dict[str, bytes] = {}
 
     def open(self) -> dict[str, bytes]:
-        return dict(self._held)
+        return dict(self._records)
 
     def commit(self, records: Mapping[str, bytes]) -> None:
-        self._held.update(records)
+        self._records.update(records)
 
     def close(self) -> None:
         pass
@@ -101,58 +101,58 @@
 
     def __init__(self, folder: str) -> None:
         self._folder = folder
-        self._held: dict[str, bytes] = {}
-        self.spoilt = ""  # which record of which file has changed: the disk then counts as lost
+        self._records: dict[str, bytes] = {}
+        self.corrupt = ""  # which record of which file has changed: the disk then counts as lost
         self._generation = 0
-        self._count = 0
+        self._batches = 0
         self._files: list[int] = []  # descriptors of the generation's files
         self._db: dbm.dumb._Database | None = None
 
-    def look(self) -> dict[str, bytes]:
+    def peek(self) -> dict[str, bytes]:
         """What the folder holds, which is left as it is; Spoilt where that is not known."""
-        for generation in reversed(self._found()):
-            read = self._read(generation)
+        for generation in reversed(self._generations()):
+            read = self._read_generation(generation)
             if read is not None:
                 return read
         return {}
 
-    def _found(self) -> list[int]:
+    def _generations(self) -> list[int]:
         """The generations that are there, the oldest first."""
         return sorted(int(m[1]) for name in os.listdir(self._folder) if (m := self._NAME.fullmatch(name)))
 
     def open(self) -> dict[str, bytes]:
         try:
             os.makedirs(self._folder, exist_ok=True)
-            found = self._found()
-            self.spoilt = ""
+            found = self._generations()
+            self.corrupt = ""
             try:
-                self._held = self.look()
+                self._records = self.peek()
             except CorruptStoreError as spoilt:
-                self.spoilt, self._held = str(spoilt), {}
-            self._begin(max(found, default=0) + 1, found)
+                self.corrupt, self._records = str(spoilt), {}
+            self._start_generation(max(found, default=0) + 1, found)
         except (OSError, dbm.dumb.error) as error:
             raise DiskError(str(error)) from None
-        return dict(self._held)
+        return dict(self._records)
 
     def commit(self, records: Mapping[str, bytes]) -> None:
         try:
-            if self._count >= MAX_GENERATION_BATCHES or self._db is None:
-                self._held.update(records)
-                self._begin(self._generation + 1, [self._generation])
+            if self._batches >= MAX_GENERATION_BATCHES or self._db is None:
+                self._records.update(records)
+                self._start_generation(self._generation + 1, [self._generation])
             else:
                 self._append(records)
-                self._held.update(records)
+                self._records.update(records)
         except (OSError, dbm.dumb.error) as error:
-            self._let_go()  # what came of it is not known: the next batch goes to a new generation
+            self._close_files()  # what came of it is not known: the next batch goes to a new generation
             raise DiskError(str(error)) from None
 
     def close(self) -> None:
-        self._let_go()
+        self._close_files()
 
     def _path(self, generation: int) -> str:
         return os.path.join(self._folder, f"g{generation:08d}")
 
-    def _read(self, generation: int) -> dict[str, bytes] | None:
+    def _read_generation(self, generation: int) -> dict[str, bytes] | None:
         """What a generation holds; None if it was never finished.
 
         Its first batch is the whole of the one before.  The last may be torn, as power was lost before it
@@ -190,22 +190,22 @@
                 held.update(batch)
         return held
 
-    def _begin(self, generation: int, older: list[int]) -> None:
+    def _start_generation(self, generation: int, older: list[int]) -> None:
         """A new generation with all there is; older ones go once it is on disk."""
-        self._let_go()
+        self._close_files()
         path = self._path(generation)
         self._remove(generation)
-        self._generation, self._count = generation, 0
+        self._generation, self._batches = generation, 0
         self._db = dbm.dumb.open(path, "n", 0o600)  # noqa: SIM115 - closed by _let_go
-        self._append(self._held, new=True)
+        self._append(self._records, new=True)
         for old in older:
             if old != generation:
                 self._remove(old)
 
     def _append(self, records: Mapping[str, bytes], *, new: bool = False) -> None:
         assert self._db is not None
-        self._db[f"{self._count:012d}"] = encode_batch(records)
-        self._count += 1
+        self._db[f"{self._batches:012d}"] = encode_batch(records)
+        self._batches += 1
         if new:
             path = self._path(self._generation)
             self._files = [os.open(path + ending, os.O_RDWR) for ending in (".dat", ".dir")]
@@ -223,7 +223,7 @@
             with contextlib.suppress(FileNotFoundError):
                 os.remove(self._path(generation) + ending)
 
-    def _let_go(self) -> None:
+    def _close_files(self) -> None:
         for descriptor in self._files:
             with contextlib.suppress(OSError):
                 os.close(descriptor)
--- a/leadrudder/storage/writer.py
+++ b/leadrudder/storage/writer.py
@@ -31,26 +31,26 @@
 
     def __init__(self, store: Store, told: Callable[[str], None]) -> None:
         self._store = store
-        self._told = told  # a line when the disk refuses
+        self._report = told  # a line when the disk refuses
         self._loop = asyncio.get_running_loop()
         self._lock = threading.Condition()
-        self._waiting: dict[str, bytes] = {}
+        self._pending: dict[str, bytes] = {}
         self._callbacks: list[Callback] = []
-        self._busy = False
+        self._writing = False
         self._stopped = False
         self._thread = threading.Thread(target=self._work, name="depot", daemon=True)
         self._thread.start()
 
     def put(self, records: dict[str, bytes], done: Callback) -> None:
         with self._lock:
-            self._waiting.update(records)
+            self._pending.update(records)
             self._callbacks.append(done)
             self._lock.notify()
 
     def after(self, done: Callback) -> None:
         """Call done once all that was put so far is on disk: at once where nothing waits."""
         with self._lock:
-            if self._busy or self._callbacks:
+            if self._writing or self._callbacks:
                 self._callbacks.append(done)
                 return
         done()
@@ -70,21 +70,21 @@
                 if not self._callbacks:
                     self._store.close()
                     return
-                records, self._waiting = self._waiting, {}
+                records, self._pending = self._pending, {}
                 callbacks, self._callbacks = self._callbacks, []
-                self._busy = True
+                self._writing = True
             while records:
                 try:
                     self._store.commit(records)
                     break
                 except DiskError as error:
-                    self._call(lambda error=error: self._told(f"disk refused a batch: {error}"))  # type: ignore[misc]
+                    self._call(lambda error=error: self._report(f"disk refused a batch: {error}"))  # type: ignore[misc]
                     with self._lock:
                         if self._stopped:
                             return
                         self._lock.wait(RETRY_DELAY_S)
             with self._lock:
-                self._busy = False
+                self._writing = False
             for done in callbacks:
                 self._call(done)
 
--- a/tests/mesh/planted_faults.py
+++ b/tests/mesh/planted_faults.py
@@ -44,7 +44,7 @@
 
 def promise_without_items() -> Any:
     """A new owner hears nothing of what stood before."""
-    return put(SectionOwnership, "of_section", lambda self, section: [])
+    return put(SectionOwnership, "items_of", lambda self, section: [])
 
 
 def one_version_two_values() -> Any:
@@ -53,7 +53,7 @@
     def weigh(self: SectionOwnership, ask: wire.ChangeRequest) -> tuple[ResultCode, list[Item], list[Item]]:
         return ResultCode.DONE, [Item.FromString(item.SerializeToString()) for item in ask.items], []
 
-    return put(SectionOwnership, "_weigh", weigh)
+    return put(SectionOwnership, "_evaluate", weigh)
 
 
 def lower_is_done_at_once() -> Any:
@@ -63,28 +63,28 @@
         code, new, _ = whole(self, ask)
         return code, new, []
 
-    whole = SectionOwnership._weigh
-    return put(SectionOwnership, "_weigh", weigh)
+    whole = SectionOwnership._evaluate
+    return put(SectionOwnership, "_evaluate", weigh)
 
 
 def read_by_one() -> Any:
     def on_reading(self: OperatorRequests, peer: str, told: wire.ReadResponse) -> None:
         reading = self._rounds.get(told.number)
         if reading is not None and told.ok:
-            self._end_read(reading, ResultCode.DONE, told.items)
+            self._finish_read(reading, ResultCode.DONE, told.items)
 
-    return put(OperatorRequests, "on_reading", on_reading)
+    return put(OperatorRequests, "on_read_response", on_reading)
 
 
 def grants_to_all() -> Any:
     """A granter does not look whether another has the duty."""
 
     def on_lease(self: Leases, peer: str, lease: wire.LeaseRequest, started: float) -> None:
-        self._given.clear()
+        self._granted.clear()
         whole(self, peer, lease, started)
 
-    whole = Leases.on_lease
-    return put(Leases, "on_lease", on_lease)
+    whole = Leases.on_lease_request
+    return put(Leases, "on_lease_request", on_lease)
 
 
 # ---------------------------------------------------------------- copies, disks
@@ -104,15 +104,15 @@
 
 def copy_not_kept() -> Any:
     """One that is asked for a copy says that it has it, and keeps nothing."""
-    return put(ControlStateMachine, "keep", lambda self, items: {})
+    return put(ControlStateMachine, "accept", lambda self, items: {})
 
 
 def drop_forgotten() -> Any:
     def keep(self: ControlStateMachine, items: Iterable[Item]) -> dict[str, bytes]:
         return whole(self, [item for item in items if not item.dropped])
 
-    whole = ControlStateMachine.keep
-    return put(ControlStateMachine, "keep", keep)
+    whole = ControlStateMachine.accept
+    return put(ControlStateMachine, "accept", keep)
 
 
 def older_overwrites_newer() -> Any:
@@ -165,8 +165,8 @@
         whole(self, peer, copy)
         self.promised[copy.section] = max(promised, self.promised.get(copy.section, 0))
 
-    whole = ControlStateMachine._on_copy
-    return put(ControlStateMachine, "_on_copy", on_copy)
+    whole = ControlStateMachine._on_replicate
+    return put(ControlStateMachine, "_on_replicate", on_copy)
 
 
 def promised_to_all() -> Any:
@@ -185,13 +185,13 @@
 
     def copy(self: SectionOwnership, section: int, items: list[Item], **given: Any) -> None:
         if given.get("claim"):
-            self._machine.stands(items)
-            self._ready(section)
+            self._machine.mark_committed(items)
+            self._become_owner(section)
         else:
             whole(self, section, items, **given)
 
-    whole = SectionOwnership._copy
-    return put(SectionOwnership, "_copy", copy)
+    whole = SectionOwnership._replicate
+    return put(SectionOwnership, "_replicate", copy)
 
 
 def old_epoch_kept() -> Any:
@@ -201,13 +201,13 @@
         self: SectionOwnership, number: int, copying: ownership.Replication, to: Iterable[str]
     ) -> None:
         for item in copying.items:
-            held = self._machine.book.items.get(item.key)
+            held = self._machine.accepted.items.get(item.key)
             if held is not None and held.version == item.version and held.value == item.value:
                 item.epoch = held.epoch
         whole(self, number, copying, to)
 
-    whole = SectionOwnership._send_copies
-    return put(SectionOwnership, "_send_copies", send_copies)
+    whole = SectionOwnership._send_replication
+    return put(SectionOwnership, "_send_replication", send_copies)
 
 
 def refused_before_it_stands() -> Any:
@@ -217,17 +217,17 @@
         code, new, waits = whole(self, ask)
         return (ResultCode.CONFLICT if code is ResultCode.BUSY else code), new, waits
 
-    whole = SectionOwnership._weigh
-    return put(SectionOwnership, "_weigh", weigh)
+    whole = SectionOwnership._evaluate
+    return put(SectionOwnership, "_evaluate", weigh)
 
 
 def stale_owner_believed() -> Any:
-    return put(SectionOwnership, "on_owned", lambda self, peer, owned: None)
+    return put(SectionOwnership, "on_owned_sections", lambda self, peer, owned: None)
 
 
 def left_half_done() -> Any:
     """What repair brings of an earlier owner's is left to lie."""
-    return put(SectionOwnership, "_settle_found", lambda self: None)
+    return put(SectionOwnership, "_replicate_uncommitted", lambda self: None)
 
 
 # ---------------------------------------------------------------- seats
@@ -238,15 +238,15 @@
 
     def learn(self: VoterTable, told: Iterable[VoterSlot], teller: str = "") -> bool:
         new = whole(self, told, teller)
-        self.full = self.full or self.mine() is not None
+        self.full = self.full or self.own_slot() is not None
         return new
 
-    whole = VoterTable.learn
-    return put(VoterTable, "learn", learn)
+    whole = VoterTable.merge
+    return put(VoterTable, "merge", learn)
 
 
 def newcomer_asks_one() -> Any:
-    return put(VoterTable, "grants_needed", lambda self, index: 1)
+    return put(VoterTable, "required_grants", lambda self, index: 1)
 
 
 def full_before_the_sync() -> Any:
@@ -256,15 +256,15 @@
         claim = self._claim
         whole(self, peer, grant)
         if claim is not None and self._claim is None:
-            self.seated()
+            self.on_slot_written()
 
-    whole = Reconfiguration.on_grant
-    return put(Reconfiguration, "on_grant", on_grant)
+    whole = Reconfiguration.on_slot_grant
+    return put(Reconfiguration, "on_slot_grant", on_grant)
 
 
 def lost_votes_count() -> Any:
     """A reply counts whatever became of its sender's seat since."""
-    return put(Quorum, "members", lambda self: set(self.marks))
+    return put(Quorum, "members", lambda self: set(self.views))
 
 
 def granted_without_items() -> Any:
@@ -276,8 +276,8 @@
         del bare.items[:]
         whole(self, peer, bare)
 
-    whole = Reconfiguration.on_grant
-    return put(Reconfiguration, "on_grant", on_grant)
+    whole = Reconfiguration.on_slot_grant
+    return put(Reconfiguration, "on_slot_grant", on_grant)
 
 
 class _Many(set[str]):
@@ -294,11 +294,11 @@
     """A seat is asked for without sounding who else sees its holder lost."""
 
     def ask_for_one(self: Reconfiguration) -> None:
-        self._willing = _Many()
+        self._consenting = _Many()
         whole(self)
 
-    whole = Reconfiguration._ask_for_one
-    return put(Reconfiguration, "_ask_for_one", ask_for_one)
+    whole = Reconfiguration._request_slot
+    return put(Reconfiguration, "_request_slot", ask_for_one)
 
 
 def size_not_told() -> Any:
@@ -327,18 +327,18 @@
 
 def two_closed_at_once() -> Any:
     """Another seat is closed before the last one is settled."""
-    return put(VoterTable, "half_closed", lambda self: None)
+    return put(VoterTable, "closing_slot", lambda self: None)
 
 
 def new_seat_by_one() -> Any:
     """A seat that is new is granted by one of those that have one."""
 
     def grants_needed(self: VoterTable, index: int) -> int:
-        known = self.table.get(index)
+        known = self.slots.get(index)
         return whole(self, index) if known is not None and not known.closed else 1
 
-    whole = VoterTable.grants_needed
-    return put(VoterTable, "grants_needed", grants_needed)
+    whole = VoterTable.required_grants
+    return put(VoterTable, "required_grants", grants_needed)
 
 
 # ---------------------------------------------------------------- links, duties
@@ -353,8 +353,8 @@
         same.life = 1
         whole(self, peer, same)
 
-    whole = ControlStateMachine._on_greeting
-    return put(ControlStateMachine, "_on_greeting", on_greeting)
+    whole = ControlStateMachine._on_peer_status
+    return put(ControlStateMachine, "_on_peer_status", on_greeting)
 
 
 def new_link_not_told() -> Any:
@@ -362,10 +362,10 @@
 
     def up(self: ControlStateMachine, peer: str, now: float) -> list[Output]:
         known = self.peers.get(peer)
-        told = known is not None and known.told
+        told = known is not None and known.informed
         outputs = whole(self, peer, now)
         if known is not None:
-            known.told = told
+            known.informed = told
         return outputs
 
     whole = ControlStateMachine.up
@@ -380,8 +380,8 @@
         if leased.duty in self._until:
             self._until[leased.duty] += 1.0
 
-    whole = Leases.on_leased
-    return put(Leases, "on_leased", on_leased)
+    whole = Leases.on_lease_response
+    return put(Leases, "on_lease_response", on_leased)
 
 
 def no_room_for_clocks() -> Any:
@@ -394,8 +394,8 @@
     def on_lease(self: Leases, peer: str, asked: wire.LeaseRequest, started: float) -> None:
         whole(self, peer, asked, -1e9)
 
-    whole = Leases.on_lease
-    return put(Leases, "on_lease", on_lease)
+    whole = Leases.on_lease_request
+    return put(Leases, "on_lease_request", on_lease)
 
 
 def nothing_repaired() -> Any:
@@ -414,15 +414,15 @@
 
     def reserve_all(self: OperatorRequests, change: PendingChange) -> None:
         change.phase = Phase.RESERVE
-        self._forget_asks(change)
+        self._forget_requests(change)
         change.to_reserve = sorted(change.parts)
         for section in change.parts:
-            self._ask(change, section)
+            self._send_request(change, section)
 
     def reserved(self: OperatorRequests, change: PendingChange, section: int) -> None:
         change.to_reserve.remove(section)
         if not change.to_reserve:
-            self._make_all(change)
+            self._apply_all(change)
 
     return put_all(OperatorRequests, _reserve_all=reserve_all, _on_reserved=reserved)
 
--- a/tests/mesh/test_anti_entropy.py
+++ b/tests/mesh/test_anti_entropy.py
@@ -72,7 +72,7 @@
         all_of_them = items(2000)
         pair = Pair(machine(0, *all_of_them), machine(1, *all_of_them[:-1]))
         pair.tick(1.0)
-        self.assertEqual(pair.ends[0].book.digest, pair.ends[1].book.digest)
+        self.assertEqual(pair.ends[0].accepted.digest, pair.ends[1].accepted.digest)
         of_range = sum(range_of(i.key) == range_of(all_of_them[-1].key) for i in all_of_them)
         self.assertLess(pair.bytes["repair"], 2 * of_range * all_of_them[0].ByteSize())
         self.assertLess(pair.bytes["repair"], sum(i.ByteSize() for i in all_of_them) / 10)
@@ -86,23 +86,23 @@
         many = items(3000, 1000)
         pair = Pair(machine(0, *many), machine(1))
         pair.tick(1.0)
-        first = pair.ends[0].repair.handed
+        first = pair.ends[0].anti_entropy.bytes_sent
         self.assertLessEqual(first, anti_entropy.MAX_BYTES_PER_S + many[-1].ByteSize())
         for step in range(2, 12):
             pair.tick(0.5 * step)
-        self.assertEqual(pair.ends[0].book.digest, pair.ends[1].book.digest)
-        self.assertLessEqual(pair.ends[0].repair.handed, (1 + 5.5) * anti_entropy.MAX_BYTES_PER_S)
+        self.assertEqual(pair.ends[0].accepted.digest, pair.ends[1].accepted.digest)
+        self.assertLessEqual(pair.ends[0].anti_entropy.bytes_sent, (1 + 5.5) * anti_entropy.MAX_BYTES_PER_S)
 
     def test_what_is_owed_can_be_seen(self) -> None:
         a = machine(0, *items(5))
         pair = Pair(a, machine(1, *items(5)))
         pair.tick(1.0)
-        one, other = a.repair.owed()
+        one, other = a.anti_entropy.replica_lag()
         self.assertEqual((one.holder, one.up, one.items, one.bytes), (NAMES[1], True, 0, 0))
         self.assertEqual((other.holder, other.up, other.full, other.items), (NAMES[2], False, False, 5))
         a.down(NAMES[1], 2.0)
         a.frame(NAMES[1], Frame(repair=wire.Repair(items=[Item(key="limits", version=2, epoch=256)])), 3.0)
-        (one, _) = a.repair.owed()
+        (one, _) = a.anti_entropy.replica_lag()
         self.assertFalse(one.up)
         self.assertGreaterEqual(one.items, 1)
         self.assertEqual(one.since_s, 2.0)
@@ -116,12 +116,12 @@
         one.frame(NAMES[1], Frame(greeting=greeting), 0.0)
         news = wire.OwnerAnnouncement(section=3, epoch=513, holder=NAMES[1])
         one.frame(NAMES[1], Frame(owner=news), 0.1)  # late: of a process before
-        self.assertEqual(one.owner.known[3], (513, NAMES[1]))
+        self.assertEqual(one.ownership.known_owners[3], (513, NAMES[1]))
         one.frame(NAMES[1], Frame(greeting=greeting), 0.5)
-        self.assertEqual(one.owner.known[3], (513, ""))
+        self.assertEqual(one.ownership.known_owners[3], (513, ""))
         greeting.owned.add(section=3, epoch=769)
         one.frame(NAMES[1], Frame(greeting=greeting), 1.0)
-        self.assertEqual(one.owner.known[3], (769, NAMES[1]))
+        self.assertEqual(one.ownership.known_owners[3], (769, NAMES[1]))
 
 
 class Votes(unittest.TestCase):
--- a/tests/mesh/test_backup.py
+++ b/tests/mesh/test_backup.py
@@ -129,7 +129,9 @@
         world.play(7.0)
         self.assertEqual([a.code for a in answers], [ResultCode.DONE] * 3)
         self.assertEqual({i.value for a in answers for i in a.items}, {b"kept"})
-        self.assertTrue(old.process is not None and old.process.seats.full, "it has a seat again by a claim")
+        self.assertTrue(
+            old.process is not None and old.process.voter_table.full, "it has a seat again by a claim"
+        )
 
     def test_the_tool_makes_a_disk_for_each_machine(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/mesh/test_concurrent_operators.py
+++ b/tests/mesh/test_concurrent_operators.py
@@ -30,7 +30,7 @@
     def _owner(self, key: str) -> Machine:
         for machine in self.world.machines.values():
             process = machine.process
-            if process is not None and process.section_of(key) in process.owner.owned():
+            if process is not None and process.section_of(key) in process.ownership.owned_sections():
                 return machine
         raise AssertionError(f"{key} has no owner")
 
@@ -71,13 +71,13 @@
         world = self.world
         asked = next(iter(world.machines.values()))
         first, second = self._owner(self.call[0][0]), self._owner(self.call[1][0])
-        make_all = OperatorRequests._make_all
+        make_all = OperatorRequests._apply_all
 
         def lost_on_the_way(requests: OperatorRequests, change: PendingChange) -> None:
             world.kill(second)
             make_all(requests, change)
 
-        with mock.patch.object(OperatorRequests, "_make_all", lost_on_the_way):
+        with mock.patch.object(OperatorRequests, "_apply_all", lost_on_the_way):
             self._send(asked, self.call)
             self._until(lambda: (self.call[0][0], 7) in world.values)
         self.assertIsNotNone(first.process)
@@ -111,7 +111,7 @@
 
     def test_without_the_withdrawal_it_would_be_refused(self) -> None:
         def refuse(requests: OperatorRequests, change: PendingChange, conflicts: object) -> None:
-            requests._end(change, ResultCode.CONFLICT)
+            requests._finish(change, ResultCode.CONFLICT)
 
         with mock.patch.object(OperatorRequests, "_withdraw_all", refuse), self.assertRaises(Broken):
             self.test_a_call_that_was_taken_in_part_is_not_refused()
@@ -152,7 +152,7 @@
         assert process is not None
         late = PendingChange(99, {}, world.now + 0.9, Phase.MAKE)
         items = [Item(key=key, version=7, value=value) for key, value in self.call]
-        with mock.patch.object(OperatorRequests, "_reserve_all", OperatorRequests._make_all):
+        with mock.patch.object(OperatorRequests, "_reserve_all", OperatorRequests._apply_all):
             world.answers[asked.address, 99] = lambda answer: None
             world._carry_out(asked, process.change(late.number, items, world.now))
             world.play(world.now + 3.0)
--- a/tests/mesh/test_control.py
+++ b/tests/mesh/test_control.py
@@ -92,44 +92,44 @@
         digests = set()
         for one, two in ((1, 2), (2, 1)):
             register = MemberRegistry("a")
-            register.take([Node(name="s1", life=7, number=one), Node(name="s2", life=7, number=two)])
+            register.merge([Node(name="s1", life=7, number=one), Node(name="s2", life=7, number=two)])
             digests.add(register.digest)
         self.assertEqual(len(digests), 2)
         many = MemberRegistry("a")
-        many.take(Node(name=f"side-{i}", life=7, number=1) for i in range(12))
+        many.merge(Node(name=f"side-{i}", life=7, number=1) for i in range(12))
         self.assertNotEqual(many.digest, 0)
 
     def test_a_station_that_finds_another_signalbox_stays_a_member(self) -> None:
         register = MemberRegistry("a")
-        register.hello(Node(name="s", life=1, number=1))
-        register.ended("s", 10.0)
-        register.take([Node(name="s", life=1, number=2, holder="b")])
+        register.report(Node(name="s", life=1, number=1))
+        register.session_ended("s", 10.0)
+        register.merge([Node(name="s", life=1, number=2, holder="b")])
         self.assertEqual(register.tick(10.0 + RECONNECT_GRACE_S, True), [])
         self.assertEqual(len(register.members()), 1)
 
     def test_one_whose_session_ended_is_told_as_gone_and_its_old_news_changes_nothing(self) -> None:
         register = MemberRegistry("a")
-        register.hello(Node(name="s", life=1, number=1))
-        register.ended("s", 10.0)
+        register.report(Node(name="s", life=1, number=1))
+        register.session_ended("s", 10.0)
         self.assertEqual(register.tick(10.0 + RECONNECT_GRACE_S / 2, True), [])
         (gone,) = register.tick(10.0 + RECONNECT_GRACE_S, True)
         self.assertTrue(gone.gone)
-        self.assertEqual(register.take([Node(name="s", life=1, number=1)]), [])
-        self.assertEqual(len(register.take([Node(name="s", life=2, number=1)])), 1)
+        self.assertEqual(register.merge([Node(name="s", life=1, number=1)]), [])
+        self.assertEqual(len(register.merge([Node(name="s", life=2, number=1)])), 1)
 
     def test_members_of_a_lost_signalbox_go_only_with_a_majority(self) -> None:
         register = MemberRegistry("a")
-        register.take([Node(name="s", life=1, number=1, holder="b")])
-        register.signalbox("b", False, 0.0)
+        register.merge([Node(name="s", life=1, number=1, holder="b")])
+        register.peer_link_changed("b", False, 0.0)
         self.assertEqual(register.tick(ORPHAN_GRACE_S, False), [])
         self.assertEqual([n.name for n in register.tick(ORPHAN_GRACE_S, True)], ["s"])
 
     def test_equal_registers_have_equal_digests(self) -> None:
         nodes = [Node(name=f"s{i}", life=i, number=1) for i in range(5)]
         one, other = MemberRegistry("a"), MemberRegistry("b")
-        one.take(nodes)
-        other.take(reversed(nodes))
-        other.take(nodes)
+        one.merge(nodes)
+        other.merge(reversed(nodes))
+        other.merge(nodes)
         self.assertEqual(one.digest, other.digest)
 
 
--- a/tests/mesh/test_control_simulation.py
+++ b/tests/mesh/test_control_simulation.py
@@ -42,7 +42,7 @@
             with self.subTest(seed=seed):
                 world = Course(seed, faults=8, kinds=RESIZED).play()
                 running = [m.process for m in world.machines.values() if m.process is not None]
-                sizes |= {len(process.seats.opened()) for process in running}
+                sizes |= {len(process.voter_table.open_slots()) for process in running}
         self.assertTrue({3, 5, 7, 9} <= sizes, f"sizes at the end: {sizes}")
 
     def test_a_seat_granted_to_two_by_halves_is_claimed_anew(self) -> None:
@@ -62,7 +62,11 @@
             world.play(world.now + 0.005)
             for seats, newcomer in zip(held, newcomers, strict=True):
                 process = newcomer.process
-                mine = process.seats.mine() if process is not None and process.seats.full else None
+                mine = (
+                    process.voter_table.own_slot()
+                    if process is not None and process.voter_table.full
+                    else None
+                )
                 seats |= {mine} if mine is not None else set()
         return bool(held[0] & held[1])
 
--- a/tests/mesh/test_graceful_shutdown.py
+++ b/tests/mesh/test_graceful_shutdown.py
@@ -49,7 +49,7 @@
         while fleet.now < began + GRACE_S:
             fleet.play(fleet.now + 0.05)
             assert wiped.signalbox is not None and leaving.signalbox is not None
-            if not filled_at and wiped.signalbox.interlocking.seats.full:
+            if not filled_at and wiped.signalbox.interlocking.voter_table.full:
                 filled_at = fleet.now
             if not left_at and leaving.signalbox.interlocking.resigned:
                 left_at = fleet.now
--- a/tests/mesh/test_store.py
+++ b/tests/mesh/test_store.py
@@ -61,7 +61,7 @@
         store.open()
         store.commit({"a": b"1"})
         store.commit({"b": b"2"})
-        store._let_go()
+        store._close_files()
 
     def test_a_torn_last_batch_is_not_there(self) -> None:
         self._left_open()
@@ -102,7 +102,7 @@
         store.open()
         for batch in ({"a": b"1", "b": b"1"}, {"a": b"2"}, {"c": b"3"}):
             store.commit(batch)
-        store._let_go()
+        store._close_files()
         whole, without = {"a": b"2", "b": b"1", "c": b"3"}, {"a": b"2", "b": b"1"}
         told = 0
         for file in self._files(""):
@@ -112,7 +112,7 @@
                 spoilt[at] ^= 1 << (at % 8)
                 file.write_bytes(spoilt)
                 try:
-                    found = DbmStore(str(self.folder)).look()
+                    found = DbmStore(str(self.folder)).peek()
                     self.assertIn(found, (whole, without), f"byte {at} of {file.name}")
                 except store_module.CorruptStoreError as why:
                     told += 1
@@ -128,7 +128,7 @@
         data.write_bytes(raw)
         store = DbmStore(str(self.folder))
         self.assertEqual(store.open(), {})
-        self.assertIn("record 0", store.spoilt)
+        self.assertIn("record 0", store.corrupt)
         self.assertEqual(self.again().open(), {}, "and stays so")
 
     def test_all_is_synced_before_a_commit_returns(self) -> None:
--- a/tests/mesh/test_zone_relays.py
+++ b/tests/mesh/test_zone_relays.py
@@ -27,24 +27,24 @@
     def test_all_of_a_zone_agree_and_nobody_elsewhere_is_home(self) -> None:
         first = relay_order("s", MEMBERS, "z")[0].name
         for node in MEMBERS[:6]:
-            (source,) = ZoneRelays(node.name, "z").sources(["s"], list(reversed(MEMBERS)), 0.0)
+            (source,) = ZoneRelays(node.name, "z").sources_for(["s"], list(reversed(MEMBERS)), 0.0)
             self.assertEqual(source, "" if node.name == first else f"{first}:1")
 
     def test_one_that_cannot_be_reached_is_passed_over_for_a_while(self) -> None:
         first, second, *_, last = relay_order("s", MEMBERS, "z")
         homes = ZoneRelays(last.name, "z")
-        homes.failed(first.address, 10.0)
-        self.assertEqual(set(homes.sources(["s"], MEMBERS, 10.1)), {second.address})
-        self.assertEqual(set(homes.sources(["s"], MEMBERS, 10.0 + UNREACHABLE_S)), {first.address})
+        homes.mark_unreachable(first.address, 10.0)
+        self.assertEqual(set(homes.sources_for(["s"], MEMBERS, 10.1)), {second.address})
+        self.assertEqual(set(homes.sources_for(["s"], MEMBERS, 10.0 + UNREACHABLE_S)), {first.address})
 
     def test_with_nobody_in_the_zone_the_signalbox_is_asked(self) -> None:
         homes = ZoneRelays("far", "y")
-        self.assertEqual(homes.sources(["s"], MEMBERS, 0.0), {"": {"s"}})
+        self.assertEqual(homes.sources_for(["s"], MEMBERS, 0.0), {"": {"s"}})
 
     def test_who_is_asked_asks_the_signalbox_whoever_is_home(self) -> None:
         last = relay_order("s", MEMBERS, "z")[-1]
-        homes = ZoneRelays(last.name, "z", serving={"s": 1, "other": 2})
-        self.assertEqual(homes.sources(["s"], MEMBERS, 0.0), {"": {"s", "other"}})
+        homes = ZoneRelays(last.name, "z", dependents={"s": 1, "other": 2})
+        self.assertEqual(homes.sources_for(["s"], MEMBERS, 0.0), {"": {"s", "other"}})
 
     def test_one_that_goes_moves_its_own_services_only(self) -> None:
         services = [f"s{i}" for i in range(50)]
