--- a/leadrudder/consensus/__init__.py
+++ b/leadrudder/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Who owns which part of the control state, who holds a seat in its quorum, and what stands.  No I/O."""
+"""Replication of the control state: section ownership, voter membership and committed items.  No I/O."""
--- a/leadrudder/consensus/anti_entropy.py
+++ b/leadrudder/consensus/anti_entropy.py
@@ -1,9 +1,9 @@
-"""Repair: signalboxes hold their books against each other, and hand over what the other misses.
+"""Anti-entropy: control nodes compare digests of their items and send each other what is missing.
 
-Every half second each tells the digests of what it holds and of what stands. Where they differ the other
-answers with digests by range of keys, and gets the items of the ranges that differ, so that a difference of
-one item among ten thousand costs a range and not the book. What only some hold is handed over within a
-bound of bytes a second; what stands is not bounded, as stations wait for it. Times are seconds.
+Every half second each node sends the digests of its accepted and its committed items. If they differ, the
+peer answers with digests by key range and receives the items of the ranges that differ, so a difference of
+one item among ten thousand costs one range instead of all items. Accepted items are sent at a bounded rate;
+committed items are not bounded, as proxies wait for them. Times are seconds.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
     from leadrudder.consensus.state_machine import ControlStateMachine
 
 COMPARE_INTERVAL_S = 0.5
-MAX_BYTES_PER_S = 1_000_000.0  # handed over by one machine, at most, in the mean over a second
+MAX_BYTES_PER_S = 1_000_000.0  # of accepted items sent by one node, averaged over a second
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaLag:
-    """What a holder of a seat misses, as far as we know.  since_s: how long ago it last had all."""
+    """What a voter is missing, as far as known.  since_s: how long ago it was last in sync."""
 
     holder: str
     up: bool
@@ -36,19 +36,19 @@
 
 @dataclass(slots=True)
 class AntiEntropy:
-    """The part of the interlocking that repairs."""
+    """The component of the state machine that repairs differences between nodes."""
 
     machine: ControlStateMachine
-    bytes_sent: int = 0  # bytes, since the start
+    bytes_sent: int = 0  # of accepted items, since the start
     _compared_at: dict[str, float] = field(default_factory=dict)
-    _in_sync_at: dict[str, float] = field(default_factory=dict)  # when a peer last had all that we have
-    _changed_at: dict[str, float] = field(default_factory=dict)  # when what we hold last changed, by key
-    _resume_after: dict[str, str] = field(default_factory=dict)  # the last key handed over to a peer
+    _in_sync_at: dict[str, float] = field(default_factory=dict)  # when a peer was last in sync
+    _changed_at: dict[str, float] = field(default_factory=dict)  # when each key last changed
+    _resume_after: dict[str, str] = field(default_factory=dict)  # the last key sent to each peer
     _credit: float = MAX_BYTES_PER_S
     _credited_at: float = 0.0
 
     def on_accepted(self, items: Iterable[Item]) -> None:
-        """Items were taken into what we hold."""
+        """Items were merged into the accepted ones."""
         for item in items:
             self._changed_at[item.key] = self.machine.step.now
 
@@ -63,36 +63,36 @@
 
     def on_digest(self, peer: str, digest: wire.Digest) -> None:
         machine = self.machine
-        standing = digest.standing != machine.committed.digest
-        held = digest.held != machine.accepted.digest and machine.voter_table.full
-        if not standing and not held:
+        differing_committed = digest.standing != machine.committed.digest
+        differing_accepted = digest.held != machine.accepted.digest and machine.voter_table.full
+        if not differing_committed and not differing_accepted:
             self._in_sync_at[peer] = machine.step.now
             return
         ranges = wire.RangeDigests(
-            held=machine.accepted.ranges if held else (), full=machine.voter_table.full
+            held=machine.accepted.ranges if differing_accepted else (), full=machine.voter_table.full
         )
-        if standing:
+        if differing_committed:
             ranges.standing.extend(machine.committed.ranges)
         machine.send(peer, Frame(ranges=ranges))
 
     def on_ranges(self, peer: str, ranges: wire.RangeDigests) -> None:
-        """A peer's digests by range: it gets what we have in those that differ."""
+        """Send a peer the items of the ranges whose digests differ."""
         machine = self.machine
-        standing = machine.committed.differing(ranges.standing)
-        if standing:
-            machine.send(peer, Frame(standing=wire.CommittedItems(items=standing)))
+        differing_committed = machine.committed.differing(ranges.standing)
+        if differing_committed:
+            machine.send(peer, Frame(standing=wire.CommittedItems(items=differing_committed)))
         if not machine.voter_table.full:
             return
         now = machine.step.now
         self._credit = min(MAX_BYTES_PER_S, self._credit + MAX_BYTES_PER_S * (now - self._credited_at))
         self._credited_at = now
         items: list[Item] = []
-        missed = machine.accepted.differing(ranges.held)
-        # Those after the last one handed over come first: a range larger than the bound is gone through, too.
-        at = self._resume_after.get(peer, "")
-        for item in sorted(missed, key=lambda item: (item.key <= at, item.key)):
+        missing = machine.accepted.differing(ranges.held)
+        # Continue after the last key sent, so that a range larger than the bound is sent completely, too.
+        resume_after = self._resume_after.get(peer, "")
+        for item in sorted(missing, key=lambda item: (item.key <= resume_after, item.key)):
             if self._credit <= 0.0:
-                break  # the rest when they compare again
+                break  # the rest at the next comparison
             size = item.ByteSize()
             self._credit -= size
             self.bytes_sent += size
@@ -102,29 +102,29 @@
             machine.send(peer, Frame(repair=wire.Repair(items=items)))
 
     def replica_lag(self) -> list[ReplicaLag]:
-        """What each other holder of a seat misses."""
+        """What each other voter is missing."""
         machine, now = self.machine, self.machine.step.now
-        told = []
+        lags = []
         for holder in machine.voter_table.holders():
             if holder == machine.address:
                 continue
             peer = machine.peers.get(holder)
-            alike = self._in_sync_at.get(holder, -1.0)
+            in_sync_at = self._in_sync_at.get(holder, -1.0)
             full = peer is not None and peer.full
-            # One that is connected has all that came before it last compared alike; an empty one has nothing.
-            missed = [
+            # A full peer has all that preceded its last matching comparison; an empty one has nothing.
+            missing = [
                 item
                 for key, item in machine.accepted.items.items()
-                if not full or self._changed_at.get(key, 0.0) > alike
+                if not full or self._changed_at.get(key, 0.0) > in_sync_at
             ]
-            told.append(
+            lags.append(
                 ReplicaLag(
                     holder,
                     peer is not None and peer.up,
                     full,
-                    len(missed),
-                    sum(item.ByteSize() for item in missed),
-                    max(0.0, now - alike) if alike >= 0.0 else 0.0,
+                    len(missing),
+                    sum(item.ByteSize() for item in missing),
+                    max(0.0, now - in_sync_at) if in_sync_at >= 0.0 else 0.0,
                 )
             )
-        return told
+        return lags
--- a/leadrudder/consensus/lease.py
+++ b/leadrudder/consensus/lease.py
@@ -1,10 +1,9 @@
-"""Duties that one signalbox does at a time: a lease that a majority granted, and that its holder ends
-before it does.
+"""Leases for duties that only one control node may perform at a time, granted by a majority.
 
-The holder counts from the moment it asked, a granter from the moment it granted, and both leave room for
-clocks that run apart by DRIFT; so no granter gives the duty to another while the holder may still think
-that it has it. Grants are not kept on disk: a process that has just started grants nothing until one it
-forgot would be over. Times are seconds.
+The holder counts from when it sent its request, a voter from when it granted it, and both allow for clocks
+that drift apart by MAX_CLOCK_DRIFT, so no voter grants the duty to another node while the holder may still
+believe that it holds it. Grants are not stored on disk: a process that has just started grants nothing
+until any grant that it has forgotten has expired. Times are seconds.
 """
 
 from __future__ import annotations
@@ -20,16 +19,16 @@
     from leadrudder.consensus.state_machine import ControlStateMachine
 
 LEASE_S = 2.0
-MAX_CLOCK_DRIFT = 0.1  # part by which two clocks may run apart over a lease
+MAX_CLOCK_DRIFT = 0.1  # fraction by which two clocks may drift apart over a lease
 RENEW_INTERVAL_S = 0.5
-MEMBER_EXPIRY = "sweep"  # tells members of a signalbox that is gone as gone
-MAINTENANCE = "possession"  # carries out maintenance windows; where they are on
+MEMBER_EXPIRY = "sweep"  # reports the members of a lost control node as gone
+MAINTENANCE = "possession"  # runs maintenance windows; only where they are enabled
 DUTIES = (MEMBER_EXPIRY,)
 
 
 @dataclass(slots=True)
 class LeaseRound:
-    """Our latest question for a duty."""
+    """This node's latest request for a duty."""
 
     number: int
     asked_at: float
@@ -37,32 +36,32 @@
 
 
 class Leases:
-    """The part of the interlocking that asks for leases and grants them."""
+    """The component of the state machine that requests and grants leases."""
 
     def __init__(self, machine: ControlStateMachine) -> None:
         self._machine = machine
         self._rounds: dict[str, LeaseRound] = {}
-        self._until: dict[str, float] = {}  # what we hold
-        self._granted: dict[str, tuple[str, float]] = {}  # to whom, and until when no other gets it
+        self._until: dict[str, float] = {}  # expiry of leases held by this node
+        self._granted: dict[str, tuple[str, float]] = {}  # holder and expiry of granted leases
         self._last_number = machine.rng.getrandbits(48)
 
     def holds(self, duty: str, now: float) -> bool:
-        """Whether the duty is ours: to be asked at each step of it."""
+        """Whether this node holds the duty; checked before each step of it."""
         return now < self._until.get(duty, 0.0)
 
     def until(self, duty: str) -> float:
-        """When the duty ends that we hold or held; 0: never held."""
+        """When this node's lease ends or ended; 0: never held."""
         return self._until.get(duty, 0.0)
 
     def tick(self) -> None:
-        """Ask where the duty is ours, or we are the first who could have it."""
+        """Request the duties that this node holds, or all if it is the first voter."""
         machine, now = self._machine, self._machine.step.now
         if not machine.voter_table.full or machine.resigned or not machine.has_majority():
             return
         voters = machine.voters()
         for duty in machine.duties:
-            asking = self._rounds.get(duty)
-            if asking is not None and now - asking.asked_at < RENEW_INTERVAL_S:
+            round_ = self._rounds.get(duty)
+            if round_ is not None and now - round_.asked_at < RENEW_INTERVAL_S:
                 continue
             if not self.holds(duty, now) and voters[0] != machine.address:
                 continue
@@ -71,26 +70,31 @@
             for voter in voters:
                 machine.send(voter, Frame(lease=wire.LeaseRequest(duty=duty, number=self._last_number)))
 
-    def on_lease_request(self, peer: str, lease: wire.LeaseRequest, started: float) -> None:
-        """Another asks, or we ourselves.  started: when this process did, or took its seat over if that was
-        later: who held the seat before may just have granted what we know nothing of."""
+    def on_lease_request(self, peer: str, request: wire.LeaseRequest, voting_since: float) -> None:
+        """Answer a request for a lease, possibly of this node.
+
+        voting_since: when this process started or took its slot over, if that was later: the slot's
+        earlier holder may have granted a lease that is not known here.
+        """
         machine, now = self._machine, self._machine.step.now
-        span = LEASE_S * (1.0 + MAX_CLOCK_DRIFT)
-        holder, until = self._granted.get(lease.duty, ("", 0.0))
-        ok = machine.is_voter(peer) and machine.voter_table.full and now - started >= span
+        lease_s = LEASE_S * (1.0 + MAX_CLOCK_DRIFT)
+        holder, until = self._granted.get(request.duty, ("", 0.0))
+        ok = machine.is_voter(peer) and machine.voter_table.full and now - voting_since >= lease_s
         ok = ok and (holder == peer or now >= until)
         if ok:
-            self._granted[lease.duty] = peer, now + span
-        leased = wire.LeaseResponse(duty=lease.duty, number=lease.number, ok=ok, mark=machine.voter_view())
-        machine.send(peer, Frame(leased=leased))
-
-    def on_lease_response(self, peer: str, leased: wire.LeaseResponse) -> None:
-        asking = self._rounds.get(leased.duty)
-        if asking is None or asking.number != leased.number or not leased.ok or self._machine.resigned:
+            self._granted[request.duty] = peer, now + lease_s
+        response = wire.LeaseResponse(
+            duty=request.duty, number=request.number, ok=ok, mark=machine.voter_view()
+        )
+        machine.send(peer, Frame(leased=response))
+
+    def on_lease_response(self, peer: str, response: wire.LeaseResponse) -> None:
+        round_ = self._rounds.get(response.duty)
+        if round_ is None or round_.number != response.number or not response.ok or self._machine.resigned:
             return
-        asking.grants.add(peer, leased.mark)
-        if asking.grants.reached(self._machine.voter_table.slots):
-            self._until[leased.duty] = asking.asked_at + LEASE_S * (1.0 - MAX_CLOCK_DRIFT)
+        round_.grants.add(peer, response.mark)
+        if round_.grants.reached(self._machine.voter_table.slots):
+            self._until[response.duty] = round_.asked_at + LEASE_S * (1.0 - MAX_CLOCK_DRIFT)
 
     def resign(self) -> None:
         self._until.clear()
--- a/leadrudder/consensus/outputs.py
+++ b/leadrudder/consensus/outputs.py
@@ -1,4 +1,4 @@
-"""What the machines of the interlocking return: what to send, write and answer.  Times are seconds."""
+"""Outputs of the control state machine: what to send, write and answer.  Times are seconds."""
 
 from __future__ import annotations
 
@@ -8,33 +8,33 @@
 
 from leadrudder.protocol.mesh_pb2 import Frame, Item
 
-SECTIONS = 8  # parts of the keys, each with an owner of its own
+SECTIONS = 8  # partitions of the keys, each with its own owner
 
 
 def section_of(key: str, sections: int = SECTIONS) -> int:
-    """The section that a key belongs to: the same in every process and release."""
+    """The section of a key; the same in every process and release."""
     return zlib.crc32(key.encode()) % sections
 
 
 class ResultCode(IntEnum):
-    """What became of a change."""
+    """The result of a change or a read."""
 
-    DONE = 0  # it stands
-    CONFLICT = 1  # its version has another value already
-    BUSY = 2  # not now: no majority, or the owner is changing
-    RESERVED = 3  # a check: it would be taken, and its versions are kept for it for a moment
-    PARTLY_TAKEN = 4  # a withdrawal: a part of the call has its place, so the call must not be refused
+    DONE = 0  # committed
+    CONFLICT = 1  # the version has another value already
+    BUSY = 2  # retry: no majority, or the owner is changing
+    RESERVED = 3  # a check: it would be accepted, and its versions are reserved for a short time
+    PARTLY_TAKEN = 4  # a withdrawal: a part was accepted already, so the call must not be refused
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    to: str  # a signalbox's link address
+    to: str  # the link address of a control node
     frame: Frame
 
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Put records on disk, then send what may only be said when they are there."""
+    """Put records on disk, then send messages that depend on them."""
 
     records: dict[str, bytes]
     then: tuple[Send, ...] = ()
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The end of a change or a read that this process was asked for."""
+    """The result of a change or a read requested from this process."""
 
     number: int
     code: ResultCode
@@ -51,14 +51,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """Items that stand from now on: for the stations."""
+    """Newly committed items, for the proxies."""
 
     items: tuple[Item, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """A line for the ring."""
+    """A line for the log buffer."""
 
     text: str
 
@@ -68,8 +68,8 @@
 
 @dataclass(slots=True)
 class Step:
-    """The input at hand: its time, and what is returned."""
+    """The input being processed: its time and its outputs."""
 
     now: float = 0.0
     out: list[Output] = field(default_factory=list)
-    inbox: list[Frame] = field(default_factory=list)  # from this process to itself
+    inbox: list[Frame] = field(default_factory=list)  # messages of this process to itself
--- a/leadrudder/consensus/ownership.py
+++ b/leadrudder/consensus/ownership.py
@@ -1,4 +1,4 @@
-"""Owning sections: claimed under a rising epoch, changed with a copy at a majority, handed over."""
+"""Ownership of sections: claimed under a rising epoch, changed by replication to a majority, handed over."""
 
 from __future__ import annotations
 
@@ -16,16 +16,17 @@
 if TYPE_CHECKING:
     from leadrudder.consensus.state_machine import ControlStateMachine
 
-CLAIM_TIMEOUT_S = 0.8  # for a majority to promise, and to have the copies of what was found
-CLAIM_BACKOFF_S = 0.25  # pause after a claim that failed, and up to as much again
-OWNER_LOST_S = 0.2  # an owner that was lost for less may come back
-EXTRA_REPLICA_WAIT_S = 0.25  # to wait for a second copy elsewhere once a majority has it
-RESERVATION_S = 1.0  # a version that was checked is kept for its call so long
-WITHDRAWAL_S = 3.0  # late asks of a call that was withdrawn are turned away for so long
-REBALANCE_INTERVAL_S = 1.0  # between sections that are handed over
-RECOVERY_INTERVAL_S = 0.2  # how often it is looked for what was left half done
-MAX_EARLIER_CALLS = 8  # overtaken calls of several items that a key remembers: 8 bytes each
-RESEND_INTERVAL_S = 0.7  # a copy that was not answered is sent again
+CLAIM_TIMEOUT_S = 0.8  # for a majority to promise and to store the items found
+CLAIM_BACKOFF_S = 0.25  # after a failed claim, plus up to as much again at random
+OWNER_LOST_S = 0.2  # an owner that is unreachable for less may come back
+EXTRA_REPLICA_WAIT_S = 0.25  # wait for two other replicas once a majority has the items
+RESERVATION_S = 1.0  # a checked version stays reserved for its call
+WITHDRAWAL_S = 3.0  # waited_enough requests of a withdrawn call are rejected
+REBALANCE_INTERVAL_S = 1.0  # between handovers of sections
+RECOVERY_INTERVAL_S = 0.2  # between scans for accepted items that nobody committed
+MAX_EARLIER_CALLS = 8  # superseded multi-item calls remembered for each key, 8 bytes each
+RESEND_INTERVAL_S = 0.7  # unacknowledged items are sent again
+MAX_WAITING_REQUESTS = 1000  # for each section that is being claimed
 
 
 _NO_ITEMS: dict[int, Item] = {}
@@ -33,11 +34,11 @@
 
 @dataclass(slots=True)
 class OwnedSection:
-    """A section that we own, or try to."""
+    """A section that this node owns or is claiming."""
 
     epoch: int
     ready: bool = False
-    deadline: float = 0.0  # when a claim that is not ready is given up
+    deadline: float = 0.0  # when an unfinished claim is abandoned
     promises: Quorum = field(default_factory=Quorum)
     preparing: bool = True
     waiting: list[tuple[str, wire.ChangeRequest]] = field(default_factory=list)
@@ -45,51 +46,52 @@
 
 @dataclass(slots=True)
 class Replication:
-    """Items on their way to a majority's disks."""
+    """Items being replicated to a majority's disks."""
 
     section: int
     items: list[Item]
     started_at: float
     sent_at: float
     acks: Quorum = field(default_factory=Quorum)
-    requesters: list[tuple[str, int]] = field(default_factory=list)  # who waits for it, by number
-    from_claim: bool = False  # what a claim found, rather than a change
+    requesters: list[tuple[str, int]] = field(
+        default_factory=list
+    )  # peers to answer, with their request numbers
+    from_claim: bool = False  # items found by a claim, rather than a change
     committed: bool = False
 
 
 class SectionOwnership:
-    """The part of the interlocking that owns."""
+    """The component of the state machine that claims and owns sections."""
 
     def __init__(self, machine: ControlStateMachine) -> None:
         self._machine = machine
         self.sections: dict[int, OwnedSection] = {}
-        self.known_owners: dict[
-            int, tuple[int, str]
-        ] = {}  # the latest owner told of each section: epoch, holder
+        # The latest known owner of each section: epoch, address ("": none).
+        self.known_owners: dict[int, tuple[int, str]] = {}
         self._replications: dict[int, Replication] = {}
-        self._replicating_by_key: dict[str, dict[int, Item]] = {}  # the items of these, by key and number
-        self._last_number = machine.rng.getrandbits(48)  # not those of an earlier process at our address
-        self._claim_after: dict[int, float] = {}  # when a section may be claimed again
-        self._ownerless_since: dict[int, float] = {}  # since when a section has no owner that can be reached
-        self._announced: set[int] = set()  # sections whose owner has told us what stands, since we started
-        self._recovered_at = 0.0  # when it was last looked for what was left half done
-        self._rebalanced_at = 0.0  # when we last handed a section over
-        # Versions checked for a call over several sections: by key and version, its id, and until when.
+        self._replicating_by_key: dict[str, dict[int, Item]] = {}  # their items, by key and number
+        self._last_number = machine.rng.getrandbits(48)  # not a number of an earlier process at this address
+        self._claim_after: dict[int, float] = {}  # when each section may be claimed again
+        self._ownerless_since: dict[int, float] = {}  # sections without a reachable owner, since when
+        self._announced: set[int] = set()  # sections whose owner has sent their committed items
+        self._recovered_at = 0.0  # when uncommitted items were last scanned
+        self._rebalanced_at = 0.0  # when this node last handed a section over
+        # Versions reserved for a call over several sections: call id and expiry, by key and version.
         self._reserved: dict[tuple[str, int], tuple[int, float]] = {}
-        self._withdrawn: dict[int, float] = {}  # calls refused elsewhere, by id, and until when that is kept
+        self._withdrawn: dict[int, float] = {}  # calls refused by another owner: expiry, by id
 
     def knows_all_sections(self) -> bool:
-        """Whether all that stands has been told to this process: an owner says so after what it found."""
+        """Whether this node has all committed items: an owner is announced after the items it found."""
         return len(self._announced) == self._machine.sections
 
     def items_of(self, section: int) -> list[Item]:
         machine = self._machine
         return [machine.accepted.items[key] for key in machine.keys_by_section.get(section, ())]
 
-    # ------------------------------------------------------------ who owns
+    # ------------------------------------------------------------ owners
 
     def owner_or_candidate(self, section: int) -> str | None:
-        """Whom to ask for a section: its owner, else who is next to own it; None without a majority."""
+        """Where to send requests for a section: its owner or the next candidate; None without a majority."""
         machine = self._machine
         if not machine.has_majority():
             return None
@@ -126,20 +128,20 @@
                 and now - since >= (OWNER_LOST_S if known is not None else 0.0)
             ):
                 self.claim(section)
-        for number, copying in list(self._replications.items()):
-            if not copying.committed and now - copying.sent_at >= RESEND_INTERVAL_S:
-                copying.sent_at = now
-                self._send_replication(number, copying, [v for v in voters if v not in copying.acks])
-            self._finish_if_committed(number, copying)
+        for number, replication in list(self._replications.items()):
+            if not replication.committed and now - replication.sent_at >= RESEND_INTERVAL_S:
+                replication.sent_at = now
+                self._send_replication(number, replication, [v for v in voters if v not in replication.acks])
+            self._finish_if_committed(number, replication)
         self._forget_reserved(now)
         self._replicate_uncommitted()
         self._rebalance(voters)
 
     def _rebalance(self, voters: list[str]) -> None:
-        """Sections go where seats were added: who has most, two more than another, hands one over.
+        """Hand a section to the voter that owns fewest, if this node owns most and at least two more.
 
-        Only where the operator has said how many seats there are to be, and in calm: everybody who has a
-        seat is there, and every section has an owner.
+        Only where an operator has set the number of voters, and only while every voter is reachable and
+        every section has an owner.
         """
         machine, now = self._machine, self._machine.step.now
         if not machine.desired_voters or now - self._rebalanced_at < REBALANCE_INTERVAL_S or machine.resigned:
@@ -152,25 +154,25 @@
             counts[holder] += 1
         if len(voters) < len(counts):
             return
-        rich, poor = max(counts, key=counts.__getitem__), min(counts, key=counts.__getitem__)
-        mine = self.owned_sections()
-        if rich != machine.address or counts[rich] - counts[poor] < 2 or not mine:
+        most, least = max(counts, key=counts.__getitem__), min(counts, key=counts.__getitem__)
+        owned = self.owned_sections()
+        if most != machine.address or counts[most] - counts[least] < 2 or not owned:
             return
         self._rebalanced_at = now
-        section = max(mine)
-        machine.log(f"hands section {section} over to {poor}")
-        machine.send(poor, Frame(hand=wire.SectionHandover(section=section, epoch=mine[section])))
+        section = max(owned)
+        machine.log(f"hands section {section} over to {least}")
+        machine.send(least, Frame(hand=wire.SectionHandover(section=section, epoch=owned[section])))
 
-    def on_handover(self, peer: str, hand: wire.SectionHandover) -> None:
-        """A section for us: it is claimed as any other, under a higher epoch."""
-        if self.known_owners.get(hand.section, (0, ""))[1] == peer and self._machine.is_voter(peer):
-            self._note_epoch(hand.section, hand.epoch)
-            self.claim(hand.section)
+    def on_handover(self, peer: str, handover: wire.SectionHandover) -> None:
+        """A peer hands a section over: claim it as any other, under a higher epoch."""
+        if self.known_owners.get(handover.section, (0, ""))[1] == peer and self._machine.is_voter(peer):
+            self._note_epoch(handover.section, handover.epoch)
+            self.claim(handover.section)
 
     def _replicate_uncommitted(self) -> None:
-        """What repair brought and does not stand is copied by its section's owner, under its own epoch.
+        """Replicate accepted but uncommitted items of owned sections under this node's epoch.
 
-        It was on its way when an earlier owner was lost; until it stands, reads wait for it.
+        An earlier owner was lost while replicating them; reads wait until they are committed.
         """
         machine, now = self._machine, self._machine.step.now
         if not machine.uncommitted or now < self._recovered_at + RECOVERY_INTERVAL_S:
@@ -181,23 +183,23 @@
             state = self.sections.get(machine.section_of(key))
             if state is None or not state.ready or key in self._replicating_by_key:
                 continue
-            again = Item()
-            again.CopyFrom(machine.accepted.items[key])
-            again.epoch = state.epoch
-            found.setdefault(machine.section_of(key), []).append(again)
+            copy = Item()
+            copy.CopyFrom(machine.accepted.items[key])
+            copy.epoch = state.epoch
+            found.setdefault(machine.section_of(key), []).append(copy)
         for section, items in found.items():
             self._replicate(section, items)
 
     def claim(self, section: int) -> None:
-        """Phase one: a higher epoch, promised by a majority that tells what it holds."""
+        """Phase one: get a higher epoch promised by a majority, which sends the items it has accepted."""
         machine, now = self._machine, self._machine.step.now
         if section in self.sections or now < self._claim_after.get(section, 0.0):
             return
-        mine = machine.voter_table.own_slot()
-        if mine is None or not machine.voter_table.full or machine.resigned:
+        slot = machine.voter_table.own_slot()
+        if slot is None or not machine.voter_table.full or machine.resigned:
             return
         highest = max(machine.promised.get(section, 0), self.known_owners.get(section, (0, ""))[0])
-        epoch = ((highest >> 8) + 1) << 8 | mine
+        epoch = ((highest >> 8) + 1) << 8 | slot
         self.sections[section] = OwnedSection(epoch, deadline=now + CLAIM_TIMEOUT_S)
         for voter in machine.voters():
             machine.send(voter, Frame(prepare=wire.Prepare(section=section, epoch=epoch)))
@@ -220,17 +222,17 @@
         state.preparing = False
         items = []
         for item in self.items_of(promise.section):
-            again = Item()
-            again.CopyFrom(item)
-            again.epoch = state.epoch
-            items.append(again)
+            copy = Item()
+            copy.CopyFrom(item)
+            copy.epoch = state.epoch
+            items.append(copy)
         if items:
             self._replicate(promise.section, items, claim=True)
         else:
             self._become_owner(promise.section)
 
     def _note_epoch(self, section: int, epoch: int) -> None:
-        """An epoch that others have promised: ours must be higher next time."""
+        """Record an epoch promised by others: the next claim must use a higher one."""
         known = self.known_owners.get(section)
         if known is None or epoch > known[0]:
             self.known_owners[section] = (epoch, "")
@@ -245,11 +247,11 @@
         for peer in machine.connected():
             self.announce(peer, section)
         waiting, state.waiting = state.waiting, []
-        for peer, ask in waiting:
-            self.on_change_request(peer, ask)
+        for peer, request in waiting:
+            self.on_change_request(peer, request)
 
     def announce(self, peer: str, section: int | None = None) -> None:
-        """Say what we own."""
+        """Tell a peer which sections, or which one, this node owns."""
         machine = self._machine
         for at, state in self.sections.items():
             if state.ready and section in (None, at):
@@ -264,11 +266,11 @@
             self.on_higher_epoch(owner.section, owner.epoch)
 
     def owned_sections(self) -> dict[int, int]:
-        """The sections that we own, with their epochs."""
+        """The sections that this node owns, with their epochs."""
         return {section: state.epoch for section, state in self.sections.items() if state.ready}
 
     def on_owned_sections(self, peer: str, owned: dict[int, int]) -> None:
-        """All that a peer owns: what we have it down for besides is late news of an earlier process."""
+        """The complete list of a peer's sections; any other recorded for it is of an earlier process."""
         for section, (epoch, holder) in self.known_owners.items():
             if holder == peer and section not in owned:
                 self.known_owners[section] = (epoch, "")
@@ -278,26 +280,26 @@
                 self.on_higher_epoch(section, epoch)
 
     def on_peer_connected(self, peer: str) -> None:
-        """A peer has greeted: what is still being copied goes to it, too."""
+        """A peer has sent its status: send it the replications in progress, too."""
         machine = self._machine
         if peer in machine.voters():
-            for number, copying in self._replications.items():
-                if peer not in copying.acks:
-                    self._send_replication(number, copying, [peer])
+            for number, replication in self._replications.items():
+                if peer not in replication.acks:
+                    self._send_replication(number, replication, [peer])
 
     def on_peer_restarted(self, peer: str) -> None:
-        """Another process is at a peer's address: it owns nothing, and its disk may be another."""
+        """A new process runs at a peer's address: it owns nothing, and its disk may be a new one."""
         for section, (epoch, holder) in self.known_owners.items():
             if holder == peer:
                 self.known_owners[section] = (epoch, "")
         for state in self.sections.values():
             state.promises.drop(peer)
-        for copying in self._replications.values():
-            if not copying.committed:
-                copying.acks.drop(peer)
+        for replication in self._replications.values():
+            if not replication.committed:
+                replication.acks.drop(peer)
 
     def on_higher_epoch(self, section: int, epoch: int) -> None:
-        """Another epoch was promised: ours is over."""
+        """A higher epoch was promised: give the section up."""
         state = self.sections.get(section)
         if state is not None and epoch > state.epoch:
             self._note_epoch(section, epoch)
@@ -307,82 +309,82 @@
         machine = self._machine
         state = self.sections.pop(section)
         self._claim_after[section] = machine.step.now + CLAIM_BACKOFF_S * (1.0 + machine.rng.random())
-        for peer, ask in state.waiting:
-            self._respond(peer, ask.number, ResultCode.BUSY)
-        for number, copying in list(self._replications.items()):
-            if copying.section == section:
+        for peer, request in state.waiting:
+            self._respond(peer, request.number, ResultCode.BUSY)
+        for number, replication in list(self._replications.items()):
+            if replication.section == section:
                 self._remove_replication(number)
-                for peer, asked in copying.requesters:
+                for peer, asked in replication.requesters:
                     self._respond(peer, asked, ResultCode.BUSY)
         if state.ready:
-            machine.log(f"owns section {section} no more, epoch {state.epoch}")
+            machine.log(f"no longer owns section {section}, epoch {state.epoch}")
 
     def release_all(self) -> None:
         for section in list(self.sections):
             self._release(section)
 
     def reclaim(self, section: int) -> None:
-        """Claim anew, whoever owns it: what was left half done then stands, or is seen not to."""
+        """Claim a section whoever owns it, to commit or discard what an earlier owner left unfinished."""
         if section in self.sections and self.sections[section].ready:
             self._release(section)
             self._claim_after.pop(section, None)
         self.claim(section)
 
     def resign(self) -> None:
-        """Own nothing from now on; who is next claims as soon as it hears of it."""
+        """Release all sections; the next candidate claims them as soon as it hears of it."""
         for section in list(self.sections):
             self.known_owners.pop(section, None)
             self._release(section)
 
     # ------------------------------------------------------------ changes
 
-    def on_change_request(self, peer: str, ask: wire.ChangeRequest) -> None:
-        state = self.sections.get(ask.section)
+    def on_change_request(self, peer: str, request: wire.ChangeRequest) -> None:
+        state = self.sections.get(request.section)
         if state is None:
-            self.claim(ask.section)
-            state = self.sections.get(ask.section)
+            self.claim(request.section)
+            state = self.sections.get(request.section)
         if state is None:
-            self._respond(peer, ask.number, ResultCode.BUSY)
+            self._respond(peer, request.number, ResultCode.BUSY)
             return
         if not state.ready:
-            if len(state.waiting) < 1000:
-                state.waiting.append((peer, ask))
+            if len(state.waiting) < MAX_WAITING_REQUESTS:
+                state.waiting.append((peer, request))
             else:
-                self._respond(peer, ask.number, ResultCode.BUSY)
+                self._respond(peer, request.number, ResultCode.BUSY)
             return
-        if ask.withdraw:
-            self._withdraw(peer, ask)
+        if request.withdraw:
+            self._withdraw(peer, request)
             return
-        code, new, waits = self._evaluate(ask)
-        if code is not ResultCode.DONE or ask.only_check:
+        code, new, pending = self._evaluate(request)
+        if code is not ResultCode.DONE or request.only_check:
             if code is ResultCode.DONE:
                 self._reserve(new)
                 code = ResultCode.RESERVED
-            self._respond(peer, ask.number, code, self._current(ask.items))
+            self._respond(peer, request.number, code, self._current(request.items))
             return
-        if ask.reserved and not all(self._is_reserved(item) for item in new):
-            self._respond(peer, ask.number, ResultCode.BUSY)
+        if request.reserved and not all(self._is_reserved(item) for item in new):
+            self._respond(peer, request.number, ResultCode.BUSY)
             return
         for item in new:
             self._reserved.pop((item.key, item.version), None)
-        # Also what was taken before: under an earlier owner's epoch it could yet give way to another's.
-        for item in new + waits:
+        # Includes items taken before: under an earlier owner's epoch another item could still replace them.
+        for item in new + pending:
             item.epoch = state.epoch
-        if not new and not waits:
-            self._respond(peer, ask.number, ResultCode.DONE)
+        if not new and not pending:
+            self._respond(peer, request.number, ResultCode.DONE)
             return
-        # What was taken before and does not stand yet is copied with it: all or none is acknowledged.
-        self._replicate(ask.section, new + waits, asked=(peer, ask.number))
+        # Items taken before but not committed yet are replicated along: all or none are acknowledged.
+        self._replicate(request.section, new + pending, asked=(peer, request.number))
 
     def _reserve(self, items: Iterable[Item]) -> None:
-        """A call that was withdrawn may be checked, so that it is refused again, but is never made."""
+        """Reserve versions, but none for a withdrawn call: it may be checked again, never applied."""
         until = self._machine.step.now + RESERVATION_S
         for item in items:
             if item.call not in self._withdrawn:
                 self._reserved[item.key, item.version] = (item.call, until)
 
     def _is_reserved(self, item: Item) -> bool:
-        """For the very call that the item is of."""
+        """Whether the item's version is reserved for the item's own call."""
         return self._reserved.get((item.key, item.version), (0, 0.0))[0] == item.call
 
     def _forget_reserved(self, now: float) -> None:
@@ -391,32 +393,32 @@
         for call in [c for c, until in self._withdrawn.items() if now >= until]:
             del self._withdrawn[call]
 
-    def _withdraw(self, peer: str, ask: wire.ChangeRequest) -> None:
-        """Another section's owner has refused its part of a call: no part is taken here from now on.
+    def _withdraw(self, peer: str, request: wire.ChangeRequest) -> None:
+        """Another section's owner refused its part of a call: accept no part of it from now on.
 
-        Answers PARTLY_TAKEN where one has been already, whether it stands yet or not.
+        Answers PARTLY_TAKEN if a part was accepted already, committed or not.
         """
         now = self._machine.step.now
-        for item in ask.items:
+        for item in request.items:
             self._withdrawn[item.call] = now + WITHDRAWAL_S
             if self._is_reserved(item):
                 del self._reserved[item.key, item.version]
-        taken = any(self._is_taken(item) for item in ask.items)
-        self._respond(peer, ask.number, ResultCode.PARTLY_TAKEN if taken else ResultCode.DONE)
+        taken = any(self._is_taken(item) for item in request.items)
+        self._respond(peer, request.number, ResultCode.PARTLY_TAKEN if taken else ResultCode.DONE)
 
     def _is_taken(self, item: Item) -> bool:
-        """Whether the very call that an item is of gave its version a value, be it overtaken since."""
+        """Whether the item's own call set the version's value, even if superseded since."""
         latest = self._latest(item.key)
         if latest is None or not item.call:
             return False
         return item.call == latest.call or item.call in latest.earlier_calls
 
-    def _evaluate(self, ask: wire.ChangeRequest) -> tuple[ResultCode, list[Item], list[Item]]:
-        """What an ask comes to: the items that are new, and those taken before that do not stand yet."""
+    def _evaluate(self, request: wire.ChangeRequest) -> tuple[ResultCode, list[Item], list[Item]]:
+        """Evaluate a request: its result, its new items, and those taken before but not committed yet."""
         machine = self._machine
         new: list[Item] = []
-        waits: list[Item] = []
-        for item in ask.items:
+        pending: list[Item] = []
+        for item in request.items:
             old = self._latest(item.key)
             if old is None or item.version > old.version:
                 reserved_for = self._reserved.get((item.key, item.version), (item.call, 0.0))[0]
@@ -424,25 +426,25 @@
                     return ResultCode.BUSY, [], []
                 new.append(self._successor_of(item, old))
                 continue
-            # Only what stands may be told of: what is on its way may yet come to nothing.
-            stood = machine.committed.items.get(item.key)
-            stands = stood is not None and stood.version >= old.version
+            # Refuse only on committed items: an item being replicated may still be discarded.
+            committed = machine.committed.items.get(item.key)
+            is_committed = committed is not None and committed.version >= old.version
             other = (item.value, item.dropped) != (old.value, old.dropped)
             if other and (item.version == old.version or item.key.startswith(ORDERS)):
-                # For an order: its count has moved on.
-                if not stands:
+                # For an order, any later version conflicts: its counter has advanced.
+                if not is_committed:
                     return ResultCode.BUSY, [], []
-                taken = any(self._is_taken(each) for each in ask.items)
+                taken = any(self._is_taken(each) for each in request.items)
                 return (ResultCode.PARTLY_TAKEN if taken else ResultCode.CONFLICT), [], []
-            if not stands:
-                again = Item()
-                again.CopyFrom(old)
-                waits.append(again)
-        return ResultCode.DONE, new, waits
+            if not is_committed:
+                copy = Item()
+                copy.CopyFrom(old)
+                pending.append(copy)
+        return ResultCode.DONE, new, pending
 
     @staticmethod
     def _successor_of(item: Item, old: Item | None) -> Item:
-        """The item as it is kept: it tells which calls of several items it has overtaken."""
+        """The item to store: it lists the multi-item calls that it supersedes."""
         fresh = Item()
         fresh.CopyFrom(item)
         del fresh.earlier_calls[:]
@@ -452,7 +454,7 @@
         return fresh
 
     def _latest(self, key: str) -> Item | None:
-        """The highest that this owner knows, what is on its way to the disks included."""
+        """The newest item known to this owner, including those being replicated."""
         latest = self._machine.accepted.items.get(key)
         for item in self._replicating_by_key.get(key, _NO_ITEMS).values():
             if newer(item, latest):
@@ -468,61 +470,63 @@
         machine = self._machine
         self._last_number += 1
         now = machine.step.now
-        copying = Replication(section, items, now, now, from_claim=claim)
+        replication = Replication(section, items, now, now, from_claim=claim)
         if asked is not None:
-            copying.requesters.append(asked)
-        self._replications[self._last_number] = copying
+            replication.requesters.append(asked)
+        self._replications[self._last_number] = replication
         for item in items:
             self._replicating_by_key.setdefault(item.key, {})[self._last_number] = item
-        self._send_replication(self._last_number, copying, machine.voters())
+        self._send_replication(self._last_number, replication, machine.voters())
 
     def _remove_replication(self, number: int) -> Replication | None:
-        """Take a copy off the list; None if it has been taken off before."""
-        copying = self._replications.pop(number, None)
-        if copying is None:
+        """Forget a replication; None if it is unknown."""
+        replication = self._replications.pop(number, None)
+        if replication is None:
             return None
-        for item in copying.items:
+        for item in replication.items:
             of_key = self._replicating_by_key.get(item.key, {})
             of_key.pop(number, None)
             if not of_key:
                 self._replicating_by_key.pop(item.key, None)
-        return copying
+        return replication
 
-    def _send_replication(self, number: int, copying: Replication, to: Iterable[str]) -> None:
-        epoch = self.sections[copying.section].epoch
-        copy = wire.Replicate(number=number, section=copying.section, epoch=epoch, items=copying.items)
+    def _send_replication(self, number: int, replication: Replication, to: Iterable[str]) -> None:
+        epoch = self.sections[replication.section].epoch
+        message = wire.Replicate(
+            number=number, section=replication.section, epoch=epoch, items=replication.items
+        )
         for voter in to:
-            self._machine.send(voter, Frame(copy=copy))
+            self._machine.send(voter, Frame(copy=message))
 
-    def on_replicate_ack(self, peer: str, copied: wire.ReplicateAck) -> None:
-        copying = self._replications.get(copied.number)
-        if copying is None:
+    def on_replicate_ack(self, peer: str, ack: wire.ReplicateAck) -> None:
+        replication = self._replications.get(ack.number)
+        if replication is None:
             return
-        if not copied.ok:
-            if copied.promised > self.sections[copying.section].epoch:
-                self._note_epoch(copying.section, copied.promised)
-                self._release(copying.section)
+        if not ack.ok:
+            if ack.promised > self.sections[replication.section].epoch:
+                self._note_epoch(replication.section, ack.promised)
+                self._release(replication.section)
             return
-        copying.acks.add(peer, copied.mark)
-        self._finish_if_committed(copied.number, copying)
+        replication.acks.add(peer, ack.mark)
+        self._finish_if_committed(ack.number, replication)
 
-    def _finish_if_committed(self, number: int, copying: Replication) -> None:
-        """It stands once a majority has it; it is acknowledged then, or a moment later with two others."""
+    def _finish_if_committed(self, number: int, replication: Replication) -> None:
+        """Commit once a majority has the items; acknowledge with two others, or after a short wait."""
         machine = self._machine
-        if not copying.acks.reached(machine.voter_table.slots):
+        if not replication.acks.reached(machine.voter_table.slots):
             return
-        if not copying.committed:
-            copying.committed = True
-            machine.mark_committed(copying.items)
-            if copying.from_claim:
-                self._become_owner(copying.section)
-        others = len(copying.acks.members() - {machine.address})
+        if not replication.committed:
+            replication.committed = True
+            machine.mark_committed(replication.items)
+            if replication.from_claim:
+                self._become_owner(replication.section)
+        others = len(replication.acks.members() - {machine.address})
         reachable = len([v for v in machine.voters() if v != machine.address])
-        late = machine.step.now - copying.started_at >= EXTRA_REPLICA_WAIT_S
-        if others < min(2, reachable) and not late:
+        waited_enough = machine.step.now - replication.started_at >= EXTRA_REPLICA_WAIT_S
+        if others < min(2, reachable) and not waited_enough:
             return
         if self._remove_replication(number) is not None:
-            for peer, asked in copying.requesters:
+            for peer, asked in replication.requesters:
                 self._respond(peer, asked, ResultCode.DONE)
 
     def _respond(self, peer: str, number: int, code: ResultCode, items: Iterable[Item] = ()) -> None:
--- a/leadrudder/consensus/quorum_check.py
+++ b/leadrudder/consensus/quorum_check.py
@@ -1,9 +1,9 @@
-"""Contact with a majority, confirmed by round trips.
+"""Confirms contact with a majority by round trips.
 
-A process that was frozen, or whose links are dead without its knowing, still believes that its peers are
-there. So what it knows is handed out only while a majority has lately answered a question of its own: the
-age of a confirmation counts from when the question was sent, and an answer that was on its way for long, or
-lay in a buffer while the process stood still, confirms nothing new. Times are seconds.
+A process that was frozen, or whose links are dead unnoticed, still believes that its peers are reachable. So
+it serves its state only while a majority has recently answered one of its probes. The age of a confirmation
+counts from when its probe was sent: an answer that was delayed, or that lay in a buffer while the process was
+frozen, confirms nothing new. Times are seconds.
 """
 
 from __future__ import annotations
@@ -18,40 +18,40 @@
 if TYPE_CHECKING:
     from leadrudder.consensus.state_machine import ControlStateMachine
 
-PROBE_INTERVAL_S = 0.3  # while contact is fresh; at each tick otherwise
-MAX_OPEN_PROBES = 8  # questions whose answers still count
-FRESH_AGE_S = 1.0  # a new session is taken only on a confirmation that is no older
-LOST_AGE_S = 1.7  # sessions that stand are ended when the latest confirmation is older
+PROBE_INTERVAL_S = 0.3  # while the confirmation is fresh; otherwise at each tick
+MAX_OPEN_PROBES = 8  # probes whose answers still count
+FRESH_AGE_S = 1.0  # new sessions are accepted only on a confirmation no older than this
+LOST_AGE_S = 1.7  # existing sessions are ended when the last confirmation is older
 
 
 @dataclass(slots=True)
 class ProbeRound:
-    """One question to all voters: when it was sent, and who has answered."""
+    """One probe of all voters: when it was sent, and who has answered."""
 
     sent_at: float
     acks: Quorum = field(default_factory=Quorum)
 
 
 class QuorumCheck:
-    """The part of the interlocking that keeps asking whether a majority is there."""
+    """The component of the state machine that probes for a majority."""
 
     def __init__(self, machine: ControlStateMachine) -> None:
         self._machine = machine
-        self._number = machine.rng.getrandbits(48)  # not those of an earlier process at our address
+        self._number = machine.rng.getrandbits(48)  # not a number of an earlier process at this address
         self._rounds: dict[int, ProbeRound] = {}
         self._last_probe_at = float("-inf")
         self._confirmed_at = float("-inf")
 
     def age(self, now: float) -> float:
-        """Seconds since a question was sent that a majority has answered; infinite if none ever was."""
+        """Seconds since the last probe that a majority answered was sent; infinite if there is none."""
         return now - self._confirmed_at
 
     def fresh(self, now: float) -> bool:
-        """Whether what we know may be handed to somebody new."""
+        """Whether new sessions may be served."""
         return self.age(now) <= FRESH_AGE_S
 
     def lost(self, now: float) -> bool:
-        """Whether a majority may have decided things without us for too long."""
+        """Whether a majority may have made decisions without this node for too long."""
         return self.age(now) > LOST_AGE_S
 
     def tick(self) -> None:
@@ -66,18 +66,18 @@
         for voter in machine.voters():
             machine.send(voter, Frame(contact=wire.QuorumProbe(number=self._number)))
 
-    def on_probe(self, peer: str, contact: wire.QuorumProbe) -> None:
-        """Only who counts in a majority answers."""
+    def on_probe(self, peer: str, probe: wire.QuorumProbe) -> None:
+        """Answer a probe; only voters do."""
         machine = self._machine
         if machine.voter_table.full:
-            contacted = wire.QuorumProbeAck(number=contact.number, mark=machine.voter_view())
-            machine.send(peer, Frame(contacted=contacted))
+            ack = wire.QuorumProbeAck(number=probe.number, mark=machine.voter_view())
+            machine.send(peer, Frame(contacted=ack))
 
-    def on_probe_ack(self, peer: str, contacted: wire.QuorumProbeAck) -> None:
-        question = self._rounds.get(contacted.number)
-        if question is None:
+    def on_probe_ack(self, peer: str, ack: wire.QuorumProbeAck) -> None:
+        probe = self._rounds.get(ack.number)
+        if probe is None:
             return
-        question.acks.add(peer, contacted.mark)
-        if question.acks.reached(self._machine.voter_table.slots):
-            self._confirmed_at = max(self._confirmed_at, question.sent_at)
-            del self._rounds[contacted.number]
+        probe.acks.add(peer, ack.mark)
+        if probe.acks.reached(self._machine.voter_table.slots):
+            self._confirmed_at = max(self._confirmed_at, probe.sent_at)
+            del self._rounds[ack.number]
--- a/leadrudder/consensus/state_machine.py
+++ b/leadrudder/consensus/state_machine.py
@@ -1,8 +1,8 @@
-"""The interlocking of one signalbox: seats, owners of sections, and what stands.
+"""The replicated state machine of one control node: voters, section owners and committed items.
 
-Every key is a register of its own: an owner gives a version its value once, under an epoch that a majority
-of seats has promised it, and the value stands when a majority has it on disk. Merging is by (version,
-epoch), so what comes late or twice changes nothing.
+Every key is a register of its own: the owner of its section gives a version its value once, under an epoch
+that a majority of voters has promised, and the value is committed when a majority has it on disk. Items merge
+by (version, epoch), so late and duplicate messages change nothing.
 
 Inputs: start, tick, up, down, frame, change, read, resign. Each returns what to send, write and answer.
 """
@@ -30,7 +30,7 @@
     section_of,
 )
 from leadrudder.consensus.ownership import SectionOwnership
-from leadrudder.consensus.quorum import mark
+from leadrudder.consensus.quorum import voter_view
 from leadrudder.consensus.quorum_check import QuorumCheck
 from leadrudder.consensus.reconfiguration import Reconfiguration
 from leadrudder.consensus.requests import OperatorRequests
@@ -43,7 +43,7 @@
 
 
 class ControlStateMachine:
-    """The state machine.  address: this signalbox's link address, its name among the others."""
+    """The state machine.  address: this node's link address, which identifies it to its peers."""
 
     def __init__(
         self,
@@ -58,8 +58,8 @@
         sections: int = SECTIONS,
         duties: tuple[str, ...] = DUTIES,
     ) -> None:
-        self.duties = duties  # that one signalbox does at a time
-        self.sections = sections  # the same in all processes
+        self.duties = duties  # each done by one control node at a time
+        self.sections = sections  # number of key partitions; the same in all processes
         self.address = address
         self.zone = zone
         self.first_run = first_run
@@ -71,15 +71,14 @@
         self.peers: dict[str, Peer] = {}
         self.voter_table = VoterTable(address)
         self.promised: dict[int, int] = {}
-        self.accepted = Book()  # what this seat holds
-        self.committed = Book()  # what a majority holds
-        self.uncommitted: dict[
-            str, None
-        ] = {}  # keys of which the book holds something newer than what stands
-        self.keys_by_section: dict[int, dict[str, None]] = {}  # of the book
+        self.accepted = Book()  # items that this node has accepted as a voter
+        self.committed = Book()  # items known to be on disk at a majority
+        # Keys whose accepted item is newer than the committed one.
+        self.uncommitted: dict[str, None] = {}
+        self.keys_by_section: dict[int, dict[str, None]] = {}  # keys of accepted items
         self.resigned = False
         self._started_at: float | None = None
-        self.voting_since = 0.0  # when we started, or took our seat over if that was later
+        self.voting_since = 0.0  # start of the process, or of its voter slot if later
         self.reconfiguration = Reconfiguration(self)
         self.ownership = SectionOwnership(self)
         self.requests = OperatorRequests(self)
@@ -110,7 +109,7 @@
         return self.step.out
 
     def tick(self, now: float) -> list[Output]:
-        """To be called some ten times a second."""
+        """Called about ten times a second."""
         self._begin(now)
         self.reconfiguration.tick()
         self.ownership.tick()
@@ -121,9 +120,9 @@
         return self._end()
 
     def up(self, peer: str, now: float) -> list[Output]:
-        """A link to another signalbox stands, and nothing was said on it yet.
+        """A new link to a peer is up and carries no messages yet.
 
-        It may come before the end of an earlier one was noticed: what was said there may be lost.
+        It may come up before the end of an earlier link is noticed; messages on that one may be lost.
         """
         self._begin(now)
         if peer in self.peers:
@@ -139,25 +138,25 @@
         return self._end()
 
     def frame(self, peer: str, frame: Frame, now: float) -> list[Output]:
-        """A frame of another signalbox's."""
+        """Handle a frame from a peer."""
         self._begin(now)
         self._dispatch(peer, frame)
         return self._end()
 
     def change(self, number: int, items: Iterable[Item], now: float) -> list[Output]:
-        """Have items taken, all or none; an Answer with this number follows, now or later."""
+        """Propose items, all or none; an Answer with this number follows, now or later."""
         self._begin(now)
         self.requests.change(number, list(items))
         return self._end()
 
     def read(self, number: int, now: float) -> list[Output]:
-        """What stands, never older than what was acknowledged; an Answer follows."""
+        """Linearizable read of all committed items; an Answer with this number follows."""
         self._begin(now)
         self.requests.read(number)
         return self._end()
 
     def resign(self, now: float) -> list[Output]:
-        """This process is about to end: own nothing any more, and let others take over."""
+        """This process is about to stop: release all sections and leases so that peers take over."""
         self._begin(now)
         self.resigned = True
         self.ownership.resign()
@@ -166,16 +165,16 @@
             self.send_status(peer)
         return self._end()
 
-    # ------------------------------------------------------------ what its parts use
+    # ------------------------------------------------------------ shared by the components
 
     @property
     def started_at(self) -> float:
-        """When this process had its first input; until then 0."""
+        """Time of this process's first input; 0 until then."""
         return self._started_at if self._started_at is not None else 0.0
 
     @property
     def desired_voters(self) -> int:
-        """How many seats the operator wants, as it stands; 0: it was never said, and they stay as founded."""
+        """The committed number of voters; 0: never set by an operator, the bootstrap voters stay."""
         return read_core(self.committed.items.get(CORE))
 
     def send(self, to: str, frame: Frame) -> None:
@@ -197,14 +196,14 @@
         return section_of(key, self.sections)
 
     def voter_view(self) -> wire.VoterView:
-        """For which seat a reply of ours counts."""
-        return mark(self.voter_table.slots, self.address)
+        """The voter slots as this node knows them, sent with each of its replies."""
+        return voter_view(self.voter_table.slots, self.address)
 
     def connected(self) -> list[str]:
         return [address for address, peer in self.peers.items() if peer.up]
 
     def voters(self) -> list[str]:
-        """Full holders of seats that can be reached, in the order of their seats; we may be one."""
+        """Reachable holders of filled voter slots, in slot order; may include this node."""
         return [holder for holder in self.voter_table.holders() if self.is_voter(holder)]
 
     def is_voter(self, holder: str) -> bool:
@@ -217,26 +216,26 @@
         return bool(self.voter_table.slots) and len(self.voters()) >= self.voter_table.majority
 
     def may_leave(self) -> bool:
-        """Whether the others that can be reached are a majority without us: then our end costs nothing."""
+        """Whether the reachable voters are a majority without this node, so that it can stop safely."""
         others = [holder for holder in self.voters() if holder != self.address]
         return not self.voter_table.full or len(others) >= self.voter_table.majority
 
     def accept(self, items: Iterable[Item]) -> dict[str, bytes]:
-        """Take items into what this seat holds; returns the records to be written."""
-        taken = self._merge_accepted(items)
-        self.anti_entropy.on_accepted(taken)
-        return {ITEM_RECORD + item.key: item.SerializeToString() for item in taken}
+        """Merge items into the accepted ones; returns the records to write."""
+        merged = self._merge_accepted(items)
+        self.anti_entropy.on_accepted(merged)
+        return {ITEM_RECORD + item.key: item.SerializeToString() for item in merged}
 
     def _merge_accepted(self, items: Iterable[Item]) -> list[Item]:
-        taken = self.accepted.take(items)
-        for item in taken:
+        merged = self.accepted.take(items)
+        for item in merged:
             self.keys_by_section.setdefault(self.section_of(item.key), {})[item.key] = None
             if newer(item, self.committed.items.get(item.key)):
                 self.uncommitted[item.key] = None
-        return taken
+        return merged
 
     def describe_voters(self) -> dict[str, Any]:
-        """Seats, their holders and what they own, as this process sees them: for operators."""
+        """Voter slots, their holders and owned sections as this node sees them, for operators."""
         owned: dict[str, list[int]] = {}
         for section, (_, holder) in sorted(self.ownership.known_owners.items()):
             owned.setdefault(holder, []).append(section)
@@ -261,30 +260,30 @@
         if self.is_voter(seat.holder):
             return "full"
         peer = self.peers.get(seat.holder)
-        here = seat.holder == self.address or (peer is not None and peer.up)
-        return "empty" if here else "not connected"
+        connected = seat.holder == self.address or (peer is not None and peer.up)
+        return "empty" if connected else "not connected"
 
     def item_records(self) -> dict[str, bytes]:
-        """The records of all that this seat holds."""
+        """The records of all accepted items."""
         return {ITEM_RECORD + item.key: item.SerializeToString() for item in self.accepted.items.values()}
 
     def promise_records(self) -> dict[str, bytes]:
-        """The records of the epochs that were promised."""
+        """The records of all promised epochs."""
         return {f"{PROMISED_RECORD}{s}": str(e).encode() for s, e in self.promised.items()}
 
     def mark_committed(self, items: Iterable[Item], tell: bool = True) -> None:
-        """Items are known to be on disk at a majority."""
-        taken = self.committed.take(items)
-        if not taken:
+        """Record that items are on disk at a majority; tell: forward them to the peers."""
+        merged = self.committed.take(items)
+        if not merged:
             return
-        for item in taken:
+        for item in merged:
             held = self.accepted.items.get(item.key)
             if held is None or not newer(held, item):
                 self.uncommitted.pop(item.key, None)
-        self.step.out.append(Committed(tuple(taken)))
+        self.step.out.append(Committed(tuple(merged)))
         if tell:
             for peer in self.connected():
-                self.send(peer, Frame(standing=wire.CommittedItems(items=taken)))
+                self.send(peer, Frame(standing=wire.CommittedItems(items=merged)))
 
     # ------------------------------------------------------------ frames
 
@@ -343,7 +342,7 @@
             self.quorum_check.on_probe_ack(peer, frame.contacted)
 
     def send_status(self, peer: str) -> None:
-        greeting = wire.PeerStatus(
+        status = wire.PeerStatus(
             address=self.address,
             zone=self.zone,
             first_run=self.first_run,
@@ -355,31 +354,31 @@
                 wire.PromisedEpoch(section=s, epoch=e) for s, e in self.ownership.owned_sections().items()
             ],
         )
-        self.send(peer, Frame(greeting=greeting))
+        self.send(peer, Frame(greeting=status))
 
-    def _on_peer_status(self, peer: str, greeting: wire.PeerStatus) -> None:
+    def _on_peer_status(self, peer: str, status: wire.PeerStatus) -> None:
         known = self.peers.setdefault(peer, Peer(peer))
-        # A process may be back before the end of its link was noticed: it owns nothing and was told nothing.
-        restarted = known.life != greeting.life
+        # A restarted peer may be back before the end of its link is noticed; it owns and knows nothing.
+        restarted = known.life != status.life
         if restarted and known.life:
             self.ownership.on_peer_restarted(peer)
-        known.life = greeting.life
-        fresh = restarted or not known.informed
-        if fresh:
+        known.life = status.life
+        needs_state = restarted or not known.informed
+        if needs_state:
             known.changed_at = self.step.now
         known.informed = True
-        known.up, known.zone, known.resigned = True, greeting.zone, greeting.resigned
-        known.full, known.first_run = greeting.full, greeting.first_run
-        if greeting.full or not self.voter_table.slots:
-            self.reconfiguration.merge_slots(greeting.seats, peer if greeting.full else "")
-        if fresh:
+        known.up, known.zone, known.resigned = True, status.zone, status.resigned
+        known.full, known.first_run = status.full, status.first_run
+        if status.full or not self.voter_table.slots:
+            self.reconfiguration.merge_slots(status.seats, peer if status.full else "")
+        if needs_state:
             if self.committed.items:
                 self.send(peer, Frame(standing=wire.CommittedItems(items=self.committed.items.values())))
             self.ownership.announce(peer)
-        self.ownership.on_owned_sections(peer, {owned.section: owned.epoch for owned in greeting.owned})
+        self.ownership.on_owned_sections(peer, {owned.section: owned.epoch for owned in status.owned})
         self.ownership.on_peer_connected(peer)
 
-    # ------------------------------------------------------------ the part that accepts
+    # ------------------------------------------------------------ acceptor
 
     def _accepts_from(self, peer: str) -> bool:
         return self.voter_table.full and self.is_voter(peer)
@@ -398,30 +397,30 @@
         promise.items.extend(self.ownership.items_of(section))
         self.write({f"{PROMISED_RECORD}{section}": str(epoch).encode()}, [Send(peer, Frame(promise=promise))])
 
-    def _on_replicate(self, peer: str, copy: wire.Replicate) -> None:
-        promised = self.promised.get(copy.section, 0)
-        copied = wire.ReplicateAck(number=copy.number, promised=promised)
-        if not self._accepts_from(peer) or copy.epoch < promised:
-            self.send(peer, Frame(copied=copied))
+    def _on_replicate(self, peer: str, replicate: wire.Replicate) -> None:
+        promised = self.promised.get(replicate.section, 0)
+        ack = wire.ReplicateAck(number=replicate.number, promised=promised)
+        if not self._accepts_from(peer) or replicate.epoch < promised:
+            self.send(peer, Frame(copied=ack))
             return
-        records = self.accept(copy.items)
-        if copy.epoch > promised:
-            self.promised[copy.section] = copy.epoch
-            records[f"{PROMISED_RECORD}{copy.section}"] = str(copy.epoch).encode()
-        copied.ok = True
-        copied.mark.CopyFrom(self.voter_view())
-        self.write(records, [Send(peer, Frame(copied=copied))])
-
-    def _on_read(self, peer: str, read: wire.ReadRequest) -> None:
-        reading = wire.ReadResponse(number=read.number, ok=self.voter_table.full)
-        if reading.ok:
-            reading.items.extend(self.accepted.items.values())
-            reading.mark.CopyFrom(self.voter_view())
-        self.write({}, [Send(peer, Frame(reading=reading))])
-
-    # ------------------------------------------------------------ repair
+        records = self.accept(replicate.items)
+        if replicate.epoch > promised:
+            self.promised[replicate.section] = replicate.epoch
+            records[f"{PROMISED_RECORD}{replicate.section}"] = str(replicate.epoch).encode()
+        ack.ok = True
+        ack.mark.CopyFrom(self.voter_view())
+        self.write(records, [Send(peer, Frame(copied=ack))])
+
+    def _on_read(self, peer: str, request: wire.ReadRequest) -> None:
+        response = wire.ReadResponse(number=request.number, ok=self.voter_table.full)
+        if response.ok:
+            response.items.extend(self.accepted.items.values())
+            response.mark.CopyFrom(self.voter_view())
+        self.write({}, [Send(peer, Frame(reading=response))])
+
+    # ------------------------------------------------------------ anti-entropy
 
     def _accept_and_write(self, items: Iterable[Item]) -> None:
-        """What others have kept for us."""
+        """Store items that a peer committed or sent for repair."""
         if self.voter_table.full and (records := self.accept(items)):
             self.write(records)
--- a/leadrudder/membership/__init__.py
+++ b/leadrudder/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: stations by their sessions, and the servers beside them.  No I/O."""
+"""Membership: proxies by their sessions, and their local servers.  No I/O."""
--- a/leadrudder/membership/registry.py
+++ b/leadrudder/membership/registry.py
@@ -1,8 +1,8 @@
-"""The register of a signalbox: a station is a member while its session with a signalbox stands.
+"""The member registry of a control node: a proxy is a member while it has a session with a control node.
 
-Signalboxes tell each other their sessions. Entries are merged by (life, number, gone), the highest first,
-so late and doubled ones change nothing. A session that ends is told as gone after a moment, in which the
-station may have found another signalbox. Times are seconds.
+Control nodes tell each other their sessions. Entries merge by (life, number, gone), the highest wins, so
+late and duplicate ones change nothing. A proxy whose session ends is reported as gone after a grace period,
+in which it may reconnect to another control node. Times are seconds.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from leadrudder.configuration.item_store import sealed
 from leadrudder.protocol.mesh_pb2 import Node
 
-RECONNECT_GRACE_S = 0.8  # for a station that lost its signalbox to find another
-ORPHAN_GRACE_S = 3.0  # the same where the signalbox itself is gone
+RECONNECT_GRACE_S = 0.8  # for a proxy that lost its session to connect to another control node
+ORPHAN_GRACE_S = 3.0  # the same if the control node itself is lost
 
 
 def freshness(node: Node) -> tuple[int, int, bool]:
-    """The newest of a station's entries has the highest."""
+    """Sort key of a proxy's entries: the newest has the highest."""
     return node.life, node.number, node.gone
 
 
@@ -28,33 +28,31 @@
 
 @dataclass(slots=True)
 class MemberRegistry:
-    """address: of the signalbox whose register it is."""
+    """All known entries, gone ones included.  address: of the control node that keeps them."""
 
     address: str
     nodes: dict[str, Node] = field(default_factory=dict)
     digest: int = 0
-    sessions: set[str] = field(default_factory=set)  # stations whose session with us stands
-    _unclaimed: set[str] = field(default_factory=set)  # told of as ours, and without a session with us
-    _departing: dict[str, tuple[float, Node]] = field(default_factory=dict)  # when to tell it as gone
-    _lost_peers: dict[str, float] = field(
-        default_factory=dict
-    )  # signalboxes that are not connected, since when
-
-    def merge(self, news: Iterable[Node]) -> list[Node]:
+    sessions: set[str] = field(default_factory=set)  # proxies with a session with this node
+    _unclaimed: set[str] = field(default_factory=set)  # entries that name this node, without a session here
+    _departing: dict[str, tuple[float, Node]] = field(default_factory=dict)  # when to report it as gone
+    _lost_peers: dict[str, float] = field(default_factory=dict)  # disconnected control nodes, since when
+
+    def merge(self, entries: Iterable[Node]) -> list[Node]:
         """Merge entries; returns those that were new."""
-        taken = []
-        for node in news:
-            old = self.nodes.get(node.name)
-            if old is None or freshness(node) > freshness(old):
-                self.digest ^= entry_digest(node) ^ (entry_digest(old) if old is not None else 0)
+        merged = []
+        for node in entries:
+            known = self.nodes.get(node.name)
+            if known is None or freshness(node) > freshness(known):
+                self.digest ^= entry_digest(node) ^ (entry_digest(known) if known is not None else 0)
                 self.nodes[node.name] = node
-                taken.append(node)
+                merged.append(node)
                 if node.holder == self.address and not node.gone and node.name not in self.sessions:
                     self._unclaimed.add(node.name)
-        return taken
+        return merged
 
     def report(self, node: Node) -> list[Node]:
-        """A station of ours reports."""
+        """A proxy with a session with this node reports itself."""
         entry = Node()
         entry.CopyFrom(node)
         entry.gone, entry.holder = False, self.address
@@ -63,7 +61,7 @@
         return self.merge([entry])
 
     def session_ended(self, name: str, now: float) -> None:
-        """A station's session with us has ended."""
+        """A proxy's session with this node has ended."""
         self.sessions.discard(name)
         node = self.nodes.get(name)
         if node is not None and node.holder == self.address and not node.gone:
@@ -75,8 +73,8 @@
         else:
             self._lost_peers.setdefault(address, now)
 
-    def tick(self, now: float, sweeps: bool) -> list[Node]:
-        """Entries that are told as gone now. sweeps: the duty for members of lost signalboxes is ours."""
+    def tick(self, now: float, expires: bool) -> list[Node]:
+        """Entries to report as gone now.  expires: this node expires members of lost control nodes."""
         gone = []
         for name, (due, node) in list(self._departing.items()):
             if now >= due:
@@ -84,17 +82,17 @@
                 if self.nodes.get(name) is node:
                     gone.append(node)
         self._expire_unclaimed(now)
-        if sweeps and self._lost_peers:
+        if expires and self._lost_peers:
             orphaned = {a for a, since in self._lost_peers.items() if now - since >= ORPHAN_GRACE_S}
             gone += [n for n in self.nodes.values() if n.holder in orphaned and not n.gone]
         return self.merge(_as_gone(node) for node in gone)
 
     def _expire_unclaimed(self, now: float) -> None:
-        """Sessions with an earlier process at our address: their stations have a moment to come back."""
+        """Give proxies of an earlier process at this address time to reconnect."""
         for name in self._unclaimed:
             node = self.nodes.get(name)
-            ours = node is not None and node.holder == self.address and not node.gone
-            if node is not None and ours and name not in self.sessions:
+            is_own = node is not None and node.holder == self.address and not node.gone
+            if node is not None and is_own and name not in self.sessions:
                 self._departing.setdefault(name, (now + ORPHAN_GRACE_S, node))
         self._unclaimed.clear()
 
@@ -102,7 +100,7 @@
         return [node for node in self.nodes.values() if not node.gone]
 
     def evict(self, most: int = 4096) -> None:
-        """Bounded memory: the oldest of those that are gone go first."""
+        """Bound the memory: drop the oldest gone entries."""
         if len(self.nodes) <= most:
             return
         for node in sorted((n for n in self.nodes.values() if n.gone), key=freshness)[
--- a/leadrudder/storage/__init__.py
+++ b/leadrudder/storage/__init__.py
@@ -1,1 +1,1 @@
-"""The disk of a signalbox: records that are there after a loss of power once they were acknowledged."""
+"""Durable storage of a control node: acknowledged records survive a loss of power."""
--- a/leadrudder/storage/store.py
+++ b/leadrudder/storage/store.py
@@ -1,12 +1,12 @@
-"""Stores of records, and the one on `dbm.dumb`.
+"""Record stores, in memory and on `dbm.dumb`.
 
-A store holds a value for each name. commit() returns when a batch is on disk whole; what was not committed
-may be there after a loss of power or not, but never in part. All calls are made from one thread.
+A store holds a value for each name. commit() returns when the whole batch is on disk; an uncommitted batch
+may survive a loss of power or not, but never in part. All calls are made from one thread.
 
-`dbm.dumb` syncs nothing and rewrites its index in place, so it is only ever appended to: each batch is one
-new sealed key. Such an append leaves what was synced before it untouched, and an index line or a record
-that power cut off is told by its form or its seal. open() writes all there is into a new generation, so
-that nothing an earlier process left unsynced is built upon.
+`dbm.dumb` syncs nothing and rewrites its index in place, so it is used append-only: each batch is one new key
+with a checksum. An append leaves everything synced before it untouched, and an index line or a record
+truncated by a loss of power is recognized by its form or its checksum. open() writes all records into a new
+generation, so that nothing depends on data that an earlier process left unsynced.
 """
 
 from __future__ import annotations
@@ -25,35 +25,35 @@
 
 from leadrudder.protocol.mesh_pb2 import RecordBatch
 
-_CHECKSUM = struct.Struct(">I")  # the seal of what follows
+_CHECKSUM = struct.Struct(">I")  # of the bytes that follow
 _INDEX_LINE = re.compile(rb"'[0-9]{12}', \([0-9]+, [0-9]+\)")
-MAX_GENERATION_BATCHES = 4000  # batches, after which a new generation is begun
+MAX_GENERATION_BATCHES = 4000  # batches, after which a new generation is started
 FORMAT = 2
 
 
-class CorruptStoreError(Exception):  # noqa: N818 - it says what is the matter with a file
-    """Bytes that had been synced have changed: what the disk held is not known any more."""
+class CorruptStoreError(Exception):
+    """Synced bytes have changed, so the records on the disk are unknown."""
 
 
 class DiskError(Exception):
-    """The disk refused; what was being committed may be there or not."""
+    """The disk failed; the batch being committed may be stored or not."""
 
 
 class Store(Protocol):
-    """What every store owes."""
+    """The interface of a store."""
 
     def open(self) -> dict[str, bytes]:
-        """What it holds; DiskError where that cannot be had."""
+        """Return all records; DiskError if they cannot be read."""
 
     def commit(self, records: Mapping[str, bytes]) -> None:
-        """Put a batch on disk; DiskError where that is not certain."""
+        """Put a batch on disk; DiskError if that is uncertain."""
 
     def close(self) -> None:
-        """No further calls follow."""
+        """Release the store; no further calls follow."""
 
 
 class MemoryStore:
-    """A store that keeps nothing after its process; for tests and for machines without a disk."""
+    """A store that lasts as long as its process; for tests and machines without a disk."""
 
     def __init__(self) -> None:
         self._records: dict[str, bytes] = {}
@@ -69,13 +69,13 @@
 
 
 def encode_batch(records: Mapping[str, bytes]) -> bytes:
-    """A batch with its checksum in front."""
+    """A batch, preceded by its checksum."""
     body = RecordBatch(format=FORMAT, records=records).SerializeToString(deterministic=True)
     return _CHECKSUM.pack(zlib.crc32(body)) + body
 
 
 def decode_batch(data: bytes) -> dict[str, bytes] | None:
-    """The batch, or None where any of it is torn; DiskError where its format is of a later release.
+    """The batch, or None if it is damaged; DiskError if its format is of a later release.
 
     Format 1 was JSON with the values in hexadecimal digits.
     """
@@ -95,21 +95,21 @@
 
 
 class DbmStore:
-    """Records in a folder, in generations of `dbm.dumb` files."""
+    """Records in a folder, as generations of `dbm.dumb` files."""
 
     _NAME = re.compile(r"g([0-9]{8})\.dat")
 
     def __init__(self, folder: str) -> None:
         self._folder = folder
         self._records: dict[str, bytes] = {}
-        self.corrupt = ""  # which record of which file has changed: the disk then counts as lost
+        self.corrupt = ""  # the damaged record and file, if any: the disk then counts as lost
         self._generation = 0
         self._batches = 0
-        self._files: list[int] = []  # descriptors of the generation's files
+        self._files: list[int] = []  # file descriptors of the current generation
         self._db: dbm.dumb._Database | None = None
 
     def peek(self) -> dict[str, bytes]:
-        """What the folder holds, which is left as it is; Spoilt where that is not known."""
+        """All records, without changing the folder; CorruptStoreError if they are damaged."""
         for generation in reversed(self._generations()):
             read = self._read_generation(generation)
             if read is not None:
@@ -117,7 +117,7 @@
         return {}
 
     def _generations(self) -> list[int]:
-        """The generations that are there, the oldest first."""
+        """The generations in the folder, oldest first."""
         return sorted(int(m[1]) for name in os.listdir(self._folder) if (m := self._NAME.fullmatch(name)))
 
     def open(self) -> dict[str, bytes]:
@@ -127,8 +127,8 @@
             self.corrupt = ""
             try:
                 self._records = self.peek()
-            except CorruptStoreError as spoilt:
-                self.corrupt, self._records = str(spoilt), {}
+            except CorruptStoreError as corrupt:
+                self.corrupt, self._records = str(corrupt), {}
             self._start_generation(max(found, default=0) + 1, found)
         except (OSError, dbm.dumb.error) as error:
             raise DiskError(str(error)) from None
@@ -143,7 +143,7 @@
                 self._append(records)
                 self._records.update(records)
         except (OSError, dbm.dumb.error) as error:
-            self._close_files()  # what came of it is not known: the next batch goes to a new generation
+            self._close_files()  # the outcome is unknown: the next batch goes to a new generation
             raise DiskError(str(error)) from None
 
     def close(self) -> None:
@@ -153,11 +153,11 @@
         return os.path.join(self._folder, f"g{generation:08d}")
 
     def _read_generation(self, generation: int) -> dict[str, bytes] | None:
-        """What a generation holds; None if it was never finished.
+        """The records of a generation; None if it was never completed.
 
-        Its first batch is the whole of the one before.  The last may be torn, as power was lost before it
-        was acknowledged. Each was begun when the one before had been synced: one that cannot be read and has
-        a whole one behind it was whole once, and has changed since.
+        Its first batch contains all records of the generation before. Its last batch may be incomplete, if
+        power was lost before it was acknowledged. Each batch was started after the one before was synced, so
+        an unreadable batch followed by a readable one was complete once and has changed since.
         """
         path = self._path(generation)
         try:
@@ -167,11 +167,11 @@
                 data = file.read()
         except OSError:
             return None
-        held: dict[str, bytes] | None = None
+        records: dict[str, bytes] | None = None
         expected, torn = 0, ""
         for raw in filter(None, lines):
             number, batch = expected, None
-            line = raw.strip(b"\0")  # what a torn write leaves
+            line = raw.strip(b"\0")  # zeros left by an incomplete write
             if _INDEX_LINE.search(line) and not _INDEX_LINE.fullmatch(line):
                 raise CorruptStoreError(f"{path}.dir: record {expected} cannot be read")
             if _INDEX_LINE.fullmatch(line):
@@ -184,19 +184,19 @@
             if torn or number != expected:
                 raise CorruptStoreError(torn or f"{path}.dat: record {expected} cannot be read")
             expected += 1
-            if held is None:
-                held = batch
+            if records is None:
+                records = batch
             else:
-                held.update(batch)
-        return held
+                records.update(batch)
+        return records
 
     def _start_generation(self, generation: int, older: list[int]) -> None:
-        """A new generation with all there is; older ones go once it is on disk."""
+        """Start a new generation with all records; remove older ones once it is on disk."""
         self._close_files()
         path = self._path(generation)
         self._remove(generation)
         self._generation, self._batches = generation, 0
-        self._db = dbm.dumb.open(path, "n", 0o600)  # noqa: SIM115 - closed by _let_go
+        self._db = dbm.dumb.open(path, "n", 0o600)  # noqa: SIM115 - closed by _close_files
         self._append(self._records, new=True)
         for old in older:
             if old != generation:
@@ -229,7 +229,7 @@
                 os.close(descriptor)
         self._files = []
         if self._db is not None:
-            # close() would rewrite the index without a sync: what was appended stands in it already.
+            # close() would rewrite the index without a sync; it already contains all that was appended.
             self._db._modified = False  # type: ignore[attr-defined]
             with contextlib.suppress(OSError, dbm.dumb.error):
                 self._db.close()
--- a/leadrudder/storage/writer.py
+++ b/leadrudder/storage/writer.py
@@ -1,6 +1,6 @@
-"""Writes batches in a thread of its own, so that the loop goes on while a disk hangs.
+"""Writes batches in a separate thread, so that the event loop keeps running while a disk hangs.
 
-What is handed over while a batch is being written is written together as the next.
+Records that arrive while a batch is being written form the next batch.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class BatchWriter(Protocol):
-    """What a signalbox asks of whatever writes its batches."""
+    """The interface of a writer of batches."""
 
     def put(self, records: dict[str, bytes], done: Callback) -> None: ...
 
@@ -27,11 +27,11 @@
 
 
 class ThreadedWriter:
-    """done is called in the loop once its records are on disk; a disk that refuses is tried again."""
+    """Calls done in the event loop once its records are on disk; retries after disk errors."""
 
-    def __init__(self, store: Store, told: Callable[[str], None]) -> None:
+    def __init__(self, store: Store, report: Callable[[str], None]) -> None:
         self._store = store
-        self._report = told  # a line when the disk refuses
+        self._report = report  # reports disk errors
         self._loop = asyncio.get_running_loop()
         self._lock = threading.Condition()
         self._pending: dict[str, bytes] = {}
@@ -48,7 +48,7 @@
             self._lock.notify()
 
     def after(self, done: Callback) -> None:
-        """Call done once all that was put so far is on disk: at once where nothing waits."""
+        """Call done once all records put so far are on disk; immediately if none are pending."""
         with self._lock:
             if self._writing or self._callbacks:
                 self._callbacks.append(done)
@@ -56,7 +56,7 @@
         done()
 
     def stop(self, wait_s: float) -> None:
-        """Write what waits, if the disk takes it in time."""
+        """Write pending records, if the disk accepts them in time."""
         with self._lock:
             self._stopped = True
             self._lock.notify()
@@ -78,7 +78,7 @@
                     self._store.commit(records)
                     break
                 except DiskError as error:
-                    self._call(lambda error=error: self._report(f"disk refused a batch: {error}"))  # type: ignore[misc]
+                    self._call(lambda error=error: self._report(f"disk error, retrying the batch: {error}"))  # type: ignore[misc]
                     with self._lock:
                         if self._stopped:
                             return
@@ -92,4 +92,4 @@
         try:
             self._loop.call_soon_threadsafe(done)
         except RuntimeError:
-            return  # the loop has ended: nobody waits
+            return  # the event loop has ended, so nobody waits
--- a/tests/mesh/planted_faults.py
+++ b/tests/mesh/planted_faults.py
@@ -39,7 +39,7 @@
 
 
 def one_copy_is_enough() -> Any:
-    return mock.patch("leadrudder.consensus.quorum.majority", lambda seats: 1)
+    return mock.patch("leadrudder.consensus.quorum.majority", lambda slots: 1)
 
 
 def promise_without_items() -> Any:
--- a/tests/mesh/test_concurrent_operators.py
+++ b/tests/mesh/test_concurrent_operators.py
@@ -150,7 +150,7 @@
         self._until(lambda: bool(refused))
         process = asked.process
         assert process is not None
-        late = PendingChange(99, {}, world.now + 0.9, Phase.MAKE)
+        late = PendingChange(99, {}, world.now + 0.9, Phase.APPLY)
         items = [Item(key=key, version=7, value=value) for key, value in self.call]
         with mock.patch.object(OperatorRequests, "_reserve_all", OperatorRequests._apply_all):
             world.answers[asked.address, 99] = lambda answer: None
