--- a/leadrudder/data_plane/admission_control.py
+++ b/leadrudder/data_plane/admission_control.py
@@ -15,7 +15,7 @@
 from leadrudder.data_plane.admission_queue import AdmissionQueue, QueuedCall, Rank
 from leadrudder.data_plane.service_times import ArrivalRate, ServiceTimes
 from leadrudder.protocol.mesh_pb2 import ForwardRequest
-from leadrudder.protocol.outcome import Ran, Verdict
+from leadrudder.protocol.outcome import Executed, RequestFailure
 
 SEEN_MOST = 50_000  # ids of unsafe requests that are remembered
 QUEUE_TIMES = 1.5  # calls that may wait at the gate for each slot
@@ -128,7 +128,7 @@
         waybill: ForwardRequest,
         now: float,
         start: Callable[[], None],
-        refuse: Callable[[Verdict], None],
+        refuse: Callable[[RequestFailure], None],
     ) -> QueuedCall | None:
         """Start it, refuse it, or keep it in the queue, which is returned then."""
         verdict = self._bars(waybill, now)
@@ -137,7 +137,7 @@
             return None
         if waybill.once:
             if waybill.attempt_id in self._seen:
-                refuse(Verdict(Ran.MAYBE, "seen"))
+                refuse(RequestFailure(Executed.MAYBE, "seen"))
                 return None
             self._remember(waybill.attempt_id)
         if self._times.short(waybill.target_ms):
@@ -149,7 +149,7 @@
         may_wait = waybill.may_wait or not rank.late
         if not may_wait or wait_ms > WAIT_PART * waybill.left_ms or not self._make_room(rank):
             self._forget(waybill)
-            refuse(Verdict(Ran.NEVER, "full", wait_ms))
+            refuse(RequestFailure(Executed.NEVER, "full", wait_ms))
             return None
         least_left_ms = max(LEAST_LEFT_MS, LEAST_PART * self._times.of(waybill.target_ms))
         until = now + (waybill.left_ms - least_left_ms) / 1000.0
@@ -192,22 +192,22 @@
         if waybill.once:
             self._seen.pop(waybill.attempt_id, None)
 
-    def _bars(self, waybill: ForwardRequest, now: float) -> Verdict | None:
+    def _bars(self, waybill: ForwardRequest, now: float) -> RequestFailure | None:
         life = self.life
         if life is None or life.id != waybill.server:
-            return Verdict(Ran.NEVER, "gone")
+            return RequestFailure(Executed.NEVER, "gone")
         if now < life.down_until:
-            return Verdict(Ran.NEVER, "down")
+            return RequestFailure(Executed.NEVER, "down")
         if self.leaving:
-            return Verdict(Ran.NEVER, "leaving")
+            return RequestFailure(Executed.NEVER, "leaving")
         if self.evacuated:
-            return Verdict(Ran.NEVER, "evacuated")
+            return RequestFailure(Executed.NEVER, "evacuated")
         if life.draining_since is not None:
             on = now - life.draining_since < DRAIN_PART * self._bounds.drain / 1000.0
             if not on or not waybill.may_wait:
-                return Verdict(Ran.NEVER, "draining")
+                return RequestFailure(Executed.NEVER, "draining")
         if waybill.left_ms <= LEAST_LEFT_MS:
-            return Verdict(Ran.NEVER, "time")
+            return RequestFailure(Executed.NEVER, "time")
         return None
 
     def _make_room(self, rank: Rank) -> bool:
@@ -220,7 +220,7 @@
             return False
         self._queue.discard(last)
         self._forget(last.waybill)
-        last.refuse(Verdict(Ran.NEVER, "full", self._times.usual_ms))
+        last.refuse(RequestFailure(Executed.NEVER, "full", self._times.usual_ms))
         return True
 
     def _wait_ms(self, waybill: ForwardRequest, rank: Rank, now: float) -> float:
@@ -298,7 +298,11 @@
     def _refuse_queued(self, now: float) -> None:
         """Those whose time is over, and all that the server may not have any more."""
         for queued in list(self._queue):
-            verdict = Verdict(Ran.NEVER, "time") if now >= queued.until else self._bars(queued.waybill, now)
+            verdict = (
+                RequestFailure(Executed.NEVER, "time")
+                if now >= queued.until
+                else self._bars(queued.waybill, now)
+            )
             if verdict is not None:
                 self._queue.discard(queued)
                 self._forget(queued.waybill)
--- a/leadrudder/data_plane/admission_queue.py
+++ b/leadrudder/data_plane/admission_queue.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from leadrudder.protocol.mesh_pb2 import ForwardRequest
-from leadrudder.protocol.outcome import Verdict
+from leadrudder.protocol.outcome import RequestFailure
 
 
 class Rank(NamedTuple):
@@ -30,7 +30,7 @@
     until: float = field(compare=False)
     came: float = field(compare=False)
     start: Callable[[], None] = field(compare=False)
-    refuse: Callable[[Verdict], None] = field(compare=False)
+    refuse: Callable[[RequestFailure], None] = field(compare=False)
 
 
 class AdmissionQueue:
@@ -55,7 +55,7 @@
         until: float,
         came: float,
         start: Callable[[], None],
-        refuse: Callable[[Verdict], None],
+        refuse: Callable[[RequestFailure], None],
     ) -> QueuedCall:
         queued = QueuedCall(rank, next(self._numbers), waybill, until, came, start, refuse)
         insort(self._calls, queued)
--- a/leadrudder/data_plane/inbound.py
+++ b/leadrudder/data_plane/inbound.py
@@ -10,7 +10,7 @@
 from leadrudder.interface import Outcome
 from leadrudder.node.servers import Call
 from leadrudder.protocol.mesh_pb2 import ForwardRequest, ForwardResponse
-from leadrudder.protocol.outcome import Ran, Verdict
+from leadrudder.protocol.outcome import Executed, RequestFailure
 from leadrudder.transport.http import WholeMessage
 
 OVER_S = 0.1  # a server ends at the time it is given, and says so: that answer is waited for
@@ -70,7 +70,7 @@
         """
         call: Call | None = None
 
-        def refuse(verdict: Verdict) -> None:
+        def refuse(verdict: RequestFailure) -> None:
             deliver(
                 ForwardResponse(
                     number=waybill.number, ran=int(verdict.ran), why=verdict.why, retry_ms=verdict.retry_ms
@@ -88,7 +88,7 @@
                 call.give_up(Outcome.CANCELLED)
 
         if self._lent(waybill):
-            refuse(Verdict(Ran.NEVER, "lent"))
+            refuse(RequestFailure(Executed.NEVER, "lent"))
             return nothing_to_withdraw
         queued = self.gate.admit(waybill, self._loop.time(), start, refuse)
         if queued is not None:
@@ -127,21 +127,21 @@
         delivery = ForwardResponse(number=waybill.number)
         if message is None:
             if outcome in (Outcome.CONNECT_FAILED, Outcome.MOOT):
-                delivery.ran, delivery.why = Ran.NEVER, "down"
+                delivery.ran, delivery.why = Executed.NEVER, "down"
             else:
-                delivery.ran = Ran.MAYBE
+                delivery.ran = Executed.MAYBE
                 delivery.why = "time" if outcome is Outcome.TIMEOUT else outcome.value
             return delivery
         status = message.status
         if NOT_RUN in message.headers or status == 421:
-            delivery.ran, delivery.why = Ran.NEVER, "turned away"
+            delivery.ran, delivery.why = Executed.NEVER, "turned away"
             return delivery
         if 200 <= status < 300 and (SEAL not in message.headers or b"content-encoding" in message.headers):
-            delivery.ran, delivery.why = Ran.MAYBE, "spoilt"
+            delivery.ran, delivery.why = Executed.MAYBE, "spoilt"
             return delivery
         if self._ran is not None and waybill.once:
             self._ran(waybill.epoch)
-        delivery.ran, delivery.status = Ran.YES, status
+        delivery.ran, delivery.status = Executed.YES, status
         delivery.fields, delivery.body = passed_on(message), message.body
         return delivery
 
--- a/leadrudder/data_plane/load_balancer.py
+++ b/leadrudder/data_plane/load_balancer.py
@@ -19,7 +19,7 @@
 from leadrudder.interface import Effect, Outcome, ServerId
 from leadrudder.policy.decide import Balancer
 from leadrudder.protocol.mesh_pb2 import ForwardResponse
-from leadrudder.protocol.outcome import Ran, Reply, Verdict, worst
+from leadrudder.protocol.outcome import Executed, RequestFailure, ServerResponse, combined_failure
 from leadrudder.recovery.strain import Strain
 
 ATTEMPTS_MOST = 3  # draws for one request, those that gates refuse included
@@ -53,7 +53,7 @@
     body: bytes
     attempt_id: bytes
     deadline: float  # seconds on the loop's clock
-    answered: Callable[[Reply | Verdict], None]
+    answered: Callable[[ServerResponse | RequestFailure], None]
     began: float = 0.0  # seconds on the loop's clock
     waited_ms: float = 0.0  # by its client before this try, as far as its time left tells
     epoch: int = 0  # of the ledger, in which it began; 0: none is kept
@@ -61,10 +61,10 @@
     arrivals: int = 0  # at servers, as far as is known or must be feared
     sends: int = 0
     out: dict[int, Callable[[bool], None]] = field(default_factory=dict)  # attempts, and what withdraws each
-    verdicts: list[Verdict] = field(default_factory=list)
-    reply: Reply | None = None  # a server's answer that was no success
+    verdicts: list[RequestFailure] = field(default_factory=list)
+    reply: ServerResponse | None = None  # a server's answer that was no success
 
-    def answer(self, what: Reply | Verdict) -> None:
+    def answer(self, what: ServerResponse | RequestFailure) -> None:
         if not self.done:
             self.done = True
             self.answered(what)
@@ -181,10 +181,10 @@
             return
         verdicts = list(errand.verdicts)
         if errand.out:
-            verdicts.append(Verdict(Ran.MAYBE, why))
+            verdicts.append(RequestFailure(Executed.MAYBE, why))
         if why != "time" and verdicts and verdicts[-1].why == "time":
             why = "time"
-        errand.answer(worst(verdicts, why))
+        errand.answer(combined_failure(verdicts, why))
 
     # ------------------------------------------------------------ the decision module
 
@@ -202,7 +202,7 @@
             errand = self._errands.get(action.request)
             if errand is not None and not errand.done:
                 if isinstance(action, api.Refuse) and action.retry_after_ms:
-                    errand.verdicts.append(Verdict(Ran.NEVER, "refused", action.retry_after_ms))
+                    errand.verdicts.append(RequestFailure(Executed.NEVER, "refused", action.retry_after_ms))
                 self._finish(errand, "refused")
                 self._forget(action.request, errand)
         elif isinstance(action, api.Cancel):
@@ -253,7 +253,9 @@
         if found is None or attempt not in errand.out:
             return
         errand.out.pop(attempt)(client_left)
-        errand.verdicts.append(Verdict(Ran.MAYBE, "time" if outcome is Outcome.TIMEOUT else "withdrawn"))
+        errand.verdicts.append(
+            RequestFailure(Executed.MAYBE, "time" if outcome is Outcome.TIMEOUT else "withdrawn")
+        )
         errand.arrivals += 1
         server, began = found
         elapsed = 1000.0 * (self._loop.time() - began)
@@ -285,19 +287,19 @@
 
     def _judge(self, errand: Errand, server: ServerId, elapsed: float, delivery: ForwardResponse) -> Outcome:
         """What the end of an attempt says, in the module's terms; a success is handed on at once."""
-        ran = Ran(delivery.ran)
+        ran = Executed(delivery.ran)
         if delivery.status:
             errand.arrivals += 1
-            reply = Reply(delivery.status, delivery.fields, delivery.body)
+            reply = ServerResponse(delivery.status, delivery.fields, delivery.body)
             if 200 <= delivery.status < 300:
                 errand.answer(reply)
                 return Outcome.OK
             errand.reply = reply
-            errand.verdicts.append(Verdict(Ran.YES, f"status {delivery.status}"))
+            errand.verdicts.append(RequestFailure(Executed.YES, f"status {delivery.status}"))
             # A 500 is as often that of a service behind: it takes four in a row to tell a server off.
             return Outcome.REJECTED if delivery.status < 500 else Outcome.SPOILT
-        errand.verdicts.append(Verdict(ran, delivery.why, delivery.retry_ms))
-        if ran is not Ran.NEVER:
+        errand.verdicts.append(RequestFailure(ran, delivery.why, delivery.retry_ms))
+        if ran is not Executed.NEVER:
             errand.arrivals += 1
             return Outcome.SPOILT if delivery.why == Outcome.SPOILT.value else Outcome.RESET
         if delivery.why == "turned away":
--- a/leadrudder/data_plane/outbound.py
+++ b/leadrudder/data_plane/outbound.py
@@ -17,7 +17,7 @@
 from leadrudder.data_plane.load_balancer import RETRY_LEAST_MS, Errand
 from leadrudder.node.http import Message, MessageError
 from leadrudder.observability.loop_lag import BEHIND_S
-from leadrudder.protocol.outcome import Reply, Verdict
+from leadrudder.protocol.outcome import RequestFailure, ServerResponse
 from leadrudder.transport.http import WholeMessage, WholeReader, rendered
 
 PIPELINED_MOST = 64  # requests open on one connection, beyond which it is not read
@@ -281,7 +281,7 @@
         self.open += 1
         self._held_sum += size
 
-        def answered(what: Reply | Verdict) -> None:
+        def answered(what: ServerResponse | RequestFailure) -> None:
             self.open -= 1
             self._held_sum -= size
             write(lambda close: _render(what, attempt_id, close))
@@ -303,8 +303,8 @@
         write(lambda close: rendered(status, fields, b"", close=close))
 
 
-def _render(what: Reply | Verdict, attempt_id: bytes, close: bool) -> bytes:
-    if isinstance(what, Reply):
+def _render(what: ServerResponse | RequestFailure, attempt_id: bytes, close: bool) -> bytes:
+    if isinstance(what, ServerResponse):
         return rendered(what.status, what.fields, what.body, close=close)
     status, fields = what.status(), b"Attempt-Id: %s\r\n" % attempt_id
     if status == 503:
--- a/leadrudder/data_plane/peer_links.py
+++ b/leadrudder/data_plane/peer_links.py
@@ -7,7 +7,7 @@
 
 from leadrudder.data_plane.inbound import Withdraw
 from leadrudder.protocol.mesh_pb2 import CancelRequest, ForwardRequest, ForwardResponse, Frame
-from leadrudder.protocol.outcome import Ran
+from leadrudder.protocol.outcome import Executed
 from leadrudder.transport.link import IDLE_DIALLED_S, Link, dial
 
 SILENCE_S = 1.5  # a gate that gives no sign of life for so long while calls are out is not waited for
@@ -45,7 +45,7 @@
 
     def _write(self, link: Link, waybill: ForwardRequest, deliver: Deliver) -> None:
         if not link.send(Frame(waybill=waybill)):
-            deliver(ForwardResponse(number=waybill.number, ran=Ran.NEVER, why="unreachable"))
+            deliver(ForwardResponse(number=waybill.number, ran=Executed.NEVER, why="unreachable"))
             return
         self._out[waybill.number] = deliver
         link.watch()
@@ -63,7 +63,7 @@
             if link is not None and link.up:
                 self._write(link, waybill, deliver)
             else:
-                deliver(ForwardResponse(number=waybill.number, ran=Ran.NEVER, why="unreachable"))
+                deliver(ForwardResponse(number=waybill.number, ran=Executed.NEVER, why="unreachable"))
 
     def on_up(self, link: Link) -> None:
         link.wants_life, link.every_s = False, IDLE_DIALLED_S  # the gate does not wait for us
@@ -83,7 +83,7 @@
             self._link = None
             out, self._out = self._out, {}
             for number, deliver in out.items():
-                deliver(ForwardResponse(number=number, ran=Ran.MAYBE, why="link"))
+                deliver(ForwardResponse(number=number, ran=Executed.MAYBE, why="link"))
 
     def idle(self, now: float) -> bool:
         return not self._out and not self._waiting and now - self.used > IDLE_S
--- a/leadrudder/data_plane/program.py
+++ b/leadrudder/data_plane/program.py
@@ -36,7 +36,7 @@
 from leadrudder.observability.traffic import Traffic
 from leadrudder.protocol import mesh_pb2 as wire
 from leadrudder.protocol.mesh_pb2 import ForwardRequest, ForwardResponse, Frame
-from leadrudder.protocol.outcome import Ran
+from leadrudder.protocol.outcome import Executed
 from leadrudder.transport.http import ControlServer
 from leadrudder.transport.link import IDLE_TAKEN_S, PING_S, Link
 
@@ -263,7 +263,7 @@
             late_s = self._lag.seconds()
             if late_s > BEHIND_S:
                 self._calls_shed += 1
-                deliver(ForwardResponse(ran=Ran.NEVER, why=BEHIND, retry_ms=1000.0 * late_s))
+                deliver(ForwardResponse(ran=Executed.NEVER, why=BEHIND, retry_ms=1000.0 * late_s))
                 return
             frame.waybill.left_ms -= 1000.0 * late_s  # it has waited here for so long
             waiting[number] = nothing_to_withdraw
--- a/leadrudder/data_plane/request_accounting.py
+++ b/leadrudder/data_plane/request_accounting.py
@@ -9,15 +9,15 @@
 from leadrudder.maintenance.ledger import Ledger, epoch_of
 from leadrudder.observability.invariants import Invariants
 from leadrudder.observability.traffic import Answered, Traffic
-from leadrudder.protocol.outcome import Ran, Reply, Verdict
+from leadrudder.protocol.outcome import Executed, RequestFailure, ServerResponse
 
 ANSWERED_LATE_S = 0.5  # after its deadline, by which a request is answered in any case
 
 
-def how_answered(what: Reply | Verdict, took_ms: float, target_ms: float) -> Answered:
+def how_answered(what: ServerResponse | RequestFailure, took_ms: float, target_ms: float) -> Answered:
     """What a client's answer counts as."""
-    if isinstance(what, Verdict):
-        return Answered.REFUSED if what.ran is Ran.NEVER else Answered.FAILED
+    if isinstance(what, RequestFailure):
+        return Answered.REFUSED if what.ran is Executed.NEVER else Answered.FAILED
     if not 200 <= what.status < 300:
         return Answered.FAILED
     return Answered.IN_TARGET if took_ms <= target_ms else Answered.LATE
@@ -50,7 +50,7 @@
         if self._ledger is not None:
             errand.epoch = epoch_of(self._wall())
 
-        def accounted(what: Reply | Verdict) -> None:
+        def accounted(what: ServerResponse | RequestFailure) -> None:
             took_ms = 1000.0 * (self._now() - errand.began)
             self._traffic.answered[how_answered(what, took_ms, route.target_ms)] += 1
             self._check_deadline(errand)
@@ -75,10 +75,10 @@
         route: Route,
         service: str,
         errand: Errand,
-        what: Reply | Verdict,
+        what: ServerResponse | RequestFailure,
         took_ms: float,
     ) -> None:
         name = errand.attempt_id.decode("latin-1")
         ledger.answered(service, errand.epoch, route.once, name, what, took_ms)
-        if route.once and isinstance(what, Verdict) and what.ran is not Ran.NEVER:
+        if route.once and isinstance(what, RequestFailure) and what.ran is not Executed.NEVER:
             self._note(f"in doubt: {name} of {route.name}: {what.why}")
--- a/leadrudder/maintenance/ledger.py
+++ b/leadrudder/maintenance/ledger.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from leadrudder.protocol.mesh_pb2 import RequestCounts
-from leadrudder.protocol.outcome import Ran, Reply, Verdict
+from leadrudder.protocol.outcome import Executed, RequestFailure, ServerResponse
 
 EPOCH_S = 8.0
 LAG = 3  # epochs after which one is closed: routes that hold requests for longer are counted late
@@ -74,21 +74,27 @@
         return tally
 
     def answered(
-        self, service: str, epoch: int, once: bool, name: str, what: Reply | Verdict, ms: float
+        self,
+        service: str,
+        epoch: int,
+        once: bool,
+        name: str,
+        what: ServerResponse | RequestFailure,
+        ms: float,
     ) -> None:
         """A request that began here in an epoch has its answer."""
         tally = self._of(service, epoch)
         if not once:
-            if isinstance(what, Reply) and 200 <= what.status < 300:
+            if isinstance(what, ServerResponse) and 200 <= what.status < 300:
                 tally.lookups[bucket(ms)] += 1
             return
         tally.asked += 1
-        if isinstance(what, Reply):
+        if isinstance(what, ServerResponse):
             if 200 <= what.status < 300:
                 tally.landed += 1
             else:
                 tally.failed += 1
-        elif what.ran is Ran.NEVER:
+        elif what.ran is Executed.NEVER:
             tally.refused += 1
         else:
             tally.doubt += 1
--- a/leadrudder/protocol/outcome.py
+++ b/leadrudder/protocol/outcome.py
@@ -11,7 +11,7 @@
 from returns.result import Result
 
 
-class Ran(IntEnum):
+class Executed(IntEnum):
     """Whether a server has run a request, as far as is certain."""
 
     NEVER = 0  # it has not run and never will
@@ -20,22 +20,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class RequestFailure:
     """Why there is no response of a server.  retry_ms: when to retry, 0 if unknown."""
 
-    ran: Ran
+    ran: Executed
     why: str
     retry_ms: float = 0.0
 
     def status(self) -> int:
         """The HTTP status for the client: 503 guarantees that it never ran, 504 and 502 do not."""
-        if self.ran is Ran.NEVER:
+        if self.ran is Executed.NEVER:
             return 503
         return 504 if self.why == "time" else 502
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class ServerResponse:
     """A server's complete response; fields are header lines as sent to the client."""
 
     status: int
@@ -43,11 +43,11 @@
     body: bytes
 
 
-Outcome = Result[Reply, Verdict]
+Outcome = Result[ServerResponse, RequestFailure]
 
 
-def worst(verdicts: list[Verdict], why: str) -> Verdict:
+def combined_failure(verdicts: list[RequestFailure], why: str) -> RequestFailure:
     """The combined failure of all attempts of a request: it never ran only if no attempt may have run."""
-    ran = max((v.ran for v in verdicts), default=Ran.NEVER)
+    ran = max((v.ran for v in verdicts), default=Executed.NEVER)
     retry = min((v.retry_ms for v in verdicts if v.retry_ms), default=0.0)
-    return Verdict(ran, why, retry)
+    return RequestFailure(ran, why, retry)
--- a/tests/mesh/test_admission_control.py
+++ b/tests/mesh/test_admission_control.py
@@ -9,7 +9,7 @@
 from leadrudder.data_plane.retry_budget import Purse
 from leadrudder.data_plane.service_times import KINDS_MOST, ServiceTimes
 from leadrudder.protocol.mesh_pb2 import ForwardRequest
-from leadrudder.protocol.outcome import Ran, Verdict, worst
+from leadrudder.protocol.outcome import Executed, RequestFailure, combined_failure
 
 
 class TheGate(unittest.TestCase):
@@ -17,7 +17,7 @@
         self.gate = Gate(Bounds())
         self.gate.beat(Life("i-1", "s", "z", 2), False, 1, 0.0, 0.0)
         self.started: list[int] = []
-        self.refused: list[Verdict] = []
+        self.refused: list[RequestFailure] = []
 
     def take(self, now: float, **fields: object) -> None:
         told = {"server": "i-1", "left_ms": 1000.0, "may_wait": True, "priority": 1, **fields}
@@ -30,7 +30,7 @@
     def test_only_its_own_life_is_run(self) -> None:
         self.take(0.0, server="i-0")
         self.assertEqual(self.whys(), ["gone"])
-        self.assertIs(self.refused[0].ran, Ran.NEVER)
+        self.assertIs(self.refused[0].ran, Executed.NEVER)
 
     def test_a_draining_server_gets_only_what_nobody_else_takes_and_soon_nothing(self) -> None:
         self.gate.beat(Life("i-1", "s", "z", 2), True, 2, 0.0, 1.0)
@@ -63,7 +63,7 @@
         self.take(0.0, once=True, attempt_id=b"a")
         self.take(0.1, once=True, attempt_id=b"a")
         self.assertEqual((len(self.started), self.whys()), (1, ["seen"]))
-        self.assertIs(self.refused[0].ran, Ran.MAYBE)
+        self.assertIs(self.refused[0].ran, Executed.MAYBE)
 
     def test_a_refused_unsafe_request_may_come_again(self) -> None:
         self.gate.running = 2
@@ -127,7 +127,7 @@
                 self.gate.running += 1
                 self.gate.ended(took_ms, 0.0, target_ms)
         self.started: list[str] = []
-        self.refused: list[tuple[str, Verdict]] = []
+        self.refused: list[tuple[str, RequestFailure]] = []
 
     def take(self, name: str, now: float, target_ms: float = LOOKUP, **fields: object) -> None:
         told = {"server": "i-1", "left_ms": 1000.0, "aim_ms": target_ms, "priority": 1, **fields}
@@ -197,10 +197,10 @@
         self.assertLessEqual(spent, 0.2 * 1000 + 55.0 / 12)
 
     def test_never_ran_is_said_only_of_all_attempts(self) -> None:
-        never, maybe = Verdict(Ran.NEVER, "full", 30.0), Verdict(Ran.MAYBE, "link")
-        self.assertEqual(worst([never, never], "refused").status(), 503)
-        self.assertEqual(worst([never, maybe], "refused").status(), 502)
-        self.assertEqual(worst([maybe], "time").status(), 504)
+        never, maybe = RequestFailure(Executed.NEVER, "full", 30.0), RequestFailure(Executed.MAYBE, "link")
+        self.assertEqual(combined_failure([never, never], "refused").status(), 503)
+        self.assertEqual(combined_failure([never, maybe], "refused").status(), 502)
+        self.assertEqual(combined_failure([maybe], "time").status(), 504)
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_emulation.py
+++ b/tests/mesh/test_emulation.py
@@ -12,7 +12,7 @@
 from leadrudder.emulation.standins import Wish
 from leadrudder.maintenance.ledger import EPOCH_S, LAG, Ledger, Totals, report
 from leadrudder.mesh import windows
-from leadrudder.protocol.outcome import Reply
+from leadrudder.protocol.outcome import ServerResponse
 from leadrudder.simulation import world
 
 PLAN = Plan(
@@ -165,7 +165,7 @@
     def test_a_booking_that_ran_twice_or_never_is_told(self) -> None:
         here, there = Ledger(), Ledger()
         for number in range(3):
-            here.answered("var", 100, True, f"x{number}", Reply(200, b"", b""), 50.0)
+            here.answered("var", 100, True, f"x{number}", ServerResponse(200, b"", b""), 50.0)
         for _ in range(2):
             there.ran("var", 100)
         epochs = 100 * EPOCH_S + LAG * EPOCH_S
--- a/tests/mesh/test_load_balancer.py
+++ b/tests/mesh/test_load_balancer.py
@@ -12,7 +12,7 @@
 from leadrudder.data_plane.load_balancer import FLOOR_SHARE, Errand, Points
 from leadrudder.data_plane.retry_budget import Purse
 from leadrudder.protocol.mesh_pb2 import ForwardResponse
-from leadrudder.protocol.outcome import Ran, Reply, Verdict
+from leadrudder.protocol.outcome import Executed, RequestFailure, ServerResponse
 
 
 class Clock:
@@ -41,7 +41,7 @@
     def lay(self, *, once: bool = False, servers: tuple[str, ...] = ("a", "b", "c")) -> None:
         self.clock = Clock()
         self.calls: list[tuple[str, bool, Callable[[ForwardResponse], None]]] = []
-        self.answers: list[Reply | Verdict] = []
+        self.answers: list[ServerResponse | RequestFailure] = []
         self.withdrawn: list[tuple[str, bool]] = []  # servers, and whether because the client had left
         route = Route("r", "h", "/", once, 1000.0, 250.0, 1, (("s", 1.0),), 2, 1)
         with mock.patch("asyncio.get_running_loop", return_value=self.clock):
@@ -141,7 +141,7 @@
         self.assertEqual([may_wait for _, may_wait, _ in self.calls], [False, False, True])
         self.assertEqual(len({server for server, _, _ in self.calls}), 3)
         self.end(0.05, ran=2, status=200)
-        self.assertEqual([a.status for a in self.answers if isinstance(a, Reply)], [200])
+        self.assertEqual([a.status for a in self.answers if isinstance(a, ServerResponse)], [200])
 
     def test_a_full_server_is_not_drawn_while_it_expects_to_be(self) -> None:
         self.lay()
@@ -184,8 +184,8 @@
         self.end(0.05, ran=1, why="link")
         self.assertEqual(len(self.calls), 1)
         (verdict,) = self.answers
-        assert isinstance(verdict, Verdict)
-        self.assertEqual((verdict.ran, verdict.status()), (Ran.MAYBE, 502))
+        assert isinstance(verdict, RequestFailure)
+        self.assertEqual((verdict.ran, verdict.status()), (Executed.MAYBE, 502))
 
     def test_a_safe_request_goes_to_as_many_servers_as_its_tries(self) -> None:
         self.lay()
@@ -209,7 +209,7 @@
         self.ask()
         self.end(0.02, ran=2, status=500, body=b"why")
         (reply,) = self.answers
-        assert isinstance(reply, Reply)
+        assert isinstance(reply, ServerResponse)
         self.assertEqual((reply.status, reply.body), (500, b"why"))
 
 
--- a/tests/mesh/test_metrics.py
+++ b/tests/mesh/test_metrics.py
@@ -11,7 +11,7 @@
 from leadrudder.observability.loop_lag import BEHIND_S, CHECK_S, LoopLag
 from leadrudder.observability.metrics import Metrics
 from leadrudder.observability.traffic import Answered, Traffic
-from leadrudder.protocol.outcome import Ran, Reply, Verdict
+from leadrudder.protocol.outcome import Executed, RequestFailure, ServerResponse
 from leadrudder.transport.http import Call
 
 
@@ -33,12 +33,12 @@
 
 class HowAnswered(unittest.TestCase):
     def test_in_target_late_refused_and_failed_are_told_apart(self) -> None:
-        served, failed = Reply(200, b"", b""), Reply(500, b"", b"")
+        served, failed = ServerResponse(200, b"", b""), ServerResponse(500, b"", b"")
         self.assertEqual(how_answered(served, 99.0, 100.0), Answered.IN_TARGET)
         self.assertEqual(how_answered(served, 101.0, 100.0), Answered.LATE)
         self.assertEqual(how_answered(failed, 1.0, 100.0), Answered.FAILED)
-        self.assertEqual(how_answered(Verdict(Ran.NEVER, "full"), 1.0, 100.0), Answered.REFUSED)
-        self.assertEqual(how_answered(Verdict(Ran.MAYBE, "link"), 1.0, 100.0), Answered.FAILED)
+        self.assertEqual(how_answered(RequestFailure(Executed.NEVER, "full"), 1.0, 100.0), Answered.REFUSED)
+        self.assertEqual(how_answered(RequestFailure(Executed.MAYBE, "link"), 1.0, 100.0), Answered.FAILED)
 
     def test_traffic_is_told_by_reason(self) -> None:
         metrics, traffic = Metrics(), Traffic(calls=3)
--- a/tests/mesh/test_outbound.py
+++ b/tests/mesh/test_outbound.py
@@ -14,7 +14,7 @@
 from leadrudder.data_plane.server_connections import Going, OwnConnection
 from leadrudder.interface import Outcome
 from leadrudder.observability.loop_lag import BEHIND_S
-from leadrudder.protocol.outcome import Ran, Reply, Verdict
+from leadrudder.protocol.outcome import Executed, RequestFailure, ServerResponse
 
 ROUTE = Route("r", "h", "/a/", False, 1000.0, 250.0, 1, (("s", 1.0),), 2, 1)
 
@@ -88,7 +88,7 @@
 
     def test_a_client_that_closes_leaves_all_that_it_waits_for(self) -> None:
         self.client.data_received(request(attempt="x1") + request(attempt="x2") + request(attempt="x3"))
-        self.errands[0].answer(Reply(200, b"", b"first"))
+        self.errands[0].answer(ServerResponse(200, b"", b"first"))
         self.client.eof_received()
         self.assertEqual(self.left, [b"x2", b"x3"])
         self.client.data_received(request(attempt="x4"))
@@ -96,7 +96,7 @@
 
     def test_a_reset_leaves_too_and_an_answered_client_leaves_nothing(self) -> None:
         self.client.data_received(request(attempt="x1") + request(attempt="x2"))
-        self.errands[0].answer(Reply(200, b"", b"first"))
+        self.errands[0].answer(ServerResponse(200, b"", b"first"))
         self.client.connection_lost(ConnectionResetError())
         self.assertEqual(self.left, [b"x2"])
 
@@ -105,9 +105,9 @@
 
     def test_answers_keep_the_order_of_the_requests(self) -> None:
         self.client.data_received(request(attempt="x1") + request(attempt="x2"))
-        self.errands[1].answer(Reply(200, b"", b"second"))
+        self.errands[1].answer(ServerResponse(200, b"", b"second"))
         self.assertEqual(self.transport.written, b"")
-        self.errands[0].answer(Reply(200, b"", b"first"))
+        self.errands[0].answer(ServerResponse(200, b"", b"first"))
         self.assertLess(self.transport.written.index(b"first"), self.transport.written.index(b"second"))
 
     def test_a_process_that_is_behind_refuses_at_once_and_not_for_long(self) -> None:
@@ -144,7 +144,7 @@
         self.client.check(1000.0, limits)
         self.client.data_received(b"no request\r\n\r\n")  # what comes behind it is refused in its turn
         self.assertEqual((self.transport.written, self.transport.ended), (b"", False))
-        self.errands[0].answer(Reply(200, b"", b"done"))
+        self.errands[0].answer(ServerResponse(200, b"", b"done"))
         self.assertEqual(self.statuses()[0], b"200")
 
     def test_calling_service_is_ours_whatever_came(self) -> None:
@@ -199,8 +199,8 @@
 
     def test_a_promise_is_made_only_where_nothing_ran(self) -> None:
         self.client.data_received(request() + request())
-        self.errands[0].answer(Verdict(Ran.NEVER, "full", 30.0))
-        self.errands[1].answer(Verdict(Ran.MAYBE, "time"))
+        self.errands[0].answer(RequestFailure(Executed.NEVER, "full", 30.0))
+        self.errands[1].answer(RequestFailure(Executed.MAYBE, "time"))
         self.assertEqual(self.statuses(), [b"503", b"504"])
         self.assertEqual(self.transport.written.count(b"Retry-After: 0.030"), 1)
 
@@ -220,14 +220,14 @@
         small.connection_made(cast(Any, more))
         small.data_received(request(fields="Content-Length: 5\r\n") + b"small")
         self.assertEqual(len(self.errands), 2)
-        self.errands[0].answer(Reply(200, b"", b""))
-        self.errands[1].answer(Reply(200, b"", b""))
+        self.errands[0].answer(ServerResponse(200, b"", b""))
+        self.errands[1].answer(ServerResponse(200, b"", b""))
         self.assertEqual(self.outbound._held_sum, 0)
 
     def test_nothing_follows_an_answer_that_closes(self) -> None:
         self.client.data_received(request(fields="Connection: close\r\n") + request())
         self.assertEqual(len(self.errands), 1)
-        self.errands[0].answer(Reply(200, b"", b""))
+        self.errands[0].answer(ServerResponse(200, b"", b""))
         self.assertIn(b"Connection: close", self.transport.written)
         self.assertTrue(self.transport.ended)
 
--- a/tests/mesh/test_shedding.py
+++ b/tests/mesh/test_shedding.py
@@ -9,7 +9,7 @@
 from leadrudder.emulation.fleet import Fleet
 from leadrudder.observability.loop_lag import BEHIND_S, LoopLag
 from leadrudder.protocol.mesh_pb2 import ForwardRequest, Frame
-from leadrudder.protocol.outcome import Ran
+from leadrudder.protocol.outcome import Executed
 from tests.mesh.test_emulation import PLAN
 
 LATE_AT, LATE_FOR = 8.0, 1.5
@@ -27,7 +27,9 @@
         with mock.patch.object(LoopLag, "seconds", lambda lag: 2 * BEHIND_S):
             station.on_frame(link, Frame(waybill=waybill))
         delivery = cast(Any, link.send.call_args.args[0]).delivery
-        self.assertEqual((delivery.number, Ran(delivery.ran), delivery.why), (3, Ran.NEVER, "behind"))
+        self.assertEqual(
+            (delivery.number, Executed(delivery.ran), delivery.why), (3, Executed.NEVER, "behind")
+        )
         station.on_down(link)
 
     def test_while_one_node_is_behind_requests_are_served_elsewhere(self) -> None:
