--- a/tests/mesh/test_concurrent_operators.py
+++ b/tests/mesh/test_concurrent_operators.py
@@ -1,4 +1,4 @@
-"""Orders of several operators: never two values under one version, never refused what was taken in part."""
+"""Concurrent operators: never two values under one version, never a refusal of a call applied in part."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from leadrudder.protocol.mesh_pb2 import Item
 from tests.mesh.planted_faults import PLANTS
 
-# Two operators' calls shared several versions, and each held one that the other waited for, without end.
-ENTANGLED_SEEDS = (7, 20, 183)
+# Two calls shared several versions, and each reserved one that the other waited for: a deadlock.
+DEADLOCK_SEEDS = (7, 20, 183)
 FROZEN_SEEDS = range(24)
 
 
-class Orders(unittest.TestCase):
+class ConcurrentCalls(unittest.TestCase):
     def setUp(self) -> None:
         self.world = World(3)
         self.world.play(4.0)
@@ -35,7 +35,7 @@
         raise AssertionError(f"{key} has no owner")
 
     def _keys_of_two_owners(self) -> tuple[str, str]:
-        """Two keys of sections in rising order, of two owners, neither of whom is asked by the operator."""
+        """Two keys of sections in ascending order with different owners; the operator calls neither owner."""
         process = next(iter(self.world.machines.values())).process
         assert process is not None
         keys = sorted((f"routes/r{i}" for i in range(40)), key=process.section_of)
@@ -50,7 +50,7 @@
         return first, second
 
     def _send(self, at: Machine, call: list[tuple[str, bytes]]) -> list[ResultCode]:
-        """An operator's call at one machine; its answer is in the list when it has come."""
+        """Send an operator's call to one node; its result is appended to the returned list."""
         codes: list[ResultCode] = []
 
         def answered(answer: Answer) -> None:
@@ -66,25 +66,25 @@
             self.world.play(self.world.now + 0.002)
         self.assertTrue(done())
 
-    def _lose_the_second_owner_after_the_first_part(self) -> Machine:
-        """Ours is made at its first owner; the second owner is lost before it hears of it."""
+    def _lose_second_owner_after_first_part(self) -> Machine:
+        """Apply our call at its first owner; the second owner is lost before the request arrives."""
         world = self.world
         asked = next(iter(world.machines.values()))
         first, second = self._owner(self.call[0][0]), self._owner(self.call[1][0])
         make_all = OperatorRequests._apply_all
 
-        def lost_on_the_way(requests: OperatorRequests, change: PendingChange) -> None:
+        def lose_second_owner(requests: OperatorRequests, change: PendingChange) -> None:
             world.kill(second)
             make_all(requests, change)
 
-        with mock.patch.object(OperatorRequests, "_apply_all", lost_on_the_way):
+        with mock.patch.object(OperatorRequests, "_apply_all", lose_second_owner):
             self._send(asked, self.call)
             self._until(lambda: (self.call[0][0], 7) in world.values)
         self.assertIsNotNone(first.process)
         return asked
 
-    def test_a_call_that_was_taken_in_part_is_not_refused(self) -> None:
-        asked = self._lose_the_second_owner_after_the_first_part()
+    def test_partly_applied_call_is_not_refused(self) -> None:
+        asked = self._lose_second_owner_after_first_part()
         taken = self._send(asked, self.rival)
         self._until(lambda: bool(taken), most_s=12.0)
         if taken == [ResultCode.BUSY]:
@@ -93,11 +93,11 @@
         self.assertEqual(taken, [ResultCode.DONE])
         again = self._send(asked, self.call)
         self._until(lambda: bool(again))
-        self.assertEqual(again, [ResultCode.BUSY], "a part of it stands")
+        self.assertEqual(again, [ResultCode.BUSY], "a part of it is committed")
 
-    def test_nor_once_a_higher_version_has_overtaken_that_part(self) -> None:
-        # Course 10 of bench.incidents: the part's version was 7, and 10 when the call was refused.
-        asked = self._lose_the_second_owner_after_the_first_part()
+    def test_partly_applied_call_is_not_refused_after_a_newer_version(self) -> None:
+        # Course 10 of bench.incidents: the part had version 7, superseded by 10 when the call was refused.
+        asked = self._lose_second_owner_after_first_part()
         higher = [Item(key=self.call[0][0], version=9, value=b"later")]
         for items in (higher, [Item(key=key, version=7, value=value) for key, value in self.rival]):
             codes: list[ResultCode] = []
@@ -109,14 +109,14 @@
         self._until(lambda: bool(again))
         self.assertEqual(again, [ResultCode.BUSY])
 
-    def test_without_the_withdrawal_it_would_be_refused(self) -> None:
+    def test_partly_applied_call_is_refused_without_the_withdrawal(self) -> None:
         def refuse(requests: OperatorRequests, change: PendingChange, conflicts: object) -> None:
             requests._finish(change, ResultCode.CONFLICT)
 
         with mock.patch.object(OperatorRequests, "_withdraw_all", refuse), self.assertRaises(Broken):
-            self.test_a_call_that_was_taken_in_part_is_not_refused()
+            self.test_partly_applied_call_is_not_refused()
 
-    def test_a_call_no_part_of_which_was_taken_is_refused_each_time(self) -> None:
+    def test_call_without_applied_parts_is_refused_each_time(self) -> None:
         asked = next(iter(self.world.machines.values()))
         taken = self._send(asked, self.rival)
         self._until(lambda: bool(taken))
@@ -126,7 +126,7 @@
             self.assertEqual(refused, [ResultCode.CONFLICT])
         self.assertNotIn((self.call[0][0], 7), self.world.values)
 
-    def test_what_stands_already_by_another_call_does_not_keep_one_from_being_refused(self) -> None:
+    def test_equal_value_of_another_call_does_not_prevent_a_refusal(self) -> None:
         asked = next(iter(self.world.machines.values()))
         for earlier in ([self.call[0]], self.rival):
             taken = self._send(asked, earlier)
@@ -140,8 +140,8 @@
         self._until(lambda: bool(refused))
         self.assertEqual(refused, [ResultCode.CONFLICT])
 
-    def test_a_make_that_comes_after_the_withdrawal_takes_nothing(self) -> None:
-        """The first try's last words arrive when the second try has been refused."""
+    def test_apply_after_the_withdrawal_changes_nothing(self) -> None:
+        """A late request of the first attempt arrives after the second attempt was refused."""
         world = self.world
         asked = next(iter(world.machines.values()))
         taken = self._send(asked, self.rival)
@@ -159,7 +159,7 @@
         self.assertNotIn((self.call[0][0], 7), world.values)
 
     def _two_calls_that_share_both_versions(self) -> list[ResultCode]:
-        """Each operator asks the owner of one, and sends again while the answer is unclear."""
+        """Each operator calls the owner of one key, and repeats the call while the result is BUSY."""
         keys = [key for key, _ in self.call]
         ended: list[ResultCode] = []
 
@@ -179,31 +179,31 @@
         self.world.play(self.world.now + 10.0)
         return ended
 
-    def test_of_two_calls_that_share_several_versions_one_is_confirmed_and_one_refused(self) -> None:
+    def test_of_two_calls_that_share_versions_one_is_confirmed_and_one_refused(self) -> None:
         self.assertEqual(
             sorted(self._two_calls_that_share_both_versions()), [ResultCode.DONE, ResultCode.CONFLICT]
         )
 
-    def test_reserved_in_no_order_each_waits_for_the_other_without_end(self) -> None:
+    def test_reservations_without_an_order_deadlock(self) -> None:
         with PLANTS["reserved_in_no_order"]():
             self.assertEqual(self._two_calls_that_share_both_versions(), [])
 
-    def test_courses_in_which_that_happened(self) -> None:
-        for seed in ENTANGLED_SEEDS:
+    def test_seeds_that_once_deadlocked(self) -> None:
+        for seed in DEADLOCK_SEEDS:
             with self.subTest(seed=seed):
                 Course(seed, faults=10, calls=24).play()
 
 
-class Standstill(unittest.TestCase):
-    """A machine that stands still for seconds and runs on with what it knew."""
+class FrozenNodes(unittest.TestCase):
+    """Nodes that are frozen for seconds and continue with outdated state."""
 
-    def test_nothing_old_is_handed_out_and_every_rule_holds(self) -> None:
+    def test_no_outdated_state_is_served_and_all_invariants_hold(self) -> None:
         for seed in FROZEN_SEEDS:
             with self.subTest(seed=seed):
                 Course(seed, kinds=FAULTS + 6 * STANDSTILL, faults=8, calls=24, stations=6).play()
 
-    def _old_state_at_the_thaw(self) -> None:
-        """A station calls a machine that stands still; the others confirm a change meanwhile."""
+    def _outdated_state_after_the_thaw(self) -> None:
+        """A proxy connects to a frozen node while the others confirm a change."""
         world = World(2)
         stations = Stations(world, 1)
         world.play(4.0)
@@ -217,17 +217,17 @@
         world.call(other, [Item(key="routes/r1", version=1, value=b"new")], lambda a: codes.append(a.code))
         world.play(24.0)
         self.assertEqual(codes, [ResultCode.DONE])
-        station.home = ""  # its session with another has ended just now
+        station.home = ""  # its session with another node has just ended
         world.thaw(frozen)
         world.play(30.0)
         stations.end()
 
-    def test_a_machine_that_wakes_hands_out_nothing_before_a_majority_answered(self) -> None:
-        self._old_state_at_the_thaw()
+    def test_thawed_node_serves_nothing_before_a_majority_answers(self) -> None:
+        self._outdated_state_after_the_thaw()
 
-    def test_one_that_believes_its_links_hands_out_what_is_old(self) -> None:
+    def test_without_quorum_checks_outdated_state_is_served(self) -> None:
         with PLANTS["links_believed"](), self.assertRaisesRegex(Broken, "hands out .* older"):
-            self._old_state_at_the_thaw()
+            self._outdated_state_after_the_thaw()
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_control.py
+++ b/tests/mesh/test_control.py
@@ -1,4 +1,4 @@
-"""Settings, the register, the ring, and what servers and operators call."""
+"""Settings, the member registry, the log buffer, and the APIs for servers and operators."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class Settings(unittest.TestCase):
-    def test_unknown_fields_are_skipped(self) -> None:
+    def test_unknown_fields_are_ignored(self) -> None:
         settings = read(FILE)
         assert isinstance(settings, Success)
         found = settings.unwrap()
@@ -66,7 +66,7 @@
 
 
 class Start(unittest.TestCase):
-    def test_settings_that_cannot_be_used_end_the_program_with_one_line(self) -> None:
+    def test_invalid_settings_end_the_program_with_one_line(self) -> None:
         async def serve(settings: object, told: object) -> None:
             raise AssertionError("it must not be started")
 
@@ -86,45 +86,45 @@
                     self.assertEqual(told.getvalue().count("\n"), 1)
 
 
-class TheRegister(unittest.TestCase):
-    def test_members_with_each_others_numbers_have_another_digest(self) -> None:
-        # Sums of a CRC are alike for these two, so nobody would have told the other.
+class MemberRegistryTest(unittest.TestCase):
+    def test_swapped_numbers_change_the_digest(self) -> None:
+        # XORed CRCs are equal for these two, so neither node would have sent its entries to the other.
         digests = set()
         for one, two in ((1, 2), (2, 1)):
-            register = MemberRegistry("a")
-            register.merge([Node(name="s1", life=7, number=one), Node(name="s2", life=7, number=two)])
-            digests.add(register.digest)
+            registry = MemberRegistry("a")
+            registry.merge([Node(name="s1", life=7, number=one), Node(name="s2", life=7, number=two)])
+            digests.add(registry.digest)
         self.assertEqual(len(digests), 2)
-        many = MemberRegistry("a")
-        many.merge(Node(name=f"side-{i}", life=7, number=1) for i in range(12))
-        self.assertNotEqual(many.digest, 0)
-
-    def test_a_station_that_finds_another_signalbox_stays_a_member(self) -> None:
-        register = MemberRegistry("a")
-        register.report(Node(name="s", life=1, number=1))
-        register.session_ended("s", 10.0)
-        register.merge([Node(name="s", life=1, number=2, holder="b")])
-        self.assertEqual(register.tick(10.0 + RECONNECT_GRACE_S, True), [])
-        self.assertEqual(len(register.members()), 1)
-
-    def test_one_whose_session_ended_is_told_as_gone_and_its_old_news_changes_nothing(self) -> None:
-        register = MemberRegistry("a")
-        register.report(Node(name="s", life=1, number=1))
-        register.session_ended("s", 10.0)
-        self.assertEqual(register.tick(10.0 + RECONNECT_GRACE_S / 2, True), [])
-        (gone,) = register.tick(10.0 + RECONNECT_GRACE_S, True)
+        large = MemberRegistry("a")
+        large.merge(Node(name=f"side-{i}", life=7, number=1) for i in range(12))
+        self.assertNotEqual(large.digest, 0)
+
+    def test_proxy_that_reconnects_elsewhere_stays_a_member(self) -> None:
+        registry = MemberRegistry("a")
+        registry.report(Node(name="s", life=1, number=1))
+        registry.session_ended("s", 10.0)
+        registry.merge([Node(name="s", life=1, number=2, holder="b")])
+        self.assertEqual(registry.tick(10.0 + RECONNECT_GRACE_S, True), [])
+        self.assertEqual(len(registry.members()), 1)
+
+    def test_ended_session_is_reported_as_gone_and_late_entries_are_ignored(self) -> None:
+        registry = MemberRegistry("a")
+        registry.report(Node(name="s", life=1, number=1))
+        registry.session_ended("s", 10.0)
+        self.assertEqual(registry.tick(10.0 + RECONNECT_GRACE_S / 2, True), [])
+        (gone,) = registry.tick(10.0 + RECONNECT_GRACE_S, True)
         self.assertTrue(gone.gone)
-        self.assertEqual(register.merge([Node(name="s", life=1, number=1)]), [])
-        self.assertEqual(len(register.merge([Node(name="s", life=2, number=1)])), 1)
+        self.assertEqual(registry.merge([Node(name="s", life=1, number=1)]), [])
+        self.assertEqual(len(registry.merge([Node(name="s", life=2, number=1)])), 1)
 
-    def test_members_of_a_lost_signalbox_go_only_with_a_majority(self) -> None:
-        register = MemberRegistry("a")
-        register.merge([Node(name="s", life=1, number=1, holder="b")])
-        register.peer_link_changed("b", False, 0.0)
-        self.assertEqual(register.tick(ORPHAN_GRACE_S, False), [])
-        self.assertEqual([n.name for n in register.tick(ORPHAN_GRACE_S, True)], ["s"])
+    def test_members_of_a_lost_control_node_expire_only_with_the_lease(self) -> None:
+        registry = MemberRegistry("a")
+        registry.merge([Node(name="s", life=1, number=1, holder="b")])
+        registry.peer_link_changed("b", False, 0.0)
+        self.assertEqual(registry.tick(ORPHAN_GRACE_S, False), [])
+        self.assertEqual([n.name for n in registry.tick(ORPHAN_GRACE_S, True)], ["s"])
 
-    def test_equal_registers_have_equal_digests(self) -> None:
+    def test_equal_registries_have_equal_digests(self) -> None:
         nodes = [Node(name=f"s{i}", life=i, number=1) for i in range(5)]
         one, other = MemberRegistry("a"), MemberRegistry("b")
         one.merge(nodes)
@@ -150,7 +150,7 @@
         operator = Operator(lambda: self.book, self._change, self._read, ("z",), Ring("r"))
         return told(operator.dispatch(Call(method, segments, body)))
 
-    def test_what_is_no_call_gets_a_clear_answer(self) -> None:
+    def test_invalid_calls_get_the_right_status(self) -> None:
         for status, call in (
             (404, ("GET", "nothing")),
             (404, ("GET",)),
@@ -163,19 +163,19 @@
         self.assertEqual(self.call("PATCH", "config", body=b"{").status, 400)
         self.assertEqual(self.changes, [])
 
-    def test_answers_follow_what_became_of_the_change(self) -> None:
+    def test_status_follows_the_result_of_the_change(self) -> None:
         for code, status in ((ResultCode.DONE, 200), (ResultCode.CONFLICT, 409), (ResultCode.BUSY, 503)):
             with self.subTest(code):
                 self.answers = [Answer(0, code)]
                 self.assertEqual(self.call("PATCH", "config", body=b'{"addOrReplace":{}}').status, status)
 
-    def test_an_evacuation_counts_on_from_what_stands(self) -> None:
-        standing = Item(key="evacuations/z", version=4, value=b"0")
-        self.answers = [Answer(0, ResultCode.CONFLICT, (standing,)), Answer(0, ResultCode.DONE)]
+    def test_evacuation_continues_from_the_committed_version(self) -> None:
+        committed = Item(key="evacuations/z", version=4, value=b"0")
+        self.answers = [Answer(0, ResultCode.CONFLICT, (committed,)), Answer(0, ResultCode.DONE)]
         self.assertEqual(self.call("POST", "evacuate", "z").status, 200)
         self.assertEqual([(i.version, i.value) for (i,) in self.changes], [(1, b"1"), (5, b"1")])
 
-    def test_what_is_read_back_is_what_was_sent(self) -> None:
+    def test_configuration_is_read_back_as_sent(self) -> None:
         self.book.take(
             [
                 Item(key="routes/r", version=2, value=b'{"host":"h"}'),
@@ -208,7 +208,7 @@
         self.assertEqual(left, ["i-1"])
         self.assertEqual(told(server.dispatch(Call("GET", ("ready",), b""))).status, 503)
 
-    def test_the_ring_is_bounded(self) -> None:
+    def test_log_buffer_is_bounded(self) -> None:
         ring = Ring("r", now=lambda: 0.0)
         for i in range(LINES + 50):
             ring.note(str(i))
--- a/tests/mesh/test_store.py
+++ b/tests/mesh/test_store.py
@@ -1,4 +1,4 @@
-"""The contract that every store must pass, and what a loss of power may leave of the one on disk."""
+"""The contract of every store, and the states that a loss of power may leave on disk."""
 
 from __future__ import annotations
 
@@ -12,116 +12,116 @@
 from leadrudder.storage.store import DbmStore, MemoryStore, Store
 
 
-class Contract:
-    """Mixed into a case for each store; again() is the store as the next process finds it."""
+class StoreContract:
+    """Mixed into a test case for each store; reopened() is the store as the next process finds it."""
 
-    def again(self) -> Store:
+    def reopened(self) -> Store:
         raise NotImplementedError
 
-    def test_what_was_committed_is_found(self) -> None:
-        store = self.again()
+    def test_committed_records_are_read_back(self) -> None:
+        store = self.reopened()
         assert store.open() == {}
         store.commit({"a": b"1", "b": b""})
         store.commit({"a": b"2"})
         store.close()
-        assert self.again().open() == {"a": b"2", "b": b""}
+        assert self.reopened().open() == {"a": b"2", "b": b""}
 
-    def test_many_batches_are_found(self) -> None:
-        store = self.again()
+    def test_many_batches_are_read_back(self) -> None:
+        store = self.reopened()
         store.open()
         for i in range(50):
             store.commit({f"k{i % 7}": b"%d" % i})
         store.close()
-        assert self.again().open() == {f"k{i % 7}": b"%d" % i for i in range(43, 50)}
+        assert self.reopened().open() == {f"k{i % 7}": b"%d" % i for i in range(43, 50)}
 
 
-class Memory(Contract, unittest.TestCase):
+class MemoryStoreTest(StoreContract, unittest.TestCase):
     def setUp(self) -> None:
         self._store = MemoryStore()
 
-    def again(self) -> Store:
+    def reopened(self) -> Store:
         return self._store
 
 
-class Dumb(Contract, unittest.TestCase):
+class DbmStoreTest(StoreContract, unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
 
-    def again(self) -> Store:
+    def reopened(self) -> Store:
         return DbmStore(str(self.folder))
 
     def _files(self, ending: str) -> list[Path]:
         return sorted(self.folder.glob(f"*{ending}"))
 
-    def _left_open(self) -> None:
-        """A process that was killed after two batches: nothing was closed."""
+    def _kill_after_two_batches(self) -> None:
+        """Leave the files of a process that was killed after two batches."""
         store = DbmStore(str(self.folder))
         store.open()
         store.commit({"a": b"1"})
         store.commit({"b": b"2"})
         store._close_files()
 
-    def test_a_torn_last_batch_is_not_there(self) -> None:
-        self._left_open()
+    def test_damaged_last_batch_is_dropped(self) -> None:
+        self._kill_after_two_batches()
         data = self._files(".dat")[-1]
         raw = bytearray(data.read_bytes())
         raw[raw.rindex(b"b")] ^= 1
         data.write_bytes(raw)
-        self.assertEqual(self.again().open(), {"a": b"1"})
+        self.assertEqual(self.reopened().open(), {"a": b"1"})
 
-    def test_a_torn_index_line_is_not_there(self) -> None:
-        self._left_open()
+    def test_truncated_index_line_is_dropped(self) -> None:
+        self._kill_after_two_batches()
         index = self._files(".dir")[-1]
         index.write_bytes(index.read_bytes()[:-9])
-        self.assertEqual(self.again().open(), {"a": b"1"})
+        self.assertEqual(self.reopened().open(), {"a": b"1"})
 
-    def test_a_generation_that_was_never_finished_is_passed_over(self) -> None:
-        self._left_open()
+    def test_incomplete_generation_is_skipped(self) -> None:
+        self._kill_after_two_batches()
         (self.folder / "g00000009.dat").write_bytes(b"\0" * 40)
         (self.folder / "g00000009.dir").write_bytes(b"'000000000000', (0, 40)\n")
-        self.assertEqual(self.again().open(), {"a": b"1", "b": b"2"})
+        self.assertEqual(self.reopened().open(), {"a": b"1", "b": b"2"})
         self.assertEqual(len(self._files(".dat")), 1)
 
-    def test_a_new_generation_holds_all(self) -> None:
-        most, store_module.MAX_GENERATION_BATCHES = store_module.MAX_GENERATION_BATCHES, 3
+    def test_new_generation_contains_all_records(self) -> None:
+        max_batches, store_module.MAX_GENERATION_BATCHES = store_module.MAX_GENERATION_BATCHES, 3
         try:
-            store = self.again()
+            store = self.reopened()
             store.open()
             for i in range(10):
                 store.commit({f"k{i}": b"v"})
             store.close()
         finally:
-            store_module.MAX_GENERATION_BATCHES = most
-        self.assertEqual(len(self.again().open()), 10)
+            store_module.MAX_GENERATION_BATCHES = max_batches
+        self.assertEqual(len(self.reopened().open()), 10)
         self.assertEqual(len(self._files(".dat")), 1)
 
-    def test_any_changed_byte_is_told_or_the_last_batch_alone_is_gone(self) -> None:
+    def test_any_changed_byte_is_detected_or_loses_only_the_last_batch(self) -> None:
         store = DbmStore(str(self.folder))
         store.open()
         for batch in ({"a": b"1", "b": b"1"}, {"a": b"2"}, {"c": b"3"}):
             store.commit(batch)
         store._close_files()
-        whole, without = {"a": b"2", "b": b"1", "c": b"3"}, {"a": b"2", "b": b"1"}
-        told = 0
+        complete, without = {"a": b"2", "b": b"1", "c": b"3"}, {"a": b"2", "b": b"1"}
+        detected = 0
         for file in self._files(""):
             raw = file.read_bytes()
             for at in range(len(raw)):
-                spoilt = bytearray(raw)
-                spoilt[at] ^= 1 << (at % 8)
-                file.write_bytes(spoilt)
+                corrupt = bytearray(raw)
+                corrupt[at] ^= 1 << (at % 8)
+                file.write_bytes(corrupt)
                 try:
                     found = DbmStore(str(self.folder)).peek()
-                    self.assertIn(found, (whole, without), f"byte {at} of {file.name}")
-                except store_module.CorruptStoreError as why:
-                    told += 1
-                    self.assertRegex(str(why), r"g00000001\.(dat|dir): record [0-9]+ cannot be read")
+                    self.assertIn(found, (complete, without), f"byte {at} of {file.name}")
+                except store_module.CorruptStoreError as error:
+                    detected += 1
+                    self.assertRegex(str(error), r"g00000001\.(dat|dir): record [0-9]+ cannot be read")
             file.write_bytes(raw)
-        self.assertGreater(told, 100)
+        self.assertGreater(detected, 100)
 
-    def test_a_spoilt_disk_counts_as_empty_and_says_so(self) -> None:
-        self._left_open()
+    def test_corrupt_store_opens_empty_and_reports_it(self) -> None:
+        self._kill_after_two_batches()
         data = self._files(".dat")[0]
         raw = bytearray(data.read_bytes())
         raw[0] ^= 1
@@ -129,16 +129,16 @@
         store = DbmStore(str(self.folder))
         self.assertEqual(store.open(), {})
         self.assertIn("record 0", store.corrupt)
-        self.assertEqual(self.again().open(), {}, "and stays so")
+        self.assertEqual(self.reopened().open(), {}, "the store stays empty")
 
-    def test_all_is_synced_before_a_commit_returns(self) -> None:
+    def test_everything_is_synced_before_commit_returns(self) -> None:
         synced: list[str] = []
 
         def fsync(descriptor: int) -> None:
             synced.append(os.path.basename(os.readlink(f"/proc/self/fd/{descriptor}")))
 
         with mock.patch("os.fsync", fsync):
-            store = self.again()
+            store = self.reopened()
             store.open()
             first = list(synced)
             store.commit({"a": b"1"})
