--- a/leadrudder/consensus/quorum_check.py
+++ b/leadrudder/consensus/quorum_check.py
@@ -1,9 +1,9 @@
-"""Contact with a majority, confirmed by round trips.
+"""Confirms contact with a majority by round trips.
 
-A process that was frozen, or whose links are dead without its knowing, still believes that its peers are
-there. So what it knows is handed out only while a majority has lately answered a question of its own: the
-age of a confirmation counts from when the question was sent, and an answer that was on its way for long, or
-lay in a buffer while the process stood still, confirms nothing new. Times are seconds.
+A process that was frozen, or whose links are dead unnoticed, still believes that its peers are reachable. So
+it serves its state only while a majority has recently answered one of its probes. The age of a confirmation
+counts from when its probe was sent: an answer that was delayed, or that lay in a buffer while the process was
+frozen, confirms nothing new. Times are seconds.
 """
 
 from __future__ import annotations
@@ -16,68 +16,68 @@
 from leadrudder.protocol.mesh_pb2 import Frame
 
 if TYPE_CHECKING:
-    from leadrudder.consensus.state_machine import Interlocking
+    from leadrudder.consensus.state_machine import ControlStateMachine
 
-ASK_EACH_S = 0.3  # while contact is fresh; at each tick otherwise
-OPEN_MOST = 8  # questions whose answers still count
-FRESH_S = 1.0  # a new session is taken only on a confirmation that is no older
-LOST_S = 1.7  # sessions that stand are ended when the latest confirmation is older
+PROBE_INTERVAL_S = 0.3  # while the confirmation is fresh; otherwise at each tick
+MAX_OPEN_PROBES = 8  # probes whose answers still count
+FRESH_AGE_S = 1.0  # new sessions are accepted only on a confirmation no older than this
+LOST_AGE_S = 1.7  # existing sessions are ended when the last confirmation is older
 
 
 @dataclass(slots=True)
-class Question:
-    """One question to all voters: when it was sent, and who has answered."""
+class ProbeRound:
+    """One probe of all voters: when it was sent, and who has answered."""
 
-    sent: float
-    answers: Quorum = field(default_factory=Quorum)
+    sent_at: float
+    acks: Quorum = field(default_factory=Quorum)
 
 
-class Contact:
-    """The part of the interlocking that keeps asking whether a majority is there."""
+class QuorumCheck:
+    """The component of the state machine that probes for a majority."""
 
-    def __init__(self, machine: Interlocking) -> None:
+    def __init__(self, machine: ControlStateMachine) -> None:
         self._machine = machine
-        self._number = machine.rng.getrandbits(48)  # not those of an earlier process at our address
-        self._questions: dict[int, Question] = {}
-        self._asked = float("-inf")
-        self._confirmed = float("-inf")
+        self._number = machine.rng.getrandbits(48)  # not a number of an earlier process at this address
+        self._rounds: dict[int, ProbeRound] = {}
+        self._last_probe_at = float("-inf")
+        self._confirmed_at = float("-inf")
 
     def age(self, now: float) -> float:
-        """Seconds since a question was sent that a majority has answered; infinite if none ever was."""
-        return now - self._confirmed
+        """Seconds since the last probe that a majority answered was sent; infinite if there is none."""
+        return now - self._confirmed_at
 
     def fresh(self, now: float) -> bool:
-        """Whether what we know may be handed to somebody new."""
-        return self.age(now) <= FRESH_S
+        """Whether new sessions may be served."""
+        return self.age(now) <= FRESH_AGE_S
 
     def lost(self, now: float) -> bool:
-        """Whether a majority may have decided things without us for too long."""
-        return self.age(now) > LOST_S
+        """Whether a majority may have made decisions without this node for too long."""
+        return self.age(now) > LOST_AGE_S
 
     def tick(self) -> None:
-        machine, now = self._machine, self._machine.turn.now
-        if not machine.has_majority() or (self.fresh(now) and now - self._asked < ASK_EACH_S):
+        machine, now = self._machine, self._machine.step.now
+        if not machine.has_majority() or (self.fresh(now) and now - self._last_probe_at < PROBE_INTERVAL_S):
             return
-        self._asked = now
+        self._last_probe_at = now
         self._number += 1
-        self._questions[self._number] = Question(now)
-        while len(self._questions) > OPEN_MOST:
-            del self._questions[min(self._questions)]
+        self._rounds[self._number] = ProbeRound(now)
+        while len(self._rounds) > MAX_OPEN_PROBES:
+            del self._rounds[min(self._rounds)]
         for voter in machine.voters():
-            machine.send(voter, Frame(contact=wire.Contact(number=self._number)))
+            machine.send(voter, Frame(contact=wire.QuorumProbe(number=self._number)))
 
-    def on_contact(self, peer: str, contact: wire.Contact) -> None:
-        """Only who counts in a majority answers."""
+    def on_probe(self, peer: str, probe: wire.QuorumProbe) -> None:
+        """Answer a probe; only voters do."""
         machine = self._machine
-        if machine.seats.full:
-            contacted = wire.Contacted(number=contact.number, mark=machine.mark())
-            machine.send(peer, Frame(contacted=contacted))
+        if machine.voter_table.full:
+            ack = wire.QuorumProbeAck(number=probe.number, mark=machine.voter_view())
+            machine.send(peer, Frame(contacted=ack))
 
-    def on_contacted(self, peer: str, contacted: wire.Contacted) -> None:
-        question = self._questions.get(contacted.number)
-        if question is None:
+    def on_probe_ack(self, peer: str, ack: wire.QuorumProbeAck) -> None:
+        probe = self._rounds.get(ack.number)
+        if probe is None:
             return
-        question.answers.add(peer, contacted.mark)
-        if question.answers.reached(self._machine.seats.table):
-            self._confirmed = max(self._confirmed, question.sent)
-            del self._questions[contacted.number]
+        probe.acks.add(peer, ack.mark)
+        if probe.acks.reached(self._machine.voter_table.slots):
+            self._confirmed_at = max(self._confirmed_at, probe.sent_at)
+            del self._rounds[ack.number]
--- a/leadrudder/consensus/reconfiguration.py
+++ b/leadrudder/consensus/reconfiguration.py
@@ -1,14 +1,14 @@
-"""How this signalbox comes by a seat, grants one to others, and closes one.
+"""Reconfiguration of the voters: bootstrap, taking over or adding a voter slot, and removing one.
 
-Seats are founded once, by the first seed. Who has none asks for one whose holder is lost, or for a new one
-where the operator wants more of them: it holds it when so many others have given it what they have that
-every majority has one of them. Where fewer are wanted, one seat at a time is closed: its closer gathers
-from as many what the seat may have counted for, has the majority of those that are left hold it, and only
-then is the next change granted. Times are seconds.
+The first seed creates the voter slots once. A node without a slot requests one whose holder is lost, or a
+new one if the operator wants more voters; it holds the slot once so many voters have sent it their state that
+every majority contains one of them. If fewer voters are wanted, slots are removed one at a time: the remover
+collects the state of as many voters and replicates it to a majority of the remaining ones, and only then is
+the next change granted. Times are seconds.
 
-Adding or closing one seat leaves any majority before it and any after it with one in common, and who knows
-of the change says so with each reply (`quorum.py`); so none of the two decides behind the other's back.
-Closings that begin at once, by two that do not see each other, are settled one after the other.
+Adding or removing one slot leaves any majority before and any majority after with a voter in common, and a
+voter that knows of the change says so with each reply (`quorum.py`), so neither can decide without the other.
+Removals started concurrently by two nodes that do not see each other are completed one after the other.
 """
 
 from __future__ import annotations
@@ -19,338 +19,359 @@
 
 from leadrudder.consensus.outputs import Send
 from leadrudder.consensus.quorum import Quorum
-from leadrudder.consensus.voters import LOST_S
+from leadrudder.consensus.voters import HOLDER_LOST_S
 from leadrudder.protocol import mesh_pb2 as wire
-from leadrudder.protocol.mesh_pb2 import Frame, Seat
+from leadrudder.protocol.mesh_pb2 import Frame, VoterSlot
 
 if TYPE_CHECKING:
-    from leadrudder.consensus.state_machine import Interlocking
+    from leadrudder.consensus.state_machine import ControlStateMachine
 
-FOUND_LATEST_S = 4.0  # the first seed founds with those that are there, if some do not come
-CLAIM_EACH_S = 0.4
-FOUNDED = 1  # the incarnation of founding seats; those added later begin above it
+BOOTSTRAP_LATEST_S = 4.0  # after which the first seed bootstraps without the missing seeds
+CLAIM_INTERVAL_S = 0.4
+BOOTSTRAP_INCARNATION = 1  # of slots created at bootstrap; later ones start above it
 
 
 @dataclass(slots=True)
-class Closing:
-    """A seat that we close: first all is gathered, then those that are left hold it."""
+class SlotRemoval:
+    """A slot that this node removes: its state is gathered, then transferred to the remaining voters."""
 
-    seat: Seat
+    slot: VoterSlot
     grants: set[str] = field(default_factory=set)
     gathered: bool = False
-    filled: Quorum = field(default_factory=Quorum)
-    at: float = -1.0  # when it was last asked
+    transferred: Quorum = field(default_factory=Quorum)
+    asked_at: float = -1.0  # when requests were last sent
 
 
-class Seating:
-    """The part of the interlocking that deals in seats."""
+class Reconfiguration:
+    """The component of the state machine that changes voter slots."""
 
-    def __init__(self, machine: Interlocking) -> None:
+    def __init__(self, machine: ControlStateMachine) -> None:
         self._machine = machine
-        self._claim: Seat | None = None
+        self._claim: VoterSlot | None = None
         self._claimed_at = -1.0
         self._grants: set[str] = set()
-        self._willing: set[str] = set()  # would grant the claim that we sound out
-        self._closing: Closing | None = None
+        self._consenting: set[str] = set()  # voters that would grant the probed claim
+        self._removal: SlotRemoval | None = None
 
     def tick(self) -> None:
         machine = self._machine
-        if not machine.seats.table:
-            self._found()
-        elif not machine.seats.full and not machine.resigned:
-            self._ask_for_one()
-        elif machine.seats.full:
-            self._close_one()
+        if not machine.voter_table.slots:
+            self._bootstrap()
+        elif not machine.voter_table.full and not machine.resigned:
+            self._request_slot()
+        elif machine.voter_table.full:
+            self._remove_slot()
 
-    # ------------------------------------------------------------ what others know
+    # ------------------------------------------------------------ voter table
 
-    def learn(self, told: Iterable[Seat], teller: str = "") -> None:
-        """The table of another; a seat of ours that has another holder now is ours no more.
+    def merge_slots(self, slots: Iterable[VoterSlot], sender: str = "") -> None:
+        """Merge a peer's slots; a slot of this node that has another holder now is lost.
 
-        teller: a full holder, whose word of its own seat counts over another claimant's.
+        sender: a full holder, which overrides other claimants of its own slot; "" otherwise.
         """
         machine = self._machine
-        mine = machine.seats.mine()
-        if not machine.seats.learn(told, teller):
+        own = machine.voter_table.own_slot()
+        if not machine.voter_table.merge(slots, sender):
             return
-        if machine.seats.mine() != mine and mine is not None:
-            self._lose(mine)
-        elif machine.first_run and not machine.book.items and not machine.seats.full and self._is_founder():
-            machine.seats.full = True  # founded with us, and nothing of ours can have counted yet
-            machine.note("holds a founding seat")
-            self._greet_all()
-        self._write_seats()
-
-    def _lose(self, mine: int) -> None:
-        machine = self._machine
-        machine.seats.full = False
-        machine.owner.lose_all()
-        holder = machine.seats.table[mine].holder
-        machine.note(f"seat {mine} was {'taken over by ' + holder if holder else 'closed'}")
+        if machine.voter_table.own_slot() != own and own is not None:
+            self._on_slot_lost(own)
+        elif (
+            machine.first_run
+            and not machine.accepted.items
+            and not machine.voter_table.full
+            and self._is_bootstrap_voter()
+        ):
+            machine.voter_table.full = True  # a bootstrap voter; none of its replies can have counted yet
+            machine.log("holds a bootstrap voter slot")
+            self._send_status_to_all()
+        self._write_voters()
 
-    def _is_founder(self) -> bool:
-        mine = self._machine.seats.mine()
-        table = self._machine.seats.table
-        return mine is not None and table[mine].incarnation == FOUNDED and not self._machine.promised
+    def _on_slot_lost(self, own: int) -> None:
+        machine = self._machine
+        machine.voter_table.full = False
+        machine.ownership.release_all()
+        holder = machine.voter_table.slots[own].holder
+        machine.log(f"voter slot {own} was {'taken over by ' + holder if holder else 'removed'}")
+
+    def _is_bootstrap_voter(self) -> bool:
+        own = self._machine.voter_table.own_slot()
+        table = self._machine.voter_table.slots
+        return (
+            own is not None and table[own].incarnation == BOOTSTRAP_INCARNATION and not self._machine.promised
+        )
 
-    def _greet_all(self) -> None:
+    def _send_status_to_all(self) -> None:
         for peer in self._machine.connected():
-            self._machine.greet(peer)
+            self._machine.send_status(peer)
 
-    def _write_seats(self) -> None:
-        self._machine.write({self._machine.seats.RECORD: self._machine.seats.record()})
+    def _write_voters(self) -> None:
+        self._machine.write({self._machine.voter_table.RECORD: self._machine.voter_table.record()})
 
-    # ------------------------------------------------------------ founding
+    # ------------------------------------------------------------ bootstrap
 
-    def _found(self) -> None:
-        """The first seed founds, once: whom it names is on its disk before anybody hears of it."""
+    def _bootstrap(self) -> None:
+        """The first seed bootstraps, once: the voters are on its disk before they are sent to anybody."""
         machine = self._machine
         if not machine.first_run or not machine.seeds or machine.seeds[0] != machine.address:
             return
-        there = {machine.address} | {p.address for p in machine.peers.values() if p.up and p.first_run}
-        if len(there) < machine.wanted and machine.turn.now - machine.began < FOUND_LATEST_S:
+        available = {machine.address} | {p.address for p in machine.peers.values() if p.up and p.first_run}
+        if (
+            len(available) < machine.bootstrap_voters
+            and machine.step.now - machine.started_at < BOOTSTRAP_LATEST_S
+        ):
             return
-        order = [a for a in machine.seeds if a in there] + sorted(there - set(machine.seeds))
-        chosen = order[: machine.wanted]
+        order = [a for a in machine.seeds if a in available] + sorted(available - set(machine.seeds))
+        chosen = order[: machine.bootstrap_voters]
         if len(chosen) % 2 == 0 and len(chosen) > 2:
             chosen.pop()
-        seats = machine.seats
-        seats.table = {i: Seat(index=i, holder=a, incarnation=FOUNDED) for i, a in enumerate(chosen)}
-        record = seats.record(full=True)  # we count when it is on disk
-        founding = Frame(founding=wire.Founding(seats=seats.table.values()))
-        machine.note(f"founds {len(chosen)} seats")
+        voter_table = machine.voter_table
+        voter_table.slots = {
+            i: VoterSlot(index=i, holder=a, incarnation=BOOTSTRAP_INCARNATION) for i, a in enumerate(chosen)
+        }
+        record = voter_table.record(full=True)  # this node votes once it is on disk
+        bootstrap = Frame(founding=wire.BootstrapVoters(seats=voter_table.slots.values()))
+        machine.log(f"bootstraps {len(chosen)} voter slots")
         machine.write(
-            {seats.RECORD: record}, [*(Send(p, founding) for p in machine.connected()), self._seated_now()]
+            {voter_table.RECORD: record},
+            [*(Send(p, bootstrap) for p in machine.connected()), self._slot_written()],
         )
 
-    def on_founding(self, founding: wire.Founding) -> None:
-        if not self._machine.seats.table and self._machine.first_run:
-            self.learn(founding.seats)
+    def on_bootstrap(self, bootstrap: wire.BootstrapVoters) -> None:
+        if not self._machine.voter_table.slots and self._machine.first_run:
+            self.merge_slots(bootstrap.seats)
 
-    # ------------------------------------------------------------ a seat for us
+    # ------------------------------------------------------------ taking or adding a slot
 
-    def _ask_for_one(self) -> None:
-        """Without a seat, or with one whose records are lost: ask for one."""
-        machine, seats = self._machine, self._machine.seats
-        now = machine.turn.now
-        if now - self._claimed_at < CLAIM_EACH_S:
+    def _request_slot(self) -> None:
+        """Request a slot if this node has none, or has lost its records."""
+        machine, voter_table = self._machine, self._machine.voter_table
+        now = machine.step.now
+        if now - self._claimed_at < CLAIM_INTERVAL_S:
             return
         self._claimed_at = now + 0.2 * machine.rng.random()
-        index = self._which()
+        index = self._choose_slot()
         if index is None:
             return
         others = [v for v in machine.voters() if v != machine.address]
-        needed = seats.grants_needed(index)
+        needed = voter_table.required_grants(index)
         if len(others) < needed:
             return
-        known = seats.table.get(index)
-        last = known.incarnation if known is not None else FOUNDED
+        known = voter_table.slots.get(index)
+        last = known.incarnation if known is not None else BOOTSTRAP_INCARNATION
         if self._claim is None or self._claim.index != index or self._claim.incarnation <= last:
-            self._claim = Seat(index=index, holder=machine.address, incarnation=last + 1)
-            self._grants, self._willing = set(), set()
-        # A grant ends the holder's vote for good: as many as are needed must see it lost before one is asked.
-        ours = known is not None and known.holder == machine.address
-        sounding = not ours and len(self._willing) < needed
-        self._willing.clear()
+            self._claim = VoterSlot(index=index, holder=machine.address, incarnation=last + 1)
+            self._grants, self._consenting = set(), set()
+        # A grant ends the holder's vote for good, so first probe that enough voters see the holder as lost.
+        is_own = known is not None and known.holder == machine.address
+        probing = not is_own and len(self._consenting) < needed
+        self._consenting.clear()
         for other in others:
-            machine.send(other, Frame(claim=wire.Claim(seat=self._claim, sounding=sounding)))
-
-    def _which(self) -> int | None:
-        """Our own seat, else one whose holder is lost, else a new one where more are wanted."""
-        seats = self._machine.seats
-        mine = seats.mine()
-        if mine is not None:
-            return mine
-        lost = [i for i, seat in seats.opened().items() if self._is_lost(seat.holder)]
+            machine.send(other, Frame(claim=wire.SlotClaim(seat=self._claim, sounding=probing)))
+
+    def _choose_slot(self) -> int | None:
+        """This node's own slot, else one whose holder is lost, else a new one if more are wanted."""
+        voter_table = self._machine.voter_table
+        own = voter_table.own_slot()
+        if own is not None:
+            return own
+        lost = [i for i, slot in voter_table.open_slots().items() if self._is_lost(slot.holder)]
         if lost:
             return self._machine.rng.choice(lost)
-        return seats.free() if len(seats.opened()) < self._machine.wished else None
+        return (
+            voter_table.free_index() if len(voter_table.open_slots()) < self._machine.desired_voters else None
+        )
 
     def _is_lost(self, holder: str) -> bool:
         peer = self._machine.peers.get(holder)
         return peer is None or not peer.up or peer.resigned or not peer.full
 
-    def on_claim(self, peer: str, claim: wire.Claim) -> None:
-        machine, seats = self._machine, self._machine.seats
+    def on_slot_claim(self, peer: str, claim: wire.SlotClaim) -> None:
+        machine, voter_table = self._machine, self._machine.voter_table
         if claim.seat.closed:
-            self._on_close(peer, claim)
+            self._on_removal_claim(peer, claim)
             return
         if claim.seat.holder != peer:
             return
-        now, began, wished = machine.turn.now, machine.began, machine.wished
+        now, started_at, desired = machine.step.now, machine.started_at, machine.desired_voters
         if claim.sounding:
-            ok = seats.would_grant(claim.seat, machine.peers, now, began, wished)
-            told = wire.Grant(seat=claim.seat, ok=ok, sounding=True, seats=seats.table.values())
-            machine.send(peer, Frame(grant=told))
+            ok = voter_table.may_grant(claim.seat, machine.peers, now, started_at, desired)
+            grant = wire.SlotGrant(seat=claim.seat, ok=ok, sounding=True, seats=voter_table.slots.values())
+            machine.send(peer, Frame(grant=grant))
             return
-        before = seats.record()
-        ok = seats.grant(claim.seat, machine.peers, now, began, wished)
+        before = voter_table.record()
+        ok = voter_table.grant(claim.seat, machine.peers, now, started_at, desired)
         known = machine.peers.get(peer)
         if ok and known is not None:
             known.full = False
         self._send_grant(peer, claim.seat, ok, before)
 
-    def _send_grant(self, peer: str, seat: Seat, ok: bool, before: bytes) -> None:
-        """What we have goes with it, when the seat is on our disk."""
-        machine, seats = self._machine, self._machine.seats
-        grant = wire.Grant(seat=seat, ok=ok, seats=seats.table.values())
+    def _send_grant(self, peer: str, slot: VoterSlot, ok: bool, before: bytes) -> None:
+        """Answer a claim; a grant carries this node's state and is sent once the slot is on disk."""
+        machine, voter_table = self._machine, self._machine.voter_table
+        grant = wire.SlotGrant(seat=slot, ok=ok, seats=voter_table.slots.values())
         if ok:
-            grant.promised.extend(wire.Promised(section=s, epoch=e) for s, e in machine.promised.items())
-            grant.items.extend(machine.book.items.values())
-        after = seats.record()
-        machine.write({seats.RECORD: after} if after != before else {}, [Send(peer, Frame(grant=grant))])
+            grant.promised.extend(wire.PromisedEpoch(section=s, epoch=e) for s, e in machine.promised.items())
+            grant.items.extend(machine.accepted.items.values())
+        after = voter_table.record()
+        machine.write(
+            {voter_table.RECORD: after} if after != before else {}, [Send(peer, Frame(grant=grant))]
+        )
 
-    def on_grant(self, peer: str, grant: wire.Grant) -> None:
+    def on_slot_grant(self, peer: str, grant: wire.SlotGrant) -> None:
         if grant.seat.closed:
-            self._on_close_granted(peer, grant)
+            self._on_removal_granted(peer, grant)
             return
-        machine, seats, claim = self._machine, self._machine.seats, self._claim
-        if seats.full or claim is None or not grant.ok or grant.seat != claim:
-            if not grant.ok and not seats.full:
-                self.learn(grant.seats)
+        machine, voter_table, claim = self._machine, self._machine.voter_table, self._claim
+        if voter_table.full or claim is None or not grant.ok or grant.seat != claim:
+            if not grant.ok and not voter_table.full:
+                self.merge_slots(grant.seats)
             return
-        needed = seats.grants_needed(claim.index)
+        needed = voter_table.required_grants(claim.index)
         if grant.sounding:
-            self._willing.add(peer)
-            if len(self._willing) == needed:
-                self._claimed_at = -CLAIM_EACH_S  # ask for them now
+            self._consenting.add(peer)
+            if len(self._consenting) == needed:
+                self._claimed_at = -CLAIM_INTERVAL_S  # request the grants now
             return
         self._grants.add(peer)
-        records = self._gathered(grant.promised, grant.items)
-        seats.learn(s for s in grant.seats if s.index != claim.index)
-        if len(self._grants) < max(needed, seats.grants_needed(claim.index)):
+        records = self._merge_grant(grant.promised, grant.items)
+        voter_table.merge(s for s in grant.seats if s.index != claim.index)
+        if len(self._grants) < max(needed, voter_table.required_grants(claim.index)):
             machine.write(records)
             return
-        seats.table[claim.index] = claim
+        voter_table.slots[claim.index] = claim
         self._claim = None
-        # All of it must be on disk before anybody counts us: what follows is sent when it is.
-        records = machine.whole_book() | machine.promises()
-        records[seats.RECORD] = seats.record(full=True)
-        machine.note(f"seat {claim.index} taken, incarnation {claim.incarnation}")
-        machine.write(records, [self._seated_now()])
-
-    def _gathered(self, promised: Iterable[wire.Promised], items: Iterable[wire.Item]) -> dict[str, bytes]:
-        """Merge what another has; returns the records of items that are new here."""
+        # Everything must be on disk before this node votes: the status is sent after the write.
+        records = machine.item_records() | machine.promise_records()
+        records[voter_table.RECORD] = voter_table.record(full=True)
+        machine.log(f"takes voter slot {claim.index}, incarnation {claim.incarnation}")
+        machine.write(records, [self._slot_written()])
+
+    def _merge_grant(
+        self, promised: Iterable[wire.PromisedEpoch], items: Iterable[wire.Item]
+    ) -> dict[str, bytes]:
+        """Merge a voter's state; returns the records of items that are new here."""
         machine = self._machine
-        for told in promised:
-            if told.epoch > machine.promised.get(told.section, 0):
-                machine.promised[told.section] = told.epoch
-                machine.owner.overtaken(told.section, told.epoch)
-        return machine.keep(items)
-
-    def _seated_now(self) -> Send:
-        """To ourselves, when what makes us full is on disk."""
+        for entry in promised:
+            if entry.epoch > machine.promised.get(entry.section, 0):
+                machine.promised[entry.section] = entry.epoch
+                machine.ownership.on_higher_epoch(entry.section, entry.epoch)
+        return machine.accept(items)
+
+    def _slot_written(self) -> Send:
+        """A message to this node itself, sent once its slot and all items are on disk."""
         address = self._machine.address
-        return Send(address, Frame(greeting=wire.Greeting(address=address, full=True)))
+        return Send(address, Frame(greeting=wire.PeerStatus(address=address, full=True)))
 
-    def seated(self) -> None:
-        """The records of a seat that was taken over are on disk: from now on we count."""
+    def on_slot_written(self) -> None:
+        """The records of the new slot are on disk: this node votes from now on."""
         machine = self._machine
-        if machine.seats.mine() is not None and not machine.seats.full:
-            machine.seats.full = True
-            machine.counts_since = machine.turn.now
-            self._greet_all()
-
-    # ------------------------------------------------------------ a seat less
-
-    def _close_one(self) -> None:
-        """The first voter closes, one seat at a time; a closing left half done goes first."""
-        machine, seats = self._machine, self._machine.seats
-        voters, now = machine.voters(), machine.turn.now
-        half = seats.half_closed()
-        too_many = bool(machine.wished) and len(seats.opened()) > machine.wished
-        first = bool(voters) and voters[0] == machine.address and now - machine.counts_since >= LOST_S
-        if not (half is not None or too_many) or not first or machine.resigned:
-            self._closing = None
+        if machine.voter_table.own_slot() is not None and not machine.voter_table.full:
+            machine.voter_table.full = True
+            machine.voting_since = machine.step.now
+            self._send_status_to_all()
+
+    # ------------------------------------------------------------ removing a slot
+
+    def _remove_slot(self) -> None:
+        """The first voter removes slots, one at a time; an unfinished removal goes first."""
+        machine, voter_table = self._machine, self._machine.voter_table
+        voters, now = machine.voters(), machine.step.now
+        closing = voter_table.closing_slot()
+        too_many = bool(machine.desired_voters) and len(voter_table.open_slots()) > machine.desired_voters
+        first = bool(voters) and voters[0] == machine.address and now - machine.voting_since >= HOLDER_LOST_S
+        if not (closing is not None or too_many) or not first or machine.resigned:
+            self._removal = None
             return
-        closing = self._closing
-        if closing is not None and now - closing.at < CLAIM_EACH_S:
+        removal = self._removal
+        if removal is not None and now - removal.asked_at < CLAIM_INTERVAL_S:
             return
         if (
-            closing is None
-            or (half is not None and closing.seat.index != half)
-            or seats.table[closing.seat.index].incarnation > closing.seat.incarnation
+            removal is None
+            or (closing is not None and removal.slot.index != closing)
+            or voter_table.slots[removal.slot.index].incarnation > removal.slot.incarnation
         ):
-            index = half if half is not None else seats.least_missed(machine.peers)
-            seat = Seat(index=index, incarnation=seats.table[index].incarnation + 1, closed=True)
-            closing = self._closing = Closing(seat)
-            machine.note(f"closes seat {index}")
-        closing.at = now
-        if closing.gathered:
-            self._fill(closing)
+            index = closing if closing is not None else voter_table.slot_to_remove(machine.peers)
+            slot = VoterSlot(index=index, incarnation=voter_table.slots[index].incarnation + 1, closed=True)
+            removal = self._removal = SlotRemoval(slot)
+            machine.log(f"removes voter slot {index}")
+        removal.asked_at = now
+        if removal.gathered:
+            self._transfer(removal)
             return
         for voter in voters:
-            machine.send(voter, Frame(claim=wire.Claim(seat=closing.seat, resumed=half is not None)))
-
-    def _on_close(self, peer: str, claim: wire.Claim) -> None:
-        """Another closes a seat, or we ourselves; it may be ours."""
-        machine, seats, seat = self._machine, self._machine.seats, claim.seat
-        before, mine = seats.record(), seats.mine()
-        ok = machine.votes(peer) and seats.would_close(seat, machine.wished, resumed=claim.resumed)
-        if ok and seat.incarnation > seats.table[seat.index].incarnation:
-            seats.table[seat.index] = seat
-        self._send_grant(peer, seat, ok, before)
-        if seats.mine() != mine and mine is not None:
-            self._lose(mine)
-            self._write_seats()
-
-    def _on_close_granted(self, peer: str, grant: wire.Grant) -> None:
-        machine, seats, closing = self._machine, self._machine.seats, self._closing
+            machine.send(voter, Frame(claim=wire.SlotClaim(seat=removal.slot, resumed=closing is not None)))
+
+    def _on_removal_claim(self, peer: str, claim: wire.SlotClaim) -> None:
+        """A voter, possibly this node, removes a slot, possibly this node's."""
+        machine, voter_table, slot = self._machine, self._machine.voter_table, claim.seat
+        before, own = voter_table.record(), voter_table.own_slot()
+        ok = machine.is_voter(peer) and voter_table.may_remove(
+            slot, machine.desired_voters, resumed=claim.resumed
+        )
+        if ok and slot.incarnation > voter_table.slots[slot.index].incarnation:
+            voter_table.slots[slot.index] = slot
+        self._send_grant(peer, slot, ok, before)
+        if voter_table.own_slot() != own and own is not None:
+            self._on_slot_lost(own)
+            self._write_voters()
+
+    def _on_removal_granted(self, peer: str, grant: wire.SlotGrant) -> None:
+        machine, voter_table, removal = self._machine, self._machine.voter_table, self._removal
         if not grant.ok:
-            self.learn(grant.seats)
-            if closing is not None and grant.seat == closing.seat:
-                self._overtake(closing, grant.seats)
+            self.merge_slots(grant.seats)
+            if removal is not None and grant.seat == removal.slot:
+                self._raise_incarnation(removal, grant.seats)
             return
-        if closing is None or grant.seat != closing.seat or closing.gathered or not seats.full:
+        if removal is None or grant.seat != removal.slot or removal.gathered or not voter_table.full:
             return
-        needed = seats.grants_needed(closing.seat.index)
-        records = self._gathered(grant.promised, grant.items) | machine.promises()
-        seats.learn(grant.seats)
-        closing.grants.add(peer)
-        closing.gathered = len(closing.grants) >= max(needed, seats.grants_needed(closing.seat.index))
+        needed = voter_table.required_grants(removal.slot.index)
+        records = self._merge_grant(grant.promised, grant.items) | machine.promise_records()
+        voter_table.merge(grant.seats)
+        removal.grants.add(peer)
+        removal.gathered = len(removal.grants) >= max(needed, voter_table.required_grants(removal.slot.index))
         machine.write(records)
-        if closing.gathered:
-            self._fill(closing)
-
-    def _overtake(self, closing: Closing, told: Iterable[Seat]) -> None:
-        """One refused that knows another claim of our incarnation: we close under a higher one."""
-        seat = closing.seat
-        theirs = next((s for s in told if s.index == seat.index), None)
-        if theirs is not None and theirs.incarnation >= seat.incarnation and not theirs.closed:
-            higher = Seat(index=seat.index, incarnation=theirs.incarnation + 1, closed=True)
-            self._closing = Closing(higher, at=closing.at)
-
-    def _fill(self, closing: Closing) -> None:
-        """Have those that are left hold what was gathered."""
+        if removal.gathered:
+            self._transfer(removal)
+
+    def _raise_incarnation(self, removal: SlotRemoval, slots: Iterable[VoterSlot]) -> None:
+        """A voter knows a competing claim of the same incarnation: retry the removal under a higher one."""
+        slot = removal.slot
+        theirs = next((s for s in slots if s.index == slot.index), None)
+        if theirs is not None and theirs.incarnation >= slot.incarnation and not theirs.closed:
+            higher = VoterSlot(index=slot.index, incarnation=theirs.incarnation + 1, closed=True)
+            self._removal = SlotRemoval(higher, asked_at=removal.asked_at)
+
+    def _transfer(self, removal: SlotRemoval) -> None:
+        """Replicate the gathered state to the remaining voters."""
         machine = self._machine
-        fill = wire.Fill(seat=closing.seat, items=machine.book.items.values())
-        fill.promised.extend(wire.Promised(section=s, epoch=e) for s, e in machine.promised.items())
+        transfer = wire.SlotTransfer(seat=removal.slot, items=machine.accepted.items.values())
+        transfer.promised.extend(wire.PromisedEpoch(section=s, epoch=e) for s, e in machine.promised.items())
         for voter in machine.voters():
-            if voter not in closing.filled:
-                machine.send(voter, Frame(fill=fill))
+            if voter not in removal.transferred:
+                machine.send(voter, Frame(fill=transfer))
 
-    def on_fill(self, peer: str, fill: wire.Fill) -> None:
+    def on_slot_transfer(self, peer: str, transfer: wire.SlotTransfer) -> None:
         machine = self._machine
-        if not machine.seats.full or not machine.votes(peer):
+        if not machine.voter_table.full or not machine.is_voter(peer):
             return
-        self.learn([fill.seat])
-        if not machine.seats.full:
-            return  # it was ours
-        records = self._gathered(fill.promised, fill.items) | machine.promises()
-        filled = wire.Filled(seat=fill.seat, mark=machine.mark())
-        machine.write(records, [Send(peer, Frame(filled=filled))])
-
-    def on_filled(self, peer: str, filled: wire.Filled) -> None:
-        machine, seats, closing = self._machine, self._machine.seats, self._closing
-        if closing is None or not closing.gathered or filled.seat != closing.seat:
+        self.merge_slots([transfer.seat])
+        if not machine.voter_table.full:
+            return  # the removed slot was this node's
+        records = self._merge_grant(transfer.promised, transfer.items) | machine.promise_records()
+        ack = wire.SlotTransferAck(seat=transfer.seat, mark=machine.voter_view())
+        machine.write(records, [Send(peer, Frame(filled=ack))])
+
+    def on_slot_transfer_ack(self, peer: str, ack: wire.SlotTransferAck) -> None:
+        machine, voter_table, removal = self._machine, self._machine.voter_table, self._removal
+        if removal is None or not removal.gathered or ack.seat != removal.slot:
             return
-        closing.filled.add(peer, filled.mark)
-        if not closing.filled.reached(seats.table):
+        removal.transferred.add(peer, ack.mark)
+        if not removal.transferred.reached(voter_table.slots):
             return
-        self._closing = None
-        settled = Seat()
-        settled.CopyFrom(closing.seat)
-        settled.incarnation, settled.settled = closing.seat.incarnation + 1, True
-        machine.note(f"seat {settled.index} is closed")
-        self.learn([settled])
-        self._greet_all()
+        self._removal = None
+        removed = VoterSlot()
+        removed.CopyFrom(removal.slot)
+        removed.incarnation, removed.settled = removal.slot.incarnation + 1, True
+        machine.log(f"voter slot {removed.index} is removed")
+        self.merge_slots([removed])
+        self._send_status_to_all()
--- a/leadrudder/control_simulation/incidents.py
+++ b/leadrudder/control_simulation/incidents.py
@@ -12,7 +12,7 @@
 from enum import StrEnum
 from random import Random
 
-from leadrudder.consensus.outputs import Answer, Code
+from leadrudder.consensus.outputs import Answer, ResultCode
 from leadrudder.control_simulation.nodes import Stations
 from leadrudder.control_simulation.world import Broken, World
 from leadrudder.control_simulation.world import Machine as CoreMachine
@@ -83,12 +83,12 @@
                 answered = True
                 if ended:
                     return
-                if answer.code is Code.BUSY:
+                if answer.code is ResultCode.BUSY:
                     world.after(PAUSE_S, lambda: send(machine.address))
                     return
                 ended = True
                 self.open -= 1
-                self.refused += answer.code is Code.CONFLICT
+                self.refused += answer.code is ResultCode.CONFLICT
                 self.waits.append(world.now - began)
 
             world.call(machine, [item], take)
@@ -164,7 +164,7 @@
 
     def lose_second() -> None:
         process = fresh[0].process
-        wiped.append(process is not None and process.seats.full)
+        wiped.append(process is not None and process.voter_table.full)
         world.kill(two, power=True, wipe=wiped[0])
         world.after(1.5, lambda: world.start(two))
 
@@ -180,12 +180,12 @@
 
 def read_back(world: World) -> None:
     """Every machine answers a read in calm; the world holds it against what was acknowledged."""
-    answers: list[Code] = []
+    answers: list[ResultCode] = []
     running = [m for m in world.machines.values() if m.process is not None]
     for machine in running:
         world.read(machine, lambda answer: answers.append(answer.code))
     world.play(world.now + 2.0)
-    if answers != [Code.DONE] * len(running):
+    if answers != [ResultCode.DONE] * len(running):
         world.broken(f"reads in calm end with {answers}")
 
 
@@ -226,10 +226,12 @@
         others = [m.process for m in world.machines.values() if m is not machine and m.process is not None]
         while world.now < began + 60.0:
             process = machine.process
-            whole = process is not None and process.seats.full and process.owner.complete()
+            whole = (
+                process is not None and process.voter_table.full and process.ownership.knows_all_sections()
+            )
             if whole and process is not None:
-                known = process.standing.digest
-                if all(known == other.standing.digest for other in others):
+                known = process.committed.digest
+                if all(known == other.committed.digest for other in others):
                     return world.now - began
             world.play(world.now + 0.02)
         world.broken(f"{machine.address} has not caught up after a minute")
--- a/leadrudder/control_simulation/scenario.py
+++ b/leadrudder/control_simulation/scenario.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from leadrudder.configuration.items import CORE
-from leadrudder.consensus.outputs import Answer, Code
+from leadrudder.consensus.outputs import Answer, ResultCode
 from leadrudder.control_simulation.nodes import Stations
 from leadrudder.control_simulation.world import Broken, Machine, World
 from leadrudder.protocol.mesh_pb2 import Item
@@ -140,11 +140,11 @@
 
         def answered(answer: Answer) -> None:
             nonlocal done
-            if answer.code in (Code.DONE, Code.CONFLICT) and not done:
+            if answer.code in (ResultCode.DONE, ResultCode.CONFLICT) and not done:
                 done = True
                 self._open.remove(items)
                 world.tell(f"{items[0].key} v{items[0].version} {items[0].value!r}: {answer.code.name}")
-                if answer.code is Code.DONE and self._fatal is not None:
+                if answer.code is ResultCode.DONE and self._fatal is not None:
                     self._after_ack(asked[-1])
 
         def again() -> None:
@@ -279,7 +279,7 @@
             address = machine.address
 
             def answered(answer: Answer, address: str = address) -> None:
-                if answer.code is Code.DONE:
+                if answer.code is ResultCode.DONE:
                     read.append(address)
 
             world.read(machine, answered)
@@ -302,12 +302,12 @@
         for machine in self._running():
             process = machine.process
             assert process is not None
-            holders = process.seats.holders()
-            full = [h for h in holders if process.votes(h)]
+            holders = process.voter_table.holders()
+            full = [h for h in holders if process.is_voter(h)]
             if len(full) != self._seats:
                 world.broken(f"{machine.address} sees {full} of {holders}, {self._seats} are wanted")
             if machine.address in holders:
-                owned[machine.address] = len(process.owner.owned())
+                owned[machine.address] = len(process.ownership.owned_sections())
         if max(owned.values()) - min(owned.values()) > 1:
             world.broken(f"sections are not even: {owned}")
 
--- a/leadrudder/data_plane/admission_control.py
+++ b/leadrudder/data_plane/admission_control.py
@@ -15,8 +15,8 @@
 from leadrudder.bootstrap.settings import Bounds
 from leadrudder.data_plane.admission_queue import AdmissionQueue, QueuedCall, Rank
 from leadrudder.data_plane.service_times import ArrivalRate, ServiceTimes
-from leadrudder.protocol.mesh_pb2 import Waybill
-from leadrudder.protocol.outcome import Ran, Verdict
+from leadrudder.protocol.mesh_pb2 import ForwardRequest
+from leadrudder.protocol.outcome import Executed, RequestFailure
 
 MAX_REMEMBERED_IDS = 50_000  # of unsafe requests, to refuse duplicates
 QUEUED_CALLS_PER_SLOT = 1.5  # limit on the admission queue
@@ -127,7 +127,11 @@
     # ------------------------------------------------------------ calls
 
     def admit(
-        self, waybill: Waybill, now: float, start: Callable[[], None], refuse: Callable[[Verdict], None]
+        self,
+        waybill: ForwardRequest,
+        now: float,
+        start: Callable[[], None],
+        refuse: Callable[[RequestFailure], None],
     ) -> QueuedCall | None:
         """Start a call, refuse it, or queue it; returns the queued call."""
         verdict = self._refusal(waybill, now)
@@ -136,7 +140,7 @@
             return None
         if waybill.once:
             if waybill.attempt_id in self._seen_ids:
-                refuse(Verdict(Ran.MAYBE, "seen"))
+                refuse(RequestFailure(Executed.MAYBE, "seen"))
                 return None
             self._remember_id(waybill.attempt_id)
         if self._service_times.is_short(waybill.target_ms):
@@ -152,7 +156,7 @@
             or not self._make_room_in_queue(rank)
         ):
             self._forget_id(waybill)
-            refuse(Verdict(Ran.NEVER, "full", wait_ms))
+            refuse(RequestFailure(Executed.NEVER, "full", wait_ms))
             return None
         min_remaining_ms = max(
             MIN_REMAINING_MS, MIN_REMAINING_FRACTION * self._service_times.expected_ms(waybill.target_ms)
@@ -162,12 +166,12 @@
             rank, waybill, expires_at=expires_at, queued_at=now, start=start, refuse=refuse
         )
 
-    def _has_free_slot(self, waybill: Waybill, now: float) -> bool:
+    def _has_free_slot(self, waybill: ForwardRequest, now: float) -> bool:
         """Whether there is a free slot for a call, apart from slots reserved for others."""
         assert self.instance is not None
         return self.running_calls < self.instance.capacity - self._reserved_slots(waybill, now)
 
-    def _reserved_slots(self, waybill: Waybill, now: float) -> int:
+    def _reserved_slots(self, waybill: ForwardRequest, now: float) -> int:
         """Slots that a call may not use: one is reserved for short calls while they arrive often enough.
 
         A short call is usually made by a server that occupies a slot elsewhere for as long as the call waits
@@ -183,7 +187,7 @@
         )
         return 1 if short_calls_per_long_call > RESERVE_THRESHOLD_CALLS else 0
 
-    def _rank_and_wait(self, waybill: Waybill, now: float) -> tuple[Rank, float]:
+    def _rank_and_wait(self, waybill: ForwardRequest, now: float) -> tuple[Rank, float]:
         """The rank of a call in the queue, and its expected wait in milliseconds."""
         on_time = Rank(waybill.priority, False, now + waybill.aim_ms / 1000.0)
         wait_ms = self._expected_wait_ms(waybill, on_time, now)
@@ -200,27 +204,27 @@
         while len(self._seen_ids) > MAX_REMEMBERED_IDS:
             self._seen_ids.popitem(last=False)
 
-    def _forget_id(self, waybill: Waybill) -> None:
+    def _forget_id(self, waybill: ForwardRequest) -> None:
         """A refused request has not run and may be sent again."""
         if waybill.once:
             self._seen_ids.pop(waybill.attempt_id, None)
 
-    def _refusal(self, waybill: Waybill, now: float) -> Verdict | None:
+    def _refusal(self, waybill: ForwardRequest, now: float) -> RequestFailure | None:
         instance = self.instance
         if instance is None or instance.id != waybill.server:
-            return Verdict(Ran.NEVER, "gone")
+            return RequestFailure(Executed.NEVER, "gone")
         if now < instance.down_until:
-            return Verdict(Ran.NEVER, "down")
+            return RequestFailure(Executed.NEVER, "down")
         if self.terminating:
-            return Verdict(Ran.NEVER, "leaving")
+            return RequestFailure(Executed.NEVER, "leaving")
         if self.evacuated:
-            return Verdict(Ran.NEVER, "evacuated")
+            return RequestFailure(Executed.NEVER, "evacuated")
         if instance.draining_since is not None:
             accepting = now - instance.draining_since < DRAIN_ACCEPT_FRACTION * self._bounds.drain / 1000.0
             if not accepting or not waybill.may_wait:
-                return Verdict(Ran.NEVER, "draining")
+                return RequestFailure(Executed.NEVER, "draining")
         if waybill.left_ms <= MIN_REMAINING_MS:
-            return Verdict(Ran.NEVER, "time")
+            return RequestFailure(Executed.NEVER, "time")
         return None
 
     def _make_room_in_queue(self, rank: Rank) -> bool:
@@ -233,10 +237,10 @@
             return False
         self._queue.discard(last)
         self._forget_id(last.waybill)
-        last.refuse(Verdict(Ran.NEVER, "full", self._service_times.mean_ms))
+        last.refuse(RequestFailure(Executed.NEVER, "full", self._service_times.mean_ms))
         return True
 
-    def _expected_wait_ms(self, waybill: Waybill, rank: Rank, now: float) -> float:
+    def _expected_wait_ms(self, waybill: ForwardRequest, rank: Rank, now: float) -> float:
         """The approximate wait of a call at this rank."""
         assert self.instance is not None
         calls_ahead = 1 + self._queue.count_ahead(rank)
@@ -318,7 +322,9 @@
         """Refuse queued calls that have expired or that the server may no longer get."""
         for queued in list(self._queue):
             verdict = (
-                Verdict(Ran.NEVER, "time") if now >= queued.expires_at else self._refusal(queued.waybill, now)
+                RequestFailure(Executed.NEVER, "time")
+                if now >= queued.expires_at
+                else self._refusal(queued.waybill, now)
             )
             if verdict is not None:
                 self._queue.discard(queued)
--- a/leadrudder/data_plane/admission_queue.py
+++ b/leadrudder/data_plane/admission_queue.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from leadrudder.protocol.mesh_pb2 import Waybill
-from leadrudder.protocol.outcome import Verdict
+from leadrudder.protocol.mesh_pb2 import ForwardRequest
+from leadrudder.protocol.outcome import RequestFailure
 
 
 class Rank(NamedTuple):
@@ -26,11 +26,11 @@
 
     rank: Rank
     sequence: int
-    waybill: Waybill = field(compare=False)
+    waybill: ForwardRequest = field(compare=False)
     expires_at: float = field(compare=False)
     queued_at: float = field(compare=False)
     start: Callable[[], None] = field(compare=False)
-    refuse: Callable[[Verdict], None] = field(compare=False)
+    refuse: Callable[[RequestFailure], None] = field(compare=False)
 
 
 class AdmissionQueue:
@@ -50,12 +50,12 @@
     def push(
         self,
         rank: Rank,
-        waybill: Waybill,
+        waybill: ForwardRequest,
         *,
         expires_at: float,
         queued_at: float,
         start: Callable[[], None],
-        refuse: Callable[[Verdict], None],
+        refuse: Callable[[RequestFailure], None],
     ) -> QueuedCall:
         queued = QueuedCall(rank, next(self._numbers), waybill, expires_at, queued_at, start, refuse)
         insort(self._calls, queued)
--- a/leadrudder/data_plane/endpoint_discovery.py
+++ b/leadrudder/data_plane/endpoint_discovery.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 
 from leadrudder.membership import zone_relays
-from leadrudder.membership.registry import rank
-from leadrudder.membership.zone_relays import Homes
+from leadrudder.membership.registry import freshness
+from leadrudder.membership.zone_relays import ZoneRelays
 from leadrudder.protocol import mesh_pb2 as wire
 from leadrudder.protocol.mesh_pb2 import Frame, Node
 from leadrudder.transport.link import Link, dial
@@ -35,7 +35,7 @@
         sources_changed: Callable[[], None],
     ) -> None:
         self.served: dict[str, Node] = {}  # the newest entry with servers, by station
-        self._homes = Homes(name, zone)
+        self._homes = ZoneRelays(name, zone)
         self._ask, self._fed = ask, fed
         self._heard, self._sources_changed = heard, sources_changed
         self._loop = asyncio.get_running_loop()
@@ -52,14 +52,14 @@
         new = []
         for node in served:
             old = self.served.get(node.name)
-            if old is None or rank(node) > rank(old):
+            if old is None or freshness(node) > freshness(old):
                 self.served[node.name] = node
                 new.append(node)
         if not new:
             return
         for link, services in list(self._subscribers.items()):
             if told := zone_relays.of_services(new, services):
-                link.send(Frame(news=wire.News(served=told)))
+                link.send(Frame(news=wire.StateUpdate(served=told)))
         self._heard([node.name for node in new])
 
     def forget(self, names: set[str]) -> None:
@@ -73,7 +73,7 @@
 
     def follow(self, services: frozenset[str], members: list[Node]) -> None:
         """Ask for these services where they are to be had now; called after any change and at times."""
-        sources = self._homes.sources(services, members, self._loop.time())
+        sources = self._homes.sources_for(services, members, self._loop.time())
         for address in [a for a in self._links if a not in sources]:
             self._links.pop(address).close()
             self._asked.pop(address, None)
@@ -112,7 +112,7 @@
         link = await dial(address, lambda: Link(self, PING_S, SILENCE_S, peer=address))
         self._dialling.discard(address)
         if link is None or not link.up:
-            self._homes.failed(address, self._loop.time())
+            self._homes.mark_unreachable(address, self._loop.time())
         else:
             self._links[address] = link
             self._asked.pop(address, None)
@@ -129,7 +129,7 @@
         if self._links.get(link.peer) is link:
             del self._links[link.peer]
             self._asked.pop(link.peer, None)
-            self._homes.failed(link.peer, self._loop.time())
+            self._homes.mark_unreachable(link.peer, self._loop.time())
             self._sources_changed()
 
     # ------------------------------------------------------------ who asks us
@@ -142,7 +142,7 @@
         self._subscribers[link] = services
         self._count()
         if told := zone_relays.of_services(self.served.values(), services):
-            link.send(Frame(news=wire.News(served=told)))
+            link.send(Frame(news=wire.StateUpdate(served=told)))
         self._sources_changed()
 
     def serves(self, link: Link) -> bool:
@@ -158,7 +158,7 @@
         for services in self._subscribers.values():
             for service in services:
                 serving[service] = serving.get(service, 0) + 1
-        self._homes.serving = serving
+        self._homes.dependents = serving
 
     def close(self) -> None:
         for link in [*self._links.values(), *self._subscribers]:
--- a/leadrudder/data_plane/inbound.py
+++ b/leadrudder/data_plane/inbound.py
@@ -14,8 +14,8 @@
 )
 from leadrudder.interface import Outcome
 from leadrudder.node.servers import UpstreamCall
-from leadrudder.protocol.mesh_pb2 import Delivery, Waybill
-from leadrudder.protocol.outcome import Ran, Verdict
+from leadrudder.protocol.mesh_pb2 import ForwardRequest, ForwardResponse
+from leadrudder.protocol.outcome import Executed, RequestFailure
 from leadrudder.transport.http import WholeMessage
 
 SERVER_TIMEOUT_GRACE_S = 0.1  # a server reports that its time is over; wait for that answer
@@ -34,7 +34,7 @@
     )
 )
 
-Deliver = Callable[[Delivery], None]
+Deliver = Callable[[ForwardResponse], None]
 Withdraw = Callable[[bool], None]  # argument: whether the client has disconnected
 
 
@@ -57,7 +57,7 @@
         admission: AdmissionController,
         local_server: LocalServer,
         log: Callable[[str], None],
-        is_lent: Callable[[Waybill], bool] = lambda waybill: False,
+        is_lent: Callable[[ForwardRequest], bool] = lambda waybill: False,
         on_unsafe_run: Callable[[int], None] | None = None,
     ) -> None:
         """is_lent: whether this machine is now excluded from the traffic of a waybill.
@@ -74,7 +74,7 @@
         self._loop = asyncio.get_running_loop()
         self._queue_timer: asyncio.TimerHandle | None = None
 
-    def handle(self, waybill: Waybill, deliver: Deliver) -> Withdraw:
+    def handle(self, waybill: ForwardRequest, deliver: Deliver) -> Withdraw:
         """Admit a call; returns a function that withdraws it.
 
         A queued call is dropped. A running call is cancelled only if the client has disconnected and the
@@ -82,9 +82,9 @@
         """
         call: UpstreamCall | None = None
 
-        def refuse(verdict: Verdict) -> None:
+        def refuse(verdict: RequestFailure) -> None:
             deliver(
-                Delivery(
+                ForwardResponse(
                     number=waybill.number, ran=int(verdict.ran), why=verdict.why, retry_ms=verdict.retry_ms
                 )
             )
@@ -100,14 +100,14 @@
                 call.cancel(Outcome.CANCELLED)
 
         if self._is_lent(waybill):
-            refuse(Verdict(Ran.NEVER, "lent"))
+            refuse(RequestFailure(Executed.NEVER, "lent"))
             return no_withdrawal
         queued = self.admission.admit(waybill, self._loop.time(), start, refuse)
         if queued is not None:
             self._process_queue()
         return withdraw
 
-    def _run(self, waybill: Waybill, deliver: Deliver) -> UpstreamCall:
+    def _run(self, waybill: ForwardRequest, deliver: Deliver) -> UpstreamCall:
         started_at = self._loop.time()
         content_length = b""
         if waybill.body or waybill.method not in (b"GET", b"HEAD", b"DELETE"):
@@ -135,27 +135,29 @@
             waybill.server, request, waybill.left_ms / 1000.0 + SERVER_TIMEOUT_GRACE_S, ended
         )
 
-    def _make_delivery(self, waybill: Waybill, outcome: Outcome, message: WholeMessage | None) -> Delivery:
-        delivery = Delivery(number=waybill.number)
+    def _make_delivery(
+        self, waybill: ForwardRequest, outcome: Outcome, message: WholeMessage | None
+    ) -> ForwardResponse:
+        delivery = ForwardResponse(number=waybill.number)
         if message is None:
             if outcome in (Outcome.CONNECT_FAILED, Outcome.MOOT):
-                delivery.ran, delivery.why = Ran.NEVER, "down"
+                delivery.ran, delivery.why = Executed.NEVER, "down"
             else:
-                delivery.ran = Ran.MAYBE
+                delivery.ran = Executed.MAYBE
                 delivery.why = "time" if outcome is Outcome.TIMEOUT else outcome.value
             return delivery
         status = message.status
         if NOT_RUN_HEADER in message.headers or status == 421:
-            delivery.ran, delivery.why = Ran.NEVER, "turned away"
+            delivery.ran, delivery.why = Executed.NEVER, "turned away"
             return delivery
         if 200 <= status < 300 and (
             SERVER_SEAL_HEADER not in message.headers or b"content-encoding" in message.headers
         ):
-            delivery.ran, delivery.why = Ran.MAYBE, "spoilt"
+            delivery.ran, delivery.why = Executed.MAYBE, "spoilt"
             return delivery
         if self._on_unsafe_run is not None and waybill.once:
             self._on_unsafe_run(waybill.epoch)
-        delivery.ran, delivery.status = Ran.YES, status
+        delivery.ran, delivery.status = Executed.YES, status
         delivery.fields, delivery.body = forwarded_headers(message), message.body
         return delivery
 
--- a/leadrudder/data_plane/load_balancer.py
+++ b/leadrudder/data_plane/load_balancer.py
@@ -19,8 +19,8 @@
 from leadrudder.data_plane.retry_budget import RetryBudget
 from leadrudder.interface import Effect, Outcome, ServerId
 from leadrudder.policy.decide import Balancer
-from leadrudder.protocol.mesh_pb2 import Delivery
-from leadrudder.protocol.outcome import Ran, Reply, Verdict, worst
+from leadrudder.protocol.mesh_pb2 import ForwardResponse
+from leadrudder.protocol.outcome import Executed, RequestFailure, ServerResponse, combined_failure
 from leadrudder.recovery.strain import Saturation
 
 MAX_ATTEMPTS = 3  # per request, including those refused by admission control
@@ -55,7 +55,7 @@
     body: bytes
     attempt_id: bytes
     deadline: float  # seconds on the loop's clock
-    on_answer: Callable[[Reply | Verdict], None]
+    on_answer: Callable[[ServerResponse | RequestFailure], None]
     started_at: float = 0.0  # seconds on the loop's clock
     waited_ms: float = 0.0  # by the client before this request, estimated from its remaining time
     epoch: int = 0  # ledger epoch in which it started; 0 if there is no ledger
@@ -63,17 +63,17 @@
     arrivals: int = 0  # attempts that reached a server or may have
     attempts_sent: int = 0
     in_flight: dict[int, Callable[[bool], None]] = field(default_factory=dict)  # withdraws each
-    verdicts: list[Verdict] = field(default_factory=list)
-    error_reply: Reply | None = None  # a server's answer other than a success
+    verdicts: list[RequestFailure] = field(default_factory=list)
+    error_reply: ServerResponse | None = None  # a server's answer other than a success
 
-    def answer(self, result: Reply | Verdict) -> None:
+    def answer(self, result: ServerResponse | RequestFailure) -> None:
         if not self.done:
             self.done = True
             self.on_answer(result)
 
 
 SendAttempt = Callable[
-    [ClientRequest, Route, str, bool, bool, Callable[[Delivery], None]], Callable[[bool], None]
+    [ClientRequest, Route, str, bool, bool, Callable[[ForwardResponse], None]], Callable[[bool], None]
 ]
 
 
@@ -191,10 +191,10 @@
             return
         verdicts = list(client_request.verdicts)
         if client_request.in_flight:
-            verdicts.append(Verdict(Ran.MAYBE, reason))
+            verdicts.append(RequestFailure(Executed.MAYBE, reason))
         if reason != "time" and verdicts and verdicts[-1].why == "time":
             reason = "time"
-        client_request.answer(worst(verdicts, reason))
+        client_request.answer(combined_failure(verdicts, reason))
 
     # ------------------------------------------------------------ the policy module
 
@@ -212,7 +212,9 @@
             client_request = self._client_requests.get(action.request)
             if client_request is not None and not client_request.done:
                 if isinstance(action, api.Refuse) and action.retry_after_ms:
-                    client_request.verdicts.append(Verdict(Ran.NEVER, "refused", action.retry_after_ms))
+                    client_request.verdicts.append(
+                        RequestFailure(Executed.NEVER, "refused", action.retry_after_ms)
+                    )
                 self._finish(client_request, "refused")
                 self._remove_if_finished(action.request, client_request)
         elif isinstance(action, api.Cancel):
@@ -247,7 +249,7 @@
         client_request.in_flight[attempt] = lambda client_left: None
         ended_early = False
 
-        def delivered(delivery: Delivery) -> None:
+        def delivered(delivery: ForwardResponse) -> None:
             nonlocal ended_early
             ended_early = True
             self._on_delivery(number, attempt, action.server, started_at, client_request, delivery)
@@ -280,7 +282,7 @@
             return
         client_request.in_flight.pop(attempt)(client_left)
         client_request.verdicts.append(
-            Verdict(Ran.MAYBE, "time" if outcome is Outcome.TIMEOUT else "withdrawn")
+            RequestFailure(Executed.MAYBE, "time" if outcome is Outcome.TIMEOUT else "withdrawn")
         )
         client_request.arrivals += 1
         server, started_at = found
@@ -297,7 +299,7 @@
         server: ServerId,
         started_at: float,
         client_request: ClientRequest,
-        delivery: Delivery,
+        delivery: ForwardResponse,
     ) -> None:
         if attempt not in client_request.in_flight:
             return
@@ -322,22 +324,22 @@
         self._remove_if_finished(number, client_request)
 
     def _classify(
-        self, client_request: ClientRequest, server: ServerId, elapsed_ms: float, delivery: Delivery
+        self, client_request: ClientRequest, server: ServerId, elapsed_ms: float, delivery: ForwardResponse
     ) -> Outcome:
         """The outcome of an attempt in the policy's terms; a success is passed to the client at once."""
-        ran = Ran(delivery.ran)
+        ran = Executed(delivery.ran)
         if delivery.status:
             client_request.arrivals += 1
-            reply = Reply(delivery.status, delivery.fields, delivery.body)
+            reply = ServerResponse(delivery.status, delivery.fields, delivery.body)
             if 200 <= delivery.status < 300:
                 client_request.answer(reply)
                 return Outcome.OK
             client_request.error_reply = reply
-            client_request.verdicts.append(Verdict(Ran.YES, f"status {delivery.status}"))
+            client_request.verdicts.append(RequestFailure(Executed.YES, f"status {delivery.status}"))
             # A 500 is as often caused by a service that the server calls: only four in a row eject it.
             return Outcome.REJECTED if delivery.status < 500 else Outcome.SPOILT
-        client_request.verdicts.append(Verdict(ran, delivery.why, delivery.retry_ms))
-        if ran is not Ran.NEVER:
+        client_request.verdicts.append(RequestFailure(ran, delivery.why, delivery.retry_ms))
+        if ran is not Executed.NEVER:
             client_request.arrivals += 1
             return Outcome.SPOILT if delivery.why == Outcome.SPOILT.value else Outcome.RESET
         if delivery.why == "turned away":
--- a/leadrudder/data_plane/mesh_state.py
+++ b/leadrudder/data_plane/mesh_state.py
@@ -22,7 +22,7 @@
 from leadrudder.data_plane.load_balancer import SendAttempt
 from leadrudder.data_plane.machine_drains import Lent
 from leadrudder.data_plane.upstreams import Upstreams
-from leadrudder.membership.registry import Register
+from leadrudder.membership.registry import MemberRegistry
 from leadrudder.observability.invariants import Invariants
 from leadrudder.observability.metrics import Metrics
 from leadrudder.protocol import mesh_pb2 as wire
@@ -54,7 +54,7 @@
     ) -> None:
         self.book = Book()
         self.routing = RoutingTable()
-        self.members = Register("")
+        self.members = MemberRegistry("")
         self.endpoints = EndpointTable()
         self.upstreams = Upstreams(settings.bounds, self.candidates, carry, note, rng)
         self.changes = ChangeQueue(self._carry_out, monotonic)
@@ -84,11 +84,11 @@
 
     # ------------------------------------------------------------ news
 
-    def take(self, news: wire.News) -> None:
+    def take(self, news: wire.StateUpdate) -> None:
         """What a signalbox tells: items, members, or all of both."""
         self._take_items(news.items)
         pending = self.changes.pending
-        members = {node.name for node in self.members.take(news.nodes)}
+        members = {node.name for node in self.members.merge(news.nodes)}
         if news.whole:
             members |= self._forget_members({node.name for node in news.nodes})
         if members:
@@ -105,7 +105,7 @@
 
     def take_own(self, member: Node, entry: Node) -> None:
         """Our own membership, and the same with our server; carried out with the next pass."""
-        if self.members.take([member]):
+        if self.members.merge([member]):
             self.changes.pending.members = True
         self.newsstand.take([entry])
 
--- a/leadrudder/data_plane/outbound.py
+++ b/leadrudder/data_plane/outbound.py
@@ -17,7 +17,7 @@
 from leadrudder.data_plane.load_balancer import MIN_RETRY_AFTER_MS, ClientRequest
 from leadrudder.node.http import HttpMessage, HttpMessageError
 from leadrudder.observability.loop_lag import BEHIND_S
-from leadrudder.protocol.outcome import Reply, Verdict
+from leadrudder.protocol.outcome import RequestFailure, ServerResponse
 from leadrudder.transport.http import WholeMessage, WholeReader, rendered
 
 MAX_PIPELINED_REQUESTS = 64  # open on one connection; beyond that it is not read
@@ -299,7 +299,7 @@
         self.open_requests += 1
         self._held_bytes_total += body_bytes
 
-        def answered(result: Reply | Verdict) -> None:
+        def answered(result: ServerResponse | RequestFailure) -> None:
             self.open_requests -= 1
             self._held_bytes_total -= body_bytes
             write(lambda close: _render_result(result, attempt_id, close))
@@ -323,8 +323,8 @@
         write(lambda close: rendered(status, fields, b"", close=close))
 
 
-def _render_result(result: Reply | Verdict, attempt_id: bytes, close: bool) -> bytes:
-    if isinstance(result, Reply):
+def _render_result(result: ServerResponse | RequestFailure, attempt_id: bytes, close: bool) -> bytes:
+    if isinstance(result, ServerResponse):
         return rendered(result.status, result.fields, result.body, close=close)
     status, fields = result.status(), b"Attempt-Id: %s\r\n" % attempt_id
     if status == 503:
--- a/leadrudder/data_plane/peer_links.py
+++ b/leadrudder/data_plane/peer_links.py
@@ -6,15 +6,15 @@
 from collections.abc import Callable
 
 from leadrudder.data_plane.inbound import Withdraw
-from leadrudder.protocol.mesh_pb2 import Delivery, Frame, Waybill, Withdrawal
-from leadrudder.protocol.outcome import Ran
+from leadrudder.protocol.mesh_pb2 import CancelRequest, ForwardRequest, ForwardResponse, Frame
+from leadrudder.protocol.outcome import Executed
 from leadrudder.transport.link import IDLE_DIALLED_S, Link, dial
 
 SILENCE_TIMEOUT_S = 1.5  # without frames from a peer while calls are in flight
 PING_INTERVAL_S = 0.4
 IDLE_TIMEOUT_S = 30.0  # after which an unused link is closed
 
-Deliver = Callable[[Delivery], None]
+Deliver = Callable[[ForwardResponse], None]
 
 
 class PeerLink:
@@ -26,11 +26,11 @@
         self._loop = asyncio.get_running_loop()
         self._link: Link | None = None
         self._dial_task: asyncio.Task[None] | None = None
-        self._unsent: list[tuple[Waybill, Deliver]] = []
+        self._unsent: list[tuple[ForwardRequest, Deliver]] = []
         self._in_flight: dict[int, Deliver] = {}
         self._last_number = 0
 
-    def send(self, waybill: Waybill, deliver: Deliver) -> Withdraw:
+    def send(self, waybill: ForwardRequest, deliver: Deliver) -> Withdraw:
         """deliver is called once, also if the link fails; returns a function to withdraw the waybill."""
         self.last_used = self._loop.time()
         self._last_number += 1
@@ -43,16 +43,16 @@
                 self._dial_task = self._loop.create_task(self._dial())
         return lambda client_left: self._withdraw(number, client_left)
 
-    def _write(self, link: Link, waybill: Waybill, deliver: Deliver) -> None:
+    def _write(self, link: Link, waybill: ForwardRequest, deliver: Deliver) -> None:
         if not link.send(Frame(waybill=waybill)):
-            deliver(Delivery(number=waybill.number, ran=Ran.NEVER, why="unreachable"))
+            deliver(ForwardResponse(number=waybill.number, ran=Executed.NEVER, why="unreachable"))
             return
         self._in_flight[waybill.number] = deliver
         link.watch()
 
     def _withdraw(self, number: int, client_left: bool) -> None:
         if self._in_flight.pop(number, None) is not None and self._link is not None:
-            self._link.send(Frame(withdrawal=Withdrawal(number=number, client_left=client_left)))
+            self._link.send(Frame(withdrawal=CancelRequest(number=number, client_left=client_left)))
         self._unsent = [
             (queued, on_delivery) for queued, on_delivery in self._unsent if queued.number != number
         ]
@@ -67,7 +67,7 @@
             if link is not None and link.up:
                 self._write(link, waybill, deliver)
             else:
-                deliver(Delivery(number=waybill.number, ran=Ran.NEVER, why="unreachable"))
+                deliver(ForwardResponse(number=waybill.number, ran=Executed.NEVER, why="unreachable"))
 
     def on_up(self, link: Link) -> None:
         link.wants_life, link.every_s = False, IDLE_DIALLED_S  # the peer does not wait for this node
@@ -87,7 +87,7 @@
             self._link = None
             in_flight, self._in_flight = self._in_flight, {}
             for number, deliver in in_flight.items():
-                deliver(Delivery(number=number, ran=Ran.MAYBE, why="link"))
+                deliver(ForwardResponse(number=number, ran=Executed.MAYBE, why="link"))
 
     def is_idle(self, now: float) -> bool:
         return not self._in_flight and not self._unsent and now - self.last_used > IDLE_TIMEOUT_S
@@ -104,7 +104,7 @@
         self._links: dict[str, PeerLink] = {}
         self._loop = asyncio.get_running_loop()
 
-    def send(self, address: str, waybill: Waybill, deliver: Deliver) -> Withdraw:
+    def send(self, address: str, waybill: ForwardRequest, deliver: Deliver) -> Withdraw:
         peer_link = self._links.get(address)
         if peer_link is None:
             peer_link = self._links[address] = PeerLink(address)
--- a/leadrudder/data_plane/request_accounting.py
+++ b/leadrudder/data_plane/request_accounting.py
@@ -9,15 +9,15 @@
 from leadrudder.maintenance.ledger import Ledger, epoch_of
 from leadrudder.observability.invariants import Invariants
 from leadrudder.observability.traffic import Answered, Traffic
-from leadrudder.protocol.outcome import Ran, Reply, Verdict
+from leadrudder.protocol.outcome import Executed, RequestFailure, ServerResponse
 
 DEADLINE_TOLERANCE_S = 0.5  # after its deadline, by which every request must have been answered
 
 
-def classify_answer(result: Reply | Verdict, took_ms: float, target_ms: float) -> Answered:
+def classify_answer(result: ServerResponse | RequestFailure, took_ms: float, target_ms: float) -> Answered:
     """The metric category of a client's answer."""
-    if isinstance(result, Verdict):
-        return Answered.REFUSED if result.ran is Ran.NEVER else Answered.FAILED
+    if isinstance(result, RequestFailure):
+        return Answered.REFUSED if result.ran is Executed.NEVER else Answered.FAILED
     if not 200 <= result.status < 300:
         return Answered.FAILED
     return Answered.IN_TARGET if took_ms <= target_ms else Answered.LATE
@@ -50,7 +50,7 @@
         if self._ledger is not None:
             client_request.epoch = epoch_of(self._wall())
 
-        def record_answer(result: Reply | Verdict) -> None:
+        def record_answer(result: ServerResponse | RequestFailure) -> None:
             took_ms = 1000.0 * (self._now() - client_request.started_at)
             self._traffic.answered[classify_answer(result, took_ms, route.target_ms)] += 1
             self._check_deadline(client_request)
@@ -77,10 +77,10 @@
         route: Route,
         service: str,
         client_request: ClientRequest,
-        result: Reply | Verdict,
+        result: ServerResponse | RequestFailure,
         took_ms: float,
     ) -> None:
         request_id = client_request.attempt_id.decode("latin-1")
         ledger.answered(service, client_request.epoch, route.once, request_id, result, took_ms)
-        if route.once and isinstance(result, Verdict) and result.ran is not Ran.NEVER:
+        if route.once and isinstance(result, RequestFailure) and result.ran is not Executed.NEVER:
             self._log(f"in doubt: {request_id} of {route.name}: {result.why}")
--- a/leadrudder/storage/writer.py
+++ b/leadrudder/storage/writer.py
@@ -1,6 +1,6 @@
-"""Writes batches in a thread of its own, so that the loop goes on while a disk hangs.
+"""Writes batches in a separate thread, so that the event loop keeps running while a disk hangs.
 
-What is handed over while a batch is being written is written together as the next.
+Records that arrive while a batch is being written form the next batch.
 """
 
 from __future__ import annotations
@@ -12,51 +12,51 @@
 
 from leadrudder.storage.store import DiskError, Store
 
-Done = Callable[[], None]
-RETRY_S = 0.2
+Callback = Callable[[], None]
+RETRY_DELAY_S = 0.2
 
 
-class Writes(Protocol):
-    """What a signalbox asks of whatever writes its batches."""
+class BatchWriter(Protocol):
+    """The interface of a writer of batches."""
 
-    def put(self, records: dict[str, bytes], done: Done) -> None: ...
+    def put(self, records: dict[str, bytes], done: Callback) -> None: ...
 
-    def after(self, done: Done) -> None: ...
+    def after(self, done: Callback) -> None: ...
 
     def stop(self, wait_s: float) -> None: ...
 
 
-class Writer:
-    """done is called in the loop once its records are on disk; a disk that refuses is tried again."""
+class ThreadedWriter:
+    """Calls done in the event loop once its records are on disk; retries after disk errors."""
 
-    def __init__(self, store: Store, told: Callable[[str], None]) -> None:
+    def __init__(self, store: Store, report: Callable[[str], None]) -> None:
         self._store = store
-        self._told = told  # a line when the disk refuses
+        self._report = report  # reports disk errors
         self._loop = asyncio.get_running_loop()
         self._lock = threading.Condition()
-        self._waiting: dict[str, bytes] = {}
-        self._callbacks: list[Done] = []
-        self._busy = False
+        self._pending: dict[str, bytes] = {}
+        self._callbacks: list[Callback] = []
+        self._writing = False
         self._stopped = False
         self._thread = threading.Thread(target=self._work, name="depot", daemon=True)
         self._thread.start()
 
-    def put(self, records: dict[str, bytes], done: Done) -> None:
+    def put(self, records: dict[str, bytes], done: Callback) -> None:
         with self._lock:
-            self._waiting.update(records)
+            self._pending.update(records)
             self._callbacks.append(done)
             self._lock.notify()
 
-    def after(self, done: Done) -> None:
-        """Call done once all that was put so far is on disk: at once where nothing waits."""
+    def after(self, done: Callback) -> None:
+        """Call done once all records put so far are on disk; immediately if none are pending."""
         with self._lock:
-            if self._busy or self._callbacks:
+            if self._writing or self._callbacks:
                 self._callbacks.append(done)
                 return
         done()
 
     def stop(self, wait_s: float) -> None:
-        """Write what waits, if the disk takes it in time."""
+        """Write pending records, if the disk accepts them in time."""
         with self._lock:
             self._stopped = True
             self._lock.notify()
@@ -70,26 +70,26 @@
                 if not self._callbacks:
                     self._store.close()
                     return
-                records, self._waiting = self._waiting, {}
+                records, self._pending = self._pending, {}
                 callbacks, self._callbacks = self._callbacks, []
-                self._busy = True
+                self._writing = True
             while records:
                 try:
                     self._store.commit(records)
                     break
                 except DiskError as error:
-                    self._call(lambda error=error: self._told(f"disk refused a batch: {error}"))  # type: ignore[misc]
+                    self._call(lambda error=error: self._report(f"disk error, retrying the batch: {error}"))  # type: ignore[misc]
                     with self._lock:
                         if self._stopped:
                             return
-                        self._lock.wait(RETRY_S)
+                        self._lock.wait(RETRY_DELAY_S)
             with self._lock:
-                self._busy = False
+                self._writing = False
             for done in callbacks:
                 self._call(done)
 
-    def _call(self, done: Done) -> None:
+    def _call(self, done: Callback) -> None:
         try:
             self._loop.call_soon_threadsafe(done)
         except RuntimeError:
-            return  # the loop has ended: nobody waits
+            return  # the event loop has ended, so nobody waits
--- a/tests/mesh/test_admission_control.py
+++ b/tests/mesh/test_admission_control.py
@@ -8,8 +8,8 @@
 from leadrudder.data_plane.admission_control import AdmissionController, ServerInstance
 from leadrudder.data_plane.retry_budget import RetryBudget
 from leadrudder.data_plane.service_times import MAX_KINDS, ServiceTimes
-from leadrudder.protocol.mesh_pb2 import Waybill
-from leadrudder.protocol.outcome import Ran, Verdict, worst
+from leadrudder.protocol.mesh_pb2 import ForwardRequest
+from leadrudder.protocol.outcome import Executed, RequestFailure, combined_failure
 
 
 class AdmissionControl(unittest.TestCase):
@@ -17,13 +17,13 @@
         self.admission = AdmissionController(Bounds())
         self.admission.on_heartbeat(ServerInstance("i-1", "s", "z", 2), False, 1, 0.0, 0.0)
         self.started: list[int] = []
-        self.refused: list[Verdict] = []
+        self.refused: list[RequestFailure] = []
 
     def offer_call(self, now: float, **fields: object) -> None:
         waybill_fields = {"server": "i-1", "left_ms": 1000.0, "may_wait": True, "priority": 1, **fields}
         number = len(self.started) + len(self.refused) + 100
         self.admission.admit(
-            Waybill(**waybill_fields),  # type: ignore[arg-type]
+            ForwardRequest(**waybill_fields),  # type: ignore[arg-type]
             now,
             lambda: self.started.append(number),
             self.refused.append,
@@ -35,7 +35,7 @@
     def test_only_calls_for_the_current_instance_are_started(self) -> None:
         self.offer_call(0.0, server="i-0")
         self.assertEqual(self.refusal_reasons(), ["gone"])
-        self.assertIs(self.refused[0].ran, Ran.NEVER)
+        self.assertIs(self.refused[0].ran, Executed.NEVER)
 
     def test_a_draining_server_gets_only_last_attempts_and_soon_nothing(self) -> None:
         self.admission.on_heartbeat(ServerInstance("i-1", "s", "z", 2), True, 2, 0.0, 1.0)
@@ -68,7 +68,7 @@
         self.offer_call(0.0, once=True, attempt_id=b"a")
         self.offer_call(0.1, once=True, attempt_id=b"a")
         self.assertEqual((len(self.started), self.refusal_reasons()), (1, ["seen"]))
-        self.assertIs(self.refused[0].ran, Ran.MAYBE)
+        self.assertIs(self.refused[0].ran, Executed.MAYBE)
 
     def test_a_refused_unsafe_request_may_be_sent_again(self) -> None:
         self.admission.running_calls = 2
@@ -110,7 +110,7 @@
         times: list[float] = []
         for i in range(3000):
             now = 0.001 * i
-            waybill = Waybill(server="i-1", left_ms=500.0, may_wait=True, priority=1)
+            waybill = ForwardRequest(server="i-1", left_ms=500.0, may_wait=True, priority=1)
             self.admission.admit(waybill, now, lambda now=now: times.append(now), lambda verdict: None)  # type: ignore[misc]
             self.admission.process_queue(now)
             self.admission.running_calls = 0
@@ -132,12 +132,12 @@
                 self.admission.running_calls += 1
                 self.admission.on_call_ended(took_ms, 0.0, target_ms)
         self.started: list[str] = []
-        self.refused: list[tuple[str, Verdict]] = []
+        self.refused: list[tuple[str, RequestFailure]] = []
 
     def offer_call(self, name: str, now: float, target_ms: float = LOOKUP, **fields: object) -> None:
         waybill_fields = {"server": "i-1", "left_ms": 1000.0, "aim_ms": target_ms, "priority": 1, **fields}
         self.admission.admit(
-            Waybill(target_ms=target_ms, **waybill_fields),  # type: ignore[arg-type]
+            ForwardRequest(target_ms=target_ms, **waybill_fields),  # type: ignore[arg-type]
             now,
             lambda: self.started.append(name),
             lambda verdict: self.refused.append((name, verdict)),
@@ -202,10 +202,10 @@
         self.assertLessEqual(spent, 0.2 * 1000 + 55.0 / 12)
 
     def test_never_ran_is_reported_only_if_it_holds_for_all_attempts(self) -> None:
-        never, maybe = Verdict(Ran.NEVER, "full", 30.0), Verdict(Ran.MAYBE, "link")
-        self.assertEqual(worst([never, never], "refused").status(), 503)
-        self.assertEqual(worst([never, maybe], "refused").status(), 502)
-        self.assertEqual(worst([maybe], "time").status(), 504)
+        never, maybe = RequestFailure(Executed.NEVER, "full", 30.0), RequestFailure(Executed.MAYBE, "link")
+        self.assertEqual(combined_failure([never, never], "refused").status(), 503)
+        self.assertEqual(combined_failure([never, maybe], "refused").status(), 502)
+        self.assertEqual(combined_failure([maybe], "time").status(), 504)
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_emulation.py
+++ b/tests/mesh/test_emulation.py
@@ -7,12 +7,12 @@
 from typing import Any
 
 from bench.window import LOOKUPS, contracts, route
-from leadrudder.consensus.lease import POSSESSION
+from leadrudder.consensus.lease import MAINTENANCE
 from leadrudder.emulation.fleet import COLD_PER_S, Bookings, Fleet, Machine, Plan
 from leadrudder.emulation.standins import Wish
 from leadrudder.maintenance.ledger import EPOCH_S, LAG, Ledger, Totals, report
 from leadrudder.mesh import windows
-from leadrudder.protocol.outcome import Reply
+from leadrudder.protocol.outcome import ServerResponse
 from leadrudder.simulation import world
 
 PLAN = Plan(
@@ -165,7 +165,7 @@
     def test_a_booking_that_ran_twice_or_never_is_told(self) -> None:
         here, there = Ledger(), Ledger()
         for number in range(3):
-            here.answered("var", 100, True, f"x{number}", Reply(200, b"", b""), 50.0)
+            here.answered("var", 100, True, f"x{number}", ServerResponse(200, b"", b""), 50.0)
         for _ in range(2):
             there.ran("var", 100)
         epochs = 100 * EPOCH_S + LAG * EPOCH_S
@@ -256,7 +256,7 @@
 
     def holds(self, machine: Machine, fleet: Fleet) -> bool:
         box = machine.signalbox
-        return box is not None and box.interlocking.leases.holds(POSSESSION, fleet.now)
+        return box is not None and box.interlocking.leases.holds(MAINTENANCE, fleet.now)
 
     def state(self, fleet: Fleet) -> str:
         """The window's, as a signalbox that is left has it."""
@@ -310,7 +310,7 @@
         fleet.play(14.0)
         self.assertEqual(len(self.lent(fleet)), 5)
         holders = [
-            m for m in fleet.core if m.signalbox and m.signalbox.interlocking.leases.holds(POSSESSION, 14.0)
+            m for m in fleet.core if m.signalbox and m.signalbox.interlocking.leases.holds(MAINTENANCE, 14.0)
         ]
         self.assertEqual(len(holders), 1)
         fleet.kill(holders[0], "signalbox")
--- a/tests/mesh/test_graceful_shutdown.py
+++ b/tests/mesh/test_graceful_shutdown.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from leadrudder.configuration.items import Limits, Route
-from leadrudder.consensus.state_machine import Interlocking
+from leadrudder.consensus.state_machine import ControlStateMachine
 from leadrudder.data_plane.load_balancer import ClientRequest
 from leadrudder.emulation.fleet import Fleet, Machine
 from leadrudder.storage.store import MemoryStore
@@ -49,7 +49,7 @@
         while fleet.now < began + GRACE_S:
             fleet.play(fleet.now + 0.05)
             assert wiped.signalbox is not None and leaving.signalbox is not None
-            if not filled_at and wiped.signalbox.interlocking.seats.full:
+            if not filled_at and wiped.signalbox.interlocking.voter_table.full:
                 filled_at = fleet.now
             if not left_at and leaving.signalbox.interlocking.resigned:
                 left_at = fleet.now
@@ -64,7 +64,7 @@
         self.assertEqual(after, [200])
 
     def test_one_that_left_at_once_would_leave_no_majority(self) -> None:
-        with mock.patch.object(Interlocking, "may_leave", lambda self: True):
+        with mock.patch.object(ControlStateMachine, "may_leave", lambda self: True):
             fleet, _, leaving = self._wiped_and_another_told_to_end()
             fleet.play(fleet.now + 1.0)
             fleet.kill(leaving, "signalbox")
--- a/tests/mesh/test_load_balancer.py
+++ b/tests/mesh/test_load_balancer.py
@@ -11,8 +11,8 @@
 from leadrudder.data_plane.candidates import Distance
 from leadrudder.data_plane.load_balancer import FLOOR_SHARE, ClientRequest, LoadBalancer
 from leadrudder.data_plane.retry_budget import RetryBudget
-from leadrudder.protocol.mesh_pb2 import Delivery
-from leadrudder.protocol.outcome import Ran, Reply, Verdict
+from leadrudder.protocol.mesh_pb2 import ForwardResponse
+from leadrudder.protocol.outcome import Executed, RequestFailure, ServerResponse
 
 
 class Clock:
@@ -40,8 +40,8 @@
 class LoadBalancerTest(unittest.TestCase):
     def set_up(self, *, once: bool = False, servers: tuple[str, ...] = ("a", "b", "c")) -> None:
         self.clock = Clock()
-        self.calls: list[tuple[str, bool, Callable[[Delivery], None]]] = []
-        self.answers: list[Reply | Verdict] = []
+        self.calls: list[tuple[str, bool, Callable[[ForwardResponse], None]]] = []
+        self.answers: list[ServerResponse | RequestFailure] = []
         self.withdrawn: list[tuple[str, bool]] = []  # servers, and whether because the client had left
         route = Route("r", "h", "/", once, 1000.0, 250.0, 1, (("s", 1.0),), 2, 1)
         with mock.patch("asyncio.get_running_loop", return_value=self.clock):
@@ -57,7 +57,7 @@
         server: str,
         may_wait: bool,
         is_repeat: bool,
-        deliver: Callable[[Delivery], None],
+        deliver: Callable[[ForwardResponse], None],
     ) -> Callable[[bool], None]:
         self.calls.append((server, may_wait, deliver))
         return lambda client_left: self.withdrawn.append((server, client_left))
@@ -71,7 +71,7 @@
     def end_last_attempt(self, after_s: float, **delivery_fields: Any) -> str:
         self.clock.now += after_s
         server, _, deliver = self.calls[-1]
-        deliver(Delivery(**delivery_fields))
+        deliver(ForwardResponse(**delivery_fields))
         self.clock.run()
         return server
 
@@ -86,7 +86,7 @@
         self.assertEqual(len(self.answers), 1)
         self.assertEqual(self.policy_state(), before)
         disconnect()
-        self.calls[0][2](Delivery(ran=2, status=200))  # a late delivery is ignored
+        self.calls[0][2](ForwardResponse(ran=2, status=200))  # a late delivery is ignored
         self.clock.run()
         self.assertEqual((len(self.calls), len(self.answers), len(self.withdrawn)), (1, 1, 1))
 
@@ -147,7 +147,9 @@
         self.assertEqual([may_wait for _, may_wait, _ in self.calls], [False, False, True])
         self.assertEqual(len({server for server, _, _ in self.calls}), 3)
         self.end_last_attempt(0.05, ran=2, status=200)
-        self.assertEqual([answer.status for answer in self.answers if isinstance(answer, Reply)], [200])
+        self.assertEqual(
+            [answer.status for answer in self.answers if isinstance(answer, ServerResponse)], [200]
+        )
 
     def test_a_full_server_is_not_selected_for_part_of_its_wait(self) -> None:
         self.set_up()
@@ -196,8 +198,8 @@
         self.end_last_attempt(0.05, ran=1, why="link")
         self.assertEqual(len(self.calls), 1)
         (verdict,) = self.answers
-        assert isinstance(verdict, Verdict)
-        self.assertEqual((verdict.ran, verdict.status()), (Ran.MAYBE, 502))
+        assert isinstance(verdict, RequestFailure)
+        self.assertEqual((verdict.ran, verdict.status()), (Executed.MAYBE, 502))
 
     def test_a_safe_request_is_attempted_as_often_as_its_route_allows(self) -> None:
         self.set_up()
@@ -221,7 +223,7 @@
         self.send_request()
         self.end_last_attempt(0.02, ran=2, status=500, body=b"why")
         (reply,) = self.answers
-        assert isinstance(reply, Reply)
+        assert isinstance(reply, ServerResponse)
         self.assertEqual((reply.status, reply.body), (500, b"why"))
 
 
--- a/tests/mesh/test_outbound.py
+++ b/tests/mesh/test_outbound.py
@@ -14,7 +14,7 @@
 from leadrudder.data_plane.server_connections import LocalServerConnection, ServerRequest
 from leadrudder.interface import Outcome
 from leadrudder.observability.loop_lag import BEHIND_S
-from leadrudder.protocol.outcome import Ran, Reply, Verdict
+from leadrudder.protocol.outcome import Executed, RequestFailure, ServerResponse
 
 ROUTE = Route("r", "h", "/a/", False, 1000.0, 250.0, 1, (("s", 1.0),), 2, 1)
 
@@ -90,7 +90,7 @@
 
     def test_a_client_that_closes_abandons_its_open_requests(self) -> None:
         self.client.data_received(request(attempt="x1") + request(attempt="x2") + request(attempt="x3"))
-        self.client_requests[0].answer(Reply(200, b"", b"first"))
+        self.client_requests[0].answer(ServerResponse(200, b"", b"first"))
         self.client.eof_received()
         self.assertEqual(self.abandoned_ids, [b"x2", b"x3"])
         self.client.data_received(request(attempt="x4"))
@@ -98,7 +98,7 @@
 
     def test_a_reset_abandons_open_requests_and_no_answered_ones(self) -> None:
         self.client.data_received(request(attempt="x1") + request(attempt="x2"))
-        self.client_requests[0].answer(Reply(200, b"", b"first"))
+        self.client_requests[0].answer(ServerResponse(200, b"", b"first"))
         self.client.connection_lost(ConnectionResetError())
         self.assertEqual(self.abandoned_ids, [b"x2"])
 
@@ -107,9 +107,9 @@
 
     def test_answers_keep_the_order_of_the_requests(self) -> None:
         self.client.data_received(request(attempt="x1") + request(attempt="x2"))
-        self.client_requests[1].answer(Reply(200, b"", b"second"))
+        self.client_requests[1].answer(ServerResponse(200, b"", b"second"))
         self.assertEqual(self.transport.written, b"")
-        self.client_requests[0].answer(Reply(200, b"", b"first"))
+        self.client_requests[0].answer(ServerResponse(200, b"", b"first"))
         self.assertLess(self.transport.written.index(b"first"), self.transport.written.index(b"second"))
 
     def test_event_loop_lag_refuses_requests_only_while_it_lasts(self) -> None:
@@ -146,7 +146,7 @@
         self.client.check_timeouts(1000.0, limits)
         self.client.data_received(b"no request\r\n\r\n")  # it is refused after the answer to the open request
         self.assertEqual((self.transport.written, self.transport.ended), (b"", False))
-        self.client_requests[0].answer(Reply(200, b"", b"done"))
+        self.client_requests[0].answer(ServerResponse(200, b"", b"done"))
         self.assertEqual(self.statuses()[0], b"200")
 
     def test_calling_service_is_always_set_by_the_proxy(self) -> None:
@@ -204,8 +204,8 @@
 
     def test_503_is_sent_only_if_nothing_ran(self) -> None:
         self.client.data_received(request() + request())
-        self.client_requests[0].answer(Verdict(Ran.NEVER, "full", 30.0))
-        self.client_requests[1].answer(Verdict(Ran.MAYBE, "time"))
+        self.client_requests[0].answer(RequestFailure(Executed.NEVER, "full", 30.0))
+        self.client_requests[1].answer(RequestFailure(Executed.MAYBE, "time"))
         self.assertEqual(self.statuses(), [b"503", b"504"])
         self.assertEqual(self.transport.written.count(b"Retry-After: 0.030"), 1)
 
@@ -225,14 +225,14 @@
         small_client.connection_made(cast(Any, small_transport))
         small_client.data_received(request(fields="Content-Length: 5\r\n") + b"small")
         self.assertEqual(len(self.client_requests), 2)
-        self.client_requests[0].answer(Reply(200, b"", b""))
-        self.client_requests[1].answer(Reply(200, b"", b""))
+        self.client_requests[0].answer(ServerResponse(200, b"", b""))
+        self.client_requests[1].answer(ServerResponse(200, b"", b""))
         self.assertEqual(self.outbound._held_bytes_total, 0)
 
     def test_no_answer_follows_one_that_closes_the_connection(self) -> None:
         self.client.data_received(request(fields="Connection: close\r\n") + request())
         self.assertEqual(len(self.client_requests), 1)
-        self.client_requests[0].answer(Reply(200, b"", b""))
+        self.client_requests[0].answer(ServerResponse(200, b"", b""))
         self.assertIn(b"Connection: close", self.transport.written)
         self.assertTrue(self.transport.ended)
 
--- a/tests/mesh/test_shedding.py
+++ b/tests/mesh/test_shedding.py
@@ -8,8 +8,8 @@
 
 from leadrudder.emulation.fleet import Fleet
 from leadrudder.observability.loop_lag import BEHIND_S, LoopLag
-from leadrudder.protocol.mesh_pb2 import Frame, Waybill
-from leadrudder.protocol.outcome import Ran
+from leadrudder.protocol.mesh_pb2 import ForwardRequest, Frame
+from leadrudder.protocol.outcome import Executed
 from tests.mesh.test_emulation import PLAN
 
 LAG_START_S, LAG_DURATION_S = 8.0, 1.5
@@ -23,11 +23,13 @@
         assert station is not None
         link = mock.Mock()
         station.on_up(link)
-        waybill = Waybill(number=3, server="i-side-0-0", method=b"GET", target=b"/", left_ms=900.0)
+        waybill = ForwardRequest(number=3, server="i-side-0-0", method=b"GET", target=b"/", left_ms=900.0)
         with mock.patch.object(LoopLag, "seconds", lambda lag: 2 * BEHIND_S):
             station.on_frame(link, Frame(waybill=waybill))
         delivery = cast(Any, link.send.call_args.args[0]).delivery
-        self.assertEqual((delivery.number, Ran(delivery.ran), delivery.why), (3, Ran.NEVER, "behind"))
+        self.assertEqual(
+            (delivery.number, Executed(delivery.ran), delivery.why), (3, Executed.NEVER, "behind")
+        )
         station.on_down(link)
 
     def test_while_one_node_lags_requests_are_served_elsewhere(self) -> None:
