--- a/bench/change_cost.py
+++ b/bench/change_cost.py
@@ -59,17 +59,17 @@
         Gate(settings.bounds),
         Invariants(print),
         carry=lambda *given: lambda client_left: None,
-        carried_out=lambda: None,
-        ask=lambda services: None,
-        fed=lambda: True,
+        on_applied=lambda: None,
+        subscribe=lambda services: None,
+        session_established=lambda: True,
         note=lambda text: None,
         rng=Random(1),
         wall=time.time,
         monotonic=time.monotonic,
-        loans=False,
+        machine_drains_enabled=False,
     )
     nodes = [station(i, 1) for i in range(stations)]
-    made.take(wire.News(items=[route(i, 1) for i in range(routes)], nodes=nodes, served=nodes))
+    made.apply_news(wire.News(items=[route(i, 1) for i in range(routes)], nodes=nodes, served=nodes))
     made.changes.flush()
     for known in list(made.routing.routes.values())[::BALANCERS_PART]:
         made.upstreams.balancer(known, known.split[0][0])
@@ -82,7 +82,7 @@
     for i in range(rounds):
         told = news(2 + i)
         began = time.thread_time()
-        made.take(told)
+        made.apply_news(told)
         made.changes.flush()
         costs.append(1e6 * (time.thread_time() - began))
     return median(costs)
--- a/bench/mesh.py
+++ b/bench/mesh.py
@@ -22,8 +22,8 @@
 from leadrudder.control_simulation.world import Machine, World
 from leadrudder.mesh.demo import Fleet, free_port
 from leadrudder.protocol.mesh_pb2 import Frame, Item, News
-from leadrudder.transport.http import WholeMessage, WholeReader, rendered
-from leadrudder.transport.link import packed
+from leadrudder.transport.http import HttpMessage, HttpReader, render_response
+from leadrudder.transport.link import encode_frame
 
 ROUNDS, REQUESTS, CLIENTS = 5, 600, 8
 BARE_TIMES = 10  # as many requests to the relay
@@ -37,22 +37,22 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._reader = WholeReader(self._answer, requests=True)
+        self._reader = HttpReader(self._answer, requests=True)
 
     def data_received(self, data: bytes) -> None:
         self._reader.feed(data)
 
     def _answer(self, message: object) -> None:
-        assert isinstance(message, WholeMessage)
+        assert isinstance(message, HttpMessage)
         fields = b"Attempt-Id: %s\r\nServer-Seal: s\r\n" % message.headers.get(b"attempt-id", b"")
-        self._transport.write(rendered(200, fields, b"x" * 1500))
+        self._transport.write(render_response(200, fields, b"x" * 1500))
 
 
 async def _client(address: tuple[str, int], numbers: range) -> None:
     """So many requests, one after the other, on one connection."""
     incoming, outgoing = await asyncio.open_connection(*address)
     found: list[int] = []
-    reader = WholeReader(lambda message: found.append(message.status), requests=False)
+    reader = HttpReader(lambda message: found.append(message.status), requests=False)
     for number in numbers:
         head = b"GET /haku/%d HTTP/1.1\r\nHost: demo.example\r\nAttempt-Id: %d\r\nTime-Left: 2000\r\n\r\n"
         outgoing.write(head % (number, number))
@@ -132,10 +132,10 @@
 
 def _apply_ms(nodes: int, item: Item) -> float:
     """From the acknowledgement of a change until the last of so many stations has it."""
-    data = packed(Frame(news=News(items=[item])))
+    data = encode_frame(Frame(news=News(items=[item])))
     began = time.perf_counter()
     for _ in range(200):
-        packed(Frame(news=News(items=[item])))
+        encode_frame(Frame(news=News(items=[item])))
     each_s = (time.perf_counter() - began) / 200
     worst = []
     for seed in range(10):
--- a/bench/soak/planted_faults.py
+++ b/bench/soak/planted_faults.py
@@ -21,7 +21,7 @@
             _, protocol = await asyncio.get_running_loop().create_connection(make, host, port)
         return protocol
 
-    def send_packed(link: Link, data: bytes) -> bool:
+    def send_encoded(link: Link, data: bytes) -> bool:
         if not link.up or link._transport is None or link._transport.is_closing():
             return False
         link._transport.write(data)
@@ -30,7 +30,7 @@
 
     with (
         mock.patch("leadrudder.transport.link.connect", connect),
-        mock.patch.object(Link, "send_packed", send_packed),
+        mock.patch.object(Link, "send_encoded", send_encoded),
     ):
         yield
 
--- a/bench/soak/process.py
+++ b/bench/soak/process.py
@@ -25,7 +25,7 @@
 
 from leadrudder.bootstrap.settings import load  # noqa: E402
 from leadrudder.control_plane.program import Signalbox  # noqa: E402
-from leadrudder.data_plane.program import Station  # noqa: E402
+from leadrudder.data_plane.program import DataPlaneNode  # noqa: E402
 
 RELAY_VARIABLE = "LEADRUDDER_SOAK_RELAY"  # IP:PORT
 HOST_VARIABLE = "LEADRUDDER_SOAK_HOST"  # the machine's own address
@@ -70,7 +70,7 @@
     """plant: a fault of bench.soak.planted_faults that is put in, to see that the soak finds it."""
     settings = load().unwrap()
     with planted(plant) if plant else nullcontext():
-        program = Station(settings) if role == "station" else Signalbox(settings)
+        program = DataPlaneNode(settings) if role == "station" else Signalbox(settings)
         await program.run()
 
 
--- a/bench/window.py
+++ b/bench/window.py
@@ -115,7 +115,11 @@
 
 def lent(fleet: Fleet, machine: Machine) -> int:
     """How many stations hold a machine as lent out of the look-ups just now."""
-    return sum(m.station.state.lent.lent(machine.name, LOOKUPS) for m in fleet.side if m.station is not None)
+    return sum(
+        m.station.state.machine_drains.is_drained(machine.name, LOOKUPS)
+        for m in fleet.side
+        if m.station is not None
+    )
 
 
 def window(seed: int, *, approved: bool = True, lose_holder: bool = False) -> Day:
--- a/leadrudder/control_plane/feeds.py
+++ b/leadrudder/control_plane/feeds.py
@@ -14,7 +14,7 @@
 from leadrudder.observability.invariants import Invariants
 from leadrudder.protocol import mesh_pb2 as wire
 from leadrudder.protocol.mesh_pb2 import Frame, Item, Node
-from leadrudder.transport.link import Link, packed
+from leadrudder.transport.link import Link, encode_frame
 
 UNSENT_MOST = 256 * 1024  # bytes that wait for a station to read, beyond which it counts as behind
 
@@ -33,7 +33,7 @@
 
     def behind(self) -> bool:
         """Whether news is to wait: some waits already, or the link holds too much that was not read."""
-        return self.waits() or self.link.unsent() > UNSENT_MOST
+        return self.waits() or self.link.unsent_bytes() > UNSENT_MOST
 
     def waits(self) -> bool:
         return bool(self.items or self.members or self.servers)
@@ -71,15 +71,15 @@
 
     def most_unsent(self) -> int:
         """Bytes that wait for the station that is furthest behind."""
-        return max((link.unsent() for link in self._feeds), default=0)
+        return max((link.unsent_bytes() for link in self._feeds), default=0)
 
     def begin(self, link: Link, news: wire.News) -> None:
         """The first that a new session is told: all there is."""
-        self._send(link, packed(Frame(news=news)))
+        self._send(link, encode_frame(Frame(news=news)))
 
     def _send(self, link: Link, data: bytes) -> None:
         self._largest = max(self._largest, len(data))
-        link.send_packed(data)
+        link.send_encoded(data)
 
     def add(self, link: Link, station: str) -> None:
         self._feeds[link] = Feed(link, station)
@@ -103,13 +103,13 @@
             return
         feed.wanted = services
         if served := zone_relays.of_services(known, services):
-            self._send(link, packed(Frame(news=wire.News(served=served))))
+            self._send(link, encode_frame(Frame(news=wire.News(served=served))))
 
     # ------------------------------------------------------------ news
 
     def tell_items(self, items: Iterable[Item]) -> None:
         items = list(items)
-        data = packed(Frame(news=wire.News(items=items)))
+        data = encode_frame(Frame(news=wire.News(items=items)))
         for feed in list(self._feeds.values()):
             if feed.behind():
                 feed.items.update(dict.fromkeys(item.key for item in items))
@@ -119,7 +119,7 @@
 
     def tell_members(self, nodes: list[Node], but: Link | None = None) -> None:
         """Members that have come, gone or changed; but: the session that they were heard on."""
-        data = packed(Frame(news=wire.News(nodes=map(zone_relays.bare, nodes))))
+        data = encode_frame(Frame(news=wire.News(nodes=map(zone_relays.bare, nodes))))
         for feed in list(self._feeds.values()):
             if feed.link is but:
                 continue
@@ -142,7 +142,7 @@
             data = data_by_wanted.get(feed.wanted)
             if data is None:
                 served = zone_relays.of_services(nodes, feed.wanted)
-                data = packed(Frame(news=wire.News(served=served))) if served else b""
+                data = encode_frame(Frame(news=wire.News(served=served))) if served else b""
                 data_by_wanted[feed.wanted] = data
             if data:
                 self._send(feed.link, data)
@@ -150,14 +150,14 @@
     def catch_up(self) -> None:
         """To be called some times a second: what waits is told as it is now, where it is read again."""
         for feed in list(self._feeds.values()):
-            if feed.waits() and feed.link.unsent() <= UNSENT_MOST // 2:
+            if feed.waits() and feed.link.unsent_bytes() <= UNSENT_MOST // 2:
                 news = self._waiting(feed)
                 feed.forget()
-                self._send(feed.link, packed(Frame(news=news)))
+                self._send(feed.link, encode_frame(Frame(news=news)))
             self._invariants.check(
                 "a_session_keeps_bounded_bytes_waiting",
-                feed.link.unsent() <= UNSENT_MOST + 2 * self._largest,
-                lambda feed=feed: f"{feed.link.unsent()} bytes wait for {feed.station}",  # type: ignore[misc]
+                feed.link.unsent_bytes() <= UNSENT_MOST + 2 * self._largest,
+                lambda feed=feed: f"{feed.link.unsent_bytes()} bytes wait for {feed.station}",  # type: ignore[misc]
             )
 
     def _waiting(self, feed: Feed) -> wire.News:
--- a/leadrudder/control_plane/maintenance.py
+++ b/leadrudder/control_plane/maintenance.py
@@ -27,7 +27,7 @@
 from leadrudder.maintenance.planner import Machine, Order, Situation, hour_of_week
 from leadrudder.maintenance.window import LENT, WINDOW, Window
 from leadrudder.protocol.mesh_pb2 import Item, Node
-from leadrudder.transport.http import Call, Told
+from leadrudder.transport.http import ApiRequest, ApiResponse
 
 KEPT = 50  # windows that are over
 OUT_MOST = 64  # steps that are being taken
@@ -203,7 +203,7 @@
 
     # ------------------------------------------------------------ operators
 
-    async def dispatch(self, call: Call) -> Told | None:
+    async def dispatch(self, call: ApiRequest) -> ApiResponse | None:
         """None: the call is another's."""
         match call.method, call.segments:
             case "GET", ("contracts",):
@@ -217,7 +217,7 @@
             case "GET", ("maintenance", name):
                 found_window = self.situation().windows.get(name)
                 if found_window is None:
-                    return Told(404)
+                    return ApiResponse(404)
                 return _json({**told(found_window), "report": self._report(found_window)})
             case "POST", ("maintenance", name):
                 return await self._start(name, call.body, keep=True)
@@ -228,7 +228,7 @@
             case "POST", ("maintenance", name, "done", machine):
                 return await self._alter(name, lambda w: controller.done_early(w, machine, self._wall()))
             case _, ("contracts" | "maintenance", *_):
-                return Told(405)
+                return ApiResponse(405)
         return None
 
     def _report(self, each: Window) -> dict[str, Any]:
@@ -239,7 +239,7 @@
         end = each.ended if each.ended is not None else self._totals.latest()[1]
         return ledger.report(each.begun, end, usual)
 
-    async def _contracts(self, body: bytes) -> Told:
+    async def _contracts(self, body: bytes) -> ApiResponse:
         parsed = contract.parse(body)
         if isinstance(parsed, Failure):
             return _refused(400, parsed.failure())
@@ -254,7 +254,7 @@
         read = contract.standing((i.key[len(CONTRACT) :], i) for i in made if not i.dropped)
         return _json({"warnings": [str(f) for each in read.values() for f in contract.warnings(each, now)]})
 
-    async def _start(self, name: str, body: bytes, *, keep: bool) -> Told:
+    async def _start(self, name: str, body: bytes, *, keep: bool) -> ApiResponse:
         try:
             read = cast(dict[str, Any], _ORDER.load(json.loads(body)))
         except ValidationError as error:
@@ -279,15 +279,15 @@
             known = self._book().items[WINDOW + name]
             await self._change([Item(key=known.key, version=known.version + 1, dropped=True)])
 
-    async def _alter(self, name: str, alter: Callable[[Window], Window | None]) -> Told:
+    async def _alter(self, name: str, alter: Callable[[Window], Window | None]) -> ApiResponse:
         """A step of an operator's: taken again where the holder was before us."""
         for _ in range(TRIES):
             known = self.situation().windows.get(name)
             if known is None:
-                return Told(404)
+                return ApiResponse(404)
             altered = None if known.over() else alter(known)
             if altered is None:
-                return Told(409, f"it is {known.state()}\n".encode())
+                return ApiResponse(409, f"it is {known.state()}\n".encode())
             answer = await self._set(altered, self._next(name))
             if answer.code is Code.DONE:
                 return _json(told(altered))
@@ -311,15 +311,15 @@
     }
 
 
-def _json(what: Any) -> Told:
-    return Told(200, json.dumps(what).encode(), _JSON)
+def _json(what: Any) -> ApiResponse:
+    return ApiResponse(200, json.dumps(what).encode(), _JSON)
 
 
-def _refused(status: int, findings: list[Finding]) -> Told:
-    return Told(status, "".join(f"{finding}\n" for finding in findings[:20]).encode())
+def _refused(status: int, findings: list[Finding]) -> ApiResponse:
+    return ApiResponse(status, "".join(f"{finding}\n" for finding in findings[:20]).encode())
 
 
-def _answered(code: Code) -> Told:
+def _answered(code: Code) -> ApiResponse:
     if code is Code.CONFLICT:
-        return Told(409, b"somebody was before you: look again\n")
-    return Told(503, b"no majority answered in time\n", _COME_BACK)
+        return ApiResponse(409, b"somebody was before you: look again\n")
+    return ApiResponse(503, b"no majority answered in time\n", _COME_BACK)
--- a/leadrudder/control_plane/operator_api.py
+++ b/leadrudder/control_plane/operator_api.py
@@ -17,7 +17,7 @@
 from leadrudder.consensus.anti_entropy import Owed
 from leadrudder.consensus.outputs import Answer, Code
 from leadrudder.protocol.mesh_pb2 import Item
-from leadrudder.transport.http import PLAIN_TEXT, Call, Told
+from leadrudder.transport.http import PLAIN_TEXT, ApiRequest, ApiResponse
 
 CALL_S = 0.95  # operators wait a second, then go to another node
 _JSON = b"Content-Type: application/json\r\n"
@@ -46,7 +46,7 @@
         owed: Callable[[], list[Owed]] = list,
         core: Callable[[], dict[str, Any]] = dict,
         least: int = 1,
-        more: Callable[[Call], Awaitable[Told | None]] | None = None,
+        more: Callable[[ApiRequest], Awaitable[ApiResponse | None]] | None = None,
         metrics: Callable[[], bytes] = bytes,
     ) -> None:
         self._more, self._metrics = more, metrics
@@ -56,7 +56,7 @@
         self._zones = frozenset(zones)
         self._ring = ring
 
-    async def dispatch(self, call: Call) -> Told:
+    async def dispatch(self, call: ApiRequest) -> ApiResponse:
         try:
             async with asyncio.timeout(CALL_S):
                 match call.method, call.segments:
@@ -72,28 +72,28 @@
                         return await self._snapshot()
                     case "GET", ("repair",):
                         owed = [dataclasses.asdict(each) for each in self._owed()]
-                        return Told(200, json.dumps(owed).encode(), _JSON)
+                        return ApiResponse(200, json.dumps(owed).encode(), _JSON)
                     case "GET", ("core",):
-                        return Told(200, json.dumps(self._core()).encode(), _JSON)
+                        return ApiResponse(200, json.dumps(self._core()).encode(), _JSON)
                     case "POST", ("core", seats):
                         return await self._size(seats)
                     case "GET", ("ring",):
-                        return Told(200, "\n".join(self._ring.lines()).encode() + b"\n")
+                        return ApiResponse(200, "\n".join(self._ring.lines()).encode() + b"\n")
                     case "GET", ("metrics",):
-                        return Told(200, self._metrics(), PLAIN_TEXT)
+                        return ApiResponse(200, self._metrics(), PLAIN_TEXT)
                     case (
                         _,
                         ("config" | "ring" | "metrics" | "snapshot" | "repair" | "core",)
                         | ("evacuate" | "core", _),
                     ):
-                        return Told(405)
+                        return ApiResponse(405)
                     case _:
                         told = await self._more(call) if self._more is not None else None
-                        return told if told is not None else Told(404)
+                        return told if told is not None else ApiResponse(404)
         except TimeoutError:
-            return Told(503, b"no majority answered in time\n", _COME_BACK)
+            return ApiResponse(503, b"no majority answered in time\n", _COME_BACK)
 
-    async def _patch(self, body: bytes) -> Told:
+    async def _patch(self, body: bytes) -> ApiResponse:
         parsed = validation.parse(body)
         if isinstance(parsed, Failure):
             return self._refuse(parsed.failure())
@@ -104,7 +104,7 @@
             # What this process knows may be old: a majority knows whether there is such a service.
             answer = await self._read()
             if answer.code is not Code.DONE:
-                return Told(503, b"no majority answered in time\n", _COME_BACK)
+                return ApiResponse(503, b"no majority answered in time\n", _COME_BACK)
             book = Book()
             book.take(answer.items)
             findings = validation.against(call, book.standing(SERVICE))
@@ -116,50 +116,50 @@
         ]
         answer = await self._change(changed)
         if answer.code is Code.DONE:
-            return Told(200, b"{}", _JSON)
+            return ApiResponse(200, b"{}", _JSON)
         if answer.code is Code.CONFLICT:
             self._ring.note(f"409: {[c.key for c in call.changes][:3]}")
-            return Told(409, b"an item's version has another value already\n")
-        return Told(503, b"no majority answered in time\n", _COME_BACK)
+            return ApiResponse(409, b"an item's version has another value already\n")
+        return ApiResponse(503, b"no majority answered in time\n", _COME_BACK)
 
-    def _refuse(self, findings: list[validation.Finding]) -> Told:
+    def _refuse(self, findings: list[validation.Finding]) -> ApiResponse:
         self._ring.note(f"400: {findings[0]}")
-        return Told(400, "".join(f"{finding}\n" for finding in findings[:20]).encode())
+        return ApiResponse(400, "".join(f"{finding}\n" for finding in findings[:20]).encode())
 
-    async def _get(self) -> Told:
+    async def _get(self) -> ApiResponse:
         answer = await self._read()
         if answer.code is not Code.DONE:
-            return Told(503, b"no majority answered in time\n", _COME_BACK)
+            return ApiResponse(503, b"no majority answered in time\n", _COME_BACK)
         book = Book()
         book.take(answer.items)
-        return Told(200, json.dumps(book.laid_out()).encode(), _JSON)
+        return ApiResponse(200, json.dumps(book.laid_out()).encode(), _JSON)
 
-    async def _snapshot(self) -> Told:
+    async def _snapshot(self) -> ApiResponse:
         answer = await self._read()
         if answer.code is not Code.DONE:
-            return Told(503, b"no majority answered in time\n", _COME_BACK)
-        return Told(200, self._pack(answer.items), b"Content-Type: application/octet-stream\r\n")
+            return ApiResponse(503, b"no majority answered in time\n", _COME_BACK)
+        return ApiResponse(200, self._pack(answer.items), b"Content-Type: application/octet-stream\r\n")
 
-    async def _evacuate(self, zone: str, on: bool) -> Told:
+    async def _evacuate(self, zone: str, on: bool) -> ApiResponse:
         if self._zones and zone not in self._zones:
-            return Told(404, b"no such zone\n")
+            return ApiResponse(404, b"no such zone\n")
         return await self._order(EVACUATION + zone, b"1" if on else b"0")
 
-    async def _size(self, seats: str) -> Told:
+    async def _size(self, seats: str) -> ApiResponse:
         """How many seats the control state is to have: odd, as one more would bear no more losses."""
         wanted = int(seats) if seats.isascii() and seats.isdigit() and len(seats) <= 3 else 0
         if not self._least <= wanted <= SEATS_MOST or wanted % 2 == 0:
-            return Told(400, f"an odd number from {self._least} to {SEATS_MOST} is wanted\n".encode())
+            return ApiResponse(400, f"an odd number from {self._least} to {SEATS_MOST} is wanted\n".encode())
         return await self._order(CORE, b"%d" % wanted)
 
-    async def _order(self, key: str, value: bytes) -> Told:
+    async def _order(self, key: str, value: bytes) -> ApiResponse:
         known = self._known().items.get(key)
         while True:
             # Orders have no version: each counts on from the one before, so a late one finds it has moved on.
             version = 1 if known is None else known.version + (known.value != value)
             answer = await self._change([Item(key=key, version=version, value=value)])
             if answer.code is Code.DONE:
-                return Told(200)
+                return ApiResponse(200)
             if answer.code is not Code.CONFLICT:
-                return Told(503, b"no majority answered in time\n", _COME_BACK)
+                return ApiResponse(503, b"no majority answered in time\n", _COME_BACK)
             known = next((item for item in answer.items if item.key == key), None)
--- a/leadrudder/control_plane/program.py
+++ b/leadrudder/control_plane/program.py
@@ -29,7 +29,7 @@
 from leadrudder.protocol.mesh_pb2 import Frame, Item, Node
 from leadrudder.storage.store import DiskError, DumbStore, MemoryStore, Store
 from leadrudder.storage.writer import Writer, Writes
-from leadrudder.transport.http import ControlServer
+from leadrudder.transport.http import ApiServer
 from leadrudder.transport.link import Link, dial
 
 if TYPE_CHECKING:
@@ -121,7 +121,7 @@
             self._possessions.dispatch if self._possessions is not None else None,
             self._metrics().text,
         )
-        self._control = ControlServer(operator.dispatch, lambda e: self.ring.wrong(f"fault: {e!r}"))
+        self._control = ApiServer(operator.dispatch, lambda e: self.ring.wrong(f"fault: {e!r}"))
         host, port = self.address.rsplit(":", 1)
         self._listener = await self._loop.create_server(
             lambda: Link(self), host, int(port), family=socket.AF_INET, backlog=512
@@ -292,7 +292,7 @@
         node = hello.node
         new = link not in self._feeds
         if not self._serves(new) or self._leaving():
-            link.cut()
+            link.abort()
             return
         if new and hello.movable and (near := self._near(node.zone)):
             link.send(Frame(news=wire.News(near=near)))
@@ -354,7 +354,7 @@
         if self.interlocking.contact.lost(now):
             self._settled_at = float("inf")
             for link in self._feeds.links():
-                link.cut()
+                link.abort()
 
     # ------------------------------------------------------------ operators
 
--- a/leadrudder/data_plane/__main__.py
+++ b/leadrudder/data_plane/__main__.py
@@ -11,11 +11,11 @@
 
 from leadrudder.bootstrap.settings import Settings  # noqa: E402
 from leadrudder.bootstrap.start import start  # noqa: E402
-from leadrudder.data_plane.program import Station  # noqa: E402
+from leadrudder.data_plane.program import DataPlaneNode  # noqa: E402
 
 
 async def _serve(settings: Settings, told: argparse.Namespace) -> None:
-    await Station(settings, possession=told.possession).run()
+    await DataPlaneNode(settings, possession=told.possession).run()
 
 
 if __name__ == "__main__":
--- a/leadrudder/data_plane/change_queue.py
+++ b/leadrudder/data_plane/change_queue.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-PASS_SHARE = 0.2  # of the time, that passes may take; the rest is for requests
-DELAY_MOST_S = 0.5  # by which that may put a pass off
+MAX_PASS_TIME_SHARE = 0.2  # of the time, that passes may take; the rest is for requests
+MAX_PASS_DELAY_S = 0.5  # by which that may put a pass off
 
 
 @dataclass(slots=True)
@@ -20,25 +20,25 @@
 
     routes: set[str] = field(default_factory=set)
     services: set[str] = field(default_factory=set)  # settings of these, in the configuration
-    stations: set[str] = field(default_factory=set)  # their membership or their servers
+    nodes: set[str] = field(default_factory=set)  # their membership or their servers
     members: bool = False  # who is a member
     sources: bool = False  # whom to ask for servers: links, or the services that routes call
     evacuations: bool = False
-    loans: bool = False
+    machine_drains: bool = False
 
     def merge(self, other: PendingChanges) -> None:
         """Take in changes that were not carried out after all."""
         self.routes |= other.routes
         self.services |= other.services
-        self.stations |= other.stations
+        self.nodes |= other.nodes
         self.members |= other.members
         self.sources |= other.sources
         self.evacuations |= other.evacuations
-        self.loans |= other.loans
+        self.machine_drains |= other.machine_drains
 
     def any(self) -> bool:
-        flags = self.members or self.sources or self.evacuations or self.loans
-        return flags or bool(self.routes or self.services or self.stations)
+        flags = self.members or self.sources or self.evacuations or self.machine_drains
+        return flags or bool(self.routes or self.services or self.nodes)
 
 
 class ChangeQueue:
@@ -60,7 +60,7 @@
         """Carry out what is pending after all that has already come in was read, and not too often."""
         if self._scheduled is not None or not self.pending.any():
             return
-        delay = min(DELAY_MOST_S, self._not_before - self._monotonic())
+        delay = min(MAX_PASS_DELAY_S, self._not_before - self._monotonic())
         if delay > 0.0:
             self._scheduled = self._loop.call_later(delay, self.flush)
         else:
@@ -85,4 +85,4 @@
             ended = self._monotonic()
             self.passes += 1
             self.pass_seconds += ended - began
-            self._not_before = ended + (ended - began) * (1.0 / PASS_SHARE - 1.0)
+            self._not_before = ended + (ended - began) * (1.0 / MAX_PASS_TIME_SHARE - 1.0)
--- a/leadrudder/data_plane/endpoint_discovery.py
+++ b/leadrudder/data_plane/endpoint_discovery.py
@@ -19,8 +19,8 @@
 KEPT = 64  # entries of stations that are no members
 
 
-class Newsstand:
-    """ask: asks our signalbox; fed: whether our session stands.
+class EndpointDiscovery:
+    """ask: asks our signalbox; session_established: whether our session stands.
 
     heard: entries of these stations are new; sources_changed: links have changed, so follow() is due.
     """
@@ -30,13 +30,13 @@
         name: str,
         zone: str,
         ask: Callable[[frozenset[str]], None],
-        fed: Callable[[], bool],
+        session_established: Callable[[], bool],
         heard: Callable[[list[str]], None],
         sources_changed: Callable[[], None],
     ) -> None:
         self.served: dict[str, Node] = {}  # the newest entry with servers, by station
         self._homes = Homes(name, zone)
-        self._ask, self._fed = ask, fed
+        self._ask, self._session_established = ask, session_established
         self._heard, self._sources_changed = heard, sources_changed
         self._loop = asyncio.get_running_loop()
         self._asked: dict[str, frozenset[str]] = {}  # by source: what it was asked for
@@ -47,7 +47,7 @@
 
     # ------------------------------------------------------------ what we hear
 
-    def take(self, served: list[Node]) -> None:
+    def merge(self, served: list[Node]) -> None:
         """Entries with servers, from whoever.  What is new is handed on."""
         new = []
         for node in served:
@@ -71,7 +71,7 @@
 
     # ------------------------------------------------------------ whom we ask
 
-    def follow(self, services: frozenset[str], members: list[Node]) -> None:
+    def update(self, services: frozenset[str], members: list[Node]) -> None:
         """Ask for these services where they are to be had now; called after any change and at times."""
         sources = self._homes.sources(services, members, self._loop.time())
         for address in [a for a in self._links if a not in sources]:
@@ -91,14 +91,14 @@
             del self._asked[""]
             self._ask(frozenset())
 
-    def session_began(self) -> None:
+    def on_session_started(self) -> None:
         """Another signalbox: it must be asked anew."""
         self._asked.pop("", None)
 
-    def session_ended(self) -> None:
+    def on_session_ended(self) -> None:
         """We hear nothing any more: those who rest on us must ask elsewhere."""
         for link in list(self._subscribers):
-            link.cut()
+            link.abort()
 
     def _dial(self, address: str) -> None:
         if address in self._dialling:
@@ -123,7 +123,7 @@
 
     def on_frame(self, link: Link, frame: Frame) -> None:
         if frame.WhichOneof("body") == "news":
-            self.take(list(frame.news.served))
+            self.merge(list(frame.news.served))
 
     def on_down(self, link: Link) -> None:
         if self._links.get(link.peer) is link:
@@ -136,8 +136,8 @@
 
     def subscribe(self, link: Link, services: frozenset[str]) -> None:
         """Another station of our zone asks; without a session we have nothing to tell."""
-        if not self._fed():
-            link.cut()
+        if not self._session_established():
+            link.abort()
             return
         self._subscribers[link] = services
         self._count()
@@ -162,4 +162,4 @@
 
     def close(self) -> None:
         for link in [*self._links.values(), *self._subscribers]:
-            link.cut()
+            link.abort()
--- a/leadrudder/data_plane/endpoints.py
+++ b/leadrudder/data_plane/endpoints.py
@@ -19,7 +19,7 @@
     service: str
     zone: str
     draining: bool
-    station: str
+    node: str
     address: str
 
 
--- a/leadrudder/data_plane/machine_drains.py
+++ b/leadrudder/data_plane/machine_drains.py
@@ -14,7 +14,7 @@
 from leadrudder.maintenance.window import WINDOW, Loans
 
 
-class Lent:
+class MachineDrains:
     """wall: Unix time in seconds; steady: only advances; changed: a loan has ended by itself.
 
     later: calls after so many seconds.
@@ -32,7 +32,7 @@
         self._loans = Loans()
         self._due = float("inf")
 
-    def some(self) -> bool:
+    def any(self) -> bool:
         return bool(self._loans.by_machine)
 
     def take(self, book: Book) -> None:
@@ -46,7 +46,7 @@
             self._ends[until] = min(until + ahead, known.get(until, float("inf")))
         self._look_again()
 
-    def lent(self, machine: str, route: Route) -> bool:
+    def is_drained(self, machine: str, route: Route) -> bool:
         now = self._wall()
         steady = self._steady()
         return any(
--- a/leadrudder/data_plane/mesh_state.py
+++ b/leadrudder/data_plane/mesh_state.py
@@ -17,10 +17,10 @@
 from leadrudder.data_plane.admission_control import Gate
 from leadrudder.data_plane.candidates import Candidates, Distance
 from leadrudder.data_plane.change_queue import ChangeQueue, PendingChanges
-from leadrudder.data_plane.endpoint_discovery import Newsstand
+from leadrudder.data_plane.endpoint_discovery import EndpointDiscovery
 from leadrudder.data_plane.endpoints import Endpoint, EndpointTable, endpoints_of
 from leadrudder.data_plane.load_balancer import Carry
-from leadrudder.data_plane.machine_drains import Lent
+from leadrudder.data_plane.machine_drains import MachineDrains
 from leadrudder.data_plane.upstreams import Upstreams
 from leadrudder.membership.registry import Register
 from leadrudder.observability.invariants import Invariants
@@ -30,10 +30,11 @@
 
 
 class MeshState:
-    """carry: sends one attempt; carried_out: called after each pass over changes; wall: Unix time in seconds.
+    """carry: sends one attempt; on_applied: called after each pass over changes; wall: Unix time in seconds.
 
-    monotonic: seconds that only advance, finer than the loop's own time; loans: maintenance windows are on.
-    ask: asks the signalbox of our session for servers; fed: whether a session stands.
+    monotonic: seconds that only advance, finer than the loop's own time.
+    machine_drains_enabled: maintenance windows are on.
+    subscribe: asks the signalbox of our session for servers; session_established: whether a session stands.
     """
 
     def __init__(
@@ -43,14 +44,14 @@
         invariants: Invariants,
         *,
         carry: Carry,
-        carried_out: Callable[[], None],
-        ask: Callable[[frozenset[str]], None],
-        fed: Callable[[], bool],
+        on_applied: Callable[[], None],
+        subscribe: Callable[[frozenset[str]], None],
+        session_established: Callable[[], bool],
         note: Callable[[str], None],
         rng: Random,
         wall: Callable[[], float],
         monotonic: Callable[[], float],
-        loans: bool,
+        machine_drains_enabled: bool,
     ) -> None:
         self.book = Book()
         self.routing = RoutingTable()
@@ -58,20 +59,25 @@
         self.endpoints = EndpointTable()
         self.upstreams = Upstreams(settings.bounds, self.candidates, carry, note, rng)
         self.changes = ChangeQueue(self._carry_out, monotonic)
-        self.newsstand = Newsstand(
-            settings.name, settings.zone, ask, fed, self._heard_of, self._sources_changed
+        self.discovery = EndpointDiscovery(
+            settings.name,
+            settings.zone,
+            subscribe,
+            session_established,
+            self._on_entries,
+            self._on_sources_changed,
         )
         loop = asyncio.get_running_loop()
-        self.lent = Lent(wall, loop.time, loop.call_later, self._loans_ended)
+        self.machine_drains = MachineDrains(wall, loop.time, loop.call_later, self._machine_drain_ended)
         self._name, self._zone = settings.name, settings.zone
-        self._gate, self._invariants, self._carried_out = gate, invariants, carried_out
-        self._loop, self._loans = loop, loans
+        self._gate, self._invariants, self._on_applied = gate, invariants, on_applied
+        self._loop, self._machine_drains_enabled = loop, machine_drains_enabled
         self._items_taken = 0  # of the configuration, since the start
         self._member_list: list[Node] = []  # as of the last pass
         self._evacuated: frozenset[str] = frozenset()  # zones, as carried out
         self._candidates_by_service: dict[str, Candidates] = {}  # as worked out since they last changed
 
-    def add_figures(self, metrics: Metrics) -> None:
+    def register_metrics(self, metrics: Metrics) -> None:
         metrics.add("items", lambda: len(self.book.items))
         metrics.add("routes", lambda: len(self.routing.routes))
         metrics.add("balancers", lambda: len(self.upstreams))
@@ -84,7 +90,7 @@
 
     # ------------------------------------------------------------ news
 
-    def take(self, news: wire.News) -> None:
+    def apply_news(self, news: wire.News) -> None:
         """What a signalbox tells: items, members, or all of both."""
         self._take_items(news.items)
         pending = self.changes.pending
@@ -92,22 +98,22 @@
         if news.whole:
             members |= self._forget_members({node.name for node in news.nodes})
         if members:
-            pending.stations |= members
+            pending.nodes |= members
             pending.members = True
         if news.signalboxes:
-            self.newsstand.session_began()
+            self.discovery.on_session_started()
             pending.sources = True
-        self.newsstand.take(list(news.served))
+        self.discovery.merge(list(news.served))
         if pending.evacuations:
             self.changes.flush()
         else:
             self.changes.schedule()
 
-    def take_own(self, member: Node, entry: Node) -> None:
+    def apply_own(self, member: Node, entry: Node) -> None:
         """Our own membership, and the same with our server; carried out with the next pass."""
         if self.members.take([member]):
             self.changes.pending.members = True
-        self.newsstand.take([entry])
+        self.discovery.merge([entry])
 
     def _take_items(self, items: Iterable[Item]) -> None:
         """Routes are in force at once; what follows from them is carried out with the next pass."""
@@ -129,9 +135,9 @@
         pending.sources |= changed.called_services
         kinds = {kind_of(item.key) for item in taken}
         pending.evacuations |= EVACUATION in kinds
-        if self._loans and kinds & {WINDOW, CONTRACT}:
-            self.lent.take(self.book)
-            pending.loans = True
+        if self._machine_drains_enabled and kinds & {WINDOW, CONTRACT}:
+            self.machine_drains.take(self.book)
+            pending.machine_drains = True
 
     def _forget_members(self, named: set[str]) -> set[str]:
         """Members that a whole list does not name; our own entry stays.  Returns their names."""
@@ -140,47 +146,47 @@
             del self.members.nodes[name]
         return gone
 
-    def _heard_of(self, stations: Iterable[str]) -> None:
+    def _on_entries(self, stations: Iterable[str]) -> None:
         """Entries with servers have come in."""
-        self.changes.pending.stations.update(stations)
+        self.changes.pending.nodes.update(stations)
         self.changes.schedule()
 
-    def _sources_changed(self) -> None:
+    def _on_sources_changed(self) -> None:
         """A link to a home station has come up or ended."""
         self.changes.pending.sources = True
         self.changes.schedule()
 
-    def _loans_ended(self) -> None:
-        self.changes.pending.loans = True
+    def _machine_drain_ended(self) -> None:
+        self.changes.pending.machine_drains = True
         self.changes.schedule()
 
-    def look_for_sources(self) -> None:
+    def update_subscriptions(self) -> None:
         """To be called some times a second: a source that was passed over may be asked again."""
-        self.newsstand.follow(self.routing.called_services(), self._member_list)
+        self.discovery.update(self.routing.called_services(), self._member_list)
 
     # ------------------------------------------------------------ one pass over what has changed
 
     def _carry_out(self, changes: PendingChanges) -> None:
-        services = self._replace_endpoints(changes.stations)
+        services = self._replace_endpoints(changes.nodes)
         if changes.evacuations:
             services |= self._evacuate()
         if changes.members:
             self._count_members()
         if changes.members or changes.sources:
-            self.look_for_sources()
-        if changes.loans:
+            self.update_subscriptions()
+        if changes.machine_drains:
             services |= self.upstreams.services()
         for service in services:
             self._candidates_by_service.pop(service, None)
         self._offer_lists(changes.routes, services)
         self._follow_own_service(changes)
-        self._carried_out()
+        self._on_applied()
 
     def _replace_endpoints(self, stations: Iterable[str]) -> set[str]:
         """Returns the services whose servers have changed."""
         services: set[str] = set()
         for station in stations:
-            entry, member = self.newsstand.served.get(station), self.members.nodes.get(station)
+            entry, member = self.discovery.served.get(station), self.members.nodes.get(station)
             services |= self.endpoints.replace(station, endpoints_of(entry, member))
         return services
 
@@ -196,7 +202,7 @@
     def _count_members(self) -> None:
         self._member_list = self.members.members()
         self.upstreams.set_nodes(max(1, len(self._member_list)))
-        self.newsstand.forget({node.name for node in self._member_list})
+        self.discovery.forget({node.name for node in self._member_list})
 
     def _offer_lists(self, routes: set[str], services: set[str]) -> None:
         """Balancers of these routes and services get the servers that they may draw from now on."""
@@ -215,7 +221,7 @@
     def _follow_own_service(self, changes: PendingChanges) -> None:
         """The pace of our server while it is cold stands in its service's settings."""
         life = self._gate.life
-        if life is None or (life.service not in changes.services and self._name not in changes.stations):
+        if life is None or (life.service not in changes.services and self._name not in changes.nodes):
             return
         service = self.routing.services.get(life.service)
         if service is not None:
@@ -225,14 +231,16 @@
 
     def candidates(self, service: str, route: Route) -> Candidates:
         """The servers that a route's requests for a service may go to."""
-        if self.lent.some():
-            return Candidates.of(self.allowed(service, route))
+        if self.machine_drains.any():
+            return Candidates.of(self.eligible_servers(service, route))
         found = self._candidates_by_service.get(service)
         if found is None:
-            found = self._candidates_by_service[service] = Candidates.of(self.allowed(service, route))
+            found = self._candidates_by_service[service] = Candidates.of(
+                self.eligible_servers(service, route)
+            )
         return found
 
-    def allowed(self, service: str, route: Route) -> dict[str, Distance]:
+    def eligible_servers(self, service: str, route: Route) -> dict[str, Distance]:
         """Servers in zones that are not evacuated, and how far away each is.
 
         Those that are ready; where there are none, those that drain; else those lent out of the route's
@@ -245,12 +253,12 @@
             if endpoint.zone in self._evacuated:
                 continue
             kept = draining if endpoint.draining else ready
-            if self.lent.some() and self.lent.lent(endpoint.station, route):
+            if self.machine_drains.any() and self.machine_drains.is_drained(endpoint.node, route):
                 kept = lent
             kept[endpoint.server] = self._distance(endpoint)
         return ready or draining or lent
 
     def _distance(self, endpoint: Endpoint) -> Distance:
-        if endpoint.station == self._name:
+        if endpoint.node == self._name:
             return Distance.OWN
         return Distance.ZONE if endpoint.zone == self._zone else Distance.FAR
--- a/leadrudder/data_plane/outbound.py
+++ b/leadrudder/data_plane/outbound.py
@@ -16,9 +16,9 @@
 from leadrudder.data_plane.inbound import passed_on
 from leadrudder.data_plane.load_balancer import RETRY_LEAST_MS, Errand
 from leadrudder.node.http import Message, MessageError
-from leadrudder.observability.loop_lag import BEHIND_S
+from leadrudder.observability.loop_lag import OVERLOAD_LAG_S
 from leadrudder.protocol.outcome import Reply, Verdict
-from leadrudder.transport.http import WholeMessage, WholeReader, rendered
+from leadrudder.transport.http import HttpMessage, HttpReader, render_response
 
 PIPELINED_MOST = 64  # requests open on one connection, beyond which it is not read
 UNREAD_S = 10.0  # for a client to read its answer
@@ -49,8 +49,11 @@
     def __init__(self, outbound: Outbound) -> None:
         self._outbound = outbound
         limits = outbound.limits()
-        self._reader = WholeReader(
-            self._on_request, requests=True, head_most=limits.head_most, body_most=limits.body_most
+        self._reader = HttpReader(
+            self._on_request,
+            requests=True,
+            max_head_bytes=limits.head_most,
+            max_body_bytes=limits.body_most,
         )
         self._transport: asyncio.Transport | None = None
         self._places: deque[Place] = deque()
@@ -81,7 +84,7 @@
     def _refuse(self, status: int, text: str, fields: bytes = b"") -> None:
         """What came is no request that is taken: one answer, and nothing more is read."""
         self._outbound.hold(self, 0)
-        place = Place(rendered(status, fields, text.encode() + b"\n", close=True), close=True)
+        place = Place(render_response(status, fields, text.encode() + b"\n", close=True), close=True)
         self._over = True
         self._places.append(place)
         self._flush()
@@ -117,7 +120,7 @@
             self._paused = True
         self._outbound.hold(self, 0)  # from here on it counts as under way
         place.leave = self._outbound.take(
-            cast(WholeMessage, message), lambda output: self._answer(place, output)
+            cast(HttpMessage, message), lambda output: self._answer(place, output)
         )
 
     def _answer(self, place: Place, output: Callable[[bool], bytes]) -> None:
@@ -245,7 +248,7 @@
     # ------------------------------------------------------------ requests
 
     def take(
-        self, message: WholeMessage, write: Callable[[Callable[[bool], bytes]], None]
+        self, message: HttpMessage, write: Callable[[Callable[[bool], bytes]], None]
     ) -> Callable[[], None] | None:
         """A whole request; write is called once, with what renders its answer.
 
@@ -270,7 +273,7 @@
         left_ms = min(route.give_up_ms, float(told) if told is not None else route.give_up_ms)
         waited_ms = self._patience.waited_ms(route.name, left_ms, self.now())
         left_ms -= 1000.0 * late_s
-        if late_s > BEHIND_S or (late_s > 0.0 and left_ms <= 0.0):
+        if late_s > OVERLOAD_LAG_S or (late_s > 0.0 and left_ms <= 0.0):
             self.shed += 1
             return self._plain(write, 503, COME_BACK)
         if self.now() > self.last_taken and self.now() + left_ms / 1000.0 > self.end_by:
@@ -300,13 +303,13 @@
 
     @staticmethod
     def _plain(write: Callable[[Callable[[bool], bytes]], None], status: int, fields: bytes = b"") -> None:
-        write(lambda close: rendered(status, fields, b"", close=close))
+        write(lambda close: render_response(status, fields, b"", close=close))
 
 
 def _render(what: Reply | Verdict, attempt_id: bytes, close: bool) -> bytes:
     if isinstance(what, Reply):
-        return rendered(what.status, what.fields, what.body, close=close)
+        return render_response(what.status, what.fields, what.body, close=close)
     status, fields = what.status(), b"Attempt-Id: %s\r\n" % attempt_id
     if status == 503:
         fields += b"Retry-After: %.3f\r\n" % (max(RETRY_LEAST_MS, what.retry_ms) / 1000.0)
-    return rendered(status, fields, b"", close=close)
+    return render_response(status, fields, b"", close=close)
--- a/leadrudder/data_plane/peer_links.py
+++ b/leadrudder/data_plane/peer_links.py
@@ -8,7 +8,7 @@
 from leadrudder.data_plane.inbound import Withdraw
 from leadrudder.protocol.mesh_pb2 import Delivery, Frame, Waybill, Withdrawal
 from leadrudder.protocol.outcome import Ran
-from leadrudder.transport.link import IDLE_DIALLED_S, Link, dial
+from leadrudder.transport.link import IDLE_DIALER_PING_S, Link, dial
 
 SILENCE_S = 1.5  # a gate that gives no sign of life for so long while calls are out is not waited for
 PING_S = 0.4
@@ -48,7 +48,7 @@
             deliver(Delivery(number=waybill.number, ran=Ran.NEVER, why="unreachable"))
             return
         self._out[waybill.number] = deliver
-        link.watch()
+        link.start_liveness_checks()
 
     def _withdraw(self, number: int, client_left: bool) -> None:
         if self._out.pop(number, None) is not None and self._link is not None:
@@ -66,7 +66,10 @@
                 deliver(Delivery(number=waybill.number, ran=Ran.NEVER, why="unreachable"))
 
     def on_up(self, link: Link) -> None:
-        link.wants_life, link.every_s = False, IDLE_DIALLED_S  # the gate does not wait for us
+        link.checks_liveness, link.ping_interval_s = (
+            False,
+            IDLE_DIALER_PING_S,
+        )  # the gate does not wait for us
         self._link = link
 
     def on_frame(self, link: Link, frame: Frame) -> None:
@@ -74,7 +77,7 @@
             return
         deliver = self._out.pop(frame.delivery.number, None)
         if not self._out:
-            link.wants_life = False
+            link.checks_liveness = False
         if deliver is not None:
             deliver(frame.delivery)
 
@@ -90,7 +93,7 @@
 
     def close(self) -> None:
         if self._link is not None:
-            self._link.cut()
+            self._link.abort()
 
 
 class Gates:
--- a/leadrudder/data_plane/program.py
+++ b/leadrudder/data_plane/program.py
@@ -24,21 +24,21 @@
 from leadrudder.data_plane.outbound import Outbound
 from leadrudder.data_plane.peer_links import Gates
 from leadrudder.data_plane.request_accounting import RequestAccounting
-from leadrudder.data_plane.server_api import Beat, Beats
+from leadrudder.data_plane.server_api import Heartbeat, ServerApi
 from leadrudder.data_plane.server_connections import OwnServer
 from leadrudder.data_plane.session import Session
 from leadrudder.maintenance.ledger import Ledger
 from leadrudder.membership import zone_relays
 from leadrudder.node.platform import SYSTEM, Platform
 from leadrudder.observability.invariants import Invariants
-from leadrudder.observability.loop_lag import BEHIND_S, LoopLag
+from leadrudder.observability.loop_lag import OVERLOAD_LAG_S, LoopLag
 from leadrudder.observability.metrics import Metrics
-from leadrudder.observability.traffic import Traffic
+from leadrudder.observability.traffic import TrafficCounters
 from leadrudder.protocol import mesh_pb2 as wire
 from leadrudder.protocol.mesh_pb2 import Delivery, Frame, Waybill
 from leadrudder.protocol.outcome import Ran
-from leadrudder.transport.http import ControlServer
-from leadrudder.transport.link import IDLE_TAKEN_S, PING_S, Link
+from leadrudder.transport.http import ApiServer
+from leadrudder.transport.link import IDLE_ACCEPTOR_PING_S, PING_S, Link
 
 SWEEP_S = 0.25
 SILENT_BEATS = 3.5  # beats that a server may miss before it counts as crashed
@@ -53,7 +53,7 @@
 FIRST_HALF_PART_S = 0.1  # before the half of the grace, from when on a request must end within it
 
 
-class Station:
+class DataPlaneNode:
     """The program.  One event loop."""
 
     def __init__(
@@ -82,19 +82,19 @@
             self.gate,
             self.invariants,
             carry=self._carry,
-            carried_out=lambda: self._inbound.advance(),
-            ask=lambda services: self._session.subscribe(services),
-            fed=lambda: self._session.stands() and self._terminated_at is None,
+            on_applied=lambda: self._inbound.advance(),
+            subscribe=lambda services: self._session.subscribe(services),
+            session_established=lambda: self._session.established() and self._terminated_at is None,
             note=self.ring.note,
             rng=self._rng,
             wall=wall,
             monotonic=platform.monotonic,
-            loans=possession,
+            machine_drains_enabled=possession,
         )
         self._withdrawals: dict[Link, dict[int, Withdraw]] = {}
         self._terminated_at: float | None = None
         self._done = asyncio.Event()
-        self.traffic = Traffic()
+        self.traffic = TrafficCounters()
         self._refused: Counter[str] = Counter()  # calls that came back without an answer, since the last note
         self._noted_at = 0.0
         self._calls_shed = 0  # calls to our server, refused because this process was behind
@@ -127,13 +127,13 @@
             BODIES_PART * settings.ram_mb * 1e6,
             self._lag.seconds,
         )
-        beats = Beats(self._beat, self._left, self.ready, self._metrics().text)
-        self._control = ControlServer(beats.dispatch, lambda e: self.ring.wrong(f"fault: {e!r}"))
+        beats = ServerApi(self._beat, self._left, self.ready, self._metrics().text)
+        self._control = ApiServer(beats.dispatch, lambda e: self.ring.wrong(f"fault: {e!r}"))
         self._session = Session(
             settings.seed_links,
             self._hello,
             self._news,
-            self.state.newsstand.session_ended,
+            self.state.discovery.on_session_ended,
             self._rng,
             self.ring.note,
         )
@@ -143,7 +143,7 @@
         self.ring.say("starts")
         host, port = self._address.rsplit(":", 1)
         self._listener = await self._loop.create_server(
-            lambda: Link(self, silence_s=30.0), host, int(port), family=socket.AF_INET, backlog=1024
+            lambda: Link(self, silence_timeout_s=30.0), host, int(port), family=socket.AF_INET, backlog=1024
         )
         for address in {settings.control, settings.readiness} - {None}:
             assert address is not None
@@ -162,8 +162,8 @@
 
     def _metrics(self) -> Metrics:
         metrics = Metrics()
-        self.state.add_figures(metrics)
-        self.traffic.add_figures(metrics)
+        self.state.register_metrics(metrics)
+        self.traffic.register_metrics(metrics)
         metrics.add("requests_open", lambda: self._outbound.open)
         metrics.add("calls_running", lambda: self.gate.running)
         metrics.add("calls_waiting", self.gate.waiting)
@@ -178,7 +178,7 @@
 
     def ready(self) -> bool:
         """Whether clients may come: a configuration is in force here, and we are not about to end."""
-        return self._terminated_at is None and bool(self.state.routing.routes) and self._session.informed
+        return self._terminated_at is None and bool(self.state.routing.routes) and self._session.synced
 
     # ------------------------------------------------------------ requests of our clients
 
@@ -238,10 +238,10 @@
 
     def on_up(self, link: Link) -> None:
         self._withdrawals[link] = {}
-        link.every_s = IDLE_TAKEN_S
+        link.ping_interval_s = IDLE_ACCEPTOR_PING_S
 
     def on_down(self, link: Link) -> None:
-        self.state.newsstand.unsubscribe(link)
+        self.state.discovery.unsubscribe(link)
         for withdraw in self._withdrawals.pop(link, {}).values():
             withdraw(False)
 
@@ -255,25 +255,25 @@
 
             def deliver(delivery: Delivery) -> None:
                 waiting.pop(number, None)
-                if not waiting and not self.state.newsstand.serves(link):
-                    link.every_s = IDLE_TAKEN_S
+                if not waiting and not self.state.discovery.serves(link):
+                    link.ping_interval_s = IDLE_ACCEPTOR_PING_S
                 delivery.number = number
                 link.send(Frame(delivery=delivery))
 
             late_s = self._lag.seconds()
-            if late_s > BEHIND_S:
+            if late_s > OVERLOAD_LAG_S:
                 self._calls_shed += 1
                 deliver(Delivery(ran=Ran.NEVER, why=BEHIND, retry_ms=1000.0 * late_s))
                 return
             frame.waybill.left_ms -= 1000.0 * late_s  # it has waited here for so long
             waiting[number] = nothing_to_withdraw
-            link.every_s = PING_S  # its origin waits, and asks for signs of life
+            link.ping_interval_s = PING_S  # its origin waits, and asks for signs of life
             withdraw = self._inbound.take(frame.waybill, deliver)
             if number in waiting:
                 waiting[number] = withdraw
         elif kind == "subscribe":
-            link.every_s = PING_S
-            self.state.newsstand.subscribe(link, frozenset(frame.subscribe.services))
+            link.ping_interval_s = PING_S
+            self.state.discovery.subscribe(link, frozenset(frame.subscribe.services))
         elif kind == "withdrawal":
             withdraw = waiting.pop(frame.withdrawal.number, nothing_to_withdraw)
             withdraw(frame.withdrawal.client_left)
@@ -282,24 +282,24 @@
 
     def _news(self, news: wire.News) -> None:
         """What a signalbox tells."""
-        self.state.take(news)
-        self._outbound.informed = self._session.informed and bool(self.state.routing.routes)
+        self.state.apply_news(news)
+        self._outbound.informed = self._session.synced and bool(self.state.routing.routes)
 
     def _lent_here(self, waybill: Waybill) -> bool:
         """Whether our server is out of the traffic that a waybill is of, and others are not."""
         state, life = self.state, self.gate.life
-        if not state.lent.some() or life is None:
+        if not state.machine_drains.any() or life is None:
             return False
         host = next((f[5:] for f in waybill.fields.split(b"\r\n") if f[:5].lower() == b"host:"), b"").strip()
         path = waybill.target.partition(b"?")[0]
         route = state.routing.find(host.decode("latin-1"), path.decode("latin-1"))
-        if route is None or not state.lent.lent(self.settings.name, route):
+        if route is None or not state.machine_drains.is_drained(self.settings.name, route):
             return False
-        return life.id not in state.allowed(life.service, route)
+        return life.id not in state.eligible_servers(life.service, route)
 
     # ------------------------------------------------------------ our server
 
-    def _beat(self, beat: Beat) -> None:
+    def _beat(self, beat: Heartbeat) -> None:
         life = Life(beat.id, beat.service, beat.zone or self.settings.zone, beat.capacity)
         now = self._loop.time()
         if self.gate.beat(life, beat.draining, beat.count, beat.cold_ms, now):
@@ -339,12 +339,12 @@
     def _hello(self) -> wire.Node:
         self._number += 1
         node = self._node()
-        self.state.take_own(zone_relays.bare(node), node)
+        self.state.apply_own(zone_relays.bare(node), node)
         return node
 
     def _report(self) -> None:
         """Our server has changed: others must hear of it, and so must our own points."""
-        self._session.say(self._hello())
+        self._session.report(self._hello())
         self.state.changes.flush()
 
     # ------------------------------------------------------------ time
@@ -359,7 +359,7 @@
             self._own.is_gone()
             self._report()
         self._gates.sweep()
-        self.state.look_for_sources()
+        self.state.update_subscriptions()
         if self._possession:
             self._tell_use()
         if self._refused and now - self._noted_at >= NOTE_EACH_S:
@@ -373,7 +373,7 @@
         """Slots in use and what became of bookings, each epoch: for those who plan and report windows."""
         self._used = max(self._used, self.gate.running)
         if self._ledger.close(self._wall()):
-            self._session.say(self._hello())
+            self._session.report(self._hello())
             self._used = 0
 
     def _reload(self) -> None:
@@ -407,7 +407,7 @@
             self._outbound.close()
             self._control.close()
             self._session.close()
-            self.state.newsstand.close()
+            self.state.discovery.close()
             self._gates.close()
             self._own.close()
             self._done.set()
--- a/leadrudder/data_plane/request_accounting.py
+++ b/leadrudder/data_plane/request_accounting.py
@@ -8,19 +8,19 @@
 from leadrudder.data_plane.load_balancer import Errand
 from leadrudder.maintenance.ledger import Ledger, epoch_of
 from leadrudder.observability.invariants import Invariants
-from leadrudder.observability.traffic import Answered, Traffic
+from leadrudder.observability.traffic import AnswerClass, TrafficCounters
 from leadrudder.protocol.outcome import Ran, Reply, Verdict
 
 ANSWERED_LATE_S = 0.5  # after its deadline, by which a request is answered in any case
 
 
-def how_answered(what: Reply | Verdict, took_ms: float, target_ms: float) -> Answered:
+def how_answered(what: Reply | Verdict, took_ms: float, target_ms: float) -> AnswerClass:
     """What a client's answer counts as."""
     if isinstance(what, Verdict):
-        return Answered.REFUSED if what.ran is Ran.NEVER else Answered.FAILED
+        return AnswerClass.REFUSED if what.ran is Ran.NEVER else AnswerClass.FAILED
     if not 200 <= what.status < 300:
-        return Answered.FAILED
-    return Answered.IN_TARGET if took_ms <= target_ms else Answered.LATE
+        return AnswerClass.FAILED
+    return AnswerClass.IN_TARGET if took_ms <= target_ms else AnswerClass.LATE
 
 
 class RequestAccounting:
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        traffic: Traffic,
+        traffic: TrafficCounters,
         invariants: Invariants,
         ledger: Ledger | None,
         *,
--- a/leadrudder/data_plane/server_api.py
+++ b/leadrudder/data_plane/server_api.py
@@ -13,7 +13,7 @@
 from marshmallow import EXCLUDE, Schema, ValidationError, fields
 
 from leadrudder.bootstrap.settings import Duration
-from leadrudder.transport.http import PLAIN_TEXT, Call, Told
+from leadrudder.transport.http import PLAIN_TEXT, ApiRequest, ApiResponse
 
 BEAT_MOST = 4096  # bytes
 _JSON = b"Content-Type: application/json\r\n"
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Beat:
+class Heartbeat:
     """What a server tells of itself.  cold_ms: how much longer it stays slow."""
 
     id: str
@@ -63,7 +63,7 @@
     cold_ms: float
 
 
-class Beats:
+class ServerApi:
     """beat and left take in what the server says; ready tells whether clients may come.
 
     metrics: this process's figures, as text.
@@ -71,40 +71,40 @@
 
     def __init__(
         self,
-        beat: Callable[[Beat], None],
+        beat: Callable[[Heartbeat], None],
         left: Callable[[str], None],
         ready: Callable[[], bool],
         metrics: Callable[[], bytes] = bytes,
     ) -> None:
         self._beat, self._left, self._ready, self._metrics = beat, left, ready, metrics
 
-    async def dispatch(self, call: Call) -> Told:
+    async def dispatch(self, call: ApiRequest) -> ApiResponse:
         match call.method, call.segments:
             case "PUT", ("servers", name):
                 return self._put(name, call.body)
             case "DELETE", ("servers", name):
                 self._left(name)
-                return Told(200)
+                return ApiResponse(200)
             case "GET", ("ready",):
-                return Told(200 if self._ready() else 503)
+                return ApiResponse(200 if self._ready() else 503)
             case "GET", ("metrics",):
-                return Told(200, self._metrics(), PLAIN_TEXT)
+                return ApiResponse(200, self._metrics(), PLAIN_TEXT)
             case _, ("servers", _) | ("ready" | "metrics",):
-                return Told(405)
+                return ApiResponse(405)
             case _:
-                return Told(404)
+                return ApiResponse(404)
 
-    def _put(self, name: str, body: bytes) -> Told:
+    def _put(self, name: str, body: bytes) -> ApiResponse:
         if len(body) > BEAT_MOST:
-            return Told(413)
+            return ApiResponse(413)
         try:
             raw = cast(dict[str, Any], _BEAT.load(json.loads(body)))
         except (ValueError, ValidationError) as error:
-            return Told(400, str(error).encode() + b"\n")
+            return ApiResponse(400, str(error).encode() + b"\n")
         details = raw["details"]
         status = {"state": "ready", "count": 0, "cold_ms": 0.0, **raw["status"]}
         self._beat(
-            Beat(
+            Heartbeat(
                 name,
                 details["service"],
                 details["zone"],
@@ -114,4 +114,4 @@
                 status["cold_ms"],
             )
         )
-        return Told(200, b"{}", _JSON)
+        return ApiResponse(200, b"{}", _JSON)
--- a/leadrudder/data_plane/server_connections.py
+++ b/leadrudder/data_plane/server_connections.py
@@ -15,7 +15,7 @@
 from leadrudder.node.lists import Address, Listing
 from leadrudder.node.platform import SYSTEM, Platform
 from leadrudder.node.servers import Call, Connection, Peer, Servers
-from leadrudder.transport.http import WholeMessage, WholeReader
+from leadrudder.transport.http import HttpMessage, HttpReader
 
 ATTEMPT_ID = b"attempt-id"
 SEAL = b"server-seal"
@@ -24,7 +24,7 @@
 IDLE_S = 8.0
 ANSWER_MOST = 80 * 1024 * 1024
 
-Ended = Callable[[Outcome, WholeMessage | None], None]
+Ended = Callable[[Outcome, HttpMessage | None], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
         super().__init__(peer, servers)
 
     def reader(self) -> Reader:
-        return WholeReader(self._on_answer, requests=False, body_most=ANSWER_MOST)
+        return HttpReader(self._on_answer, requests=False, max_body_bytes=ANSWER_MOST)
 
     def carry(self, call: Call) -> None:
         assert isinstance(call.render, Going)
@@ -89,7 +89,7 @@
         """One request; its end is told once, at the earliest after this returns."""
 
         def done(outcome: Outcome, message: Message | None) -> None:
-            assert message is None or isinstance(message, WholeMessage)
+            assert message is None or isinstance(message, HttpMessage)
             ended(outcome, message)
 
         return self.call(server.encode(), going, timeout_s, done)
--- a/leadrudder/data_plane/session.py
+++ b/leadrudder/data_plane/session.py
@@ -27,8 +27,8 @@
         note: Callable[[str], None],
     ) -> None:
         self.seeds = seeds
-        self.informed = False  # we were told all there is, once
-        self.informed_count = 0  # sessions in which we were
+        self.synced = False  # we were told all there is, once
+        self.sync_count = 0  # sessions in which we were
         self._hello, self._news, self._rng, self._note = hello, news, rng, note
         self._on_ended = ended
         self._told = False
@@ -54,9 +54,9 @@
                 self._ended.clear()
                 link = await dial(address, lambda a=address: Link(self, peer=a))  # type: ignore[misc]
                 if link is not None and link.up:
-                    told_before = self.informed_count
+                    told_before = self.sync_count
                     await self._ended.wait()
-                    if self.informed_count != told_before:
+                    if self.sync_count != told_before:
                         pause, self._sent_on = PAUSE_S, False
                         break
                     if self._sent_on and not sent_on:
@@ -71,17 +71,17 @@
     def on_frame(self, link: Link, frame: Frame) -> None:
         if frame.news.near and link is self._link:
             self._near, self._sent_on = list(frame.news.near), True
-            link.cut()
+            link.abort()
             return
         if frame.WhichOneof("body") == "news" and link is self._link:
             if not self._told:
-                self.informed_count += 1
-            self._told = self.informed = True
+                self.sync_count += 1
+            self._told = self.synced = True
             if frame.news.signalboxes:
                 self._signalboxes = list(frame.news.signalboxes)[:16]
             self._news(frame.news)
 
-    def stands(self) -> bool:
+    def established(self) -> bool:
         """Whether a signalbox has taken us."""
         return self._link is not None and self._told
 
@@ -99,7 +99,7 @@
                 self._on_ended()
         self._ended.set()
 
-    def say(self, node: wire.Node) -> None:
+    def report(self, node: wire.Node) -> None:
         """Something about us has changed; without a session the next one begins with it."""
         if self._link is not None:
             self._link.send(Frame(hello=wire.Hello(node=node)))
--- a/leadrudder/emulation/fleet.py
+++ b/leadrudder/emulation/fleet.py
@@ -15,7 +15,7 @@
 
 from leadrudder.bootstrap.settings import Settings, read
 from leadrudder.control_plane.program import Signalbox
-from leadrudder.data_plane.program import Station
+from leadrudder.data_plane.program import DataPlaneNode
 from leadrudder.emulation.standins import Asked, Clients, Server, Wish, Work, call, request
 from leadrudder.simulation.loop import VirtualLoop
 from leadrudder.simulation.network import Network, Untapped
@@ -79,7 +79,7 @@
     service: str = ""
     disk: MemoryStore = field(default_factory=MemoryStore)  # what was synced stays when a process dies
     loops: dict[str, VirtualLoop] = field(default_factory=dict)
-    station: Station | None = None
+    station: DataPlaneNode | None = None
     signalbox: Signalbox | None = None
     server: Server | None = None
     lives: list[Server] = field(default_factory=list)  # of the server, that are over
@@ -211,7 +211,7 @@
         settings = self._settings(machine, first=True)
 
         async def main() -> None:
-            machine.station = Station(
+            machine.station = DataPlaneNode(
                 settings,
                 possession=self._possession,
                 rng=self._rng(loop.name),
--- a/leadrudder/mesh/demo.py
+++ b/leadrudder/mesh/demo.py
@@ -20,7 +20,7 @@
 from leadrudder.emulation.standins import call, request
 from leadrudder.maintenance.contract import DAYS
 from leadrudder.mesh import snapshots
-from leadrudder.transport.http import WholeMessage, WholeReader, rendered
+from leadrudder.transport.http import HttpMessage, HttpReader, render_response
 
 CORES, SIDES = 3, 2
 WHOLE_S = 20.0  # in which all must be served
@@ -50,7 +50,7 @@
 
     def __init__(self, name: bytes) -> None:
         self._name = name
-        self._reader = WholeReader(self._answer, requests=True)
+        self._reader = HttpReader(self._answer, requests=True)
         self._transport: asyncio.BaseTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -60,16 +60,18 @@
         self._reader.feed(data)
 
     def _answer(self, message: object) -> None:
-        assert isinstance(message, WholeMessage) and isinstance(self._transport, asyncio.Transport)
+        assert isinstance(message, HttpMessage) and isinstance(self._transport, asyncio.Transport)
         told = message.headers.get(b"attempt-id", b"")
         fields = b"Attempt-Id: %s\r\nServer-Seal: %s\r\n" % (told, self._name)
-        self._transport.write(rendered(200, fields, b"served by %s for %s\n" % (self._name, message.start)))
+        self._transport.write(
+            render_response(200, fields, b"served by %s for %s\n" % (self._name, message.start))
+        )
 
 
 CALL_S = 2.0
 
 
-async def _call(address: tuple[str, int], text: bytes) -> WholeMessage | None:
+async def _call(address: tuple[str, int], text: bytes) -> HttpMessage | None:
     """One call on a connection of its own; None where there is no whole answer."""
     return await call(address, text, CALL_S)
 
@@ -105,7 +107,7 @@
 }
 
 
-async def _until(what: str, ask: bytes, addresses: list[tuple[str, int]], status: int = 200) -> WholeMessage:
+async def _until(what: str, ask: bytes, addresses: list[tuple[str, int]], status: int = 200) -> HttpMessage:
     """Ask each in turn until one answers so; TimeoutError is the caller's."""
     while True:
         for address in addresses:
--- a/leadrudder/observability/loop_lag.py
+++ b/leadrudder/observability/loop_lag.py
@@ -5,12 +5,14 @@
 import asyncio
 from collections.abc import Callable
 
-CHECK_S = 0.1  # between two checks
-BEHIND_S = 0.25  # further behind than this, new work is refused: it would be answered too late to be of use
+CHECK_INTERVAL_S = 0.1  # between two checks
+OVERLOAD_LAG_S = (
+    0.25  # further behind than this, new work is refused: it would be answered too late to be of use
+)
 
 
 class LoopLag:
-    """A timer that should run every CHECK_S: how late it is tells how long anything else waits to be run.
+    """Measures how late a timer with a period of CHECK_INTERVAL_S runs: any other callback waits as long.
 
     monotonic: seconds that only advance, finer than the loop's own time, which stands still while callbacks
     run.
@@ -29,13 +31,13 @@
         self.highest_s = max(self.highest_s, late)
         return max(late, self._last)
 
-    def behind(self) -> bool:
+    def overloaded(self) -> bool:
         """Whether new work is to be refused."""
-        return self.seconds() > BEHIND_S
+        return self.seconds() > OVERLOAD_LAG_S
 
     def _schedule(self) -> None:
-        self._due = self._monotonic() + CHECK_S
-        self._loop.call_later(CHECK_S, self._check)
+        self._due = self._monotonic() + CHECK_INTERVAL_S
+        self._loop.call_later(CHECK_INTERVAL_S, self._check)
 
     def _check(self) -> None:
         self._last = 0.0
--- a/leadrudder/observability/traffic.py
+++ b/leadrudder/observability/traffic.py
@@ -13,7 +13,7 @@
 from leadrudder.observability.metrics import Metrics
 
 
-class Answered(StrEnum):
+class AnswerClass(StrEnum):
     """What a client was answered."""
 
     IN_TARGET = "in_target"  # a success inside the route's target
@@ -23,14 +23,14 @@
 
 
 @dataclass(slots=True)
-class Traffic:
+class TrafficCounters:
     """Since the start of the process.  refused: calls that came back without a server's answer, by reason."""
 
     calls: int = 0
     refused: Counter[str] = field(default_factory=Counter)
     answered: Counter[str] = field(default_factory=Counter)
 
-    def add_figures(self, metrics: Metrics) -> None:
+    def register_metrics(self, metrics: Metrics) -> None:
         metrics.add("calls_total", lambda: self.calls)
         metrics.add_labelled("calls_refused_total", "why", lambda: self.refused)
         metrics.add_labelled("requests_answered_total", "how", lambda: self.answered)
--- a/leadrudder/transport/http.py
+++ b/leadrudder/transport/http.py
@@ -14,12 +14,12 @@
 
 from leadrudder.node.http import Message, MessageError, Reader
 
-HEAD_MOST = 64 * 1024
-BODY_MOST = 16 * 1024 * 1024
+MAX_HEAD_BYTES = 64 * 1024
+MAX_BODY_BYTES = 16 * 1024 * 1024
 PLAIN_TEXT = b"Content-Type: text/plain\r\n"
-WAIT_S = 10.0  # for a call to come in whole, and for its answer to be read
+API_TIMEOUT_S = 10.0  # for a call to come in whole, and for its answer to be read
 
-REASONS = {
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -36,14 +36,14 @@
 
 
 @dataclass(slots=True)
-class WholeMessage(Message):
+class HttpMessage(Message):
     """A message with all its header fields, in their order and as they came."""
 
     fields: list[tuple[bytes, bytes]] = field(default_factory=list)
 
 
-class WholeReader(Reader):
-    """Reads messages with all their fields.  head_most, body_most: bytes."""
+class HttpReader(Reader):
+    """Reads messages with all their fields.  max_head_bytes, max_body_bytes: bytes."""
 
     __slots__ = ("_body_most", "_head_most", "_heads", "begun")
 
@@ -52,12 +52,12 @@
         on_message: Callable[[Message], None],
         *,
         requests: bool,
-        head_most: int = HEAD_MOST,
-        body_most: int = BODY_MOST,
+        max_head_bytes: int = MAX_HEAD_BYTES,
+        max_body_bytes: int = MAX_BODY_BYTES,
     ) -> None:
         super().__init__(on_message, requests=requests)
-        self._head_most, self._body_most = head_most, body_most
-        self._head_left = head_most
+        self._head_most, self._body_most = max_head_bytes, max_body_bytes
+        self._head_left = max_head_bytes
         self.begun = False  # any byte of a message that is not whole yet has come
 
     def feed(self, data: bytes) -> None:
@@ -73,10 +73,10 @@
 
     def on_message_begin(self) -> None:
         super().on_message_begin()
-        self._message = WholeMessage()
+        self._message = HttpMessage()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        message = cast(WholeMessage | None, self._message)
+        message = cast(HttpMessage | None, self._message)
         if message is not None and not self._in_body:
             message.fields.append((name, value))
         super().on_header(name, value)
@@ -116,11 +116,11 @@
             self._fail(431, "the head is too large")
 
 
-def rendered(status: int, fields: bytes, body: bytes, *, close: bool = False) -> bytes:
+def render_response(status: int, fields: bytes, body: bytes, *, close: bool = False) -> bytes:
     """An answer; fields are whole header lines without the length."""
     return b"HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n%s\r\n%s" % (
         status,
-        REASONS.get(status, b"Status"),
+        REASON_PHRASES.get(status, b"Status"),
         fields,
         len(body),
         b"Connection: close\r\n" if close else b"",
@@ -129,7 +129,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
+class ApiRequest:
     """A call of an operator's, a server's or the platform's."""
 
     method: str
@@ -138,7 +138,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class ApiResponse:
     """What it is answered."""
 
     status: int
@@ -146,15 +146,15 @@
     fields: bytes = b""
 
 
-Dispatch = Callable[[Call], Awaitable[Told]]
+Dispatch = Callable[[ApiRequest], Awaitable[ApiResponse]]
 
 
-class ControlConnection(asyncio.Protocol):
+class ApiConnection(asyncio.Protocol):
     """One connection of a caller's; its calls are answered one after the other."""
 
-    def __init__(self, server: ControlServer) -> None:
+    def __init__(self, server: ApiServer) -> None:
         self._server = server
-        self._reader = WholeReader(self._on_message, requests=True)
+        self._reader = HttpReader(self._on_message, requests=True)
         self._transport: asyncio.Transport | None = None
         self._queue: list[Message] = []
         self._task: asyncio.Task[None] | None = None
@@ -168,14 +168,14 @@
     def _wait(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = asyncio.get_running_loop().call_later(WAIT_S, self.drop)
+        self._timer = asyncio.get_running_loop().call_later(API_TIMEOUT_S, self.drop)
 
     def data_received(self, data: bytes) -> None:
         self._wait()
         try:
             self._reader.feed(data)
         except MessageError as error:
-            self._write(rendered(error.status, b"", str(error).encode() + b"\n", close=True))
+            self._write(render_response(error.status, b"", str(error).encode() + b"\n", close=True))
             if self._transport is not None:
                 self._transport.close()
         if len(self._queue) > 100:
@@ -206,13 +206,13 @@
             segments = tuple(part for part in path.split("/") if part)
             try:
                 told = await self._server.dispatch(
-                    Call(message.method.decode("latin-1"), segments, message.body)
+                    ApiRequest(message.method.decode("latin-1"), segments, message.body)
                 )
             except Exception as error:  # a fault of ours must not leave a caller waiting
                 self._server.fault(error)
-                told = Told(500)
+                told = ApiResponse(500)
             close = not message.keep_alive or self._server.closing
-            self._write(rendered(told.status, told.fields, told.body, close=close))
+            self._write(render_response(told.status, told.fields, told.body, close=close))
             self._wait()
             if close and self._transport is not None:
                 self._transport.close()
@@ -223,18 +223,18 @@
             self._transport.write(data)
 
 
-class ControlServer:
+class ApiServer:
     """Listens for calls, and hands each to one dispatch on method and path segments."""
 
     def __init__(self, dispatch: Dispatch, fault: Callable[[Exception], None]) -> None:
         self.dispatch, self.fault = dispatch, fault
-        self.connections: set[ControlConnection] = set()
+        self.connections: set[ApiConnection] = set()
         self.closing = False
         self._servers: list[asyncio.Server] = []
 
     async def listen(self, address: tuple[str, int]) -> None:
         loop = asyncio.get_running_loop()
-        make = lambda: ControlConnection(self)  # noqa: E731
+        make = lambda: ApiConnection(self)  # noqa: E731
         self._servers.append(await loop.create_server(make, *address, backlog=256, family=socket.AF_INET))
 
     def close(self) -> None:
--- a/leadrudder/transport/link.py
+++ b/leadrudder/transport/link.py
@@ -17,26 +17,28 @@
 from leadrudder.node.dialling import connect
 from leadrudder.protocol.mesh_pb2 import Frame
 
-FRAME_MOST = 80 * 1024 * 1024  # bytes; more is no frame of ours
-UNSENT_MOST = FRAME_MOST + 16 * 1024 * 1024  # bytes that a peer does not read before the link is cut
-CONNECT_S = 0.7
+MAX_FRAME_BYTES = 80 * 1024 * 1024  # bytes; more is no frame of ours
+MAX_UNSENT_BYTES = (
+    MAX_FRAME_BYTES + 16 * 1024 * 1024
+)  # bytes that a peer does not read before the link is cut
+CONNECT_TIMEOUT_S = 0.7
 PING_S = 0.3
 # Between signs of life where nobody waits for them. Who dialled finds a dead machine by its own that are not
 # acknowledged; the other side has only to know some time that the link is of use no more.
-IDLE_DIALLED_S, IDLE_TAKEN_S = 1.5, 10.0
+IDLE_DIALER_PING_S, IDLE_ACCEPTOR_PING_S = 1.5, 10.0
 _LENGTH = struct.Struct(">I")
 
 
-def packed(frame: Frame) -> bytes:
+def encode_frame(frame: Frame) -> bytes:
     """A frame as it goes on the wire."""
     body = frame.SerializeToString()
     return _LENGTH.pack(len(body)) + body
 
 
-PING = packed(Frame(ping={}))
+PING = encode_frame(Frame(ping={}))
 
 
-class Ends(Protocol):
+class LinkHandler(Protocol):
     """Who uses a link."""
 
     def on_frame(self, link: Link, frame: Frame) -> None:
@@ -50,15 +52,19 @@
 
 
 class Link(asyncio.Protocol):
-    """One connection.  ping_s: how often it says that it lives; silence_s: how long it waits for a sign."""
+    """A connection.  ping_s: ping interval; silence_timeout_s: abort after this long without a frame."""
 
-    def __init__(self, ends: Ends, ping_s: float = PING_S, silence_s: float = 1.0, peer: str = "") -> None:
+    def __init__(
+        self, handler: LinkHandler, ping_s: float = PING_S, silence_timeout_s: float = 1.0, peer: str = ""
+    ) -> None:
         self.peer = peer  # the address that was dialled, or what the other side says it is
         self.up = False
-        self.wants_life = True  # whether signs of life are asked for just now
-        self.every_s = ping_s  # how often we give ours: seldom where nobody waits for them, as bytes are dear
-        self._ends = ends
-        self._ping_s, self._silence_s = ping_s, silence_s
+        self.checks_liveness = True  # whether signs of life are asked for just now
+        self.ping_interval_s = (
+            ping_s  # how often we give ours: seldom where nobody waits for them, as bytes are dear
+        )
+        self._handler = handler
+        self._ping_s, self._silence_timeout_s = ping_s, silence_timeout_s
         self._transport: asyncio.Transport | None = None
         self._loop = asyncio.get_running_loop()
         self._buffer = bytearray()
@@ -77,10 +83,10 @@
         sock = transport.get_extra_info("socket")
         if sock is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(2000 * self._silence_s))
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(2000 * self._silence_timeout_s))
         self.up = True
         self._heard = self._loop.time()
-        self._ends.on_up(self)
+        self._handler.on_up(self)
         self._beat()
 
     def data_received(self, data: bytes) -> None:
@@ -90,8 +96,8 @@
         at = 0
         while self.up and len(buffer) - at >= _LENGTH.size:
             (length,) = _LENGTH.unpack_from(buffer, at)
-            if length > FRAME_MOST:
-                self.cut()
+            if length > MAX_FRAME_BYTES:
+                self.abort()
                 return
             if len(buffer) - at - _LENGTH.size < length:
                 break
@@ -100,11 +106,11 @@
             try:
                 frame.ParseFromString(bytes(memoryview(buffer)[at : at + length]))
             except DecodeError:
-                self.cut()
+                self.abort()
                 return
             at += length
             if frame.WhichOneof("body") != "ping":
-                self._ends.on_frame(self, frame)
+                self._handler.on_frame(self, frame)
         del buffer[:at]
 
     def eof_received(self) -> bool:
@@ -117,9 +123,9 @@
 
     def send(self, frame: Frame) -> bool:
         """Hand a frame to the connection; False where it has ended: then nothing was sent."""
-        return self.send_packed(packed(frame))
+        return self.send_encoded(encode_frame(frame))
 
-    def send_packed(self, data: bytes) -> bool:
+    def send_encoded(self, data: bytes) -> bool:
         if not self.up or self._transport is None or self._transport.is_closing():
             return False
         try:
@@ -128,43 +134,43 @@
             self._over()
             return False
         self._sent = self._loop.time()
-        if self._transport.get_write_buffer_size() > UNSENT_MOST:
-            self.cut()
+        if self._transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
+            self.abort()
         return True
 
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         """Bytes that wait here for the peer to read."""
         return 0 if self._transport is None else self._transport.get_write_buffer_size()
 
-    def sent_all(self) -> bool:
+    def is_drained(self) -> bool:
         """Whether nothing waits here for the peer to read."""
-        return not self.unsent()
+        return not self.unsent_bytes()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """End it at once."""
         if self._transport is not None:
             self._transport.abort()
         self._over()
 
     def give_up_dial(self) -> None:
-        """Nobody waits for it to come up any more: it never does, or it ends now."""
+        """Nobody waits for it to come up any more: it never does, or it handler now."""
         self._given_up = True
-        self.cut()
+        self.abort()
 
     def close(self) -> None:
         """End it when what was written has gone out."""
         if self._transport is not None:
             self._transport.close()
 
-    def watch(self) -> None:
+    def start_liveness_checks(self) -> None:
         """Ask for signs of life from now on; what was heard before counts as heard now."""
-        if not self.wants_life:
-            self.wants_life = True
+        if not self.checks_liveness:
+            self.checks_liveness = True
             self._heard = self._loop.time()
             if self._timer is None and self.up:
                 self._beat()
 
-    def quiet(self) -> float:
+    def silent_for_s(self) -> float:
         """Seconds since anything was heard."""
         return self._loop.time() - self._heard
 
@@ -175,18 +181,18 @@
         if self.up:
             self.up = False
             self._buffer.clear()
-            self._ends.on_down(self)
+            self._handler.on_down(self)
 
     def _beat(self) -> None:
         self._timer = None
         if not self.up:
             return
         now = self._loop.time()
-        if self.wants_life and now - self._heard > self._silence_s:
-            self.cut()
+        if self.checks_liveness and now - self._heard > self._silence_timeout_s:
+            self.abort()
             return
-        if now - self._sent >= 0.9 * self.every_s:
-            self.send_packed(PING)
+        if now - self._sent >= 0.9 * self.ping_interval_s:
+            self.send_encoded(PING)
         if self.up:
             self._timer = self._loop.call_later(self._ping_s, self._beat)
 
@@ -195,6 +201,6 @@
     """A link to an address IP:PORT; None where it does not come up in time."""
     host, _, port = address.rpartition(":")
     try:
-        return await connect(make, host, int(port), CONNECT_S)
+        return await connect(make, host, int(port), CONNECT_TIMEOUT_S)
     except (OSError, TimeoutError, ValueError):
         return None
--- a/tests/mesh/test_control.py
+++ b/tests/mesh/test_control.py
@@ -20,10 +20,10 @@
 from leadrudder.configuration.item_store import Book
 from leadrudder.consensus.outputs import Answer, Code
 from leadrudder.control_plane.operator_api import Operator
-from leadrudder.data_plane.server_api import Beat, Beats
+from leadrudder.data_plane.server_api import Heartbeat, ServerApi
 from leadrudder.membership.registry import MOVE_S, ORPHAN_S, Register
 from leadrudder.protocol.mesh_pb2 import Item, Node
-from leadrudder.transport.http import Call, Told
+from leadrudder.transport.http import ApiRequest, ApiResponse
 
 FILE: dict[str, Any] = {
     "nodeName": "n",
@@ -37,7 +37,7 @@
 }
 
 
-def told(work: Coroutine[Any, Any, Told]) -> Told:
+def told(work: Coroutine[Any, Any, ApiResponse]) -> ApiResponse:
     return asyncio.run(work)
 
 
@@ -146,9 +146,9 @@
     async def _read(self) -> Answer:
         return Answer(0, Code.DONE, tuple(self.book.items.values()))
 
-    def call(self, method: str, *segments: str, body: bytes = b"") -> Told:
+    def call(self, method: str, *segments: str, body: bytes = b"") -> ApiResponse:
         operator = Operator(lambda: self.book, self._change, self._read, ("z",), Ring("r"))
-        return told(operator.dispatch(Call(method, segments, body)))
+        return told(operator.dispatch(ApiRequest(method, segments, body)))
 
     def test_what_is_no_call_gets_a_clear_answer(self) -> None:
         for status, call in (
@@ -191,22 +191,24 @@
         )
 
     def test_beats(self) -> None:
-        beats: list[Beat] = []
+        beats: list[Heartbeat] = []
         left: list[str] = []
-        server = Beats(beats.append, left.append, lambda: False)
+        server = ServerApi(beats.append, left.append, lambda: False)
         body = {
             "address": "10.1.0.8:8301",
             "details": {"service": "s", "version": "v1", "zone": "z", "capacity": 9},
             "status": {"state": "draining", "callCount": 4, "coldLeft": "1.5s"},
         }
-        put = Call("PUT", ("servers", "i-1"), json.dumps(body).encode())
+        put = ApiRequest("PUT", ("servers", "i-1"), json.dumps(body).encode())
         self.assertEqual(told(server.dispatch(put)).status, 200)
-        self.assertEqual(beats, [Beat("i-1", "s", "z", 9, True, 4, 1500.0)])
-        self.assertEqual(told(server.dispatch(Call("PUT", ("servers", "i-1"), b"x"))).status, 400)
-        self.assertEqual(told(server.dispatch(Call("PUT", ("servers", "i-1"), b"x" * 5000))).status, 413)
-        self.assertEqual(told(server.dispatch(Call("DELETE", ("servers", "i-1"), b""))).status, 200)
+        self.assertEqual(beats, [Heartbeat("i-1", "s", "z", 9, True, 4, 1500.0)])
+        self.assertEqual(told(server.dispatch(ApiRequest("PUT", ("servers", "i-1"), b"x"))).status, 400)
+        self.assertEqual(
+            told(server.dispatch(ApiRequest("PUT", ("servers", "i-1"), b"x" * 5000))).status, 413
+        )
+        self.assertEqual(told(server.dispatch(ApiRequest("DELETE", ("servers", "i-1"), b""))).status, 200)
         self.assertEqual(left, ["i-1"])
-        self.assertEqual(told(server.dispatch(Call("GET", ("ready",), b""))).status, 503)
+        self.assertEqual(told(server.dispatch(ApiRequest("GET", ("ready",), b""))).status, 503)
 
     def test_the_ring_is_bounded(self) -> None:
         ring = Ring("r", now=lambda: 0.0)
--- a/tests/mesh/test_emulation.py
+++ b/tests/mesh/test_emulation.py
@@ -60,7 +60,11 @@
     def lent(self, fleet: Fleet) -> list[str]:
         """Stations that hold the first machine as lent."""
         holds = [m for m in fleet.side if m.station is not None]
-        return [m.name for m in holds if m.station and m.station.state.lent.lent("side-0", LOOKUPS)]
+        return [
+            m.name
+            for m in holds
+            if m.station and m.station.state.machine_drains.is_drained("side-0", LOOKUPS)
+        ]
 
     def landed(self, fleet: Fleet, doubt: int = 0) -> None:
         """Every booking landed once; doubt: but for so many, whose clients were told of no success."""
@@ -109,7 +113,7 @@
         found = {}
         for machine in fleet.side:
             link = machine.station._session._link if machine.station is not None else None
-            if link is not None and machine.station is not None and machine.station._session.stands():
+            if link is not None and machine.station is not None and machine.station._session.established():
                 found[machine.name] = next(c.zone for c in fleet.core if link.peer.startswith(c.host + ":"))
         return found
 
--- a/tests/mesh/test_feeds.py
+++ b/tests/mesh/test_feeds.py
@@ -19,13 +19,13 @@
         self.waiting = 0
         self.told: list[Frame] = []
 
-    def send_packed(self, data: bytes) -> bool:
+    def send_encoded(self, data: bytes) -> bool:
         self.told.append(Frame.FromString(data[4:]))
         if not self.reads:
             self.waiting += len(data)
         return True
 
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         return self.waiting
 
 
--- a/tests/mesh/test_late_dial.py
+++ b/tests/mesh/test_late_dial.py
@@ -14,7 +14,7 @@
 from leadrudder.transport import link as link_module
 from leadrudder.transport.link import Link, dial
 
-CONNECT_S = 0.05  # for a dial, here
+CONNECT_TIMEOUT_S = 0.05  # for a dial, here
 STILL_S = 0.08  # the process does nothing else for so long: more than a dial may take
 DIALS = 12
 
@@ -38,11 +38,11 @@
 
 class LateDial(unittest.TestCase):
     def setUp(self) -> None:
-        self._connect_s = link_module.CONNECT_S
-        link_module.CONNECT_S = CONNECT_S
+        self._connect_timeout_s = link_module.CONNECT_TIMEOUT_S
+        link_module.CONNECT_TIMEOUT_S = CONNECT_TIMEOUT_S
 
     def tearDown(self) -> None:
-        link_module.CONNECT_S = self._connect_s
+        link_module.CONNECT_TIMEOUT_S = self._connect_timeout_s
 
     def loops(self) -> list[Callable[[], asyncio.AbstractEventLoop]]:
         return [uvloop.new_event_loop, asyncio.SelectorEventLoop]
@@ -73,7 +73,7 @@
                 if each.up:
                     self.assertTrue(each.send(Frame(ping={})), "up, and nothing can be written to it")
             for each in [each for each in ours.up if each.up]:
-                each.cut()
+                each.abort()
         server.close()
         self.assertEqual(faults, [])
 
--- a/tests/mesh/test_link.py
+++ b/tests/mesh/test_link.py
@@ -97,7 +97,7 @@
                 await main(a, b, link)
             finally:
                 for each in a.links + b.links:
-                    each.cut()
+                    each.abort()
 
         asyncio.run(whole())
 
@@ -114,8 +114,8 @@
 
     def test_its_end_is_told_once_at_both_sides_and_nothing_is_sent_after_it(self) -> None:
         async def main(a: End, b: End, link: Link) -> None:
-            link.cut()
-            link.cut()
+            link.abort()
+            link.abort()
             assert not link.send(Frame(read=Read(number=1)))
             await until(lambda: b.downs)
             assert (a.downs, b.downs) == (1, 1)
@@ -125,13 +125,13 @@
 
     def test_what_is_no_frame_ends_it_and_reaches_nobody(self) -> None:
         for garbage in (
-            struct.pack(">I", link_module.FRAME_MOST + 1),
+            struct.pack(">I", link_module.MAX_FRAME_BYTES + 1),
             struct.pack(">I", 3) + b"\xff\xff\xff",
         ):
 
             async def main(a: End, b: End, link: Link, garbage: bytes = garbage) -> None:
                 link.send(Frame(read=Read(number=1)))
-                link.send_packed(garbage)
+                link.send_encoded(garbage)
                 link.send(Frame(read=Read(number=2)))
                 await until(lambda: a.downs and b.downs)
                 assert [frame.read.number for frame in b.frames] == [1]
@@ -140,13 +140,13 @@
 
     def test_a_peer_that_does_not_read_is_cut_off(self) -> None:
         async def main(a: End, b: End, link: Link) -> None:
-            most, link_module.UNSENT_MOST = link_module.UNSENT_MOST, 100_000
+            most, link_module.MAX_UNSENT_BYTES = link_module.MAX_UNSENT_BYTES, 100_000
             try:
                 one = Frame(standing=Standing(items=[Item(key="k", value=bytes(1_000_000))]))
                 while link.up:
                     link.send(one)
             finally:
-                link_module.UNSENT_MOST = most
+                link_module.MAX_UNSENT_BYTES = most
             assert a.downs == 1
 
         self.play(main)
--- a/tests/mesh/test_maintenance.py
+++ b/tests/mesh/test_maintenance.py
@@ -14,7 +14,7 @@
 
 from leadrudder.configuration.item_store import Book
 from leadrudder.configuration.items import Route
-from leadrudder.data_plane.machine_drains import Lent
+from leadrudder.data_plane.machine_drains import MachineDrains
 from leadrudder.maintenance import contract, planner, window
 from leadrudder.maintenance.contract import Contract
 from leadrudder.maintenance.controller import WATCH_S, Keeper, done_early, stopped
@@ -379,14 +379,16 @@
         back = lent.steps[0].back
         book, clock = Book(), {"wall": back - 10.0, "steady": 100.0}
         book.take([Item(key="windows/w", version=1, value=lent.packed())])
-        held = Lent(lambda: clock["wall"], lambda: clock["steady"], lambda after, do: None, lambda: None)
+        held = MachineDrains(
+            lambda: clock["wall"], lambda: clock["steady"], lambda after, do: None, lambda: None
+        )
         held.take(book)
-        self.assertTrue(held.lent("m0", route("kampaamo", "kal")))
+        self.assertTrue(held.is_drained("m0", route("kampaamo", "kal")))
         clock.update(wall=back - 3600.0, steady=109.0)
         held.take(book)  # other news come, and the window is looked at again
-        self.assertTrue(held.lent("m0", route("kampaamo", "kal")))
+        self.assertTrue(held.is_drained("m0", route("kampaamo", "kal")))
         clock.update(wall=back - 3599.0, steady=110.5)
-        self.assertFalse(held.lent("m0", route("kampaamo", "kal")))
+        self.assertFalse(held.is_drained("m0", route("kampaamo", "kal")))
 
     def test_two_windows_that_together_take_too_much(self) -> None:
         """Both were possible when they were planned; then a contract grew stricter."""
--- a/tests/mesh/test_metrics.py
+++ b/tests/mesh/test_metrics.py
@@ -7,12 +7,12 @@
 from unittest import mock
 
 from leadrudder.data_plane.request_accounting import how_answered
-from leadrudder.data_plane.server_api import Beats
-from leadrudder.observability.loop_lag import BEHIND_S, CHECK_S, LoopLag
+from leadrudder.data_plane.server_api import ServerApi
+from leadrudder.observability.loop_lag import CHECK_INTERVAL_S, OVERLOAD_LAG_S, LoopLag
 from leadrudder.observability.metrics import Metrics
-from leadrudder.observability.traffic import Answered, Traffic
+from leadrudder.observability.traffic import AnswerClass, TrafficCounters
 from leadrudder.protocol.outcome import Ran, Reply, Verdict
-from leadrudder.transport.http import Call
+from leadrudder.transport.http import ApiRequest
 
 
 class Figures(unittest.TestCase):
@@ -25,24 +25,24 @@
         self.assertEqual(metrics.text(), lines)
 
     def test_a_station_tells_them(self) -> None:
-        beats = Beats(lambda beat: None, lambda name: None, lambda: False, lambda: b"items 3\n")
-        told = asyncio.run(beats.dispatch(Call("GET", ("metrics",), b"")))
+        beats = ServerApi(lambda beat: None, lambda name: None, lambda: False, lambda: b"items 3\n")
+        told = asyncio.run(beats.dispatch(ApiRequest("GET", ("metrics",), b"")))
         self.assertEqual((told.status, told.body), (200, b"items 3\n"))
-        self.assertEqual(asyncio.run(beats.dispatch(Call("PUT", ("metrics",), b""))).status, 405)
+        self.assertEqual(asyncio.run(beats.dispatch(ApiRequest("PUT", ("metrics",), b""))).status, 405)
 
 
 class HowAnswered(unittest.TestCase):
     def test_in_target_late_refused_and_failed_are_told_apart(self) -> None:
         served, failed = Reply(200, b"", b""), Reply(500, b"", b"")
-        self.assertEqual(how_answered(served, 99.0, 100.0), Answered.IN_TARGET)
-        self.assertEqual(how_answered(served, 101.0, 100.0), Answered.LATE)
-        self.assertEqual(how_answered(failed, 1.0, 100.0), Answered.FAILED)
-        self.assertEqual(how_answered(Verdict(Ran.NEVER, "full"), 1.0, 100.0), Answered.REFUSED)
-        self.assertEqual(how_answered(Verdict(Ran.MAYBE, "link"), 1.0, 100.0), Answered.FAILED)
+        self.assertEqual(how_answered(served, 99.0, 100.0), AnswerClass.IN_TARGET)
+        self.assertEqual(how_answered(served, 101.0, 100.0), AnswerClass.LATE)
+        self.assertEqual(how_answered(failed, 1.0, 100.0), AnswerClass.FAILED)
+        self.assertEqual(how_answered(Verdict(Ran.NEVER, "full"), 1.0, 100.0), AnswerClass.REFUSED)
+        self.assertEqual(how_answered(Verdict(Ran.MAYBE, "link"), 1.0, 100.0), AnswerClass.FAILED)
 
     def test_traffic_is_told_by_reason(self) -> None:
-        metrics, traffic = Metrics(), Traffic(calls=3)
-        traffic.add_figures(metrics)
+        metrics, traffic = Metrics(), TrafficCounters(calls=3)
+        traffic.register_metrics(metrics)
         traffic.refused["full"] += 2
         self.assertIn(b'calls_refused_total{why="full"} 2\ncalls_total 3\n', metrics.text())
 
@@ -58,20 +58,20 @@
         self.loop.call_later.call_args.args[1]()
 
     def test_what_is_due_and_is_not_run_is_a_lag(self) -> None:
-        self.now += CHECK_S
+        self.now += CHECK_INTERVAL_S
         self.assertEqual(self.lag.seconds(), 0.0)
-        self.now += 2 * BEHIND_S
-        self.assertAlmostEqual(self.lag.seconds(), 2 * BEHIND_S)
-        self.assertTrue(self.lag.behind())
+        self.now += 2 * OVERLOAD_LAG_S
+        self.assertAlmostEqual(self.lag.seconds(), 2 * OVERLOAD_LAG_S)
+        self.assertTrue(self.lag.overloaded())
 
     def test_a_late_check_counts_until_the_next_one(self) -> None:
-        self.now += CHECK_S + 2 * BEHIND_S
+        self.now += CHECK_INTERVAL_S + 2 * OVERLOAD_LAG_S
         self.check()  # what is run after it has waited as long
-        self.assertTrue(self.lag.behind())
-        self.now += CHECK_S
+        self.assertTrue(self.lag.overloaded())
+        self.now += CHECK_INTERVAL_S
         self.check()
-        self.assertFalse(self.lag.behind())
-        self.assertAlmostEqual(self.lag.highest_s, 2 * BEHIND_S)
+        self.assertFalse(self.lag.overloaded())
+        self.assertAlmostEqual(self.lag.highest_s, 2 * OVERLOAD_LAG_S)
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_outbound.py
+++ b/tests/mesh/test_outbound.py
@@ -13,7 +13,7 @@
 from leadrudder.data_plane.outbound import Client, Outbound
 from leadrudder.data_plane.server_connections import Going, OwnConnection
 from leadrudder.interface import Outcome
-from leadrudder.observability.loop_lag import BEHIND_S
+from leadrudder.observability.loop_lag import OVERLOAD_LAG_S
 from leadrudder.protocol.outcome import Ran, Reply, Verdict
 
 ROUTE = Route("r", "h", "/a/", False, 1000.0, 250.0, 1, (("s", 1.0),), 2, 1)
@@ -111,7 +111,7 @@
         self.assertLess(self.transport.written.index(b"first"), self.transport.written.index(b"second"))
 
     def test_a_process_that_is_behind_refuses_at_once_and_not_for_long(self) -> None:
-        self.late_s = BEHIND_S + 0.01
+        self.late_s = OVERLOAD_LAG_S + 0.01
         self.client.data_received(request(attempt="x1"))
         self.assertEqual((self.statuses(), self.errands), ([b"503"], []))
         self.assertIn(b"Retry-After: ", self.transport.written)
--- a/tests/mesh/test_routing_table.py
+++ b/tests/mesh/test_routing_table.py
@@ -12,7 +12,7 @@
 from leadrudder.configuration.item_store import RANGES, Book, range_of
 from leadrudder.configuration.items import ROUTE
 from leadrudder.configuration.routing_table import RoutingTable
-from leadrudder.data_plane.change_queue import DELAY_MOST_S, ChangeQueue, PendingChanges
+from leadrudder.data_plane.change_queue import MAX_PASS_DELAY_S, ChangeQueue, PendingChanges
 from leadrudder.data_plane.endpoints import EndpointTable, endpoints_of
 from leadrudder.protocol.mesh_pb2 import Item, Node, Server
 
@@ -97,8 +97,8 @@
         table.replace("m", endpoints_of(self.entry("m", "a"), Node(name="m", life=1)))
         table.replace("n", ())
         found = table.server("a")
-        self.assertEqual(found.station if found else None, "m")
-        self.assertEqual([each.station for each in table.of_service("s")], ["m"])
+        self.assertEqual(found.node if found else None, "m")
+        self.assertEqual([each.node for each in table.of_service("s")], ["m"])
 
     def test_only_members_of_that_life_or_an_earlier_one_count(self) -> None:
         entry = self.entry("n", "a", life=2)
@@ -121,21 +121,21 @@
 
     def test_what_comes_in_together_is_carried_out_once(self) -> None:
         for name in ("a", "b", "a"):
-            self.queue.pending.stations.add(name)
+            self.queue.pending.nodes.add(name)
             self.queue.schedule()
         self.loop.call_soon.assert_called_once()
         self.loop.call_soon.call_args.args[0]()
-        self.assertEqual([changes.stations for changes in self.done], [{"a", "b"}])
+        self.assertEqual([changes.nodes for changes in self.done], [{"a", "b"}])
         self.queue.flush()
         self.assertEqual(len(self.done), 1, "nothing is pending, so there is nothing to do")
 
     def test_a_pass_that_fails_loses_nothing(self) -> None:
-        self.queue.pending.stations.add("a")
+        self.queue.pending.nodes.add("a")
         with mock.patch.object(self.queue, "_carry_out", side_effect=KeyError), self.assertRaises(KeyError):
             self.queue.flush()
         self.queue.pending.routes.add("r")
         self.queue.flush()
-        self.assertEqual([(c.stations, c.routes) for c in self.done], [({"a"}, {"r"})])
+        self.assertEqual([(c.nodes, c.routes) for c in self.done], [({"a"}, {"r"})])
 
     def test_passes_take_a_bounded_share_of_the_time(self) -> None:
         self.cost = 0.05
@@ -148,7 +148,7 @@
         self.queue.flush()
         self.queue.pending.members = True
         self.queue.schedule()
-        self.assertEqual(self.loop.call_later.call_args.args[0], DELAY_MOST_S)
+        self.assertEqual(self.loop.call_later.call_args.args[0], MAX_PASS_DELAY_S)
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_shedding.py
+++ b/tests/mesh/test_shedding.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from leadrudder.emulation.fleet import Fleet
-from leadrudder.observability.loop_lag import BEHIND_S, LoopLag
+from leadrudder.observability.loop_lag import OVERLOAD_LAG_S, LoopLag
 from leadrudder.protocol.mesh_pb2 import Frame, Waybill
 from leadrudder.protocol.outcome import Ran
 from tests.mesh.test_emulation import PLAN
@@ -24,7 +24,7 @@
         link = mock.Mock()
         station.on_up(link)
         waybill = Waybill(number=3, server="i-side-0-0", method=b"GET", target=b"/", left_ms=900.0)
-        with mock.patch.object(LoopLag, "seconds", lambda lag: 2 * BEHIND_S):
+        with mock.patch.object(LoopLag, "seconds", lambda lag: 2 * OVERLOAD_LAG_S):
             station.on_frame(link, Frame(waybill=waybill))
         delivery = cast(Any, link.send.call_args.args[0]).delivery
         self.assertEqual((delivery.number, Ran(delivery.ran), delivery.why), (3, Ran.NEVER, "behind"))
@@ -38,7 +38,7 @@
         plain = LoopLag.seconds
 
         def seconds(lag: LoopLag) -> float:
-            return 2 * BEHIND_S if lag is behind._lag else plain(lag)
+            return 2 * OVERLOAD_LAG_S if lag is behind._lag else plain(lag)
 
         with mock.patch.object(LoopLag, "seconds", seconds):
             fleet.play(LATE_AT + LATE_FOR)
--- a/tests/mesh/test_start_and_end.py
+++ b/tests/mesh/test_start_and_end.py
@@ -64,7 +64,7 @@
         with mock.patch.object(station, "_loop") as loop, mock.patch.object(station, "state") as state:
             station._sweep()
         loop.call_later.assert_not_called()
-        state.look_for_sources.assert_not_called()
+        state.update_subscriptions.assert_not_called()
 
 
 if __name__ == "__main__":
