--- a/bench/soak/planted_faults.py
+++ b/bench/soak/planted_faults.py
@@ -25,7 +25,7 @@
         if not link.up or link._transport is None or link._transport.is_closing():
             return False
         link._transport.write(data)
-        link._sent = link._loop.time()
+        link._last_sent_at = link._loop.time()
         return True
 
     with (
--- a/leadrudder/data_plane/__init__.py
+++ b/leadrudder/data_plane/__init__.py
@@ -1,3 +1,3 @@
-"""The data plane's program: carries requests from clients to the gates beside servers, and is such a gate
-itself.
+"""The data plane: proxies requests of local clients to servers on any machine, and controls admission to the
+local server.
 """
--- a/leadrudder/data_plane/__main__.py
+++ b/leadrudder/data_plane/__main__.py
@@ -1,4 +1,4 @@
-"""python -m leadrudder.data_plane: the data plane's program, told by its settings file."""
+"""python -m leadrudder.data_plane: runs a data-plane node with the settings from its settings file."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import signal
 import sys
 
-# Until it is handled, a SIGHUP would end the process: what is imported below takes most of its start.
+# An unhandled SIGHUP would end the process, and the imports below take most of the start-up time.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 from leadrudder.bootstrap.settings import Settings  # noqa: E402
@@ -14,8 +14,8 @@
 from leadrudder.data_plane.program import DataPlaneNode  # noqa: E402
 
 
-async def _serve(settings: Settings, told: argparse.Namespace) -> None:
-    await DataPlaneNode(settings, possession=told.possession).run()
+async def _serve(settings: Settings, arguments: argparse.Namespace) -> None:
+    await DataPlaneNode(settings, maintenance_windows=arguments.possession).run()
 
 
 if __name__ == "__main__":
--- a/leadrudder/data_plane/change_queue.py
+++ b/leadrudder/data_plane/change_queue.py
@@ -1,7 +1,7 @@
-"""Changes that a station has heard of and not carried out yet.
+"""Changes that a data-plane node has received and not applied yet.
 
-News is merged as it comes in and carried out once for all that came in together: a process that is behind
-does less work for each change, and not more.  Passes take a bounded share of the time.  Times are seconds.
+News is merged as it arrives and applied in one pass: an overloaded process does less work for each change,
+not more.  Passes take a bounded share of the time.  Times are seconds.
 """
 
 from __future__ import annotations
@@ -10,24 +10,24 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-MAX_PASS_TIME_SHARE = 0.2  # of the time, that passes may take; the rest is for requests
-MAX_PASS_DELAY_S = 0.5  # by which that may put a pass off
+MAX_PASS_TIME_SHARE = 0.2  # of the time; the rest is for requests
+MAX_PASS_DELAY_S = 0.5  # the longest that this limit delays a pass
 
 
 @dataclass(slots=True)
 class PendingChanges:
-    """What has changed since the last pass, by name."""
+    """What has changed since the last pass; sets hold names."""
 
     routes: set[str] = field(default_factory=set)
-    services: set[str] = field(default_factory=set)  # settings of these, in the configuration
-    nodes: set[str] = field(default_factory=set)  # their membership or their servers
-    members: bool = False  # who is a member
-    sources: bool = False  # whom to ask for servers: links, or the services that routes call
+    services: set[str] = field(default_factory=set)  # whose configuration has changed
+    nodes: set[str] = field(default_factory=set)  # whose membership or servers have changed
+    members: bool = False  # the list of members
+    sources: bool = False  # of endpoints: links, or the services that routes call
     evacuations: bool = False
     machine_drains: bool = False
 
     def merge(self, other: PendingChanges) -> None:
-        """Take in changes that were not carried out after all."""
+        """Merge changes that a failed pass did not apply."""
         self.routes |= other.routes
         self.services |= other.services
         self.nodes |= other.nodes
@@ -42,47 +42,47 @@
 
 
 class ChangeQueue:
-    """Pending changes and the next pass over them: at most one is scheduled at a time.
+    """Pending changes and the next pass over them; at most one pass is scheduled at a time.
 
-    monotonic: seconds that only advance, finer than the loop's own time.
+    monotonic: monotonic time in seconds, finer than the loop's own.
     """
 
-    def __init__(self, carry_out: Callable[[PendingChanges], None], monotonic: Callable[[], float]) -> None:
+    def __init__(self, apply: Callable[[PendingChanges], None], monotonic: Callable[[], float]) -> None:
         self.pending = PendingChanges()
         self.passes = 0  # since the start
-        self.pass_seconds = 0.0  # that they took in all
-        self._carry_out, self._monotonic = carry_out, monotonic
+        self.pass_seconds = 0.0  # spent in passes since the start
+        self._apply, self._monotonic = apply, monotonic
         self._loop = asyncio.get_running_loop()
         self._scheduled: asyncio.Handle | None = None
-        self._not_before = 0.0  # on the monotonic clock
+        self._next_pass_at = 0.0  # on the monotonic clock
 
     def schedule(self) -> None:
-        """Carry out what is pending after all that has already come in was read, and not too often."""
+        """Schedule a pass after all input received so far is read, within the share of time for passes."""
         if self._scheduled is not None or not self.pending.any():
             return
-        delay = min(MAX_PASS_DELAY_S, self._not_before - self._monotonic())
+        delay = min(MAX_PASS_DELAY_S, self._next_pass_at - self._monotonic())
         if delay > 0.0:
             self._scheduled = self._loop.call_later(delay, self.flush)
         else:
             self._scheduled = self._loop.call_soon(self.flush)
 
     def flush(self) -> None:
-        """Carry out what is pending now."""
+        """Apply pending changes now."""
         if self._scheduled is not None:
             self._scheduled.cancel()
             self._scheduled = None
         if not self.pending.any():
             return
         changes, self.pending = self.pending, PendingChanges()
-        began = self._monotonic()
+        started = self._monotonic()
         try:
-            self._carry_out(changes)
+            self._apply(changes)
         except Exception:
-            # A fault of ours: what it was about to do is not lost, and tried again with what comes next.
+            # After an internal error the changes are kept and retried with the next pass.
             self.pending.merge(changes)
             raise
         finally:
             ended = self._monotonic()
             self.passes += 1
-            self.pass_seconds += ended - began
-            self._not_before = ended + (ended - began) * (1.0 / MAX_PASS_TIME_SHARE - 1.0)
+            self.pass_seconds += ended - started
+            self._next_pass_at = ended + (ended - started) * (1.0 / MAX_PASS_TIME_SHARE - 1.0)
--- a/leadrudder/data_plane/endpoint_discovery.py
+++ b/leadrudder/data_plane/endpoint_discovery.py
@@ -1,5 +1,5 @@
-"""The news of servers at a station: asked for at home stations or a signalbox, and handed on to those who
-ask us.
+"""Endpoint discovery: subscribes to node entries at zone relays or the control plane, and relays them to
+other nodes of the zone.
 """
 
 from __future__ import annotations
@@ -14,41 +14,42 @@
 from leadrudder.protocol.mesh_pb2 import Frame, Node
 from leadrudder.transport.link import Link, dial
 
-SILENCE_S = 0.9  # a home that gives no sign of life for so long is passed over
-PING_S = 0.3
-KEPT = 64  # entries of stations that are no members
+SILENCE_TIMEOUT_S = 0.9  # a relay that is silent for longer counts as failed
+PING_INTERVAL_S = 0.3
+MAX_FORMER_ENTRIES = 64  # entries of former members that may be kept
 
 
 class EndpointDiscovery:
-    """ask: asks our signalbox; session_established: whether our session stands.
+    """subscribe: subscribes at the control plane; session_established: whether there is a session with it.
 
-    heard: entries of these stations are new; sources_changed: links have changed, so follow() is due.
+    on_entries: called with the names of nodes with new entries.
+    on_sources_changed: links have changed, so update() is due.
     """
 
     def __init__(
         self,
         name: str,
         zone: str,
-        ask: Callable[[frozenset[str]], None],
+        subscribe: Callable[[frozenset[str]], None],
         session_established: Callable[[], bool],
-        heard: Callable[[list[str]], None],
-        sources_changed: Callable[[], None],
+        on_entries: Callable[[list[str]], None],
+        on_sources_changed: Callable[[], None],
     ) -> None:
-        self.served: dict[str, Node] = {}  # the newest entry with servers, by station
-        self._homes = Homes(name, zone)
-        self._ask, self._session_established = ask, session_established
-        self._heard, self._sources_changed = heard, sources_changed
+        self.served: dict[str, Node] = {}  # the newest entry with servers, by node name
+        self._relays = Homes(name, zone)
+        self._subscribe, self._session_established = subscribe, session_established
+        self._on_entries, self._on_sources_changed = on_entries, on_sources_changed
         self._loop = asyncio.get_running_loop()
-        self._asked: dict[str, frozenset[str]] = {}  # by source: what it was asked for
+        self._requested: dict[str, frozenset[str]] = {}  # services subscribed to, by source
         self._links: dict[str, Link] = {}
-        self._dialling: set[str] = set()
+        self._connecting: set[str] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._subscribers: dict[Link, frozenset[str]] = {}
 
-    # ------------------------------------------------------------ what we hear
+    # ------------------------------------------------------------ entries received
 
     def merge(self, served: list[Node]) -> None:
-        """Entries with servers, from whoever.  What is new is handed on."""
+        """Merge entries with servers from any source, and relay the new ones to subscribers."""
         new = []
         for node in served:
             old = self.served.get(node.name)
@@ -58,68 +59,68 @@
         if not new:
             return
         for link, services in list(self._subscribers.items()):
-            if told := zone_relays.of_services(new, services):
-                link.send(Frame(news=wire.News(served=told)))
-        self._heard([node.name for node in new])
+            if entries := zone_relays.of_services(new, services):
+                link.send(Frame(news=wire.News(served=entries)))
+        self._on_entries([node.name for node in new])
 
-    def forget(self, names: set[str]) -> None:
-        """Bounded memory: who is no member goes, once there are many."""
-        if len(self.served) <= 2 * len(names) + KEPT:
+    def prune(self, member_names: set[str]) -> None:
+        """Bound memory: remove entries of former members once there are many."""
+        if len(self.served) <= 2 * len(member_names) + MAX_FORMER_ENTRIES:
             return
-        for name in [name for name in self.served if name not in names]:
+        for name in [name for name in self.served if name not in member_names]:
             del self.served[name]
 
-    # ------------------------------------------------------------ whom we ask
+    # ------------------------------------------------------------ subscriptions at sources
 
     def update(self, services: frozenset[str], members: list[Node]) -> None:
-        """Ask for these services where they are to be had now; called after any change and at times."""
-        sources = self._homes.sources(services, members, self._loop.time())
+        """Subscribe to these services at their current sources; called after any change and periodically."""
+        sources = self._relays.sources(services, members, self._loop.time())
         for address in [a for a in self._links if a not in sources]:
             self._links.pop(address).close()
-            self._asked.pop(address, None)
+            self._requested.pop(address, None)
         for address, wanted in sources.items():
-            asked = frozenset(wanted)
+            requested = frozenset(wanted)
             if address and address not in self._links:
-                self._dial(address)
-            elif self._asked.get(address) != asked:
-                self._asked[address] = asked
+                self._start_connecting(address)
+            elif self._requested.get(address) != requested:
+                self._requested[address] = requested
                 if address:
-                    self._links[address].send(Frame(subscribe=wire.Subscribe(services=asked)))
+                    self._links[address].send(Frame(subscribe=wire.Subscribe(services=requested)))
                 else:
-                    self._ask(asked)
-        if "" not in sources and self._asked.get(""):
-            del self._asked[""]
-            self._ask(frozenset())
+                    self._subscribe(requested)
+        if "" not in sources and self._requested.get(""):
+            del self._requested[""]
+            self._subscribe(frozenset())
 
     def on_session_started(self) -> None:
-        """Another signalbox: it must be asked anew."""
-        self._asked.pop("", None)
+        """Handle a new session: its control-plane node has no subscriptions of this node yet."""
+        self._requested.pop("", None)
 
     def on_session_ended(self) -> None:
-        """We hear nothing any more: those who rest on us must ask elsewhere."""
+        """Handle the end of the session: subscribers must use another source, as no news arrives here."""
         for link in list(self._subscribers):
             link.abort()
 
-    def _dial(self, address: str) -> None:
-        if address in self._dialling:
+    def _start_connecting(self, address: str) -> None:
+        if address in self._connecting:
             return
-        self._dialling.add(address)
+        self._connecting.add(address)
         task = self._loop.create_task(self._connect(address))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _connect(self, address: str) -> None:
-        link = await dial(address, lambda: Link(self, PING_S, SILENCE_S, peer=address))
-        self._dialling.discard(address)
+        link = await dial(address, lambda: Link(self, PING_INTERVAL_S, SILENCE_TIMEOUT_S, peer=address))
+        self._connecting.discard(address)
         if link is None or not link.up:
-            self._homes.failed(address, self._loop.time())
+            self._relays.failed(address, self._loop.time())
         else:
             self._links[address] = link
-            self._asked.pop(address, None)
-        self._sources_changed()
+            self._requested.pop(address, None)
+        self._on_sources_changed()
 
     def on_up(self, link: Link) -> None:
-        """Asked on it as soon as it is known."""
+        """Nothing to do: the subscription is sent once the link is registered."""
 
     def on_frame(self, link: Link, frame: Frame) -> None:
         if frame.WhichOneof("body") == "news":
@@ -128,37 +129,37 @@
     def on_down(self, link: Link) -> None:
         if self._links.get(link.peer) is link:
             del self._links[link.peer]
-            self._asked.pop(link.peer, None)
-            self._homes.failed(link.peer, self._loop.time())
-            self._sources_changed()
+            self._requested.pop(link.peer, None)
+            self._relays.failed(link.peer, self._loop.time())
+            self._on_sources_changed()
 
-    # ------------------------------------------------------------ who asks us
+    # ------------------------------------------------------------ subscribers
 
     def subscribe(self, link: Link, services: frozenset[str]) -> None:
-        """Another station of our zone asks; without a session we have nothing to tell."""
+        """Accept a subscription from a node of this zone; without a session its link is aborted."""
         if not self._session_established():
             link.abort()
             return
         self._subscribers[link] = services
-        self._count()
-        if told := zone_relays.of_services(self.served.values(), services):
-            link.send(Frame(news=wire.News(served=told)))
-        self._sources_changed()
+        self._count_subscriptions()
+        if entries := zone_relays.of_services(self.served.values(), services):
+            link.send(Frame(news=wire.News(served=entries)))
+        self._on_sources_changed()
 
-    def serves(self, link: Link) -> bool:
-        """Whether another station rests on what we tell it here."""
+    def has_subscriber(self, link: Link) -> bool:
+        """Whether another node is subscribed over this link."""
         return link in self._subscribers
 
     def unsubscribe(self, link: Link) -> None:
         if self._subscribers.pop(link, None) is not None:
-            self._count()
+            self._count_subscriptions()
 
-    def _count(self) -> None:
+    def _count_subscriptions(self) -> None:
         serving: dict[str, int] = {}
         for services in self._subscribers.values():
             for service in services:
                 serving[service] = serving.get(service, 0) + 1
-        self._homes.serving = serving
+        self._relays.serving = serving
 
     def close(self) -> None:
         for link in [*self._links.values(), *self._subscribers]:
--- a/leadrudder/data_plane/endpoints.py
+++ b/leadrudder/data_plane/endpoints.py
@@ -1,6 +1,6 @@
-"""The servers that calls may go to, by service.  No I/O.
+"""Endpoints: the servers that calls may be sent to, by service.  No I/O.
 
-The table is kept by change: one station's news touches that station's servers and no others.
+The table is updated incrementally: news of one node touches only the endpoints of that node.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A server, and the address of the station beside it, through which alone it is reached."""
+    """A server, and the name and address of the data-plane node through which alone it is reached."""
 
     server: str
     service: str
@@ -24,9 +24,9 @@
 
 
 def endpoints_of(entry: Node | None, member: Node | None) -> tuple[Endpoint, ...]:
-    """The servers of a station by its newest entry; none unless it is a member since that life or earlier.
+    """The endpoints of a node by its newest entry; none unless it is a member.
 
-    entry: with servers; member: its membership.
+    entry: with servers; member: its membership.  A membership of a later incarnation makes the entry stale.
     """
     if entry is None or member is None or member.gone or member.life > entry.life:
         return ()
@@ -38,15 +38,15 @@
 
 @dataclass(slots=True)
 class EndpointTable:
-    """Endpoints by station, by service and by server."""
+    """Endpoints by node, by service and by server."""
 
-    _by_station: dict[str, tuple[Endpoint, ...]] = field(default_factory=dict)
+    _by_node: dict[str, tuple[Endpoint, ...]] = field(default_factory=dict)
     _by_service: dict[str, dict[str, Endpoint]] = field(default_factory=dict)
     _by_server: dict[str, Endpoint] = field(default_factory=dict)
 
-    def replace(self, station: str, endpoints: tuple[Endpoint, ...]) -> set[str]:
-        """Take in what a station now has; returns the services whose servers have changed."""
-        before = self._by_station.get(station, ())
+    def replace(self, node: str, endpoints: tuple[Endpoint, ...]) -> set[str]:
+        """Replace the endpoints of a node; returns the services whose endpoints have changed."""
+        before = self._by_node.get(node, ())
         if endpoints == before:
             return set()
         for old in before:
@@ -55,10 +55,10 @@
             self._by_service.setdefault(new.service, {})[new.server] = new
             self._by_server[new.server] = new
         if endpoints:
-            self._by_station[station] = endpoints
+            self._by_node[node] = endpoints
         else:
-            del self._by_station[station]
-        return {each.service for each in (*before, *endpoints)}
+            del self._by_node[node]
+        return {endpoint.service for endpoint in (*before, *endpoints)}
 
     def _remove(self, endpoint: Endpoint) -> None:
         if self._by_server.get(endpoint.server) is endpoint:
@@ -76,7 +76,7 @@
         return self._by_service.get(service, _NONE).values()
 
     def services(self) -> set[str]:
-        """Those that have any server."""
+        """Services that have an endpoint."""
         return set(self._by_service)
 
 
--- a/leadrudder/data_plane/machine_drains.py
+++ b/leadrudder/data_plane/machine_drains.py
@@ -1,7 +1,7 @@
-"""Loans at a station: machines that get nothing of some routes for a time, by its own clock.
+"""Machine drains at a data-plane node: machines excluded from some routes for a time, by the node's clock.
 
-A loan ends by itself when its time is over, whoever can be reached, so a machine that was lent is put back
-though the core is cut off. Where nobody else is left to serve a route, a loan counts for nothing.
+A drain ends by itself at its end time, so a drained machine returns to service even if the control plane is
+unreachable. A drain is ignored where no other server is left for a route.
 """
 
 from __future__ import annotations
@@ -15,54 +15,59 @@
 
 
 class MachineDrains:
-    """wall: Unix time in seconds; steady: only advances; changed: a loan has ended by itself.
+    """wall: Unix time in seconds; monotonic: monotonic time in seconds.
 
-    later: calls after so many seconds.
+    call_later: calls a function after a delay in seconds; on_drain_ended: called when a drain ends by itself.
     """
 
     def __init__(
         self,
         wall: Callable[[], float],
-        steady: Callable[[], float],
-        later: Callable[[float, Callable[[], None]], object],
-        changed: Callable[[], None],
+        monotonic: Callable[[], float],
+        call_later: Callable[[float, Callable[[], None]], object],
+        on_drain_ended: Callable[[], None],
     ) -> None:
-        self._wall, self._steady, self._later, self._changed = wall, steady, later, changed
-        self._ends: dict[float, float] = {}  # when each loan ends by the steady clock, by when by the wall's
-        self._loans = Loans()
-        self._due = float("inf")
+        self._wall, self._monotonic, self._call_later, self._on_drain_ended = (
+            wall,
+            monotonic,
+            call_later,
+            on_drain_ended,
+        )
+        self._ends_at: dict[float, float] = {}  # on the monotonic clock, by end on the wall clock
+        self._drains = Loans()
+        self._next_end_at = float("inf")
 
     def any(self) -> bool:
-        return bool(self._loans.by_machine)
+        return bool(self._drains.by_machine)
 
     def take(self, book: Book) -> None:
-        """What stands may have changed."""
+        """Update the drains from the configuration."""
         windows = window.standing(book.standing(WINDOW).items())
-        self._loans = Loans.of(windows, window.owns(book.standing(CONTRACT).items()))
-        # The wall's clock may be put back while a machine is lent: its time is over all the same.
-        ahead = self._steady() - self._wall()
-        known, self._ends = self._ends, {}
-        for until in self._loans.ends():
-            self._ends[until] = min(until + ahead, known.get(until, float("inf")))
-        self._look_again()
+        self._drains = Loans.of(windows, window.owns(book.standing(CONTRACT).items()))
+        # The drain must end on time even if the wall clock is set back meanwhile.
+        offset = self._monotonic() - self._wall()
+        previous, self._ends_at = self._ends_at, {}
+        for until in self._drains.ends():
+            self._ends_at[until] = min(until + offset, previous.get(until, float("inf")))
+        self._schedule_next_end()
 
     def is_drained(self, machine: str, route: Route) -> bool:
         now = self._wall()
-        steady = self._steady()
+        monotonic = self._monotonic()
         return any(
-            steady < self._ends.get(loan.until, 0.0)
-            for loan in self._loans.of_machine(machine, route.name, route.host, now)
+            monotonic < self._ends_at.get(drain.until, 0.0)
+            for drain in self._drains.of_machine(machine, route.name, route.host, now)
         )
 
-    def _look_again(self) -> None:
+    def _schedule_next_end(self) -> None:
         now = self._wall()
-        due = self._loans.next_end(now)
-        if due is None or due >= self._due > now:
+        next_end = self._drains.next_end(now)
+        if next_end is None or next_end >= self._next_end_at > now:
             return
-        self._due = due
-        self._later(due - now + 0.001, self._ended)
+        self._next_end_at = next_end
+        self._call_later(next_end - now + 0.001, self._on_timer)
 
-    def _ended(self) -> None:
-        self._due = float("inf")
-        self._look_again()
-        self._changed()
+    def _on_timer(self) -> None:
+        self._next_end_at = float("inf")
+        self._schedule_next_end()
+        self._on_drain_ended()
--- a/leadrudder/data_plane/mesh_state.py
+++ b/leadrudder/data_plane/mesh_state.py
@@ -1,7 +1,8 @@
-"""What a station knows of the mesh: configuration, members and servers, and how changes are carried out.
+"""A data-plane node's view of the mesh: configuration, members and endpoints, and how changes are applied.
 
-Work for a change is in proportion to the change: items are read once each, one station's news touches that
-station's servers, and new lists of servers go to the balancers concerned. Invariants count what does more.
+The work for a change is proportional to the change: each item is parsed once, news of one node updates only
+the endpoints of that node, and new candidate lists go only to the load balancers affected. Invariants count
+violations.
 """
 
 from __future__ import annotations
@@ -32,9 +33,9 @@
 class MeshState:
     """carry: sends one attempt; on_applied: called after each pass over changes; wall: Unix time in seconds.
 
-    monotonic: seconds that only advance, finer than the loop's own time.
-    machine_drains_enabled: maintenance windows are on.
-    subscribe: asks the signalbox of our session for servers; session_established: whether a session stands.
+    monotonic: monotonic time in seconds, finer than the loop's own.
+    machine_drains_enabled: whether maintenance windows are enabled.
+    subscribe: subscribes to services at the control plane; session_established: whether there is a session.
     """
 
     def __init__(
@@ -58,31 +59,31 @@
         self.members = Register("")
         self.endpoints = EndpointTable()
         self.upstreams = Upstreams(settings.bounds, self.candidates, carry, note, rng)
-        self.changes = ChangeQueue(self._carry_out, monotonic)
+        self.changes = ChangeQueue(self._apply_changes, monotonic)
         self.discovery = EndpointDiscovery(
             settings.name,
             settings.zone,
             subscribe,
             session_established,
-            self._on_entries,
+            self._on_node_entries,
             self._on_sources_changed,
         )
         loop = asyncio.get_running_loop()
         self.machine_drains = MachineDrains(wall, loop.time, loop.call_later, self._machine_drain_ended)
         self._name, self._zone = settings.name, settings.zone
-        self._gate, self._invariants, self._on_applied = gate, invariants, on_applied
+        self._admission, self._invariants, self._on_applied = gate, invariants, on_applied
         self._loop, self._machine_drains_enabled = loop, machine_drains_enabled
-        self._items_taken = 0  # of the configuration, since the start
+        self._items_accepted = 0  # configuration items, since the start
         self._member_list: list[Node] = []  # as of the last pass
-        self._evacuated: frozenset[str] = frozenset()  # zones, as carried out
-        self._candidates_by_service: dict[str, Candidates] = {}  # as worked out since they last changed
+        self._evacuated: frozenset[str] = frozenset()  # zones, as of the last pass
+        self._candidates_by_service: dict[str, Candidates] = {}  # a cache, cleared by changes
 
     def register_metrics(self, metrics: Metrics) -> None:
         metrics.add("items", lambda: len(self.book.items))
         metrics.add("routes", lambda: len(self.routing.routes))
         metrics.add("balancers", lambda: len(self.upstreams))
         metrics.add("members", lambda: len(self._member_list))
-        metrics.add("news_items_total", lambda: self._items_taken)
+        metrics.add("news_items_total", lambda: self._items_accepted)
         metrics.add("items_read_total", lambda: self.routing.items_read)
         metrics.add("change_passes_total", lambda: self.changes.passes)
         metrics.add("change_pass_seconds_total", lambda: self.changes.pass_seconds)
@@ -91,12 +92,12 @@
     # ------------------------------------------------------------ news
 
     def apply_news(self, news: wire.News) -> None:
-        """What a signalbox tells: items, members, or all of both."""
-        self._take_items(news.items)
+        """Apply news from the control plane: changed items and members, or all of them."""
+        self._apply_items(news.items)
         pending = self.changes.pending
         members = {node.name for node in self.members.take(news.nodes)}
         if news.whole:
-            members |= self._forget_members({node.name for node in news.nodes})
+            members |= self._remove_members({node.name for node in news.nodes})
         if members:
             pending.nodes |= members
             pending.members = True
@@ -110,49 +111,49 @@
             self.changes.schedule()
 
     def apply_own(self, member: Node, entry: Node) -> None:
-        """Our own membership, and the same with our server; carried out with the next pass."""
+        """Apply this node's own membership, and its entry with its server; effective with the next pass."""
         if self.members.take([member]):
             self.changes.pending.members = True
         self.discovery.merge([entry])
 
-    def _take_items(self, items: Iterable[Item]) -> None:
-        """Routes are in force at once; what follows from them is carried out with the next pass."""
-        taken = self.book.take(items)
-        if not taken:
+    def _apply_items(self, items: Iterable[Item]) -> None:
+        """Put routes in force at once; dependent changes are applied with the next pass."""
+        accepted = self.book.take(items)
+        if not accepted:
             return
         read_before = self.routing.items_read
-        changed = self.routing.apply(taken)
-        self._items_taken += len(taken)
+        changed = self.routing.apply(accepted)
+        self._items_accepted += len(accepted)
         items_read = self.routing.items_read - read_before
         self._invariants.check(
             "an_item_is_read_once",
-            items_read <= len(taken),
-            lambda: f"{items_read} items read for {len(taken)} that were new",
+            items_read <= len(accepted),
+            lambda: f"{items_read} items parsed for {len(accepted)} new ones",
         )
         pending = self.changes.pending
         pending.routes |= changed.routes
         pending.services |= changed.services
         pending.sources |= changed.called_services
-        kinds = {kind_of(item.key) for item in taken}
+        kinds = {kind_of(item.key) for item in accepted}
         pending.evacuations |= EVACUATION in kinds
         if self._machine_drains_enabled and kinds & {WINDOW, CONTRACT}:
             self.machine_drains.take(self.book)
             pending.machine_drains = True
 
-    def _forget_members(self, named: set[str]) -> set[str]:
-        """Members that a whole list does not name; our own entry stays.  Returns their names."""
-        gone = {name for name in self.members.nodes if name not in named and name != self._name}
-        for name in gone:
+    def _remove_members(self, listed: set[str]) -> set[str]:
+        """Remove members that a complete list omits, except this node; returns their names."""
+        removed = {name for name in self.members.nodes if name not in listed and name != self._name}
+        for name in removed:
             del self.members.nodes[name]
-        return gone
+        return removed
 
-    def _on_entries(self, stations: Iterable[str]) -> None:
-        """Entries with servers have come in."""
-        self.changes.pending.nodes.update(stations)
+    def _on_node_entries(self, node_names: Iterable[str]) -> None:
+        """Handle new node entries with servers."""
+        self.changes.pending.nodes.update(node_names)
         self.changes.schedule()
 
     def _on_sources_changed(self) -> None:
-        """A link to a home station has come up or ended."""
+        """Handle a link to a zone relay that came up or went down."""
         self.changes.pending.sources = True
         self.changes.schedule()
 
@@ -161,102 +162,101 @@
         self.changes.schedule()
 
     def update_subscriptions(self) -> None:
-        """To be called some times a second: a source that was passed over may be asked again."""
+        """Called a few times a second, as a source that failed may be retried."""
         self.discovery.update(self.routing.called_services(), self._member_list)
 
-    # ------------------------------------------------------------ one pass over what has changed
+    # ------------------------------------------------------------ one pass over pending changes
 
-    def _carry_out(self, changes: PendingChanges) -> None:
+    def _apply_changes(self, changes: PendingChanges) -> None:
         services = self._replace_endpoints(changes.nodes)
         if changes.evacuations:
             services |= self._evacuate()
         if changes.members:
-            self._count_members()
+            self._update_member_list()
         if changes.members or changes.sources:
             self.update_subscriptions()
         if changes.machine_drains:
             services |= self.upstreams.services()
         for service in services:
             self._candidates_by_service.pop(service, None)
-        self._offer_lists(changes.routes, services)
-        self._follow_own_service(changes)
+        self._offer_candidates(changes.routes, services)
+        self._update_cold_rate(changes)
         self._on_applied()
 
-    def _replace_endpoints(self, stations: Iterable[str]) -> set[str]:
-        """Returns the services whose servers have changed."""
+    def _replace_endpoints(self, node_names: Iterable[str]) -> set[str]:
+        """Returns the services whose endpoints have changed."""
         services: set[str] = set()
-        for station in stations:
-            entry, member = self.discovery.served.get(station), self.members.nodes.get(station)
-            services |= self.endpoints.replace(station, endpoints_of(entry, member))
+        for node_name in node_names:
+            entry, member = self.discovery.served.get(node_name), self.members.nodes.get(node_name)
+            services |= self.endpoints.replace(node_name, endpoints_of(entry, member))
         return services
 
     def _evacuate(self) -> set[str]:
-        """Returns the services that may have servers in zones that are emptied or taken back."""
+        """Returns the services that may have servers in zones whose evacuation began or ended."""
         evacuated = self.book.evacuated()
         if evacuated == self._evacuated:
             return set()
         self._evacuated = evacuated
-        self._gate.evacuate(self._zone in evacuated, self._loop.time())
+        self._admission.evacuate(self._zone in evacuated, self._loop.time())
         return self.endpoints.services()
 
-    def _count_members(self) -> None:
+    def _update_member_list(self) -> None:
         self._member_list = self.members.members()
         self.upstreams.set_nodes(max(1, len(self._member_list)))
-        self.discovery.forget({node.name for node in self._member_list})
+        self.discovery.prune({node.name for node in self._member_list})
 
-    def _offer_lists(self, routes: set[str], services: set[str]) -> None:
-        """Balancers of these routes and services get the servers that they may draw from now on."""
+    def _offer_candidates(self, routes: set[str], services: set[str]) -> None:
+        """Hand new candidate servers to the load balancers of these routes and services."""
         upstreams, before = self.upstreams, self.upstreams.offers
-        most = sum(map(upstreams.of_route, routes)) + sum(map(upstreams.of_service, services))
+        limit = sum(map(upstreams.of_route, routes)) + sum(map(upstreams.of_service, services))
         for name in routes:
             upstreams.follow_route(name, self.routing.routes.get(name))
         upstreams.follow_services(services)
         offers = upstreams.offers - before
         self._invariants.check(
             "lists_go_to_those_concerned",
-            offers <= most,
-            lambda: f"{offers} lists of servers offered, where {most} balancers were concerned",
+            offers <= limit,
+            lambda: f"{offers} candidate lists offered, but only {limit} load balancers were affected",
         )
 
-    def _follow_own_service(self, changes: PendingChanges) -> None:
-        """The pace of our server while it is cold stands in its service's settings."""
-        life = self._gate.life
+    def _update_cold_rate(self, changes: PendingChanges) -> None:
+        """Take the request rate of the local server while it is cold from its service's settings."""
+        life = self._admission.life
         if life is None or (life.service not in changes.services and self._name not in changes.nodes):
             return
         service = self.routing.services.get(life.service)
         if service is not None:
-            self._gate.cold_per_s = service.cold_per_s
+            self._admission.cold_per_s = service.cold_per_s
 
-    # ------------------------------------------------------------ servers that may be drawn
+    # ------------------------------------------------------------ candidate servers
 
     def candidates(self, service: str, route: Route) -> Candidates:
-        """The servers that a route's requests for a service may go to."""
+        """The servers that a route's requests for a service may be sent to."""
         if self.machine_drains.any():
             return Candidates.of(self.eligible_servers(service, route))
-        found = self._candidates_by_service.get(service)
-        if found is None:
-            found = self._candidates_by_service[service] = Candidates.of(
+        candidates = self._candidates_by_service.get(service)
+        if candidates is None:
+            candidates = self._candidates_by_service[service] = Candidates.of(
                 self.eligible_servers(service, route)
             )
-        return found
+        return candidates
 
     def eligible_servers(self, service: str, route: Route) -> dict[str, Distance]:
-        """Servers in zones that are not evacuated, and how far away each is.
+        """Servers in zones that are not evacuated, with their distance.
 
-        Those that are ready; where there are none, those that drain; else those lent out of the route's
-        traffic.
+        Returns the ready ones; without any, the draining ones; else those on machines drained for the route.
         """
         ready: dict[str, Distance] = {}
         draining: dict[str, Distance] = {}
-        lent: dict[str, Distance] = {}
+        drained: dict[str, Distance] = {}
         for endpoint in self.endpoints.of_service(service):
             if endpoint.zone in self._evacuated:
                 continue
-            kept = draining if endpoint.draining else ready
+            group = draining if endpoint.draining else ready
             if self.machine_drains.any() and self.machine_drains.is_drained(endpoint.node, route):
-                kept = lent
-            kept[endpoint.server] = self._distance(endpoint)
-        return ready or draining or lent
+                group = drained
+            group[endpoint.server] = self._distance(endpoint)
+        return ready or draining or drained
 
     def _distance(self, endpoint: Endpoint) -> Distance:
         if endpoint.node == self._name:
--- a/leadrudder/data_plane/outbound.py
+++ b/leadrudder/data_plane/outbound.py
@@ -72,7 +72,7 @@
     def data_received(self, data: bytes) -> None:
         if self._over:
             return
-        if not self._reader.begun:
+        if not self._reader.partial:
             self._since = self._outbound.now()
         try:
             self._reader.feed(data)
@@ -151,7 +151,7 @@
             self._paused = False
 
     def busy(self) -> bool:
-        return bool(self._places) or (self._reader.begun and not self._over) or self._unsent()
+        return bool(self._places) or (self._reader.partial and not self._over) or self._unsent()
 
     def _unsent(self) -> bool:
         return self._transport is not None and self._transport.get_write_buffer_size() > 0
@@ -168,7 +168,7 @@
         if self._unsent():
             if waited > 1000.0 * UNREAD_S:
                 self.drop()
-        elif self._reader.begun:
+        elif self._reader.partial:
             if waited > max(limits.head_wait_ms, limits.idle_ms if self._reader.within else 0.0):
                 self._refuse(408, "the request did not come in whole")
         elif waited > limits.idle_ms or self._outbound.closing:
--- a/leadrudder/data_plane/peer_links.py
+++ b/leadrudder/data_plane/peer_links.py
@@ -8,7 +8,7 @@
 from leadrudder.data_plane.inbound import Withdraw
 from leadrudder.protocol.mesh_pb2 import Delivery, Frame, Waybill, Withdrawal
 from leadrudder.protocol.outcome import Ran
-from leadrudder.transport.link import IDLE_DIALER_PING_S, Link, dial
+from leadrudder.transport.link import IDLE_DIALER_PING_INTERVAL_S, Link, dial
 
 SILENCE_S = 1.5  # a gate that gives no sign of life for so long while calls are out is not waited for
 PING_S = 0.4
@@ -68,7 +68,7 @@
     def on_up(self, link: Link) -> None:
         link.checks_liveness, link.ping_interval_s = (
             False,
-            IDLE_DIALER_PING_S,
+            IDLE_DIALER_PING_INTERVAL_S,
         )  # the gate does not wait for us
         self._link = link
 
--- a/leadrudder/data_plane/program.py
+++ b/leadrudder/data_plane/program.py
@@ -1,5 +1,5 @@
-"""A station: clients and the server of one machine, the gate between them, and the session with a
-signalbox.
+"""The data-plane node: proxies requests between the clients and the server of one machine and the rest of
+the mesh, and keeps a session with the control plane.
 """
 
 from __future__ import annotations
@@ -38,121 +38,123 @@
 from leadrudder.protocol.mesh_pb2 import Delivery, Frame, Waybill
 from leadrudder.protocol.outcome import Ran
 from leadrudder.transport.http import ApiServer
-from leadrudder.transport.link import IDLE_ACCEPTOR_PING_S, PING_S, Link
+from leadrudder.transport.link import IDLE_ACCEPTOR_PING_INTERVAL_S, PING_INTERVAL_S, Link
 
-SWEEP_S = 0.25
-SILENT_BEATS = 3.5  # beats that a server may miss before it counts as crashed
-NOTE_EACH_S = 1.0
-BODIES_PART = 0.2  # of the memory: each body is held about twice more on its way
-OPEN_MOST = 2000  # requests that may be under way
-LEAST_LEAVING_S = 2.4  # after SIGTERM: until then clients still come
-QUIET_S = 0.3
-GRACE_PART_S = 0.6  # of the grace, kept for the end itself
-BEHIND = "behind"  # why a call was refused: this process has more to do than it gets done
-ANSWERS_OUT_S = 0.2  # before that end, by which the last answers are to be out
-FIRST_HALF_PART_S = 0.1  # before the half of the grace, from when on a request must end within it
+TICK_INTERVAL_S = 0.25
+MAX_MISSED_HEARTBEATS = 3.5  # heartbeats that a server may miss before it counts as crashed
+REFUSAL_LOG_INTERVAL_S = 1.0
+BODY_MEMORY_FRACTION = 0.2  # of the memory: each body is copied about twice more while it is forwarded
+MAX_OPEN_REQUESTS = 2000
+MIN_SHUTDOWN_S = 2.4  # after SIGTERM: clients still connect until then
+IDLE_BEFORE_STOP_S = 0.3
+STOP_MARGIN_S = 0.6  # of the grace period, reserved for closing down
+REFUSED_OVERLOADED = "behind"  # refusal reason: this process is overloaded
+ANSWER_MARGIN_S = 0.2  # before closing down, by which the last responses must be written
+FIRST_HALF_MARGIN_S = 0.1  # before half of the grace period; requests accepted later must end within it
 
 
 class DataPlaneNode:
-    """The program.  One event loop."""
+    """One data-plane process with one event loop."""
 
     def __init__(
         self,
         settings: Settings,
         *,
-        possession: bool = False,
+        maintenance_windows: bool = False,
         rng: Random | None = None,
         wall: Callable[[], float] = time.time,
         platform: Platform = SYSTEM,
     ) -> None:
-        """possession: maintenance windows are on.  The others are the simulation's."""
+        """maintenance_windows: whether they are enabled.  The simulation passes the other arguments."""
         self.settings = settings
-        self._possession, self._wall = possession, wall
-        self.ring = Ring(settings.name)
-        self.invariants = Invariants(self.ring.wrong)
+        self._maintenance_windows, self._wall = maintenance_windows, wall
+        self.log_buffer = Ring(settings.name)
+        self.invariants = Invariants(self.log_buffer.wrong)
         self._loop = asyncio.get_running_loop()
         self._rng = rng or Random()
         self._address = f"{settings.ip}:{settings.station_port}"
-        self._life = int(wall() * 1e6)
-        self._number = 0
+        self._incarnation = int(wall() * 1e6)
+        self._report_number = 0
         self._lag = LoopLag(platform.monotonic)
-        self.gate = Gate(settings.bounds)
+        self.admission = Gate(settings.bounds)
         self.state = MeshState(
             settings,
-            self.gate,
+            self.admission,
             self.invariants,
-            carry=self._carry,
+            carry=self._send_attempt,
             on_applied=lambda: self._inbound.advance(),
             subscribe=lambda services: self._session.subscribe(services),
             session_established=lambda: self._session.established() and self._terminated_at is None,
-            note=self.ring.note,
+            note=self.log_buffer.note,
             rng=self._rng,
             wall=wall,
             monotonic=platform.monotonic,
-            machine_drains_enabled=possession,
+            machine_drains_enabled=maintenance_windows,
         )
         self._withdrawals: dict[Link, dict[int, Withdraw]] = {}
         self._terminated_at: float | None = None
         self._done = asyncio.Event()
         self.traffic = TrafficCounters()
-        self._refused: Counter[str] = Counter()  # calls that came back without an answer, since the last note
-        self._noted_at = 0.0
-        self._calls_shed = 0  # calls to our server, refused because this process was behind
-        self._own = OwnServer(settings.app or (settings.ip, 0), most_open=100, platform=platform)
+        self._refusals: Counter[str] = Counter()  # calls without a response since the last log line
+        self._refusals_logged_at = 0.0
+        self._calls_shed = 0  # calls to the local server, refused because this process was overloaded
+        self._local_server = OwnServer(settings.app or (settings.ip, 0), most_open=100, platform=platform)
         self._ledger = Ledger()
         self._accounting = RequestAccounting(
             self.traffic,
             self.invariants,
-            self._ledger if possession else None,
+            self._ledger if maintenance_windows else None,
             now=self._loop.time,
             wall=wall,
             lag_s=self._lag.seconds,
-            note=self.ring.note,
+            note=self.log_buffer.note,
         )
         self._inbound = Inbound(
-            self.gate,
-            self._own,
-            self.ring.note,
-            self._lent_here,
-            (lambda epoch: self._ledger.ran(settings.service, epoch)) if possession else None,
+            self.admission,
+            self._local_server,
+            self.log_buffer.note,
+            self._is_drained_here,
+            (lambda epoch: self._ledger.ran(settings.service, epoch)) if maintenance_windows else None,
         )
-        self._used = 0  # slots of our server, at the busiest since we last told
-        self._gates = Gates()
+        self._peak_slots_used = 0  # highest number of slots of the local server in use since the last report
+        self._peer_links = Gates()
         self._outbound = Outbound(
             settings.service,
             self.state.routing.find,
-            self._begin,
+            self._begin_request,
             lambda: self.state.routing.limits,
-            lambda: self._outbound.open < OPEN_MOST,
-            BODIES_PART * settings.ram_mb * 1e6,
+            lambda: self._outbound.open < MAX_OPEN_REQUESTS,
+            BODY_MEMORY_FRACTION * settings.ram_mb * 1e6,
             self._lag.seconds,
         )
-        beats = ServerApi(self._beat, self._left, self.ready, self._metrics().text)
-        self._control = ApiServer(beats.dispatch, lambda e: self.ring.wrong(f"fault: {e!r}"))
+        server_api = ServerApi(self._on_heartbeat, self._on_deregistered, self.ready, self._metrics().text)
+        self._api_server = ApiServer(
+            server_api.dispatch, lambda error: self.log_buffer.wrong(f"unhandled API error: {error!r}")
+        )
         self._session = Session(
             settings.seed_links,
-            self._hello,
-            self._news,
+            self._next_report,
+            self._on_news,
             self.state.discovery.on_session_ended,
             self._rng,
-            self.ring.note,
+            self.log_buffer.note,
         )
 
     async def start(self) -> None:
         settings = self.settings
-        self.ring.say("starts")
+        self.log_buffer.say("starting")
         host, port = self._address.rsplit(":", 1)
         self._listener = await self._loop.create_server(
             lambda: Link(self, silence_timeout_s=30.0), host, int(port), family=socket.AF_INET, backlog=1024
         )
         for address in {settings.control, settings.readiness} - {None}:
             assert address is not None
-            await self._control.listen(address)
+            await self._api_server.listen(address)
         for address in {settings.outbound} - {None}:
             assert address is not None
             await self._outbound.listen(address)
         self._session.start()
-        self._sweep()
+        self._tick()
 
     async def run(self) -> None:
         await self.start()
@@ -165,9 +167,9 @@
         self.state.register_metrics(metrics)
         self.traffic.register_metrics(metrics)
         metrics.add("requests_open", lambda: self._outbound.open)
-        metrics.add("calls_running", lambda: self.gate.running)
-        metrics.add("calls_waiting", self.gate.waiting)
-        metrics.add("slot_seconds_total", lambda: self.gate.slot_seconds(self._loop.time()))
+        metrics.add("calls_running", lambda: self.admission.running)
+        metrics.add("calls_waiting", self.admission.waiting)
+        metrics.add("slot_seconds_total", lambda: self.admission.slot_seconds(self._loop.time()))
         metrics.add("requests_shed_total", lambda: self._outbound.shed)
         metrics.add("calls_shed_total", lambda: self._calls_shed)
         metrics.add("loop_lag_seconds", self._lag.seconds)
@@ -177,68 +179,68 @@
         return metrics
 
     def ready(self) -> bool:
-        """Whether clients may come: a configuration is in force here, and we are not about to end."""
+        """Whether clients may connect: a configuration is in force, and the process is not shutting down."""
         return self._terminated_at is None and bool(self.state.routing.routes) and self._session.synced
 
-    # ------------------------------------------------------------ requests of our clients
+    # ------------------------------------------------------------ requests of local clients
 
-    def _begin(self, route: Route, errand: Errand) -> Callable[[], None]:
+    def _begin_request(self, route: Route, request: Errand) -> Callable[[], None]:
         service = route.split[0][0]
         if len(route.split) > 1:
             names, shares = zip(*route.split, strict=True)
             service = self._rng.choices(names, shares)[0]
-        self._accounting.begin(route, service, errand)
-        return self.state.upstreams.balancer(route, service).begin(errand)
+        self._accounting.begin(route, service, request)
+        return self.state.upstreams.balancer(route, service).begin(request)
 
-    def _carry(
+    def _send_attempt(
         self,
-        errand: Errand,
+        request: Errand,
         route: Route,
         server: str,
         may_wait: bool,
-        again: bool,
+        is_retry: bool,
         deliver: Callable[[Delivery], None],
     ) -> Withdraw:
-        """One attempt, to the gate beside its server."""
+        """Send one attempt to the data-plane node of its server."""
         now = self._loop.time()
         waybill = Waybill(
             server=server,
-            method=errand.method,
-            target=errand.target,
-            fields=errand.fields,
-            body=errand.body,
-            attempt_id=errand.attempt_id,
-            left_ms=1000.0 * (errand.deadline - now),
+            method=request.method,
+            target=request.target,
+            fields=request.fields,
+            body=request.body,
+            attempt_id=request.attempt_id,
+            left_ms=1000.0 * (request.deadline - now),
             once=route.once,
             may_wait=may_wait,
             priority=max(0, route.priority),
-            aim_ms=route.target_ms - errand.waited_ms - 1000.0 * (now - errand.began),
+            aim_ms=route.target_ms - request.waited_ms - 1000.0 * (now - request.began),
             target_ms=route.target_ms,
-            repeat=again,
-            epoch=errand.epoch,
+            repeat=is_retry,
+            epoch=request.epoch,
         )
 
         self.traffic.calls += 1
 
-        def counted(delivery: Delivery) -> None:
+        def count_and_deliver(delivery: Delivery) -> None:
             if delivery.why:
-                self._refused[delivery.why] += 1
+                self._refusals[delivery.why] += 1
                 self.traffic.refused[delivery.why] += 1
             deliver(delivery)
 
         endpoint = self.state.endpoints.server(server)
         if endpoint is None:
-            counted(Delivery(ran=0, why="gone"))
+            count_and_deliver(Delivery(ran=0, why="gone"))
             return nothing_to_withdraw
         if endpoint.address == self._address:
-            return self._inbound.take(waybill, counted)
-        return self._gates.send(endpoint.address, waybill, counted)
+            return self._inbound.take(waybill, count_and_deliver)
+        return self._peer_links.send(endpoint.address, waybill, count_and_deliver)
 
-    # ------------------------------------------------------------ links from other stations
+    # ------------------------------------------------------------ links from other data-plane nodes
 
     def on_up(self, link: Link) -> None:
         self._withdrawals[link] = {}
-        link.ping_interval_s = IDLE_ACCEPTOR_PING_S
+        link.ping_interval_s = IDLE_ACCEPTOR_PING_INTERVAL_S
 
     def on_down(self, link: Link) -> None:
         self.state.discovery.unsubscribe(link)
@@ -247,47 +249,47 @@
 
     def on_frame(self, link: Link, frame: Frame) -> None:
         kind = frame.WhichOneof("body")
-        waiting = self._withdrawals.get(link)
-        if waiting is None:
+        withdrawals = self._withdrawals.get(link)
+        if withdrawals is None:
             return
         if kind == "waybill":
             number = frame.waybill.number
 
             def deliver(delivery: Delivery) -> None:
-                waiting.pop(number, None)
-                if not waiting and not self.state.discovery.serves(link):
-                    link.ping_interval_s = IDLE_ACCEPTOR_PING_S
+                withdrawals.pop(number, None)
+                if not withdrawals and not self.state.discovery.has_subscriber(link):
+                    link.ping_interval_s = IDLE_ACCEPTOR_PING_INTERVAL_S
                 delivery.number = number
                 link.send(Frame(delivery=delivery))
 
             late_s = self._lag.seconds()
             if late_s > OVERLOAD_LAG_S:
                 self._calls_shed += 1
-                deliver(Delivery(ran=Ran.NEVER, why=BEHIND, retry_ms=1000.0 * late_s))
+                deliver(Delivery(ran=Ran.NEVER, why=REFUSED_OVERLOADED, retry_ms=1000.0 * late_s))
                 return
-            frame.waybill.left_ms -= 1000.0 * late_s  # it has waited here for so long
-            waiting[number] = nothing_to_withdraw
-            link.ping_interval_s = PING_S  # its origin waits, and asks for signs of life
+            frame.waybill.left_ms -= 1000.0 * late_s  # time already spent waiting for the event loop
+            withdrawals[number] = nothing_to_withdraw
+            link.ping_interval_s = PING_INTERVAL_S  # the caller waits for a response and checks liveness
             withdraw = self._inbound.take(frame.waybill, deliver)
-            if number in waiting:
-                waiting[number] = withdraw
+            if number in withdrawals:
+                withdrawals[number] = withdraw
         elif kind == "subscribe":
-            link.ping_interval_s = PING_S
+            link.ping_interval_s = PING_INTERVAL_S
             self.state.discovery.subscribe(link, frozenset(frame.subscribe.services))
         elif kind == "withdrawal":
-            withdraw = waiting.pop(frame.withdrawal.number, nothing_to_withdraw)
+            withdraw = withdrawals.pop(frame.withdrawal.number, nothing_to_withdraw)
             withdraw(frame.withdrawal.client_left)
 
-    # ------------------------------------------------------------ what we are told
+    # ------------------------------------------------------------ news from the control plane
 
-    def _news(self, news: wire.News) -> None:
-        """What a signalbox tells."""
+    def _on_news(self, news: wire.News) -> None:
+        """Apply news from the control-plane node of the session."""
         self.state.apply_news(news)
         self._outbound.informed = self._session.synced and bool(self.state.routing.routes)
 
-    def _lent_here(self, waybill: Waybill) -> bool:
-        """Whether our server is out of the traffic that a waybill is of, and others are not."""
-        state, life = self.state, self.gate.life
+    def _is_drained_here(self, waybill: Waybill) -> bool:
+        """Whether the local server is drained for the waybill's route while other servers are not."""
+        state, life = self.state, self.admission.life
         if not state.machine_drains.any() or life is None:
             return False
         host = next((f[5:] for f in waybill.fields.split(b"\r\n") if f[:5].lower() == b"host:"), b"").strip()
@@ -297,31 +299,31 @@
             return False
         return life.id not in state.eligible_servers(life.service, route)
 
-    # ------------------------------------------------------------ our server
+    # ------------------------------------------------------------ the local server
 
-    def _beat(self, beat: Heartbeat) -> None:
-        life = Life(beat.id, beat.service, beat.zone or self.settings.zone, beat.capacity)
+    def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
+        life = Life(heartbeat.id, heartbeat.service, heartbeat.zone or self.settings.zone, heartbeat.capacity)
         now = self._loop.time()
-        if self.gate.beat(life, beat.draining, beat.count, beat.cold_ms, now):
-            assert self.gate.life is not None
-            self._own.is_now(self.gate.life.id)
-            self._report()
+        if self.admission.beat(life, heartbeat.draining, heartbeat.count, heartbeat.cold_ms, now):
+            assert self.admission.life is not None
+            self._local_server.is_now(self.admission.life.id)
+            self._publish_change()
 
-    def _left(self, server: str) -> None:
-        if self.gate.left(server):
-            self._own.is_gone()
-            self._report()
+    def _on_deregistered(self, server: str) -> None:
+        if self.admission.left(server):
+            self._local_server.is_gone()
+            self._publish_change()
 
-    def _node(self) -> wire.Node:
+    def _node_entry(self) -> wire.Node:
         node = wire.Node(
             name=self.settings.name,
             zone=self.settings.zone,
             address=self._address,
-            life=self._life,
-            number=self._number,
+            life=self._incarnation,
+            number=self._report_number,
             service=self.settings.service,
         )
-        life = self.gate.life
+        life = self.admission.life
         if life is not None and self._terminated_at is None:
             node.servers.add(
                 id=life.id,
@@ -330,84 +332,89 @@
                 capacity=life.capacity,
                 draining=life.draining_since is not None,
             )
-        if self._possession:
-            node.used = self._used
+        if self._maintenance_windows:
+            node.used = self._peak_slots_used
             node.tallies.extend(self._ledger.closed.values())
             node.through = self._ledger.through
         return node
 
-    def _hello(self) -> wire.Node:
-        self._number += 1
-        node = self._node()
+    def _next_report(self) -> wire.Node:
+        self._report_number += 1
+        node = self._node_entry()
         self.state.apply_own(zone_relays.bare(node), node)
         return node
 
-    def _report(self) -> None:
-        """Our server has changed: others must hear of it, and so must our own points."""
-        self._session.report(self._hello())
+    def _publish_change(self) -> None:
+        """Report a change of the local server to the control plane and to the local load balancers."""
+        self._session.report(self._next_report())
         self.state.changes.flush()
 
-    # ------------------------------------------------------------ time
+    # ------------------------------------------------------------ periodic work
 
-    def _sweep(self) -> None:
+    def _tick(self) -> None:
         if self._done.is_set():
-            return  # what it would dial now would outlive the event loop
-        self._loop.call_later(SWEEP_S, self._sweep)
+            return  # a connection attempt begun now would outlive the event loop
+        self._loop.call_later(TICK_INTERVAL_S, self._tick)
         now = self._loop.time()
-        if self.gate.silent(now, SILENT_BEATS * self.settings.beat_ms / 1000.0):
-            self.ring.note("our server fell silent")
-            self._own.is_gone()
-            self._report()
-        self._gates.sweep()
+        if self.admission.silent(now, MAX_MISSED_HEARTBEATS * self.settings.beat_ms / 1000.0):
+            self.log_buffer.note("the local server has sent no heartbeat and counts as crashed")
+            self._local_server.is_gone()
+            self._publish_change()
+        self._peer_links.sweep()
         self.state.update_subscriptions()
-        if self._possession:
-            self._tell_use()
-        if self._refused and now - self._noted_at >= NOTE_EACH_S:
-            self._noted_at = now
-            self.ring.note("came back: " + ", ".join(f"{why} {n}" for why, n in self._refused.most_common(8)))
-            self._refused.clear()
+        if self._maintenance_windows:
+            self._report_usage()
+        if self._refusals and now - self._refusals_logged_at >= REFUSAL_LOG_INTERVAL_S:
+            self._refusals_logged_at = now
+            self.log_buffer.note(
+                "calls without a response: "
+                + ", ".join(f"{why} {n}" for why, n in self._refusals.most_common(8))
+            )
+            self._refusals.clear()
         if self._terminated_at is not None:
-            self._end_when_quiet(now - self._terminated_at)
+            self._stop_when_idle(now - self._terminated_at)
 
-    def _tell_use(self) -> None:
-        """Slots in use and what became of bookings, each epoch: for those who plan and report windows."""
-        self._used = max(self._used, self.gate.running)
+    def _report_usage(self) -> None:
+        """Report slots in use and request outcomes each epoch; maintenance windows are planned by these."""
+        self._peak_slots_used = max(self._peak_slots_used, self.admission.running)
         if self._ledger.close(self._wall()):
-            self._session.report(self._hello())
-            self._used = 0
+            self._session.report(self._next_report())
+            self._peak_slots_used = 0
 
     def _reload(self) -> None:
-        """SIGHUP: the settings file has changed."""
+        """Handle SIGHUP: reload the settings file."""
         read = load()
         if isinstance(read, Success):
             self._session.seeds = read.unwrap().seed_links
         else:
-            self.ring.wrong(f"kept the old settings: {read.failure()}")
+            self.log_buffer.wrong(f"reload failed, keeping the previous settings: {read.failure()}")
 
     def terminate(self) -> None:
-        """SIGTERM: finish what is here, send others elsewhere, then end."""
+        """Handle SIGTERM: finish open requests, refuse new ones that would not end in time, then stop."""
         if self._terminated_at is not None:
             return
-        self.ring.say(f"ends: {self._outbound.open} requests open, {self.gate.running} at our server")
+        self.log_buffer.say(
+            f"stopping: {self._outbound.open} open requests, {self.admission.running} running calls"
+        )
         self._terminated_at = self._loop.time()
         grace_s = self.settings.bounds.grace / 1000.0
-        self._outbound.last_taken = self._terminated_at + grace_s / 2.0 - FIRST_HALF_PART_S
-        self._outbound.end_by = self._terminated_at + grace_s - GRACE_PART_S - ANSWERS_OUT_S
-        self.gate.leaving = True
+        self._outbound.last_taken = self._terminated_at + grace_s / 2.0 - FIRST_HALF_MARGIN_S
+        self._outbound.end_by = self._terminated_at + grace_s - STOP_MARGIN_S - ANSWER_MARGIN_S
+        self.admission.leaving = True
         self._outbound.closing = True
-        self._report()
+        self._publish_change()
 
-    def _end_when_quiet(self, since_s: float) -> None:
-        quiet = not self._outbound.busy() and not self.gate.running
-        quiet = quiet and self._loop.time() - self._outbound.last_heard >= QUIET_S
-        if (quiet and since_s >= LEAST_LEAVING_S) or (
-            since_s >= self.settings.bounds.grace / 1000.0 - GRACE_PART_S
+    def _stop_when_idle(self, elapsed_s: float) -> None:
+        idle = not self._outbound.busy() and not self.admission.running
+        idle = idle and self._loop.time() - self._outbound.last_heard >= IDLE_BEFORE_STOP_S
+        if (idle and elapsed_s >= MIN_SHUTDOWN_S) or (
+            elapsed_s >= self.settings.bounds.grace / 1000.0 - STOP_MARGIN_S
         ):
             self._listener.close()
             self._outbound.close()
-            self._control.close()
+            self._api_server.close()
             self._session.close()
             self.state.discovery.close()
-            self._gates.close()
-            self._own.close()
+            self._peer_links.close()
+            self._local_server.close()
             self._done.set()
--- a/leadrudder/data_plane/server_api.py
+++ b/leadrudder/data_plane/server_api.py
@@ -1,7 +1,4 @@
-"""The server's own calls: beats and signing off, one dispatch on method and path segments.
-
-And what the platform asks: /ready and /metrics.
-"""
+"""The local API: heartbeats and deregistration of the server, /ready and /metrics for the platform."""
 
 from __future__ import annotations
 
@@ -15,11 +12,11 @@
 from leadrudder.bootstrap.settings import Duration
 from leadrudder.transport.http import PLAIN_TEXT, ApiRequest, ApiResponse
 
-BEAT_MOST = 4096  # bytes
-_JSON = b"Content-Type: application/json\r\n"
+MAX_HEARTBEAT_BYTES = 4096
+_JSON_CONTENT_TYPE = b"Content-Type: application/json\r\n"
 
 
-class _Details(Schema):
+class _DetailsSchema(Schema):
     class Meta:
         unknown = EXCLUDE
 
@@ -29,7 +26,7 @@
     capacity = fields.Integer(load_default=1)
 
 
-class _Status(Schema):
+class _StatusSchema(Schema):
     class Meta:
         unknown = EXCLUDE
 
@@ -38,21 +35,21 @@
     cold_ms = Duration(data_key="coldLeft", load_default=0.0)
 
 
-class _Beat(Schema):
+class _HeartbeatSchema(Schema):
     class Meta:
         unknown = EXCLUDE
 
     address = fields.String(load_default="")
-    details = fields.Nested(_Details, required=True)
-    status = fields.Nested(_Status, load_default=dict)
+    details = fields.Nested(_DetailsSchema, required=True)
+    status = fields.Nested(_StatusSchema, load_default=dict)
 
 
-_BEAT = _Beat()
+_HEARTBEAT_SCHEMA = _HeartbeatSchema()
 
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """What a server tells of itself.  cold_ms: how much longer it stays slow."""
+    """A heartbeat of a server.  count: its calls so far; cold_ms: how much longer it stays slow."""
 
     id: str
     service: str
@@ -64,26 +61,32 @@
 
 
 class ServerApi:
-    """beat and left take in what the server says; ready tells whether clients may come.
+    """Dispatches requests by method and path segments.
 
-    metrics: this process's figures, as text.
+    on_heartbeat, on_deregistered: called for the local server; ready: whether clients may connect.
+    metrics: this process's metrics, as text.
     """
 
     def __init__(
         self,
-        beat: Callable[[Heartbeat], None],
-        left: Callable[[str], None],
+        on_heartbeat: Callable[[Heartbeat], None],
+        on_deregistered: Callable[[str], None],
         ready: Callable[[], bool],
         metrics: Callable[[], bytes] = bytes,
     ) -> None:
-        self._beat, self._left, self._ready, self._metrics = beat, left, ready, metrics
-
-    async def dispatch(self, call: ApiRequest) -> ApiResponse:
-        match call.method, call.segments:
-            case "PUT", ("servers", name):
-                return self._put(name, call.body)
-            case "DELETE", ("servers", name):
-                self._left(name)
+        self._on_heartbeat, self._on_deregistered, self._ready, self._metrics = (
+            on_heartbeat,
+            on_deregistered,
+            ready,
+            metrics,
+        )
+
+    async def dispatch(self, request: ApiRequest) -> ApiResponse:
+        match request.method, request.segments:
+            case "PUT", ("servers", server_id):
+                return self._put_server(server_id, request.body)
+            case "DELETE", ("servers", server_id):
+                self._on_deregistered(server_id)
                 return ApiResponse(200)
             case "GET", ("ready",):
                 return ApiResponse(200 if self._ready() else 503)
@@ -94,18 +97,18 @@
             case _:
                 return ApiResponse(404)
 
-    def _put(self, name: str, body: bytes) -> ApiResponse:
-        if len(body) > BEAT_MOST:
+    def _put_server(self, server_id: str, body: bytes) -> ApiResponse:
+        if len(body) > MAX_HEARTBEAT_BYTES:
             return ApiResponse(413)
         try:
-            raw = cast(dict[str, Any], _BEAT.load(json.loads(body)))
+            raw = cast(dict[str, Any], _HEARTBEAT_SCHEMA.load(json.loads(body)))
         except (ValueError, ValidationError) as error:
             return ApiResponse(400, str(error).encode() + b"\n")
         details = raw["details"]
         status = {"state": "ready", "count": 0, "cold_ms": 0.0, **raw["status"]}
-        self._beat(
+        self._on_heartbeat(
             Heartbeat(
-                name,
+                server_id,
                 details["service"],
                 details["zone"],
                 max(1, details["capacity"]),
@@ -114,4 +117,4 @@
                 status["cold_ms"],
             )
         )
-        return ApiResponse(200, b"{}", _JSON)
+        return ApiResponse(200, b"{}", _JSON_CONTENT_TYPE)
--- a/leadrudder/data_plane/session.py
+++ b/leadrudder/data_plane/session.py
@@ -1,4 +1,4 @@
-"""A station's session with one signalbox: while it stands, the station is a member."""
+"""The session of a data-plane node with one control-plane node; it makes the data-plane node a member."""
 
 from __future__ import annotations
 
@@ -10,83 +10,83 @@
 from leadrudder.protocol.mesh_pb2 import Frame
 from leadrudder.transport.link import Link, dial
 
-PAUSE_S = 0.1  # before another signalbox is tried, up to twice as long: no herd comes at once
-PAUSE_MOST_S = 0.8
+RETRY_PAUSE_S = 0.1  # before the next control-plane node is tried; randomised to avoid a thundering herd
+MAX_RETRY_PAUSE_S = 0.8
 
 
 class Session:
-    """hello: what we say of ourselves; news: takes in what we are told."""
+    """hello: returns the next report of this node; on_news: applies news from the control plane."""
 
     def __init__(
         self,
         seeds: tuple[str, ...],
         hello: Callable[[], wire.Node],
-        news: Callable[[wire.News], None],
-        ended: Callable[[], None],
+        on_news: Callable[[wire.News], None],
+        on_ended: Callable[[], None],
         rng: Random,
         note: Callable[[str], None],
     ) -> None:
         self.seeds = seeds
-        self.synced = False  # we were told all there is, once
-        self.sync_count = 0  # sessions in which we were
-        self._hello, self._news, self._rng, self._note = hello, news, rng, note
-        self._on_ended = ended
-        self._told = False
-        self._near: list[str] = []  # signalboxes of our zone, as one elsewhere told us
-        self._sent_on = False  # we were sent to those: whoever answers next is taken
-        self._signalboxes: list[str] = []
+        self.synced = False  # a complete state has been received in some session
+        self.sync_count = 0  # sessions that have received it
+        self._hello, self._on_news, self._rng, self._note = hello, on_news, rng, note
+        self._on_ended = on_ended
+        self._received_news = False
+        self._zone_control_nodes: list[str] = []  # of this zone, as named by a node of another zone
+        self._redirected = False  # to those; the next node that answers is used, whatever its zone
+        self._control_nodes: list[str] = []
         self._link: Link | None = None
         self._task: asyncio.Task[None] | None = None
-        self._ended = asyncio.Event()
+        self._link_ended = asyncio.Event()
 
     def start(self) -> None:
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def _run(self) -> None:
-        pause = PAUSE_S
+        pause = RETRY_PAUSE_S
         while True:
-            known = list(dict.fromkeys([*self._signalboxes, *self.seeds]))
-            self._rng.shuffle(known)
-            sent_on = self._sent_on
-            if sent_on:
-                known = list(dict.fromkeys([*self._near, *known]))
-            for address in known:
-                self._ended.clear()
+            addresses = list(dict.fromkeys([*self._control_nodes, *self.seeds]))
+            self._rng.shuffle(addresses)
+            redirected = self._redirected
+            if redirected:
+                addresses = list(dict.fromkeys([*self._zone_control_nodes, *addresses]))
+            for address in addresses:
+                self._link_ended.clear()
                 link = await dial(address, lambda a=address: Link(self, peer=a))  # type: ignore[misc]
                 if link is not None and link.up:
-                    told_before = self.sync_count
-                    await self._ended.wait()
-                    if self.sync_count != told_before:
-                        pause, self._sent_on = PAUSE_S, False
+                    syncs_before = self.sync_count
+                    await self._link_ended.wait()
+                    if self.sync_count != syncs_before:
+                        pause, self._redirected = RETRY_PAUSE_S, False
                         break
-                    if self._sent_on and not sent_on:
-                        break  # to those of our zone, at once
+                    if self._redirected and not redirected:
+                        break  # follow the redirect at once
                 await asyncio.sleep(pause * (0.5 + 0.5 * self._rng.random()))
-            pause = min(PAUSE_MOST_S, 1.5 * pause)
+            pause = min(MAX_RETRY_PAUSE_S, 1.5 * pause)
 
     def on_up(self, link: Link) -> None:
         self._link = link
-        link.send(Frame(hello=wire.Hello(node=self._hello(), movable=not self._sent_on)))
+        link.send(Frame(hello=wire.Hello(node=self._hello(), movable=not self._redirected)))
 
     def on_frame(self, link: Link, frame: Frame) -> None:
         if frame.news.near and link is self._link:
-            self._near, self._sent_on = list(frame.news.near), True
+            self._zone_control_nodes, self._redirected = list(frame.news.near), True
             link.abort()
             return
         if frame.WhichOneof("body") == "news" and link is self._link:
-            if not self._told:
+            if not self._received_news:
                 self.sync_count += 1
-            self._told = self.synced = True
+            self._received_news = self.synced = True
             if frame.news.signalboxes:
-                self._signalboxes = list(frame.news.signalboxes)[:16]
-            self._news(frame.news)
+                self._control_nodes = list(frame.news.signalboxes)[:16]
+            self._on_news(frame.news)
 
     def established(self) -> bool:
-        """Whether a signalbox has taken us."""
-        return self._link is not None and self._told
+        """Whether a control-plane node has accepted this session."""
+        return self._link is not None and self._received_news
 
     def subscribe(self, services: frozenset[str]) -> None:
-        """Ask for the servers of these services."""
+        """Subscribe to the servers of these services."""
         if self._link is not None:
             self._link.send(Frame(subscribe=wire.Subscribe(services=services)))
 
@@ -94,13 +94,13 @@
         self._note(f"session with {link.peer} ended")
         if self._link is link:
             self._link = None
-            if self._told:
-                self._told = False
+            if self._received_news:
+                self._received_news = False
                 self._on_ended()
-        self._ended.set()
+        self._link_ended.set()
 
     def report(self, node: wire.Node) -> None:
-        """Something about us has changed; without a session the next one begins with it."""
+        """Report a change of this node; without a session the next one begins with a report."""
         if self._link is not None:
             self._link.send(Frame(hello=wire.Hello(node=node)))
 
--- a/leadrudder/emulation/fleet.py
+++ b/leadrudder/emulation/fleet.py
@@ -213,7 +213,7 @@
         async def main() -> None:
             machine.station = DataPlaneNode(
                 settings,
-                possession=self._possession,
+                maintenance_windows=self._possession,
                 rng=self._rng(loop.name),
                 wall=lambda: self.wall,
                 platform=NodePlatform(self.scheduler, {}),
--- a/leadrudder/observability/__init__.py
+++ b/leadrudder/observability/__init__.py
@@ -1,1 +1,1 @@
-"""What a process tells of itself: figures as text, and checks that count their violations."""
+"""Observability of a process: metrics as text, invariant checks and event-loop lag."""
--- a/leadrudder/observability/invariants.py
+++ b/leadrudder/observability/invariants.py
@@ -1,4 +1,4 @@
-"""Checks that run in the code: what must hold is stated where it must hold, and each violation is counted."""
+"""Runtime invariant checks: stated where they must hold, with violations counted."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 
 class Invariants:
-    """The checks of one process.  tell: takes one line for a violation."""
+    """The invariants of one process.  report: called with a line for each violation."""
 
-    def __init__(self, tell: Callable[[str], None]) -> None:
+    def __init__(self, report: Callable[[str], None]) -> None:
         self.violations: Counter[str] = Counter()  # by the invariant's name, since the start
         self.checked = 0
-        self._tell = tell
+        self._report = report
 
     def check(self, name: str, holds: bool, details: Callable[[], str] = str) -> None:
-        """Count a violation unless it holds.  details: what was seen, worked out only then."""
+        """Count a violation unless the invariant holds.  details: called only to describe a violation."""
         self.checked += 1
         if not holds:
             self.violations[name] += 1
-            self._tell(f"invariant {name} is violated: {details()}")
+            self._report(f"invariant {name} violated: {details()}")
--- a/leadrudder/observability/loop_lag.py
+++ b/leadrudder/observability/loop_lag.py
@@ -1,45 +1,42 @@
-"""How far this process is behind: by how much the event loop is late with what was due."""
+"""Event-loop lag: how late the event loop runs callbacks that are due."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
 
-CHECK_INTERVAL_S = 0.1  # between two checks
-OVERLOAD_LAG_S = (
-    0.25  # further behind than this, new work is refused: it would be answered too late to be of use
-)
+CHECK_INTERVAL_S = 0.1
+OVERLOAD_LAG_S = 0.25  # new work is refused beyond this lag: its answers would come too late to be useful
 
 
 class LoopLag:
     """Measures how late a timer with a period of CHECK_INTERVAL_S runs: any other callback waits as long.
 
-    monotonic: seconds that only advance, finer than the loop's own time, which stands still while callbacks
-    run.
+    monotonic: monotonic time in seconds, finer than the loop's own, which does not advance during callbacks.
     """
 
     def __init__(self, monotonic: Callable[[], float]) -> None:
         self._monotonic = monotonic
         self._loop = asyncio.get_running_loop()
-        self._last = 0.0  # how late the last check was
+        self._last_check_lag_s = 0.0  # lag of the last check
         self.highest_s = 0.0  # since the start
         self._schedule()
 
     def seconds(self) -> float:
-        """How long what is run now has waited for it, at most; 0 where nothing is late."""
-        late = max(0.0, self._monotonic() - self._due)
-        self.highest_s = max(self.highest_s, late)
-        return max(late, self._last)
+        """Upper bound of how long the running callback has waited; 0 if nothing is late."""
+        lag_s = max(0.0, self._monotonic() - self._next_check_at)
+        self.highest_s = max(self.highest_s, lag_s)
+        return max(lag_s, self._last_check_lag_s)
 
     def overloaded(self) -> bool:
-        """Whether new work is to be refused."""
+        """Whether new work must be refused."""
         return self.seconds() > OVERLOAD_LAG_S
 
     def _schedule(self) -> None:
-        self._due = self._monotonic() + CHECK_INTERVAL_S
+        self._next_check_at = self._monotonic() + CHECK_INTERVAL_S
         self._loop.call_later(CHECK_INTERVAL_S, self._check)
 
     def _check(self) -> None:
-        self._last = 0.0
-        self._last = self.seconds()
+        self._last_check_lag_s = 0.0
+        self._last_check_lag_s = self.seconds()
         self._schedule()
--- a/leadrudder/observability/metrics.py
+++ b/leadrudder/observability/metrics.py
@@ -1,34 +1,34 @@
-"""A process's own figures as text, one `name value` a line, read at the time of asking."""
+"""The metrics of a process as text, one `name value` per line, read when requested."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Mapping
 
-Read = Callable[[], float]
-ReadLabelled = Callable[[], Mapping[str, float]]
+ReadValue = Callable[[], float]
+ReadLabelledValues = Callable[[], Mapping[str, float]]
 
 
 class Metrics:
-    """Figures by name.  Nothing is kept here: each is read from where it is counted."""
+    """Metrics by name.  Values are not stored here but read from where they are counted."""
 
     def __init__(self) -> None:
-        self._figures: dict[str, Read] = {}
-        self._labelled: dict[str, tuple[str, ReadLabelled]] = {}
+        self._metrics: dict[str, ReadValue] = {}
+        self._labelled: dict[str, tuple[str, ReadLabelledValues]] = {}
 
-    def add(self, name: str, read: Read) -> None:
-        """One figure.  Names end in `_total` for what only rises, and in its unit otherwise."""
-        self._figures[name] = read
+    def add(self, name: str, read: ReadValue) -> None:
+        """Add a metric.  Names of counters end in `_total`, those of gauges in their unit if there is one."""
+        self._metrics[name] = read
 
-    def add_labelled(self, name: str, label: str, read: ReadLabelled) -> None:
-        """One figure for each value of a label."""
+    def add_labelled(self, name: str, label: str, read: ReadLabelledValues) -> None:
+        """Add a metric with one value for each value of a label."""
         self._labelled[name] = label, read
 
     def text(self) -> bytes:
         return "".join(f"{line}\n" for line in sorted(self._lines())).encode()
 
     def _lines(self) -> Iterable[str]:
-        for name, read in self._figures.items():
+        for name, read in self._metrics.items():
             yield f"{name} {read():g}"
         for name, (label, read_all) in self._labelled.items():
-            for value, figure in read_all().items():
-                yield f'{name}{{{label}="{value}"}} {figure:g}'
+            for value, number in read_all().items():
+                yield f'{name}{{{label}="{value}"}} {number:g}'
--- a/leadrudder/observability/traffic.py
+++ b/leadrudder/observability/traffic.py
@@ -1,7 +1,7 @@
-"""Counts of what a data-plane process sends, what is refused, and what its clients are answered.
+"""Counters of the calls that a data-plane node sends, of refusals, and of the answers to its clients.
 
-They tell a service without slots from one whose calls are lost on the way: refusals for each answer rise, and
-slots of servers elsewhere stand idle.
+They distinguish a service without free slots from one whose calls are lost on the way: in the latter case
+refusals per answer rise while slots of servers elsewhere are idle.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
 
 class AnswerClass(StrEnum):
-    """What a client was answered."""
+    """How a client request was answered."""
 
-    IN_TARGET = "in_target"  # a success inside the route's target
-    LATE = "late"  # a success after it
+    IN_TARGET = "in_target"  # success within the route's target time
+    LATE = "late"  # success after it
     REFUSED = "refused"  # never ran
-    FAILED = "failed"  # ran without success, or may have
+    FAILED = "failed"  # ran without success, or may have run
 
 
 @dataclass(slots=True)
 class TrafficCounters:
-    """Since the start of the process.  refused: calls that came back without a server's answer, by reason."""
+    """Counters since the start of the process.  refused: calls without a response of a server, by reason."""
 
     calls: int = 0
     refused: Counter[str] = field(default_factory=Counter)
--- a/leadrudder/transport/__init__.py
+++ b/leadrudder/transport/__init__.py
@@ -1,3 +1,1 @@
-"""Links between leadrudder's own processes: one frame after another on a TCP connection, with signs of
-life.
-"""
+"""Transport between leadrudder's processes: frames over TCP connections with liveness checks, and HTTP."""
--- a/leadrudder/transport/http.py
+++ b/leadrudder/transport/http.py
@@ -1,5 +1,5 @@
-"""HTTP/1.1 on the mesh's own interfaces and towards clients: the node's parser, with whole heads and other
-limits.
+"""HTTP/1.1 for the APIs of the mesh and for clients: the parser of leadrudder.node with complete header
+fields and other size limits.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 MAX_HEAD_BYTES = 64 * 1024
 MAX_BODY_BYTES = 16 * 1024 * 1024
 PLAIN_TEXT = b"Content-Type: text/plain\r\n"
-API_TIMEOUT_S = 10.0  # for a call to come in whole, and for its answer to be read
+API_TIMEOUT_S = 10.0  # to receive a request completely, and for the caller to read its response
 
 REASON_PHRASES = {
     200: b"OK",
@@ -37,15 +37,15 @@
 
 @dataclass(slots=True)
 class HttpMessage(Message):
-    """A message with all its header fields, in their order and as they came."""
+    """A message with all its header fields, in their original order and spelling."""
 
     fields: list[tuple[bytes, bytes]] = field(default_factory=list)
 
 
 class HttpReader(Reader):
-    """Reads messages with all their fields.  max_head_bytes, max_body_bytes: bytes."""
+    """Reads messages with all their header fields."""
 
-    __slots__ = ("_body_most", "_head_most", "_heads", "begun")
+    __slots__ = ("_max_body_bytes", "_max_head_bytes", "_heads", "partial")
 
     def __init__(
         self,
@@ -56,19 +56,19 @@
         max_body_bytes: int = MAX_BODY_BYTES,
     ) -> None:
         super().__init__(on_message, requests=requests)
-        self._head_most, self._body_most = max_head_bytes, max_body_bytes
+        self._max_head_bytes, self._max_body_bytes = max_head_bytes, max_body_bytes
         self._head_left = max_head_bytes
-        self.begun = False  # any byte of a message that is not whole yet has come
+        self.partial = False  # some bytes of an incomplete message have arrived
 
     def feed(self, data: bytes) -> None:
-        self.begun = True
+        self.partial = True
         super().feed(data)
         if self._message is None:
-            self.begun = False
+            self.partial = False
 
     @property
     def body_size(self) -> int:
-        """Bytes of the body that is being read; 0 between messages."""
+        """Bytes received so far of the current body; 0 between messages."""
         return self._size if self._message is not None else 0
 
     def on_message_begin(self) -> None:
@@ -84,7 +84,7 @@
     def on_message_complete(self) -> None:
         super().on_message_complete()
         if self._message is None:
-            self._head_left = self._head_most
+            self._head_left = self._max_head_bytes
 
     def _check_length(self, message: Message) -> None:
         length = message.headers.get(b"content-length")
@@ -93,7 +93,7 @@
             if length is not None or coding.lower() != b"chunked":
                 self._fail(400, "the length is told in no way that is read here")
         elif length is not None:
-            if int(length) > self._body_most:
+            if int(length) > self._max_body_bytes:
                 self._fail(413, "the body is too large")
         elif isinstance(self._parser, httptools.HttpResponseParser) and self._has_body():
             self._fail(400, "the length is not told")
@@ -106,18 +106,18 @@
 
     def on_body(self, part: bytes) -> None:
         self._size += len(part)
-        if self._size > self._body_most:
+        if self._size > self._max_body_bytes:
             self._fail(413, "the body is too large")
         self._body.append(part)
 
     def _measure(self, size: int) -> None:
         self._head_size += size
-        if self._head_size > self._head_most:
+        if self._head_size > self._max_head_bytes:
             self._fail(431, "the head is too large")
 
 
 def render_response(status: int, fields: bytes, body: bytes, *, close: bool = False) -> bytes:
-    """An answer; fields are whole header lines without the length."""
+    """Render a response; fields are complete header lines without Content-Length."""
     return b"HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n%s\r\n%s" % (
         status,
         REASON_PHRASES.get(status, b"Status"),
@@ -130,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ApiRequest:
-    """A call of an operator's, a server's or the platform's."""
+    """An API request of an operator, a server or the platform."""
 
     method: str
     segments: tuple[str, ...]
@@ -139,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ApiResponse:
-    """What it is answered."""
+    """The response to an API request."""
 
     status: int
     body: bytes = b""
@@ -150,7 +150,7 @@
 
 
 class ApiConnection(asyncio.Protocol):
-    """One connection of a caller's; its calls are answered one after the other."""
+    """One API connection; its requests are served one after the other."""
 
     def __init__(self, server: ApiServer) -> None:
         self._server = server
@@ -158,20 +158,20 @@
         self._transport: asyncio.Transport | None = None
         self._queue: list[Message] = []
         self._task: asyncio.Task[None] | None = None
-        self._timer: asyncio.TimerHandle | None = None
+        self._timeout: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
         self._server.connections.add(self)
-        self._wait()
+        self._restart_timeout()
 
-    def _wait(self) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-        self._timer = asyncio.get_running_loop().call_later(API_TIMEOUT_S, self.drop)
+    def _restart_timeout(self) -> None:
+        if self._timeout is not None:
+            self._timeout.cancel()
+        self._timeout = asyncio.get_running_loop().call_later(API_TIMEOUT_S, self.drop)
 
     def data_received(self, data: bytes) -> None:
-        self._wait()
+        self._restart_timeout()
         try:
             self._reader.feed(data)
         except MessageError as error:
@@ -187,8 +187,8 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
         self._server.connections.discard(self)
-        if self._timer is not None:
-            self._timer.cancel()
+        if self._timeout is not None:
+            self._timeout.cancel()
 
     def drop(self) -> None:
         if self._transport is not None:
@@ -197,23 +197,23 @@
     def _on_message(self, message: Message) -> None:
         self._queue.append(message)
         if self._task is None:
-            self._task = asyncio.get_running_loop().create_task(self._work())
+            self._task = asyncio.get_running_loop().create_task(self._serve_requests())
 
-    async def _work(self) -> None:
+    async def _serve_requests(self) -> None:
         while self._queue and self._transport is not None:
             message = self._queue.pop(0)
             path = message.start.partition(b"?")[0].decode("latin-1")
             segments = tuple(part for part in path.split("/") if part)
             try:
-                told = await self._server.dispatch(
+                response = await self._server.dispatch(
                     ApiRequest(message.method.decode("latin-1"), segments, message.body)
                 )
-            except Exception as error:  # a fault of ours must not leave a caller waiting
-                self._server.fault(error)
-                told = ApiResponse(500)
+            except Exception as error:  # an internal error must not leave the caller waiting
+                self._server.on_error(error)
+                response = ApiResponse(500)
             close = not message.keep_alive or self._server.closing
-            self._write(render_response(told.status, told.fields, told.body, close=close))
-            self._wait()
+            self._write(render_response(response.status, response.fields, response.body, close=close))
+            self._restart_timeout()
             if close and self._transport is not None:
                 self._transport.close()
         self._task = None
@@ -224,18 +224,20 @@
 
 
 class ApiServer:
-    """Listens for calls, and hands each to one dispatch on method and path segments."""
+    """Listens for API requests and passes each to dispatch."""
 
-    def __init__(self, dispatch: Dispatch, fault: Callable[[Exception], None]) -> None:
-        self.dispatch, self.fault = dispatch, fault
+    def __init__(self, dispatch: Dispatch, on_error: Callable[[Exception], None]) -> None:
+        self.dispatch, self.on_error = dispatch, on_error
         self.connections: set[ApiConnection] = set()
         self.closing = False
         self._servers: list[asyncio.Server] = []
 
     async def listen(self, address: tuple[str, int]) -> None:
         loop = asyncio.get_running_loop()
-        make = lambda: ApiConnection(self)  # noqa: E731
-        self._servers.append(await loop.create_server(make, *address, backlog=256, family=socket.AF_INET))
+        create_connection = lambda: ApiConnection(self)  # noqa: E731
+        self._servers.append(
+            await loop.create_server(create_connection, *address, backlog=256, family=socket.AF_INET)
+        )
 
     def close(self) -> None:
         self.closing = True
--- a/leadrudder/transport/link.py
+++ b/leadrudder/transport/link.py
@@ -1,7 +1,7 @@
-"""A link: frames in both directions, cut when the other side falls silent.
+"""A link: frames in both directions over one connection, aborted when the peer falls silent.
 
-Times are seconds on the loop's clock. A link never sends anything twice and never keeps a frame for later:
-what was handed to one that broke may or may not have arrived.
+Times are seconds on the loop's clock. A link never retransmits a frame and never stores one for later: a
+frame sent on a link that broke may or may not have arrived.
 """
 
 from __future__ import annotations
@@ -17,67 +17,72 @@
 from leadrudder.node.dialling import connect
 from leadrudder.protocol.mesh_pb2 import Frame
 
-MAX_FRAME_BYTES = 80 * 1024 * 1024  # bytes; more is no frame of ours
-MAX_UNSENT_BYTES = (
-    MAX_FRAME_BYTES + 16 * 1024 * 1024
-)  # bytes that a peer does not read before the link is cut
+MAX_FRAME_BYTES = 80 * 1024 * 1024  # a larger length is malformed
+MAX_UNSENT_BYTES = MAX_FRAME_BYTES + 16 * 1024 * 1024  # a link with more unread by the peer is aborted
 CONNECT_TIMEOUT_S = 0.7
-PING_S = 0.3
-# Between signs of life where nobody waits for them. Who dialled finds a dead machine by its own that are not
-# acknowledged; the other side has only to know some time that the link is of use no more.
-IDLE_DIALER_PING_S, IDLE_ACCEPTOR_PING_S = 1.5, 10.0
+PING_INTERVAL_S = 0.3
+# Ping intervals while the peer does not check liveness; they are long to save traffic. The dialing side
+# detects a dead machine by its own unacknowledged pings (TCP_USER_TIMEOUT); for the accepting side it is enough
+# to notice a dead link late.
+IDLE_DIALER_PING_INTERVAL_S, IDLE_ACCEPTOR_PING_INTERVAL_S = 1.5, 10.0
 _LENGTH = struct.Struct(">I")
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """A frame as it goes on the wire."""
+    """Encode a frame with its length prefix."""
     body = frame.SerializeToString()
     return _LENGTH.pack(len(body)) + body
 
 
-PING = encode_frame(Frame(ping={}))
+ENCODED_PING = encode_frame(Frame(ping={}))
 
 
 class LinkHandler(Protocol):
-    """Who uses a link."""
+    """The user of a link."""
 
     def on_frame(self, link: Link, frame: Frame) -> None:
-        """A frame has come in whole."""
+        """Handle a complete frame."""
 
     def on_up(self, link: Link) -> None:
-        """The connection stands."""
+        """Handle an established connection."""
 
     def on_down(self, link: Link) -> None:
-        """It has ended; called once for each on_up."""
+        """Handle the end of the link; called once for each on_up."""
 
 
 class Link(asyncio.Protocol):
-    """A connection.  ping_s: ping interval; silence_timeout_s: abort after this long without a frame."""
+    """One connection.
+
+    check_interval_s: interval of liveness checks, and of pings unless changed.
+    silence_timeout_s: the link is aborted after so long without a frame.
+    """
 
     def __init__(
-        self, handler: LinkHandler, ping_s: float = PING_S, silence_timeout_s: float = 1.0, peer: str = ""
+        self,
+        handler: LinkHandler,
+        check_interval_s: float = PING_INTERVAL_S,
+        silence_timeout_s: float = 1.0,
+        peer: str = "",
     ) -> None:
-        self.peer = peer  # the address that was dialled, or what the other side says it is
+        self.peer = peer  # the dialed address, or the one that the peer reports
         self.up = False
-        self.checks_liveness = True  # whether signs of life are asked for just now
-        self.ping_interval_s = (
-            ping_s  # how often we give ours: seldom where nobody waits for them, as bytes are dear
-        )
+        self.checks_liveness = True  # whether the link is aborted when the peer is silent
+        self.ping_interval_s = check_interval_s  # long while the peer does not check liveness
         self._handler = handler
-        self._ping_s, self._silence_timeout_s = ping_s, silence_timeout_s
+        self._check_interval_s, self._silence_timeout_s = check_interval_s, silence_timeout_s
         self._transport: asyncio.Transport | None = None
         self._loop = asyncio.get_running_loop()
         self._buffer = bytearray()
-        self._heard = self._loop.time()
-        self._sent = 0.0
-        self._given_up = False
+        self._last_received_at = self._loop.time()
+        self._last_sent_at = 0.0
+        self._abandoned = False
         self._timer: asyncio.TimerHandle | None = None
 
-    # What asyncio calls.
+    # Called by asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        if self._given_up:
+        if self._abandoned:
             self._transport.abort()
             return
         sock = transport.get_extra_info("socket")
@@ -85,44 +90,44 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(2000 * self._silence_timeout_s))
         self.up = True
-        self._heard = self._loop.time()
+        self._last_received_at = self._loop.time()
         self._handler.on_up(self)
-        self._beat()
+        self._check_liveness()
 
     def data_received(self, data: bytes) -> None:
-        self._heard = self._loop.time()
+        self._last_received_at = self._loop.time()
         buffer = self._buffer
         buffer += data
-        at = 0
-        while self.up and len(buffer) - at >= _LENGTH.size:
-            (length,) = _LENGTH.unpack_from(buffer, at)
+        offset = 0
+        while self.up and len(buffer) - offset >= _LENGTH.size:
+            (length,) = _LENGTH.unpack_from(buffer, offset)
             if length > MAX_FRAME_BYTES:
                 self.abort()
                 return
-            if len(buffer) - at - _LENGTH.size < length:
+            if len(buffer) - offset - _LENGTH.size < length:
                 break
-            at += _LENGTH.size
+            offset += _LENGTH.size
             frame = Frame()
             try:
-                frame.ParseFromString(bytes(memoryview(buffer)[at : at + length]))
+                frame.ParseFromString(bytes(memoryview(buffer)[offset : offset + length]))
             except DecodeError:
                 self.abort()
                 return
-            at += length
+            offset += length
             if frame.WhichOneof("body") != "ping":
                 self._handler.on_frame(self, frame)
-        del buffer[:at]
+        del buffer[:offset]
 
     def eof_received(self) -> bool:
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._over()
+        self._on_closed()
 
-    # What its user calls.
+    # Called by the user of the link.
 
     def send(self, frame: Frame) -> bool:
-        """Hand a frame to the connection; False where it has ended: then nothing was sent."""
+        """Write a frame to the connection; returns False if it has ended and nothing was sent."""
         return self.send_encoded(encode_frame(frame))
 
     def send_encoded(self, data: bytes) -> bool:
@@ -130,51 +135,51 @@
             return False
         try:
             self._transport.write(data)
-        except RuntimeError:  # uvloop's, for a handle that it has closed and not told of yet
-            self._over()
+        except RuntimeError:  # raised by uvloop before it reports a handle that it has closed
+            self._on_closed()
             return False
-        self._sent = self._loop.time()
+        self._last_sent_at = self._loop.time()
         if self._transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             self.abort()
         return True
 
     def unsent_bytes(self) -> int:
-        """Bytes that wait here for the peer to read."""
+        """Bytes buffered until the peer reads."""
         return 0 if self._transport is None else self._transport.get_write_buffer_size()
 
     def is_drained(self) -> bool:
-        """Whether nothing waits here for the peer to read."""
+        """Whether nothing is buffered."""
         return not self.unsent_bytes()
 
     def abort(self) -> None:
-        """End it at once."""
+        """Close the connection at once, discarding buffered data."""
         if self._transport is not None:
             self._transport.abort()
-        self._over()
+        self._on_closed()
 
     def give_up_dial(self) -> None:
-        """Nobody waits for it to come up any more: it never does, or it handler now."""
-        self._given_up = True
+        """Handle a failed dial: the link never comes up, or it ends now."""
+        self._abandoned = True
         self.abort()
 
     def close(self) -> None:
-        """End it when what was written has gone out."""
+        """Close the connection after buffered data has been sent."""
         if self._transport is not None:
             self._transport.close()
 
     def start_liveness_checks(self) -> None:
-        """Ask for signs of life from now on; what was heard before counts as heard now."""
+        """Check liveness from now on; the silence timeout starts now."""
         if not self.checks_liveness:
             self.checks_liveness = True
-            self._heard = self._loop.time()
+            self._last_received_at = self._loop.time()
             if self._timer is None and self.up:
-                self._beat()
+                self._check_liveness()
 
     def silent_for_s(self) -> float:
-        """Seconds since anything was heard."""
-        return self._loop.time() - self._heard
+        """Seconds since anything was received."""
+        return self._loop.time() - self._last_received_at
 
-    def _over(self) -> None:
+    def _on_closed(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -183,24 +188,24 @@
             self._buffer.clear()
             self._handler.on_down(self)
 
-    def _beat(self) -> None:
+    def _check_liveness(self) -> None:
         self._timer = None
         if not self.up:
             return
         now = self._loop.time()
-        if self.checks_liveness and now - self._heard > self._silence_timeout_s:
+        if self.checks_liveness and now - self._last_received_at > self._silence_timeout_s:
             self.abort()
             return
-        if now - self._sent >= 0.9 * self.ping_interval_s:
-            self.send_encoded(PING)
+        if now - self._last_sent_at >= 0.9 * self.ping_interval_s:
+            self.send_encoded(ENCODED_PING)
         if self.up:
-            self._timer = self._loop.call_later(self._ping_s, self._beat)
+            self._timer = self._loop.call_later(self._check_interval_s, self._check_liveness)
 
 
-async def dial(address: str, make: Callable[[], Link]) -> Link | None:
-    """A link to an address IP:PORT; None where it does not come up in time."""
+async def dial(address: str, create_link: Callable[[], Link]) -> Link | None:
+    """Open a link to an address IP:PORT; None if it does not come up in time."""
     host, _, port = address.rpartition(":")
     try:
-        return await connect(make, host, int(port), CONNECT_TIMEOUT_S)
+        return await connect(create_link, host, int(port), CONNECT_TIMEOUT_S)
     except (OSError, TimeoutError, ValueError):
         return None
--- a/tests/mesh/test_change_cost.py
+++ b/tests/mesh/test_change_cost.py
@@ -1,4 +1,7 @@
-"""A change costs what it changes, however much else is known: whole meshes in virtual time, work counted."""
+"""The cost of a change depends only on what it changes, however large the configuration.
+
+Counts the work in whole meshes in virtual time.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 IDLE_ROUTES = 60
 CHANGES = 12
-FIRST_AT, EACH_S = 7.0, 0.125
+FIRST_CHANGE_AT_S, CHANGE_INTERVAL_S = 7.0, 0.125
 PLAN = Plan(
     {"kal": 3, "var": 2},
     (Wish("luku.example", once=False, per_s=4.0, deadline_s=1.5),),
@@ -27,51 +30,51 @@
 )
 
 
-class Counted:
-    """How often functions of ours were called."""
+class CallCounter:
+    """Counts calls of wrapped functions."""
 
     def __init__(self) -> None:
         self.calls: Counter[str] = Counter()
 
     def wrap(self, name: str, function: Callable[..., Any]) -> Callable[..., Any]:
-        def counted(*given: Any, **named: Any) -> Any:
+        def counted(*arguments: Any, **keywords: Any) -> Any:
             self.calls[name] += 1
-            return function(*given, **named)
+            return function(*arguments, **keywords)
 
         return counted
 
 
 class ChangeCost(unittest.TestCase):
-    def changing(self, fleet: Fleet) -> list[tuple[int, bytes]]:
-        """Changes of one idle route after the other."""
+    def schedule_changes(self, fleet: Fleet) -> list[tuple[int, bytes]]:
+        """Schedule changes of one idle route after the other; returns the list of their responses."""
         answers: list[tuple[int, bytes]] = []
 
         def change(i: int) -> None:
             changed = {**route(f"idle-{i}.example", "var", once=False), "giveUp": "3s", "version": "00000009"}
             body = {"addOrReplace": {"routes": {f"idle-{i}": changed}}, "remove": {"routes": []}}
 
-            async def operate() -> None:
+            async def send_change() -> None:
                 answers.append(await fleet.ask("PATCH", "/config", body))
 
-            fleet.operate(operate)
+            fleet.operate(send_change)
 
         for i in range(CHANGES):
-            fleet.at(FIRST_AT + i * EACH_S, lambda i=i: change(i))  # type: ignore[misc]
+            fleet.at(FIRST_CHANGE_AT_S + i * CHANGE_INTERVAL_S, lambda i=i: change(i))  # type: ignore[misc]
         return answers
 
-    def test_a_station_reads_only_the_routes_that_changed(self) -> None:
-        counted, fleet = Counted(), Fleet(1, PLAN)
-        answers = self.changing(fleet)
-        fleet.play(FIRST_AT - 0.5)
-        with mock.patch.object(items, "read_route", counted.wrap("read", items.read_route)):
+    def test_a_data_plane_node_parses_only_changed_routes(self) -> None:
+        call_counter, fleet = CallCounter(), Fleet(1, PLAN)
+        answers = self.schedule_changes(fleet)
+        fleet.play(FIRST_CHANGE_AT_S - 0.5)
+        with mock.patch.object(items, "read_route", call_counter.wrap("read", items.read_route)):
             fleet.play(12.0)
         self.assertEqual([status for status, _ in answers], [200] * CHANGES)
-        # Each change is read once where it is checked, and once at each station.
-        self.assertLessEqual(counted.calls["read"], CHANGES * (1 + len(fleet.side)))
+        # Each change is parsed once where it is validated, and once at each data-plane node.
+        self.assertLessEqual(call_counter.calls["read"], CHANGES * (1 + len(fleet.side)))
         self.assertEqual(fleet.faults, [])
-        stations = [machine.station for machine in fleet.side if machine.station is not None]
-        for station in stations:
-            self.assertEqual(station.invariants.violations, Counter())
+        nodes = [machine.station for machine in fleet.side if machine.station is not None]
+        for node in nodes:
+            self.assertEqual(node.invariants.violations, Counter())
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_graceful_shutdown.py
+++ b/tests/mesh/test_graceful_shutdown.py
@@ -1,4 +1,6 @@
-"""Programs told to end: a control process stays while a majority needs it, a node answers what it took."""
+"""Graceful shutdown: a control-plane node stays while the majority needs it, and a data-plane node answers
+the requests that it has accepted.
+"""
 
 from __future__ import annotations
 
@@ -17,9 +19,9 @@
 GRACE_S = 6.0
 
 
-class Leaving(unittest.TestCase):
-    def _wiped_and_another_told_to_end(self) -> tuple[Fleet, Machine, Machine]:
-        """One comes back with an empty disk; at the same moment another is told to end, for good."""
+class ControlPlaneShutdown(unittest.TestCase):
+    def _wipe_one_and_terminate_another(self) -> tuple[Fleet, Machine, Machine]:
+        """Restart one node with an empty disk, and at the same time terminate another one for good."""
         fleet = Fleet(5, PLAN)
         fleet.play(8.0)
         wiped, leaving = fleet.core[1], fleet.core[2]
@@ -31,48 +33,48 @@
         leaving.signalbox.terminate()
         return fleet, wiped, leaving
 
-    def _order(self, fleet: Fleet) -> list[int]:
-        """What becomes of an evacuation that is ordered now."""
+    def _request_evacuation(self, fleet: Fleet) -> list[int]:
+        """Request an evacuation now; returns the list that receives its status."""
         answers: list[int] = []
 
-        async def operate() -> None:
+        async def send_request() -> None:
             answers.append((await fleet.ask("POST", "/evacuate/z2", tries=30))[0])
 
-        fleet.operate(operate)
+        fleet.operate(send_request)
         return answers
 
-    def test_a_member_stays_while_the_only_other_copy_is_being_filled(self) -> None:
-        fleet, wiped, leaving = self._wiped_and_another_told_to_end()
-        began = fleet.now
-        filled_at = left_at = 0.0
-        answers = self._order(fleet)
-        while fleet.now < began + GRACE_S:
+    def test_a_voter_stays_while_the_only_other_replica_recovers(self) -> None:
+        fleet, wiped, leaving = self._wipe_one_and_terminate_another()
+        started = fleet.now
+        recovered_at = resigned_at = 0.0
+        answers = self._request_evacuation(fleet)
+        while fleet.now < started + GRACE_S:
             fleet.play(fleet.now + 0.05)
             assert wiped.signalbox is not None and leaving.signalbox is not None
-            if not filled_at and wiped.signalbox.interlocking.seats.full:
-                filled_at = fleet.now
-            if not left_at and leaving.signalbox.interlocking.resigned:
-                left_at = fleet.now
-        self.assertGreater(filled_at, 0.0)
-        self.assertGreaterEqual(left_at, filled_at)
-        self.assertLess(left_at - began, 3.0)
-        fleet.kill(leaving, "signalbox")  # it does not come back
+            if not recovered_at and wiped.signalbox.interlocking.seats.full:
+                recovered_at = fleet.now
+            if not resigned_at and leaving.signalbox.interlocking.resigned:
+                resigned_at = fleet.now
+        self.assertGreater(recovered_at, 0.0)
+        self.assertGreaterEqual(resigned_at, recovered_at)
+        self.assertLess(resigned_at - started, 3.0)
+        fleet.kill(leaving, "signalbox")  # it is not restarted
         fleet.play(fleet.now + 3.0)
         self.assertEqual(answers, [200])
-        after = self._order(fleet)
+        second_answers = self._request_evacuation(fleet)
         fleet.play(fleet.now + 4.0)
-        self.assertEqual(after, [200])
+        self.assertEqual(second_answers, [200])
 
-    def test_one_that_left_at_once_would_leave_no_majority(self) -> None:
+    def test_leaving_at_once_would_leave_no_majority(self) -> None:
         with mock.patch.object(Interlocking, "may_leave", lambda self: True):
-            fleet, _, leaving = self._wiped_and_another_told_to_end()
+            fleet, _, leaving = self._wipe_one_and_terminate_another()
             fleet.play(fleet.now + 1.0)
             fleet.kill(leaving, "signalbox")
-            answers = self._order(fleet)
+            answers = self._request_evacuation(fleet)
             fleet.play(fleet.now + 8.0)
         self.assertNotEqual(answers, [200])
 
-    def test_the_grace_is_kept_whatever_others_are_like(self) -> None:
+    def test_shutdown_ends_within_the_grace_period_without_peers(self) -> None:
         fleet = Fleet(6, PLAN)
         fleet.play(8.0)
         leaving = fleet.core[0]
@@ -91,17 +93,17 @@
         return self.now
 
 
-class LastRequests(unittest.TestCase):
-    """A node that was told to end: what it takes it also answers before it is gone."""
+class DataPlaneShutdown(unittest.TestCase):
+    """A data-plane node that is shutting down answers every request that it accepts."""
 
     def setUp(self) -> None:
         self.clock = Clock()
-        patched = mock.patch("asyncio.get_running_loop", return_value=self.clock)
-        patched.start()
-        self.addCleanup(patched.stop)
+        loop_patch = mock.patch("asyncio.get_running_loop", return_value=self.clock)
+        loop_patch.start()
+        self.addCleanup(loop_patch.stop)
         from leadrudder.data_plane.outbound import Client, Outbound
 
-        self.taken: list[object] = []
+        self.accepted: list[object] = []
         self.outbound = Outbound("mine", lambda h, p: ROUTE, self._begin, Limits, lambda: True, 300_000)
         self.outbound.informed = True
         self.outbound.closing = True
@@ -111,23 +113,23 @@
         self.client.connection_made(self.transport)  # type: ignore[arg-type]
 
     def _begin(self, route: Route, errand: Errand) -> Callable[[], None]:
-        self.taken.append(errand)
+        self.accepted.append(errand)
         return lambda: None
 
-    def test_taken_in_the_first_half_whatever_its_time(self) -> None:
+    def test_accepted_in_the_first_half_whatever_its_deadline(self) -> None:
         self.clock.now = 102.5
         self.client.data_received(request(fields="Time-Left: 900\r\n"))
-        self.assertEqual(len(self.taken), 1)
+        self.assertEqual(len(self.accepted), 1)
 
-    def test_taken_later_while_its_time_ends_before_the_node_does(self) -> None:
+    def test_accepted_later_if_its_deadline_is_before_the_end_of_the_node(self) -> None:
         self.clock.now = 104.0
         self.client.data_received(request(fields="Time-Left: 900\r\n"))
-        self.assertEqual(len(self.taken), 1)
+        self.assertEqual(len(self.accepted), 1)
 
-    def test_refused_with_a_time_to_come_back_when_it_could_be_cut_off(self) -> None:
+    def test_refused_with_retry_after_if_it_could_be_cut_off(self) -> None:
         self.clock.now = 104.6
         self.client.data_received(request(fields="Time-Left: 900\r\n"))
-        self.assertEqual(self.taken, [])
+        self.assertEqual(self.accepted, [])
         self.assertIn(b" 503 ", self.transport.written)
         self.assertIn(b"Retry-After", self.transport.written)
 
--- a/tests/mesh/test_link.py
+++ b/tests/mesh/test_link.py
@@ -1,4 +1,4 @@
-"""The contract that the link owes on every transport: a socket, and one that hands over bytes in pieces."""
+"""The contract of a link on every transport: sockets, and a transport that delivers bytes in small chunks."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from leadrudder.transport import link as link_module
 from leadrudder.transport.link import Link, dial
 
-PATIENCE_S = 10.0
+TIMEOUT_S = 10.0
 
 
-class End:
-    """One side: what it was told."""
+class RecordingHandler:
+    """Records the frames and events of one side."""
 
     def __init__(self) -> None:
         self.frames: list[Frame] = []
         self.links: list[Link] = []
-        self.downs = 0
+        self.down_count = 0
 
     def on_frame(self, link: Link, frame: Frame) -> None:
         self.frames.append(frame)
@@ -30,41 +30,41 @@
         self.links.append(link)
 
     def on_down(self, link: Link) -> None:
-        self.downs += 1
+        self.down_count += 1
 
 
-async def until(true: Callable[[], object]) -> None:
-    async with asyncio.timeout(PATIENCE_S):
-        while not true():
+async def wait_until(condition: Callable[[], object]) -> None:
+    async with asyncio.timeout(TIMEOUT_S):
+        while not condition():
             await asyncio.sleep(0)
 
 
-class Pieces(asyncio.Transport):
-    """A transport in memory that hands over what it is given in pieces of 1, 2, 3... bytes, one a turn."""
+class ChunkedTransport(asyncio.Transport):
+    """An in-memory transport that delivers chunks of 1, 2, 3... bytes, one per event-loop iteration."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.other: Pieces
+        self.peer: ChunkedTransport
         self.protocol: Link
-        self._waiting = bytearray()
-        self._piece, self._closing = 0, False
+        self._buffer = bytearray()
+        self._chunk_bytes, self._closing = 0, False
 
     def write(self, data: Any) -> None:
-        if not self._waiting:
-            asyncio.get_running_loop().call_soon(self._hand)
-        self._waiting += data
-
-    def _hand(self) -> None:
-        self._piece = self._piece % 1500 + 1
-        piece = bytes(self._waiting[: self._piece])
-        del self._waiting[: self._piece]
-        if self._waiting:
-            asyncio.get_running_loop().call_soon(self._hand)
-        if not self.other._closing:
-            self.other.protocol.data_received(piece)
+        if not self._buffer:
+            asyncio.get_running_loop().call_soon(self._deliver)
+        self._buffer += data
+
+    def _deliver(self) -> None:
+        self._chunk_bytes = self._chunk_bytes % 1500 + 1
+        chunk = bytes(self._buffer[: self._chunk_bytes])
+        del self._buffer[: self._chunk_bytes]
+        if self._buffer:
+            asyncio.get_running_loop().call_soon(self._deliver)
+        if not self.peer._closing:
+            self.peer.protocol.data_received(chunk)
 
     def get_write_buffer_size(self) -> int:
-        return len(self._waiting)
+        return len(self._buffer)
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         return default
@@ -74,7 +74,7 @@
 
     def abort(self) -> None:
         if not self._closing:
-            for end in (self, self.other):
+            for end in (self, self.peer):
                 if not end._closing:
                     end._closing = True
                     asyncio.get_running_loop().call_soon(end.protocol.connection_lost, None)
@@ -82,78 +82,82 @@
     close = abort
 
 
-class Contract:
-    """pair() links two ends."""
+class LinkContract:
+    """Tests of a link; pair() connects two handlers."""
 
-    async def pair(self, a: End, b: End) -> Link:
+    async def pair(self, a: RecordingHandler, b: RecordingHandler) -> Link:
         raise NotImplementedError
 
-    def play(self, main: Callable[[End, End, Link], Coroutine[Any, Any, None]]) -> None:
-        async def whole() -> None:
-            a, b = End(), End()
+    def run_test(
+        self, main: Callable[[RecordingHandler, RecordingHandler, Link], Coroutine[Any, Any, None]]
+    ) -> None:
+        async def run() -> None:
+            a, b = RecordingHandler(), RecordingHandler()
             link = await self.pair(a, b)
             try:
-                await until(lambda: b.links)
+                await wait_until(lambda: b.links)
                 await main(a, b, link)
             finally:
                 for each in a.links + b.links:
                     each.abort()
 
-        asyncio.run(whole())
+        asyncio.run(run())
 
-    def test_frames_arrive_whole_and_in_order(self) -> None:
-        async def main(a: End, b: End, link: Link) -> None:
+    def test_frames_arrive_complete_and_in_order(self) -> None:
+        async def main(a: RecordingHandler, b: RecordingHandler, link: Link) -> None:
             sent = [Frame(read=Read(number=i)) for i in range(50)]
             items = [Item(key=f"k{i}", value=bytes(200)) for i in range(300)]
             sent.insert(20, Frame(standing=Standing(items=items)))
             assert all(link.send(frame) for frame in sent)
-            await until(lambda: len(b.frames) == len(sent))
+            await wait_until(lambda: len(b.frames) == len(sent))
             assert b.frames == sent and not a.frames
 
-        self.play(main)
+        self.run_test(main)
 
-    def test_its_end_is_told_once_at_both_sides_and_nothing_is_sent_after_it(self) -> None:
-        async def main(a: End, b: End, link: Link) -> None:
+    def test_both_sides_report_the_end_once_and_send_nothing_after_it(self) -> None:
+        async def main(a: RecordingHandler, b: RecordingHandler, link: Link) -> None:
             link.abort()
             link.abort()
             assert not link.send(Frame(read=Read(number=1)))
-            await until(lambda: b.downs)
-            assert (a.downs, b.downs) == (1, 1)
+            await wait_until(lambda: b.down_count)
+            assert (a.down_count, b.down_count) == (1, 1)
             assert not b.links[0].send(Frame(read=Read(number=1)))
 
-        self.play(main)
+        self.run_test(main)
 
-    def test_what_is_no_frame_ends_it_and_reaches_nobody(self) -> None:
+    def test_a_malformed_frame_ends_the_link_and_is_not_delivered(self) -> None:
         for garbage in (
             struct.pack(">I", link_module.MAX_FRAME_BYTES + 1),
             struct.pack(">I", 3) + b"\xff\xff\xff",
         ):
 
-            async def main(a: End, b: End, link: Link, garbage: bytes = garbage) -> None:
+            async def main(
+                a: RecordingHandler, b: RecordingHandler, link: Link, garbage: bytes = garbage
+            ) -> None:
                 link.send(Frame(read=Read(number=1)))
                 link.send_encoded(garbage)
                 link.send(Frame(read=Read(number=2)))
-                await until(lambda: a.downs and b.downs)
+                await wait_until(lambda: a.down_count and b.down_count)
                 assert [frame.read.number for frame in b.frames] == [1]
 
-            self.play(main)
+            self.run_test(main)
 
-    def test_a_peer_that_does_not_read_is_cut_off(self) -> None:
-        async def main(a: End, b: End, link: Link) -> None:
-            most, link_module.MAX_UNSENT_BYTES = link_module.MAX_UNSENT_BYTES, 100_000
+    def test_a_link_to_a_peer_that_does_not_read_is_aborted(self) -> None:
+        async def main(a: RecordingHandler, b: RecordingHandler, link: Link) -> None:
+            limit, link_module.MAX_UNSENT_BYTES = link_module.MAX_UNSENT_BYTES, 100_000
             try:
                 one = Frame(standing=Standing(items=[Item(key="k", value=bytes(1_000_000))]))
                 while link.up:
                     link.send(one)
             finally:
-                link_module.MAX_UNSENT_BYTES = most
-            assert a.downs == 1
+                link_module.MAX_UNSENT_BYTES = limit
+            assert a.down_count == 1
 
-        self.play(main)
+        self.run_test(main)
 
 
-class OnSockets(Contract, unittest.TestCase):
-    async def pair(self, a: End, b: End) -> Link:
+class SocketLink(LinkContract, unittest.TestCase):
+    async def pair(self, a: RecordingHandler, b: RecordingHandler) -> Link:
         loop = asyncio.get_running_loop()
         server = await loop.create_server(lambda: Link(b), "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
@@ -162,10 +166,10 @@
         return cast(Link, link)
 
 
-class InPieces(Contract, unittest.TestCase):
-    async def pair(self, a: End, b: End) -> Link:
-        near, far = Pieces(), Pieces()
-        near.other, far.other = far, near
+class ChunkedLink(LinkContract, unittest.TestCase):
+    async def pair(self, a: RecordingHandler, b: RecordingHandler) -> Link:
+        near, far = ChunkedTransport(), ChunkedTransport()
+        near.peer, far.peer = far, near
         near.protocol, far.protocol = Link(a), Link(b)
         near.protocol.connection_made(near)
         far.protocol.connection_made(far)
--- a/tests/mesh/test_metrics.py
+++ b/tests/mesh/test_metrics.py
@@ -1,4 +1,4 @@
-"""What a process tells of itself, and how far behind it knows itself to be."""
+"""Metrics of a process, classes of answers, and the measurement of event-loop lag."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 from leadrudder.transport.http import ApiRequest
 
 
-class Figures(unittest.TestCase):
-    def test_figures_are_read_when_they_are_asked_for(self) -> None:
+class MetricsText(unittest.TestCase):
+    def test_metrics_are_read_when_requested(self) -> None:
         metrics, counts = Metrics(), {"a": 1.0}
         metrics.add("requests_total", lambda: 7)
         metrics.add_labelled("violations_total", "name", lambda: counts)
         counts["b"] = 2.5
-        lines = b'requests_total 7\nviolations_total{name="a"} 1\nviolations_total{name="b"} 2.5\n'
-        self.assertEqual(metrics.text(), lines)
+        expected = b'requests_total 7\nviolations_total{name="a"} 1\nviolations_total{name="b"} 2.5\n'
+        self.assertEqual(metrics.text(), expected)
 
-    def test_a_station_tells_them(self) -> None:
-        beats = ServerApi(lambda beat: None, lambda name: None, lambda: False, lambda: b"items 3\n")
-        told = asyncio.run(beats.dispatch(ApiRequest("GET", ("metrics",), b"")))
-        self.assertEqual((told.status, told.body), (200, b"items 3\n"))
-        self.assertEqual(asyncio.run(beats.dispatch(ApiRequest("PUT", ("metrics",), b""))).status, 405)
+    def test_the_local_api_serves_metrics(self) -> None:
+        server_api = ServerApi(lambda heartbeat: None, lambda name: None, lambda: False, lambda: b"items 3\n")
+        response = asyncio.run(server_api.dispatch(ApiRequest("GET", ("metrics",), b"")))
+        self.assertEqual((response.status, response.body), (200, b"items 3\n"))
+        self.assertEqual(asyncio.run(server_api.dispatch(ApiRequest("PUT", ("metrics",), b""))).status, 405)
 
 
-class HowAnswered(unittest.TestCase):
-    def test_in_target_late_refused_and_failed_are_told_apart(self) -> None:
+class AnswerClasses(unittest.TestCase):
+    def test_answers_are_in_target_late_refused_or_failed(self) -> None:
         served, failed = Reply(200, b"", b""), Reply(500, b"", b"")
         self.assertEqual(how_answered(served, 99.0, 100.0), AnswerClass.IN_TARGET)
         self.assertEqual(how_answered(served, 101.0, 100.0), AnswerClass.LATE)
@@ -40,24 +40,24 @@
         self.assertEqual(how_answered(Verdict(Ran.NEVER, "full"), 1.0, 100.0), AnswerClass.REFUSED)
         self.assertEqual(how_answered(Verdict(Ran.MAYBE, "link"), 1.0, 100.0), AnswerClass.FAILED)
 
-    def test_traffic_is_told_by_reason(self) -> None:
+    def test_refused_calls_are_counted_by_reason(self) -> None:
         metrics, traffic = Metrics(), TrafficCounters(calls=3)
         traffic.register_metrics(metrics)
         traffic.refused["full"] += 2
         self.assertIn(b'calls_refused_total{why="full"} 2\ncalls_total 3\n', metrics.text())
 
 
-class Lag(unittest.TestCase):
+class LoopLagMeasurement(unittest.TestCase):
     def setUp(self) -> None:
         self.now = 100.0
         self.loop = mock.Mock()
         with mock.patch("asyncio.get_running_loop", return_value=self.loop):
             self.lag = LoopLag(lambda: self.now)
 
-    def check(self) -> None:
+    def run_check(self) -> None:
         self.loop.call_later.call_args.args[1]()
 
-    def test_what_is_due_and_is_not_run_is_a_lag(self) -> None:
+    def test_an_overdue_check_is_a_lag(self) -> None:
         self.now += CHECK_INTERVAL_S
         self.assertEqual(self.lag.seconds(), 0.0)
         self.now += 2 * OVERLOAD_LAG_S
@@ -66,10 +66,10 @@
 
     def test_a_late_check_counts_until_the_next_one(self) -> None:
         self.now += CHECK_INTERVAL_S + 2 * OVERLOAD_LAG_S
-        self.check()  # what is run after it has waited as long
+        self.run_check()  # callbacks run after it have waited as long
         self.assertTrue(self.lag.overloaded())
         self.now += CHECK_INTERVAL_S
-        self.check()
+        self.run_check()
         self.assertFalse(self.lag.overloaded())
         self.assertAlmostEqual(self.lag.highest_s, 2 * OVERLOAD_LAG_S)
 
--- a/tests/mesh/test_routing_table.py
+++ b/tests/mesh/test_routing_table.py
@@ -131,7 +131,7 @@
 
     def test_a_pass_that_fails_loses_nothing(self) -> None:
         self.queue.pending.nodes.add("a")
-        with mock.patch.object(self.queue, "_carry_out", side_effect=KeyError), self.assertRaises(KeyError):
+        with mock.patch.object(self.queue, "_apply", side_effect=KeyError), self.assertRaises(KeyError):
             self.queue.flush()
         self.queue.pending.routes.add("r")
         self.queue.flush()
--- a/tests/mesh/test_start_and_end.py
+++ b/tests/mesh/test_start_and_end.py
@@ -1,4 +1,4 @@
-"""The first and the last moments of both programs: signals before they are handled, dials after the end."""
+"""Start and end of both programs: signals before handlers are installed, and no dials after the end."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from leadrudder.emulation.fleet import Fleet
 from tests.mesh.test_emulation import PLAN
 
-# Sends SIGHUP to itself at the first import of what the program itself is made of.
-HANG_UP_WHILE_IMPORTING = """
+# Sends SIGHUP to its own process at the program's first import of its own modules.
+SIGHUP_WHILE_IMPORTING = """
 import os, runpy, signal, sys
 
 class HangUp:
@@ -24,26 +24,26 @@
 sys.meta_path.insert(0, HangUp())
 runpy.run_module("{program}", run_name="__main__")
 """
-NO_SETTINGS = 2  # what both programs end with where there is no settings file
+NO_SETTINGS_EXIT_STATUS = 2  # of both programs without a settings file
 
 
-class Start(unittest.TestCase):
-    def test_a_hang_up_while_the_program_is_imported_does_not_end_it(self) -> None:
+class Startup(unittest.TestCase):
+    def test_a_sighup_during_imports_does_not_end_the_process(self) -> None:
         for program in ("leadrudder.data_plane", "leadrudder.control_plane"):
             with self.subTest(program):
-                code = HANG_UP_WHILE_IMPORTING.format(program=program)
-                done = subprocess.run(
+                code = SIGHUP_WHILE_IMPORTING.format(program=program)
+                result = subprocess.run(
                     [sys.executable, "-c", code, program],
                     capture_output=True,
                     env={"PATH": "/usr/bin:/bin"},
                     timeout=60.0,
                     check=False,
                 )
-                self.assertEqual(done.returncode, NO_SETTINGS, done.stderr)
+                self.assertEqual(result.returncode, NO_SETTINGS_EXIT_STATUS, result.stderr)
 
 
-class End(unittest.TestCase):
-    def test_a_signalbox_that_has_ended_dials_nobody(self) -> None:
+class Shutdown(unittest.TestCase):
+    def test_a_stopped_control_plane_node_dials_no_peer(self) -> None:
         fleet = Fleet(11, PLAN)
         fleet.play(5.0)
         signalbox = fleet.core[0].signalbox
@@ -55,14 +55,14 @@
         create_task.assert_not_called()
         self.assertEqual(signalbox._dialling, set())
 
-    def test_a_station_that_has_ended_looks_for_nothing(self) -> None:
+    def test_a_stopped_data_plane_node_does_no_periodic_work(self) -> None:
         fleet = Fleet(11, PLAN)
         fleet.play(5.0)
-        station = fleet.side[0].station
-        assert station is not None
-        station._done.set()
-        with mock.patch.object(station, "_loop") as loop, mock.patch.object(station, "state") as state:
-            station._sweep()
+        node = fleet.side[0].station
+        assert node is not None
+        node._done.set()
+        with mock.patch.object(node, "_loop") as loop, mock.patch.object(node, "state") as state:
+            node._tick()
         loop.call_later.assert_not_called()
         state.update_subscriptions.assert_not_called()
 
