--- a/leadrudder/data_plane/endpoint_discovery.py
+++ b/leadrudder/data_plane/endpoint_discovery.py
@@ -35,7 +35,7 @@
         on_entries: Callable[[list[str]], None],
         on_sources_changed: Callable[[], None],
     ) -> None:
-        self.served: dict[str, Node] = {}  # the newest entry with servers, by node name
+        self.entries: dict[str, Node] = {}  # the newest entry with servers, by node name
         self._relays = Homes(name, zone)
         self._subscribe, self._session_established = subscribe, session_established
         self._on_entries, self._on_sources_changed = on_entries, on_sources_changed
@@ -48,13 +48,13 @@
 
     # ------------------------------------------------------------ entries received
 
-    def merge(self, served: list[Node]) -> None:
+    def merge(self, node_entries: list[Node]) -> None:
         """Merge entries with servers from any source, and relay the new ones to subscribers."""
         new = []
-        for node in served:
-            old = self.served.get(node.name)
+        for node in node_entries:
+            old = self.entries.get(node.name)
             if old is None or rank(node) > rank(old):
-                self.served[node.name] = node
+                self.entries[node.name] = node
                 new.append(node)
         if not new:
             return
@@ -65,10 +65,10 @@
 
     def prune(self, member_names: set[str]) -> None:
         """Bound memory: remove entries of former members once there are many."""
-        if len(self.served) <= 2 * len(member_names) + MAX_FORMER_ENTRIES:
+        if len(self.entries) <= 2 * len(member_names) + MAX_FORMER_ENTRIES:
             return
-        for name in [name for name in self.served if name not in member_names]:
-            del self.served[name]
+        for name in [name for name in self.entries if name not in member_names]:
+            del self.entries[name]
 
     # ------------------------------------------------------------ subscriptions at sources
 
@@ -142,7 +142,7 @@
             return
         self._subscribers[link] = services
         self._count_subscriptions()
-        if entries := zone_relays.of_services(self.served.values(), services):
+        if entries := zone_relays.of_services(self.entries.values(), services):
             link.send(Frame(news=wire.News(served=entries)))
         self._on_sources_changed()
 
--- a/leadrudder/data_plane/machine_drains.py
+++ b/leadrudder/data_plane/machine_drains.py
@@ -40,7 +40,7 @@
     def any(self) -> bool:
         return bool(self._drains.by_machine)
 
-    def take(self, book: Book) -> None:
+    def update(self, book: Book) -> None:
         """Update the drains from the configuration."""
         windows = window.standing(book.standing(WINDOW).items())
         self._drains = Loans.of(windows, window.owns(book.standing(CONTRACT).items()))
--- a/leadrudder/data_plane/mesh_state.py
+++ b/leadrudder/data_plane/mesh_state.py
@@ -41,7 +41,7 @@
     def __init__(
         self,
         settings: Settings,
-        gate: Gate,
+        admission: Gate,
         invariants: Invariants,
         *,
         carry: Carry,
@@ -69,9 +69,9 @@
             self._on_sources_changed,
         )
         loop = asyncio.get_running_loop()
-        self.machine_drains = MachineDrains(wall, loop.time, loop.call_later, self._machine_drain_ended)
+        self.machine_drains = MachineDrains(wall, loop.time, loop.call_later, self._on_machine_drain_ended)
         self._name, self._zone = settings.name, settings.zone
-        self._admission, self._invariants, self._on_applied = gate, invariants, on_applied
+        self._admission, self._invariants, self._on_applied = admission, invariants, on_applied
         self._loop, self._machine_drains_enabled = loop, machine_drains_enabled
         self._items_accepted = 0  # configuration items, since the start
         self._member_list: list[Node] = []  # as of the last pass
@@ -137,7 +137,7 @@
         kinds = {kind_of(item.key) for item in accepted}
         pending.evacuations |= EVACUATION in kinds
         if self._machine_drains_enabled and kinds & {WINDOW, CONTRACT}:
-            self.machine_drains.take(self.book)
+            self.machine_drains.update(self.book)
             pending.machine_drains = True
 
     def _remove_members(self, listed: set[str]) -> set[str]:
@@ -157,7 +157,7 @@
         self.changes.pending.sources = True
         self.changes.schedule()
 
-    def _machine_drain_ended(self) -> None:
+    def _on_machine_drain_ended(self) -> None:
         self.changes.pending.machine_drains = True
         self.changes.schedule()
 
@@ -187,7 +187,7 @@
         """Returns the services whose endpoints have changed."""
         services: set[str] = set()
         for node_name in node_names:
-            entry, member = self.discovery.served.get(node_name), self.members.nodes.get(node_name)
+            entry, member = self.discovery.entries.get(node_name), self.members.nodes.get(node_name)
             services |= self.endpoints.replace(node_name, endpoints_of(entry, member))
         return services
 
--- a/leadrudder/transport/link.py
+++ b/leadrudder/transport/link.py
@@ -22,8 +22,8 @@
 CONNECT_TIMEOUT_S = 0.7
 PING_INTERVAL_S = 0.3
 # Ping intervals while the peer does not check liveness; they are long to save traffic. The dialing side
-# detects a dead machine by its own unacknowledged pings (TCP_USER_TIMEOUT); for the accepting side it is enough
-# to notice a dead link late.
+# detects a dead machine by its own unacknowledged pings (TCP_USER_TIMEOUT); the accepting side may notice a
+# dead link late.
 IDLE_DIALER_PING_INTERVAL_S, IDLE_ACCEPTOR_PING_INTERVAL_S = 1.5, 10.0
 _LENGTH = struct.Struct(">I")
 
@@ -147,7 +147,7 @@
         """Bytes buffered until the peer reads."""
         return 0 if self._transport is None else self._transport.get_write_buffer_size()
 
-    def is_drained(self) -> bool:
+    def is_flushed(self) -> bool:
         """Whether nothing is buffered."""
         return not self.unsent_bytes()
 
--- a/tests/mesh/test_late_dial.py
+++ b/tests/mesh/test_late_dial.py
@@ -1,4 +1,4 @@
-"""Links dialed by an overloaded process, on real sockets and on both event loop_factories.
+"""Links dialed by an overloaded process, on real sockets and on both event loops.
 
 A dial can time out in the same iteration of the event loop in which the connection is established; a link
 must not count as up then.
--- a/tests/mesh/test_maintenance.py
+++ b/tests/mesh/test_maintenance.py
@@ -382,10 +382,10 @@
         held = MachineDrains(
             lambda: clock["wall"], lambda: clock["steady"], lambda after, do: None, lambda: None
         )
-        held.take(book)
+        held.update(book)
         self.assertTrue(held.is_drained("m0", route("kampaamo", "kal")))
         clock.update(wall=back - 3600.0, steady=109.0)
-        held.take(book)  # other news come, and the window is looked at again
+        held.update(book)  # other news come, and the window is looked at again
         self.assertTrue(held.is_drained("m0", route("kampaamo", "kal")))
         clock.update(wall=back - 3599.0, steady=110.5)
         self.assertFalse(held.is_drained("m0", route("kampaamo", "kal")))
--- a/tests/mesh/test_start_and_end.py
+++ b/tests/mesh/test_start_and_end.py
@@ -15,13 +15,13 @@
 SIGHUP_WHILE_IMPORTING = """
 import os, runpy, signal, sys
 
-class HangUp:
+class SendSighup:
     def find_spec(self, name, path=None, target=None):
         if name == "leadrudder.bootstrap.settings":
             os.kill(os.getpid(), signal.SIGHUP)
         return None
 
-sys.meta_path.insert(0, HangUp())
+sys.meta_path.insert(0, SendSighup())
 runpy.run_module("{program}", run_name="__main__")
 """
 NO_SETTINGS_EXIT_STATUS = 2  # of both programs without a settings file
