--- a/bench/mesh.py
+++ b/bench/mesh.py
@@ -22,7 +22,7 @@
 from leadrudder.control_simulation.world import Machine, World
 from leadrudder.mesh.demo import Fleet, free_port
 from leadrudder.protocol.mesh_pb2 import Frame, Item, News
-from leadrudder.transport.http import HttpMessage, HttpReader, render_response
+from leadrudder.transport.http import BufferedHttpMessage, HttpReader, render_response
 from leadrudder.transport.link import encode_frame
 
 ROUNDS, REQUESTS, CLIENTS = 5, 600, 8
@@ -43,7 +43,7 @@
         self._reader.feed(data)
 
     def _answer(self, message: object) -> None:
-        assert isinstance(message, HttpMessage)
+        assert isinstance(message, BufferedHttpMessage)
         fields = b"Attempt-Id: %s\r\nServer-Seal: s\r\n" % message.headers.get(b"attempt-id", b"")
         self._transport.write(render_response(200, fields, b"x" * 1500))
 
--- a/bench/soak/operators.py
+++ b/bench/soak/operators.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from bench.soak.world import IDLE_ROUTES, SERVICES, WISHES, InvariantError, Machine, World
-from leadrudder.transport.http import HttpMessage
+from leadrudder.transport.http import BufferedHttpMessage
 
 EACH_S = 0.15  # between changes
 TRIES = 400
@@ -135,7 +135,7 @@
             await asyncio.sleep(AGAIN_S)
         raise InvariantError("a change was never acknowledged")
 
-    async def _ask(self, machine: Machine, body: dict[str, Any]) -> HttpMessage | None:
+    async def _ask(self, machine: Machine, body: dict[str, Any]) -> BufferedHttpMessage | None:
         answer = await self.world.ask(machine, "PATCH", "/config", body)
         lost = self.losing and self.rng.random() < LOST_PART
         return None if lost else answer
--- a/bench/soak/world.py
+++ b/bench/soak/world.py
@@ -24,7 +24,7 @@
 from bench.soak.relay import Relay
 from leadrudder.emulation.standins import Asked, Clients, Server, Wish, call, request
 from leadrudder.mesh.demo import free_port
-from leadrudder.transport.http import HttpMessage
+from leadrudder.transport.http import BufferedHttpMessage
 
 SERVICES = ("kal", "var")
 WISHES = (
@@ -70,7 +70,7 @@
 
     losing = 0.0  # the part of requests
 
-    def _run(self, message: HttpMessage, answer: Callable[[bytes], None]) -> None:
+    def _run(self, message: BufferedHttpMessage, answer: Callable[[bytes], None]) -> None:
         lost = self.rng.random() < self.losing
         super()._run(message, (lambda data: None) if lost else answer)
 
@@ -276,7 +276,7 @@
 
     async def ask(
         self, machine: Machine, method: str, path: str, body: Any = None, within_s: float = CALL_S
-    ) -> HttpMessage | None:
+    ) -> BufferedHttpMessage | None:
         """One call to a machine's control interface, by whoever is not on the network that is troubled."""
         data = b"" if body is None else json.dumps(body).encode()
         address = (machine.host, self.base)
--- a/leadrudder/data_plane/inbound.py
+++ b/leadrudder/data_plane/inbound.py
@@ -11,7 +11,7 @@
 from leadrudder.node.servers import Call
 from leadrudder.protocol.mesh_pb2 import Delivery, Waybill
 from leadrudder.protocol.outcome import Ran, Verdict
-from leadrudder.transport.http import HttpMessage
+from leadrudder.transport.http import BufferedHttpMessage
 
 OVER_S = 0.1  # a server ends at the time it is given, and says so: that answer is waited for
 HOP_BY_HOP = frozenset(
@@ -37,7 +37,7 @@
     """For a request that has been answered."""
 
 
-def passed_on(message: HttpMessage, without: frozenset[bytes] = frozenset()) -> bytes:
+def passed_on(message: BufferedHttpMessage, without: frozenset[bytes] = frozenset()) -> bytes:
     """Header lines as they came, but those that concern one connection only, or that are set anew."""
     named = message.headers.get(b"connection", b"").lower()
     dropped = {part.strip() for part in named.split(b",")} | HOP_BY_HOP | without
@@ -108,7 +108,7 @@
             waybill.server.encode("latin-1"),
         )
 
-        def ended(outcome: Outcome, message: HttpMessage | None) -> None:
+        def ended(outcome: Outcome, message: BufferedHttpMessage | None) -> None:
             now = self._loop.time()
             delivery = self._delivery(waybill, outcome, message)
             if outcome is Outcome.CONNECT_FAILED:
@@ -121,7 +121,7 @@
         going = Going(waybill.attempt_id, head, waybill.body)
         return self._own.run(waybill.server, going, waybill.left_ms / 1000.0 + OVER_S, ended)
 
-    def _delivery(self, waybill: Waybill, outcome: Outcome, message: HttpMessage | None) -> Delivery:
+    def _delivery(self, waybill: Waybill, outcome: Outcome, message: BufferedHttpMessage | None) -> Delivery:
         delivery = Delivery(number=waybill.number)
         if message is None:
             if outcome in (Outcome.CONNECT_FAILED, Outcome.MOOT):
--- a/leadrudder/data_plane/outbound.py
+++ b/leadrudder/data_plane/outbound.py
@@ -18,7 +18,7 @@
 from leadrudder.node.http import Message, MessageError
 from leadrudder.observability.loop_lag import OVERLOAD_LAG_S
 from leadrudder.protocol.outcome import Reply, Verdict
-from leadrudder.transport.http import HttpMessage, HttpReader, render_response
+from leadrudder.transport.http import BufferedHttpMessage, HttpReader, render_response
 
 PIPELINED_MOST = 64  # requests open on one connection, beyond which it is not read
 UNREAD_S = 10.0  # for a client to read its answer
@@ -120,7 +120,7 @@
             self._paused = True
         self._outbound.hold(self, 0)  # from here on it counts as under way
         place.leave = self._outbound.take(
-            cast(HttpMessage, message), lambda output: self._answer(place, output)
+            cast(BufferedHttpMessage, message), lambda output: self._answer(place, output)
         )
 
     def _answer(self, place: Place, output: Callable[[bool], bytes]) -> None:
@@ -248,7 +248,7 @@
     # ------------------------------------------------------------ requests
 
     def take(
-        self, message: HttpMessage, write: Callable[[Callable[[bool], bytes]], None]
+        self, message: BufferedHttpMessage, write: Callable[[Callable[[bool], bytes]], None]
     ) -> Callable[[], None] | None:
         """A whole request; write is called once, with what renders its answer.
 
--- a/leadrudder/data_plane/server_connections.py
+++ b/leadrudder/data_plane/server_connections.py
@@ -15,7 +15,7 @@
 from leadrudder.node.lists import Address, Listing
 from leadrudder.node.platform import SYSTEM, Platform
 from leadrudder.node.servers import Call, Connection, Peer, Servers
-from leadrudder.transport.http import HttpMessage, HttpReader
+from leadrudder.transport.http import BufferedHttpMessage, HttpReader
 
 ATTEMPT_ID = b"attempt-id"
 SEAL = b"server-seal"
@@ -24,7 +24,7 @@
 IDLE_S = 8.0
 ANSWER_MOST = 80 * 1024 * 1024
 
-Ended = Callable[[Outcome, HttpMessage | None], None]
+Ended = Callable[[Outcome, BufferedHttpMessage | None], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,7 +89,7 @@
         """One request; its end is told once, at the earliest after this returns."""
 
         def done(outcome: Outcome, message: Message | None) -> None:
-            assert message is None or isinstance(message, HttpMessage)
+            assert message is None or isinstance(message, BufferedHttpMessage)
             ended(outcome, message)
 
         return self.call(server.encode(), going, timeout_s, done)
--- a/leadrudder/emulation/standins.py
+++ b/leadrudder/emulation/standins.py
@@ -13,7 +13,7 @@
 from random import Random
 from typing import cast
 
-from leadrudder.transport.http import HttpMessage, HttpReader, render_response
+from leadrudder.transport.http import BufferedHttpMessage, HttpReader, render_response
 
 BEAT_S = 1.5
 QUEUE = 4  # requests that a server takes beside those it runs
@@ -24,7 +24,7 @@
 class _Once(asyncio.Protocol):
     """One call on a connection of its own."""
 
-    def __init__(self, text: bytes, over: asyncio.Future[HttpMessage | None]) -> None:
+    def __init__(self, text: bytes, over: asyncio.Future[BufferedHttpMessage | None]) -> None:
         self._text, self._over = text, over
         self._reader = HttpReader(self._answer, requests=False)
         self._transport: asyncio.Transport | None = None
@@ -38,7 +38,7 @@
 
     def _answer(self, message: object) -> None:
         if not self._over.done():
-            self._over.set_result(cast(HttpMessage, message))
+            self._over.set_result(cast(BufferedHttpMessage, message))
         if self._transport is not None:
             self._transport.close()
 
@@ -47,10 +47,10 @@
             self._over.set_result(None)
 
 
-async def call(address: tuple[str, int], text: bytes, within_s: float) -> HttpMessage | None:
+async def call(address: tuple[str, int], text: bytes, within_s: float) -> BufferedHttpMessage | None:
     """None where no whole answer came in time."""
     loop = asyncio.get_running_loop()
-    over: asyncio.Future[HttpMessage | None] = loop.create_future()
+    over: asyncio.Future[BufferedHttpMessage | None] = loop.create_future()
     try:
         async with asyncio.timeout(within_s):
             transport, _ = await loop.create_connection(lambda: _Once(text, over), *address)
@@ -88,7 +88,7 @@
         self._transport = None
 
     def _ask(self, message: object) -> None:
-        self._server.take(cast(HttpMessage, message), self._answer)
+        self._server.take(cast(BufferedHttpMessage, message), self._answer)
 
     def _answer(self, data: bytes) -> None:
         if self._transport is not None and not self._transport.is_closing():
@@ -133,7 +133,7 @@
     draining: bool = False
     cold_until: float = 0.0
     running: int = 0
-    waiting: deque[tuple[HttpMessage, Callable[[bytes], None]]] = field(default_factory=deque)
+    waiting: deque[tuple[BufferedHttpMessage, Callable[[bytes], None]]] = field(default_factory=deque)
     _beats: int = 0
 
     async def start(self) -> None:
@@ -163,7 +163,7 @@
         await call(self.control, text, 1.0)
         self._later(BEAT_S)
 
-    def take(self, message: HttpMessage, answer: Callable[[bytes], None]) -> None:
+    def take(self, message: BufferedHttpMessage, answer: Callable[[bytes], None]) -> None:
         if message.headers.get(b"target-server", b"").decode() not in ("", self.id):
             answer(render_response(421, self._fields(message) + b"Not-Run: 1\r\n", b""))
         elif self.running < self.slots:
@@ -173,7 +173,7 @@
         else:
             answer(render_response(503, self._fields(message) + b"Not-Run: 1\r\n", b""))
 
-    def _run(self, message: HttpMessage, answer: Callable[[bytes], None]) -> None:
+    def _run(self, message: BufferedHttpMessage, answer: Callable[[bytes], None]) -> None:
         attempt_id = message.headers.get(b"attempt-id", b"").decode()
         host = message.headers.get(b"host", b"").decode()
         self.running += 1
@@ -210,7 +210,7 @@
                 return
         over(200)
 
-    def _fields(self, message: HttpMessage) -> bytes:
+    def _fields(self, message: BufferedHttpMessage) -> bytes:
         load = b"%d,%d,%d" % (self.running, len(self.waiting), self.slots)
         return b"Attempt-Id: %s\r\nServer-Load: %s\r\n" % (message.headers.get(b"attempt-id", b""), load)
 
--- a/leadrudder/mesh/demo.py
+++ b/leadrudder/mesh/demo.py
@@ -20,7 +20,7 @@
 from leadrudder.emulation.standins import call, request
 from leadrudder.maintenance.contract import DAYS
 from leadrudder.mesh import snapshots
-from leadrudder.transport.http import HttpMessage, HttpReader, render_response
+from leadrudder.transport.http import BufferedHttpMessage, HttpReader, render_response
 
 CORES, SIDES = 3, 2
 WHOLE_S = 20.0  # in which all must be served
@@ -60,7 +60,7 @@
         self._reader.feed(data)
 
     def _answer(self, message: object) -> None:
-        assert isinstance(message, HttpMessage) and isinstance(self._transport, asyncio.Transport)
+        assert isinstance(message, BufferedHttpMessage) and isinstance(self._transport, asyncio.Transport)
         told = message.headers.get(b"attempt-id", b"")
         fields = b"Attempt-Id: %s\r\nServer-Seal: %s\r\n" % (told, self._name)
         self._transport.write(
@@ -71,7 +71,7 @@
 CALL_S = 2.0
 
 
-async def _call(address: tuple[str, int], text: bytes) -> HttpMessage | None:
+async def _call(address: tuple[str, int], text: bytes) -> BufferedHttpMessage | None:
     """One call on a connection of its own; None where there is no whole answer."""
     return await call(address, text, CALL_S)
 
@@ -107,7 +107,9 @@
 }
 
 
-async def _until(what: str, ask: bytes, addresses: list[tuple[str, int]], status: int = 200) -> HttpMessage:
+async def _until(
+    what: str, ask: bytes, addresses: list[tuple[str, int]], status: int = 200
+) -> BufferedHttpMessage:
     """Ask each in turn until one answers so; TimeoutError is the caller's."""
     while True:
         for address in addresses:
--- a/leadrudder/transport/http.py
+++ b/leadrudder/transport/http.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class HttpMessage(Message):
+class BufferedHttpMessage(Message):
     """A message with all its header fields, in their original order and spelling."""
 
     fields: list[tuple[bytes, bytes]] = field(default_factory=list)
@@ -73,10 +73,10 @@
 
     def on_message_begin(self) -> None:
         super().on_message_begin()
-        self._message = HttpMessage()
+        self._message = BufferedHttpMessage()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        message = cast(HttpMessage | None, self._message)
+        message = cast(BufferedHttpMessage | None, self._message)
         if message is not None and not self._in_body:
             message.fields.append((name, value))
         super().on_header(name, value)
