--- a/leadrudder/data_plane/inbound.py
+++ b/leadrudder/data_plane/inbound.py
@@ -16,7 +16,7 @@
 from leadrudder.node.servers import UpstreamCall
 from leadrudder.protocol.mesh_pb2 import ForwardRequest, ForwardResponse
 from leadrudder.protocol.outcome import Executed, RequestFailure
-from leadrudder.transport.http import WholeMessage
+from leadrudder.transport.http import BufferedHttpMessage
 
 SERVER_TIMEOUT_GRACE_S = 0.1  # a server reports that its time is over; wait for that answer
 HOP_BY_HOP = frozenset(
@@ -42,7 +42,7 @@
     """Does nothing: the call has been answered already."""
 
 
-def forwarded_headers(message: WholeMessage, excluded: frozenset[bytes] = frozenset()) -> bytes:
+def forwarded_headers(message: BufferedHttpMessage, excluded: frozenset[bytes] = frozenset()) -> bytes:
     """Header lines to forward: without hop-by-hop headers and those in excluded."""
     connection_headers = message.headers.get(b"connection", b"").lower()
     dropped = {part.strip() for part in connection_headers.split(b",")} | HOP_BY_HOP | excluded
@@ -120,7 +120,7 @@
             waybill.server.encode("latin-1"),
         )
 
-        def ended(outcome: Outcome, message: WholeMessage | None) -> None:
+        def ended(outcome: Outcome, message: BufferedHttpMessage | None) -> None:
             now = self._loop.time()
             delivery = self._make_delivery(waybill, outcome, message)
             if outcome is Outcome.CONNECT_FAILED:
@@ -136,7 +136,7 @@
         )
 
     def _make_delivery(
-        self, waybill: ForwardRequest, outcome: Outcome, message: WholeMessage | None
+        self, waybill: ForwardRequest, outcome: Outcome, message: BufferedHttpMessage | None
     ) -> ForwardResponse:
         delivery = ForwardResponse(number=waybill.number)
         if message is None:
--- a/leadrudder/data_plane/mesh_state.py
+++ b/leadrudder/data_plane/mesh_state.py
@@ -1,7 +1,8 @@
-"""What a station knows of the mesh: configuration, members and servers, and how changes are carried out.
+"""A data-plane node's view of the mesh: configuration, members and endpoints, and how changes are applied.
 
-Work for a change is in proportion to the change: items are read once each, one station's news touches that
-station's servers, and new lists of servers go to the balancers concerned. Invariants count what does more.
+The work for a change is proportional to the change: each item is parsed once, news of one node updates only
+the endpoints of that node, and new candidate lists go only to the load balancers affected. Invariants count
+violations.
 """
 
 from __future__ import annotations
@@ -17,10 +18,10 @@
 from leadrudder.data_plane.admission_control import AdmissionController
 from leadrudder.data_plane.candidates import Candidates, Distance
 from leadrudder.data_plane.change_queue import ChangeQueue, PendingChanges
-from leadrudder.data_plane.endpoint_discovery import Newsstand
+from leadrudder.data_plane.endpoint_discovery import EndpointDiscovery
 from leadrudder.data_plane.endpoints import Endpoint, EndpointTable, endpoints_of
 from leadrudder.data_plane.load_balancer import SendAttempt
-from leadrudder.data_plane.machine_drains import Lent
+from leadrudder.data_plane.machine_drains import MachineDrains
 from leadrudder.data_plane.upstreams import Upstreams
 from leadrudder.membership.registry import MemberRegistry
 from leadrudder.observability.invariants import Invariants
@@ -30,53 +31,59 @@
 
 
 class MeshState:
-    """carry: sends one attempt; carried_out: called after each pass over changes; wall: Unix time in seconds.
+    """carry: sends one attempt; on_applied: called after each pass over changes; wall: Unix time in seconds.
 
-    monotonic: seconds that only advance, finer than the loop's own time; loans: maintenance windows are on.
-    ask: asks the signalbox of our session for servers; fed: whether a session stands.
+    monotonic: monotonic time in seconds, finer than the loop's own.
+    machine_drains_enabled: whether maintenance windows are enabled.
+    subscribe: subscribes to services at the control plane; session_established: whether there is a session.
     """
 
     def __init__(
         self,
         settings: Settings,
-        gate: AdmissionController,
+        admission: AdmissionController,
         invariants: Invariants,
         *,
         carry: SendAttempt,
-        carried_out: Callable[[], None],
-        ask: Callable[[frozenset[str]], None],
-        fed: Callable[[], bool],
+        on_applied: Callable[[], None],
+        subscribe: Callable[[frozenset[str]], None],
+        session_established: Callable[[], bool],
         note: Callable[[str], None],
         rng: Random,
         wall: Callable[[], float],
         monotonic: Callable[[], float],
-        loans: bool,
+        machine_drains_enabled: bool,
     ) -> None:
         self.book = Book()
         self.routing = RoutingTable()
         self.members = MemberRegistry("")
         self.endpoints = EndpointTable()
         self.upstreams = Upstreams(settings.bounds, self.candidates, carry, note, rng)
-        self.changes = ChangeQueue(self._carry_out, monotonic)
-        self.newsstand = Newsstand(
-            settings.name, settings.zone, ask, fed, self._heard_of, self._sources_changed
+        self.changes = ChangeQueue(self._apply_changes, monotonic)
+        self.discovery = EndpointDiscovery(
+            settings.name,
+            settings.zone,
+            subscribe,
+            session_established,
+            self._on_node_entries,
+            self._on_sources_changed,
         )
         loop = asyncio.get_running_loop()
-        self.lent = Lent(wall, loop.time, loop.call_later, self._loans_ended)
+        self.machine_drains = MachineDrains(wall, loop.time, loop.call_later, self._on_machine_drain_ended)
         self._name, self._zone = settings.name, settings.zone
-        self._gate, self._invariants, self._carried_out = gate, invariants, carried_out
-        self._loop, self._loans = loop, loans
-        self._items_taken = 0  # of the configuration, since the start
+        self._admission, self._invariants, self._on_applied = admission, invariants, on_applied
+        self._loop, self._machine_drains_enabled = loop, machine_drains_enabled
+        self._items_accepted = 0  # configuration items, since the start
         self._member_list: list[Node] = []  # as of the last pass
-        self._evacuated: frozenset[str] = frozenset()  # zones, as carried out
-        self._candidates_by_service: dict[str, Candidates] = {}  # as worked out since they last changed
+        self._evacuated: frozenset[str] = frozenset()  # zones, as of the last pass
+        self._candidates_by_service: dict[str, Candidates] = {}  # a cache, cleared by changes
 
-    def add_figures(self, metrics: Metrics) -> None:
+    def register_metrics(self, metrics: Metrics) -> None:
         metrics.add("items", lambda: len(self.book.items))
         metrics.add("routes", lambda: len(self.routing.routes))
         metrics.add("balancers", lambda: len(self.upstreams))
         metrics.add("members", lambda: len(self._member_list))
-        metrics.add("news_items_total", lambda: self._items_taken)
+        metrics.add("news_items_total", lambda: self._items_accepted)
         metrics.add("items_read_total", lambda: self.routing.items_read)
         metrics.add("change_passes_total", lambda: self.changes.passes)
         metrics.add("change_pass_seconds_total", lambda: self.changes.pass_seconds)
@@ -84,175 +91,174 @@
 
     # ------------------------------------------------------------ news
 
-    def take(self, news: wire.StateUpdate) -> None:
-        """What a signalbox tells: items, members, or all of both."""
-        self._take_items(news.items)
+    def apply_news(self, news: wire.StateUpdate) -> None:
+        """Apply news from the control plane: changed items and members, or all of them."""
+        self._apply_items(news.items)
         pending = self.changes.pending
         members = {node.name for node in self.members.merge(news.nodes)}
         if news.whole:
-            members |= self._forget_members({node.name for node in news.nodes})
+            members |= self._remove_members({node.name for node in news.nodes})
         if members:
-            pending.stations |= members
+            pending.nodes |= members
             pending.members = True
         if news.signalboxes:
-            self.newsstand.session_began()
+            self.discovery.on_session_started()
             pending.sources = True
-        self.newsstand.take(list(news.served))
+        self.discovery.merge(list(news.served))
         if pending.evacuations:
             self.changes.flush()
         else:
             self.changes.schedule()
 
-    def take_own(self, member: Node, entry: Node) -> None:
-        """Our own membership, and the same with our server; carried out with the next pass."""
+    def apply_own(self, member: Node, entry: Node) -> None:
+        """Apply this node's own membership, and its entry with its server; effective with the next pass."""
         if self.members.merge([member]):
             self.changes.pending.members = True
-        self.newsstand.take([entry])
+        self.discovery.merge([entry])
 
-    def _take_items(self, items: Iterable[Item]) -> None:
-        """Routes are in force at once; what follows from them is carried out with the next pass."""
-        taken = self.book.take(items)
-        if not taken:
+    def _apply_items(self, items: Iterable[Item]) -> None:
+        """Put routes in force at once; dependent changes are applied with the next pass."""
+        accepted = self.book.take(items)
+        if not accepted:
             return
         read_before = self.routing.items_read
-        changed = self.routing.apply(taken)
-        self._items_taken += len(taken)
+        changed = self.routing.apply(accepted)
+        self._items_accepted += len(accepted)
         items_read = self.routing.items_read - read_before
         self._invariants.check(
             "an_item_is_read_once",
-            items_read <= len(taken),
-            lambda: f"{items_read} items read for {len(taken)} that were new",
+            items_read <= len(accepted),
+            lambda: f"{items_read} items parsed for {len(accepted)} new ones",
         )
         pending = self.changes.pending
         pending.routes |= changed.routes
         pending.services |= changed.services
         pending.sources |= changed.called_services
-        kinds = {kind_of(item.key) for item in taken}
+        kinds = {kind_of(item.key) for item in accepted}
         pending.evacuations |= EVACUATION in kinds
-        if self._loans and kinds & {WINDOW, CONTRACT}:
-            self.lent.take(self.book)
-            pending.loans = True
+        if self._machine_drains_enabled and kinds & {WINDOW, CONTRACT}:
+            self.machine_drains.update(self.book)
+            pending.machine_drains = True
 
-    def _forget_members(self, named: set[str]) -> set[str]:
-        """Members that a whole list does not name; our own entry stays.  Returns their names."""
-        gone = {name for name in self.members.nodes if name not in named and name != self._name}
-        for name in gone:
+    def _remove_members(self, listed: set[str]) -> set[str]:
+        """Remove members that a complete list omits, except this node; returns their names."""
+        removed = {name for name in self.members.nodes if name not in listed and name != self._name}
+        for name in removed:
             del self.members.nodes[name]
-        return gone
+        return removed
 
-    def _heard_of(self, stations: Iterable[str]) -> None:
-        """Entries with servers have come in."""
-        self.changes.pending.stations.update(stations)
+    def _on_node_entries(self, node_names: Iterable[str]) -> None:
+        """Handle new node entries with servers."""
+        self.changes.pending.nodes.update(node_names)
         self.changes.schedule()
 
-    def _sources_changed(self) -> None:
-        """A link to a home station has come up or ended."""
+    def _on_sources_changed(self) -> None:
+        """Handle a link to a zone relay that came up or went down."""
         self.changes.pending.sources = True
         self.changes.schedule()
 
-    def _loans_ended(self) -> None:
-        self.changes.pending.loans = True
+    def _on_machine_drain_ended(self) -> None:
+        self.changes.pending.machine_drains = True
         self.changes.schedule()
 
-    def look_for_sources(self) -> None:
-        """To be called some times a second: a source that was passed over may be asked again."""
-        self.newsstand.follow(self.routing.called_services(), self._member_list)
+    def update_subscriptions(self) -> None:
+        """Called a few times a second, as a source that failed may be retried."""
+        self.discovery.update(self.routing.called_services(), self._member_list)
 
-    # ------------------------------------------------------------ one pass over what has changed
+    # ------------------------------------------------------------ one pass over pending changes
 
-    def _carry_out(self, changes: PendingChanges) -> None:
-        services = self._replace_endpoints(changes.stations)
+    def _apply_changes(self, changes: PendingChanges) -> None:
+        services = self._replace_endpoints(changes.nodes)
         if changes.evacuations:
             services |= self._evacuate()
         if changes.members:
-            self._count_members()
+            self._update_member_list()
         if changes.members or changes.sources:
-            self.look_for_sources()
-        if changes.loans:
+            self.update_subscriptions()
+        if changes.machine_drains:
             services |= self.upstreams.services()
         for service in services:
             self._candidates_by_service.pop(service, None)
-        self._offer_lists(changes.routes, services)
-        self._follow_own_service(changes)
-        self._carried_out()
+        self._offer_candidates(changes.routes, services)
+        self._update_cold_rate(changes)
+        self._on_applied()
 
-    def _replace_endpoints(self, stations: Iterable[str]) -> set[str]:
-        """Returns the services whose servers have changed."""
+    def _replace_endpoints(self, node_names: Iterable[str]) -> set[str]:
+        """Returns the services whose endpoints have changed."""
         services: set[str] = set()
-        for station in stations:
-            entry, member = self.newsstand.served.get(station), self.members.nodes.get(station)
-            services |= self.endpoints.replace(station, endpoints_of(entry, member))
+        for node_name in node_names:
+            entry, member = self.discovery.entries.get(node_name), self.members.nodes.get(node_name)
+            services |= self.endpoints.replace(node_name, endpoints_of(entry, member))
         return services
 
     def _evacuate(self) -> set[str]:
-        """Returns the services that may have servers in zones that are emptied or taken back."""
+        """Returns the services that may have servers in zones whose evacuation began or ended."""
         evacuated = self.book.evacuated()
         if evacuated == self._evacuated:
             return set()
         self._evacuated = evacuated
-        self._gate.set_evacuated(self._zone in evacuated, self._loop.time())
+        self._admission.set_evacuated(self._zone in evacuated, self._loop.time())
         return self.endpoints.services()
 
-    def _count_members(self) -> None:
+    def _update_member_list(self) -> None:
         self._member_list = self.members.members()
         self.upstreams.set_node_count(max(1, len(self._member_list)))
-        self.newsstand.forget({node.name for node in self._member_list})
+        self.discovery.prune({node.name for node in self._member_list})
 
-    def _offer_lists(self, routes: set[str], services: set[str]) -> None:
-        """Balancers of these routes and services get the servers that they may draw from now on."""
+    def _offer_candidates(self, routes: set[str], services: set[str]) -> None:
+        """Hand new candidate servers to the load balancers of these routes and services."""
         upstreams, before = self.upstreams, self.upstreams.lists_offered
-        most = sum(map(upstreams.count_for_route, routes)) + sum(map(upstreams.count_for_service, services))
+        limit = sum(map(upstreams.count_for_route, routes)) + sum(map(upstreams.count_for_service, services))
         for name in routes:
             upstreams.update_route(name, self.routing.routes.get(name))
         upstreams.refresh_services(services)
         offers = upstreams.lists_offered - before
         self._invariants.check(
             "lists_go_to_those_concerned",
-            offers <= most,
-            lambda: f"{offers} lists of servers offered, where {most} balancers were concerned",
+            offers <= limit,
+            lambda: f"{offers} candidate lists offered, but only {limit} load balancers were affected",
         )
 
-    def _follow_own_service(self, changes: PendingChanges) -> None:
-        """The pace of our server while it is cold stands in its service's settings."""
-        life = self._gate.instance
-        if life is None or (life.service not in changes.services and self._name not in changes.stations):
+    def _update_cold_rate(self, changes: PendingChanges) -> None:
+        """Take the request rate of the local server while it is cold from its service's settings."""
+        life = self._admission.instance
+        if life is None or (life.service not in changes.services and self._name not in changes.nodes):
             return
         service = self.routing.services.get(life.service)
         if service is not None:
-            self._gate.cold_per_s = service.cold_per_s
+            self._admission.cold_per_s = service.cold_per_s
 
-    # ------------------------------------------------------------ servers that may be drawn
+    # ------------------------------------------------------------ candidate servers
 
     def candidates(self, service: str, route: Route) -> Candidates:
-        """The servers that a route's requests for a service may go to."""
-        if self.lent.some():
-            return Candidates.from_servers(self.allowed(service, route))
-        found = self._candidates_by_service.get(service)
-        if found is None:
-            found = self._candidates_by_service[service] = Candidates.from_servers(
-                self.allowed(service, route)
+        """The servers that a route's requests for a service may be sent to."""
+        if self.machine_drains.any():
+            return Candidates.from_servers(self.eligible_servers(service, route))
+        candidates = self._candidates_by_service.get(service)
+        if candidates is None:
+            candidates = self._candidates_by_service[service] = Candidates.from_servers(
+                self.eligible_servers(service, route)
             )
-        return found
+        return candidates
 
-    def allowed(self, service: str, route: Route) -> dict[str, Distance]:
-        """Servers in zones that are not evacuated, and how far away each is.
+    def eligible_servers(self, service: str, route: Route) -> dict[str, Distance]:
+        """Servers in zones that are not evacuated, with their distance.
 
-        Those that are ready; where there are none, those that drain; else those lent out of the route's
-        traffic.
+        Returns the ready ones; without any, the draining ones; else those on machines drained for the route.
         """
         ready: dict[str, Distance] = {}
         draining: dict[str, Distance] = {}
-        lent: dict[str, Distance] = {}
+        drained: dict[str, Distance] = {}
         for endpoint in self.endpoints.of_service(service):
             if endpoint.zone in self._evacuated:
                 continue
-            kept = draining if endpoint.draining else ready
-            if self.lent.some() and self.lent.lent(endpoint.station, route):
-                kept = lent
-            kept[endpoint.server] = self._distance(endpoint)
-        return ready or draining or lent
+            group = draining if endpoint.draining else ready
+            if self.machine_drains.any() and self.machine_drains.is_drained(endpoint.node, route):
+                group = drained
+            group[endpoint.server] = self._distance(endpoint)
+        return ready or draining or drained
 
     def _distance(self, endpoint: Endpoint) -> Distance:
-        if endpoint.station == self._name:
+        if endpoint.node == self._name:
             return Distance.LOCAL
         return Distance.SAME_ZONE if endpoint.zone == self._zone else Distance.OTHER_ZONE
--- a/leadrudder/data_plane/outbound.py
+++ b/leadrudder/data_plane/outbound.py
@@ -16,9 +16,9 @@
 from leadrudder.data_plane.inbound import forwarded_headers
 from leadrudder.data_plane.load_balancer import MIN_RETRY_AFTER_MS, ClientRequest
 from leadrudder.node.http import HttpMessage, HttpMessageError
-from leadrudder.observability.loop_lag import BEHIND_S
+from leadrudder.observability.loop_lag import OVERLOAD_LAG_S
 from leadrudder.protocol.outcome import RequestFailure, ServerResponse
-from leadrudder.transport.http import WholeMessage, WholeReader, rendered
+from leadrudder.transport.http import BufferedHttpMessage, HttpReader, render_response
 
 MAX_PIPELINED_REQUESTS = 64  # open on one connection; beyond that it is not read
 UNREAD_ANSWER_TIMEOUT_S = 10.0  # after which a client that does not read its answer is disconnected
@@ -50,8 +50,11 @@
     def __init__(self, outbound: OutboundProxy) -> None:
         self._outbound = outbound
         limits = outbound.limits()
-        self._reader = WholeReader(
-            self._on_request, requests=True, head_most=limits.head_most, body_most=limits.body_most
+        self._reader = HttpReader(
+            self._on_request,
+            requests=True,
+            max_head_bytes=limits.head_most,
+            max_body_bytes=limits.body_most,
         )
         self._transport: asyncio.Transport | None = None
         self._slots: deque[AnswerSlot] = deque()
@@ -70,7 +73,7 @@
     def data_received(self, data: bytes) -> None:
         if self._input_ended:
             return
-        if not self._reader.begun:
+        if not self._reader.partial:
             self._last_activity_at = self._outbound.now()
         try:
             self._reader.feed(data)
@@ -82,7 +85,7 @@
     def _reject(self, status: int, text: str, fields: bytes = b"") -> None:
         """Answer invalid or excess input once and read nothing more."""
         self._outbound.hold_body(self, 0)
-        slot = AnswerSlot(rendered(status, fields, text.encode() + b"\n", close=True), close=True)
+        slot = AnswerSlot(render_response(status, fields, text.encode() + b"\n", close=True), close=True)
         self._input_ended = True
         self._slots.append(slot)
         self._write_ready_answers()
@@ -122,7 +125,7 @@
             self._reading_paused = True
         self._outbound.hold_body(self, 0)  # from here on its body is counted by handle_request
         slot.on_client_left = self._outbound.handle_request(
-            cast(WholeMessage, message), lambda render_answer: self._set_answer(slot, render_answer)
+            cast(BufferedHttpMessage, message), lambda render_answer: self._set_answer(slot, render_answer)
         )
 
     def _set_answer(self, slot: AnswerSlot, render_answer: Callable[[bool], bytes]) -> None:
@@ -153,7 +156,9 @@
             self._reading_paused = False
 
     def busy(self) -> bool:
-        return bool(self._slots) or (self._reader.begun and not self._input_ended) or self._has_unsent_bytes()
+        return (
+            bool(self._slots) or (self._reader.partial and not self._input_ended) or self._has_unsent_bytes()
+        )
 
     def _has_unsent_bytes(self) -> bool:
         return self._transport is not None and self._transport.get_write_buffer_size() > 0
@@ -172,7 +177,7 @@
         if self._has_unsent_bytes():
             if elapsed_ms > 1000.0 * UNREAD_ANSWER_TIMEOUT_S:
                 self.force_close()
-        elif self._reader.begun:
+        elif self._reader.partial:
             if elapsed_ms > max(limits.head_wait_ms, limits.idle_ms if self._reader.in_message else 0.0):
                 self._reject(408, "request was not received completely in time")
         elif elapsed_ms > limits.idle_ms or self._outbound.closing:
@@ -255,7 +260,7 @@
     # ------------------------------------------------------------ requests
 
     def handle_request(
-        self, message: WholeMessage, write: Callable[[Callable[[bool], bytes]], None]
+        self, message: BufferedHttpMessage, write: Callable[[Callable[[bool], bytes]], None]
     ) -> Callable[[], None] | None:
         """Handle a complete request; write is called once, with a function that renders the answer.
 
@@ -286,7 +291,7 @@
         left_ms = min(route.give_up_ms, float(time_left) if time_left is not None else route.give_up_ms)
         waited_ms = self._patience.estimate_waited_ms(route.name, left_ms, self.now())
         left_ms -= 1000.0 * lag_s
-        if lag_s > BEHIND_S or (lag_s > 0.0 and left_ms <= 0.0):
+        if lag_s > OVERLOAD_LAG_S or (lag_s > 0.0 and left_ms <= 0.0):
             self.requests_shed += 1
             return self._answer_status(write, 503, RETRY_AFTER_HEADER)
         if self.now() > self.unrestricted_until and self.now() + left_ms / 1000.0 > self.answers_due_by:
@@ -320,13 +325,13 @@
     def _answer_status(
         write: Callable[[Callable[[bool], bytes]], None], status: int, fields: bytes = b""
     ) -> None:
-        write(lambda close: rendered(status, fields, b"", close=close))
+        write(lambda close: render_response(status, fields, b"", close=close))
 
 
 def _render_result(result: ServerResponse | RequestFailure, attempt_id: bytes, close: bool) -> bytes:
     if isinstance(result, ServerResponse):
-        return rendered(result.status, result.fields, result.body, close=close)
+        return render_response(result.status, result.fields, result.body, close=close)
     status, fields = result.status(), b"Attempt-Id: %s\r\n" % attempt_id
     if status == 503:
         fields += b"Retry-After: %.3f\r\n" % (max(MIN_RETRY_AFTER_MS, result.retry_ms) / 1000.0)
-    return rendered(status, fields, b"", close=close)
+    return render_response(status, fields, b"", close=close)
--- a/leadrudder/data_plane/peer_links.py
+++ b/leadrudder/data_plane/peer_links.py
@@ -8,7 +8,7 @@
 from leadrudder.data_plane.inbound import Withdraw
 from leadrudder.protocol.mesh_pb2 import CancelRequest, ForwardRequest, ForwardResponse, Frame
 from leadrudder.protocol.outcome import Executed
-from leadrudder.transport.link import IDLE_DIALLED_S, Link, dial
+from leadrudder.transport.link import IDLE_DIALER_PING_INTERVAL_S, Link, dial
 
 SILENCE_TIMEOUT_S = 1.5  # without frames from a peer while calls are in flight
 PING_INTERVAL_S = 0.4
@@ -48,7 +48,7 @@
             deliver(ForwardResponse(number=waybill.number, ran=Executed.NEVER, why="unreachable"))
             return
         self._in_flight[waybill.number] = deliver
-        link.watch()
+        link.start_liveness_checks()
 
     def _withdraw(self, number: int, client_left: bool) -> None:
         if self._in_flight.pop(number, None) is not None and self._link is not None:
@@ -70,7 +70,10 @@
                 deliver(ForwardResponse(number=waybill.number, ran=Executed.NEVER, why="unreachable"))
 
     def on_up(self, link: Link) -> None:
-        link.wants_life, link.every_s = False, IDLE_DIALLED_S  # the peer does not wait for this node
+        link.checks_liveness, link.ping_interval_s = (
+            False,
+            IDLE_DIALER_PING_INTERVAL_S,
+        )  # the peer does not wait for this node
         self._link = link
 
     def on_frame(self, link: Link, frame: Frame) -> None:
@@ -78,7 +81,7 @@
             return
         deliver = self._in_flight.pop(frame.delivery.number, None)
         if not self._in_flight:
-            link.wants_life = False
+            link.checks_liveness = False
         if deliver is not None:
             deliver(frame.delivery)
 
@@ -94,7 +97,7 @@
 
     def close(self) -> None:
         if self._link is not None:
-            self._link.cut()
+            self._link.abort()
 
 
 class PeerLinks:
--- a/leadrudder/data_plane/program.py
+++ b/leadrudder/data_plane/program.py
@@ -1,5 +1,5 @@
-"""A station: clients and the server of one machine, the gate between them, and the session with a
-signalbox.
+"""The data-plane node: proxies requests between the clients and the server of one machine and the rest of
+the mesh, and keeps a session with the control plane.
 """
 
 from __future__ import annotations
@@ -24,135 +24,139 @@
 from leadrudder.data_plane.outbound import OutboundProxy
 from leadrudder.data_plane.peer_links import PeerLinks
 from leadrudder.data_plane.request_accounting import RequestAccounting
-from leadrudder.data_plane.server_api import Beat, Beats
+from leadrudder.data_plane.server_api import Heartbeat, ServerApi
 from leadrudder.data_plane.server_connections import LocalServer
 from leadrudder.data_plane.session import Session
 from leadrudder.maintenance.ledger import Ledger
 from leadrudder.membership import zone_relays
 from leadrudder.node.platform import SYSTEM, Platform
 from leadrudder.observability.invariants import Invariants
-from leadrudder.observability.loop_lag import BEHIND_S, LoopLag
+from leadrudder.observability.loop_lag import OVERLOAD_LAG_S, LoopLag
 from leadrudder.observability.metrics import Metrics
-from leadrudder.observability.traffic import Traffic
+from leadrudder.observability.traffic import TrafficCounters
 from leadrudder.protocol import mesh_pb2 as wire
 from leadrudder.protocol.mesh_pb2 import ForwardRequest, ForwardResponse, Frame
 from leadrudder.protocol.outcome import Executed
-from leadrudder.transport.http import ControlServer
-from leadrudder.transport.link import IDLE_TAKEN_S, PING_S, Link
+from leadrudder.transport.http import ApiServer
+from leadrudder.transport.link import IDLE_ACCEPTOR_PING_INTERVAL_S, PING_INTERVAL_S, Link
 
-SWEEP_S = 0.25
-SILENT_BEATS = 3.5  # beats that a server may miss before it counts as crashed
-NOTE_EACH_S = 1.0
-BODIES_PART = 0.2  # of the memory: each body is held about twice more on its way
-OPEN_MOST = 2000  # requests that may be under way
-LEAST_LEAVING_S = 2.4  # after SIGTERM: until then clients still come
-QUIET_S = 0.3
-GRACE_PART_S = 0.6  # of the grace, kept for the end itself
-BEHIND = "behind"  # why a call was refused: this process has more to do than it gets done
-ANSWERS_OUT_S = 0.2  # before that end, by which the last answers are to be out
-FIRST_HALF_PART_S = 0.1  # before the half of the grace, from when on a request must end within it
+TICK_INTERVAL_S = 0.25
+MAX_MISSED_HEARTBEATS = 3.5  # heartbeats that a server may miss before it counts as crashed
+REFUSAL_LOG_INTERVAL_S = 1.0
+BODY_MEMORY_FRACTION = 0.2  # of the memory: each body is copied about twice more while it is forwarded
+MAX_OPEN_REQUESTS = 2000
+MIN_SHUTDOWN_S = 2.4  # after SIGTERM: clients still connect until then
+IDLE_BEFORE_STOP_S = 0.3
+STOP_MARGIN_S = 0.6  # of the grace period, reserved for closing down
+REFUSED_OVERLOADED = "behind"  # refusal reason: this process is overloaded
+ANSWER_MARGIN_S = 0.2  # before closing down, by which the last responses must be written
+FIRST_HALF_MARGIN_S = 0.1  # before half of the grace period; requests accepted later must end within it
 
 
-class Station:
-    """The program.  One event loop."""
+class DataPlaneNode:
+    """One data-plane process with one event loop."""
 
     def __init__(
         self,
         settings: Settings,
         *,
-        possession: bool = False,
+        maintenance_windows: bool = False,
         rng: Random | None = None,
         wall: Callable[[], float] = time.time,
         platform: Platform = SYSTEM,
     ) -> None:
-        """possession: maintenance windows are on.  The others are the simulation's."""
+        """maintenance_windows: whether they are enabled.  The simulation passes the other arguments."""
         self.settings = settings
-        self._possession, self._wall = possession, wall
-        self.ring = Ring(settings.name)
-        self.invariants = Invariants(self.ring.wrong)
+        self._maintenance_windows, self._wall = maintenance_windows, wall
+        self.log_buffer = Ring(settings.name)
+        self.invariants = Invariants(self.log_buffer.wrong)
         self._loop = asyncio.get_running_loop()
         self._rng = rng or Random()
         self._address = f"{settings.ip}:{settings.station_port}"
-        self._life = int(wall() * 1e6)
-        self._number = 0
+        self._incarnation = int(wall() * 1e6)
+        self._report_number = 0
         self._lag = LoopLag(platform.monotonic)
-        self.gate = AdmissionController(settings.bounds)
+        self.admission = AdmissionController(settings.bounds)
         self.state = MeshState(
             settings,
-            self.gate,
+            self.admission,
             self.invariants,
-            carry=self._carry,
-            carried_out=lambda: self._inbound.process_queue(),
-            ask=lambda services: self._session.subscribe(services),
-            fed=lambda: self._session.stands() and self._terminated_at is None,
-            note=self.ring.note,
+            carry=self._send_attempt,
+            on_applied=lambda: self._inbound.process_queue(),
+            subscribe=lambda services: self._session.subscribe(services),
+            session_established=lambda: self._session.established() and self._terminated_at is None,
+            note=self.log_buffer.note,
             rng=self._rng,
             wall=wall,
             monotonic=platform.monotonic,
-            loans=possession,
+            machine_drains_enabled=maintenance_windows,
         )
         self._withdrawals: dict[Link, dict[int, Withdraw]] = {}
         self._terminated_at: float | None = None
         self._done = asyncio.Event()
-        self.traffic = Traffic()
-        self._refused: Counter[str] = Counter()  # calls that came back without an answer, since the last note
-        self._noted_at = 0.0
-        self._calls_shed = 0  # calls to our server, refused because this process was behind
-        self._own = LocalServer(settings.app or (settings.ip, 0), max_connections=100, platform=platform)
+        self.traffic = TrafficCounters()
+        self._refusals: Counter[str] = Counter()  # calls without a response since the last log line
+        self._refusals_logged_at = 0.0
+        self._calls_shed = 0  # calls to the local server, refused because this process was overloaded
+        self._local_server = LocalServer(
+            settings.app or (settings.ip, 0), max_connections=100, platform=platform
+        )
         self._ledger = Ledger()
         self._accounting = RequestAccounting(
             self.traffic,
             self.invariants,
-            self._ledger if possession else None,
+            self._ledger if maintenance_windows else None,
             now=self._loop.time,
             wall=wall,
             lag_s=self._lag.seconds,
-            log=self.ring.note,
+            log=self.log_buffer.note,
         )
         self._inbound = InboundProxy(
-            self.gate,
-            self._own,
-            self.ring.note,
-            self._lent_here,
-            (lambda epoch: self._ledger.ran(settings.service, epoch)) if possession else None,
+            self.admission,
+            self._local_server,
+            self.log_buffer.note,
+            self._is_drained_here,
+            (lambda epoch: self._ledger.ran(settings.service, epoch)) if maintenance_windows else None,
         )
-        self._used = 0  # slots of our server, at the busiest since we last told
-        self._gates = PeerLinks()
+        self._peak_slots_used = 0  # highest number of slots of the local server in use since the last report
+        self._peer_links = PeerLinks()
         self._outbound = OutboundProxy(
             settings.service,
             self.state.routing.find,
-            self._begin,
+            self._begin_request,
             lambda: self.state.routing.limits,
-            lambda: self._outbound.open_requests < OPEN_MOST,
-            BODIES_PART * settings.ram_mb * 1e6,
+            lambda: self._outbound.open_requests < MAX_OPEN_REQUESTS,
+            BODY_MEMORY_FRACTION * settings.ram_mb * 1e6,
             self._lag.seconds,
         )
-        beats = Beats(self._beat, self._left, self.ready, self._metrics().text)
-        self._control = ControlServer(beats.dispatch, lambda e: self.ring.wrong(f"fault: {e!r}"))
+        server_api = ServerApi(self._on_heartbeat, self._on_deregistered, self.ready, self._metrics().text)
+        self._api_server = ApiServer(
+            server_api.dispatch, lambda error: self.log_buffer.wrong(f"unhandled API error: {error!r}")
+        )
         self._session = Session(
             settings.seed_links,
-            self._hello,
-            self._news,
-            self.state.newsstand.session_ended,
+            self._next_report,
+            self._on_news,
+            self.state.discovery.on_session_ended,
             self._rng,
-            self.ring.note,
+            self.log_buffer.note,
         )
 
     async def start(self) -> None:
         settings = self.settings
-        self.ring.say("starts")
+        self.log_buffer.say("starting")
         host, port = self._address.rsplit(":", 1)
         self._listener = await self._loop.create_server(
-            lambda: Link(self, silence_s=30.0), host, int(port), family=socket.AF_INET, backlog=1024
+            lambda: Link(self, silence_timeout_s=30.0), host, int(port), family=socket.AF_INET, backlog=1024
         )
         for address in {settings.control, settings.readiness} - {None}:
             assert address is not None
-            await self._control.listen(address)
+            await self._api_server.listen(address)
         for address in {settings.outbound} - {None}:
             assert address is not None
             await self._outbound.listen(address)
         self._session.start()
-        self._sweep()
+        self._tick()
 
     async def run(self) -> None:
         await self.start()
@@ -162,12 +166,12 @@
 
     def _metrics(self) -> Metrics:
         metrics = Metrics()
-        self.state.add_figures(metrics)
-        self.traffic.add_figures(metrics)
+        self.state.register_metrics(metrics)
+        self.traffic.register_metrics(metrics)
         metrics.add("requests_open", lambda: self._outbound.open_requests)
-        metrics.add("calls_running", lambda: self.gate.running_calls)
-        metrics.add("calls_waiting", self.gate.waiting_calls)
-        metrics.add("slot_seconds_total", lambda: self.gate.slot_seconds(self._loop.time()))
+        metrics.add("calls_running", lambda: self.admission.running_calls)
+        metrics.add("calls_waiting", self.admission.waiting_calls)
+        metrics.add("slot_seconds_total", lambda: self.admission.slot_seconds(self._loop.time()))
         metrics.add("requests_shed_total", lambda: self._outbound.requests_shed)
         metrics.add("calls_shed_total", lambda: self._calls_shed)
         metrics.add("loop_lag_seconds", self._lag.seconds)
@@ -177,151 +181,153 @@
         return metrics
 
     def ready(self) -> bool:
-        """Whether clients may come: a configuration is in force here, and we are not about to end."""
-        return self._terminated_at is None and bool(self.state.routing.routes) and self._session.informed
+        """Whether clients may connect: a configuration is in force, and the process is not shutting down."""
+        return self._terminated_at is None and bool(self.state.routing.routes) and self._session.synced
 
-    # ------------------------------------------------------------ requests of our clients
+    # ------------------------------------------------------------ requests of local clients
 
-    def _begin(self, route: Route, errand: ClientRequest) -> Callable[[], None]:
+    def _begin_request(self, route: Route, request: ClientRequest) -> Callable[[], None]:
         service = route.split[0][0]
         if len(route.split) > 1:
             names, shares = zip(*route.split, strict=True)
             service = self._rng.choices(names, shares)[0]
-        self._accounting.track(route, service, errand)
-        return self.state.upstreams.load_balancer_for(route, service).submit(errand)
+        self._accounting.track(route, service, request)
+        return self.state.upstreams.load_balancer_for(route, service).submit(request)
 
-    def _carry(
+    def _send_attempt(
         self,
-        errand: ClientRequest,
+        request: ClientRequest,
         route: Route,
         server: str,
         may_wait: bool,
-        again: bool,
+        is_retry: bool,
         deliver: Callable[[ForwardResponse], None],
     ) -> Withdraw:
-        """One attempt, to the gate beside its server."""
+        """Send one attempt to the data-plane node of its server."""
         now = self._loop.time()
         waybill = ForwardRequest(
             server=server,
-            method=errand.method,
-            target=errand.target,
-            fields=errand.fields,
-            body=errand.body,
-            attempt_id=errand.attempt_id,
-            left_ms=1000.0 * (errand.deadline - now),
+            method=request.method,
+            target=request.target,
+            fields=request.fields,
+            body=request.body,
+            attempt_id=request.attempt_id,
+            left_ms=1000.0 * (request.deadline - now),
             once=route.once,
             may_wait=may_wait,
             priority=max(0, route.priority),
-            aim_ms=route.target_ms - errand.waited_ms - 1000.0 * (now - errand.started_at),
+            aim_ms=route.target_ms - request.waited_ms - 1000.0 * (now - request.started_at),
             target_ms=route.target_ms,
-            repeat=again,
-            epoch=errand.epoch,
+            repeat=is_retry,
+            epoch=request.epoch,
         )
 
         self.traffic.calls += 1
 
-        def counted(delivery: ForwardResponse) -> None:
+        def count_and_deliver(delivery: ForwardResponse) -> None:
             if delivery.why:
-                self._refused[delivery.why] += 1
+                self._refusals[delivery.why] += 1
                 self.traffic.refused[delivery.why] += 1
             deliver(delivery)
 
         endpoint = self.state.endpoints.server(server)
         if endpoint is None:
-            counted(ForwardResponse(ran=0, why="gone"))
+            count_and_deliver(ForwardResponse(ran=0, why="gone"))
             return no_withdrawal
         if endpoint.address == self._address:
-            return self._inbound.handle(waybill, counted)
-        return self._gates.send(endpoint.address, waybill, counted)
+            return self._inbound.handle(waybill, count_and_deliver)
+        return self._peer_links.send(endpoint.address, waybill, count_and_deliver)
 
-    # ------------------------------------------------------------ links from other stations
+    # ------------------------------------------------------------ links from other data-plane nodes
 
     def on_up(self, link: Link) -> None:
         self._withdrawals[link] = {}
-        link.every_s = IDLE_TAKEN_S
+        link.ping_interval_s = IDLE_ACCEPTOR_PING_INTERVAL_S
 
     def on_down(self, link: Link) -> None:
-        self.state.newsstand.unsubscribe(link)
+        self.state.discovery.unsubscribe(link)
         for withdraw in self._withdrawals.pop(link, {}).values():
             withdraw(False)
 
     def on_frame(self, link: Link, frame: Frame) -> None:
         kind = frame.WhichOneof("body")
-        waiting = self._withdrawals.get(link)
-        if waiting is None:
+        withdrawals = self._withdrawals.get(link)
+        if withdrawals is None:
             return
         if kind == "waybill":
             number = frame.waybill.number
 
             def deliver(delivery: ForwardResponse) -> None:
-                waiting.pop(number, None)
-                if not waiting and not self.state.newsstand.serves(link):
-                    link.every_s = IDLE_TAKEN_S
+                withdrawals.pop(number, None)
+                if not withdrawals and not self.state.discovery.has_subscriber(link):
+                    link.ping_interval_s = IDLE_ACCEPTOR_PING_INTERVAL_S
                 delivery.number = number
                 link.send(Frame(delivery=delivery))
 
             late_s = self._lag.seconds()
-            if late_s > BEHIND_S:
+            if late_s > OVERLOAD_LAG_S:
                 self._calls_shed += 1
-                deliver(ForwardResponse(ran=Executed.NEVER, why=BEHIND, retry_ms=1000.0 * late_s))
+                deliver(ForwardResponse(ran=Executed.NEVER, why=REFUSED_OVERLOADED, retry_ms=1000.0 * late_s))
                 return
-            frame.waybill.left_ms -= 1000.0 * late_s  # it has waited here for so long
-            waiting[number] = no_withdrawal
-            link.every_s = PING_S  # its origin waits, and asks for signs of life
+            frame.waybill.left_ms -= 1000.0 * late_s  # time already spent waiting for the event loop
+            withdrawals[number] = no_withdrawal
+            link.ping_interval_s = PING_INTERVAL_S  # the caller waits for a response and checks liveness
             withdraw = self._inbound.handle(frame.waybill, deliver)
-            if number in waiting:
-                waiting[number] = withdraw
+            if number in withdrawals:
+                withdrawals[number] = withdraw
         elif kind == "subscribe":
-            link.every_s = PING_S
-            self.state.newsstand.subscribe(link, frozenset(frame.subscribe.services))
+            link.ping_interval_s = PING_INTERVAL_S
+            self.state.discovery.subscribe(link, frozenset(frame.subscribe.services))
         elif kind == "withdrawal":
-            withdraw = waiting.pop(frame.withdrawal.number, no_withdrawal)
+            withdraw = withdrawals.pop(frame.withdrawal.number, no_withdrawal)
             withdraw(frame.withdrawal.client_left)
 
-    # ------------------------------------------------------------ what we are told
+    # ------------------------------------------------------------ news from the control plane
 
-    def _news(self, news: wire.StateUpdate) -> None:
-        """What a signalbox tells."""
-        self.state.take(news)
-        self._outbound.has_configuration = self._session.informed and bool(self.state.routing.routes)
+    def _on_news(self, news: wire.StateUpdate) -> None:
+        """Apply news from the control-plane node of the session."""
+        self.state.apply_news(news)
+        self._outbound.has_configuration = self._session.synced and bool(self.state.routing.routes)
 
-    def _lent_here(self, waybill: ForwardRequest) -> bool:
-        """Whether our server is out of the traffic that a waybill is of, and others are not."""
-        state, life = self.state, self.gate.instance
-        if not state.lent.some() or life is None:
+    def _is_drained_here(self, waybill: ForwardRequest) -> bool:
+        """Whether the local server is drained for the waybill's route while other servers are not."""
+        state, life = self.state, self.admission.instance
+        if not state.machine_drains.any() or life is None:
             return False
         host = next((f[5:] for f in waybill.fields.split(b"\r\n") if f[:5].lower() == b"host:"), b"").strip()
         path = waybill.target.partition(b"?")[0]
         route = state.routing.find(host.decode("latin-1"), path.decode("latin-1"))
-        if route is None or not state.lent.lent(self.settings.name, route):
+        if route is None or not state.machine_drains.is_drained(self.settings.name, route):
             return False
-        return life.id not in state.allowed(life.service, route)
+        return life.id not in state.eligible_servers(life.service, route)
 
-    # ------------------------------------------------------------ our server
+    # ------------------------------------------------------------ the local server
 
-    def _beat(self, beat: Beat) -> None:
-        life = ServerInstance(beat.id, beat.service, beat.zone or self.settings.zone, beat.capacity)
+    def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
+        life = ServerInstance(
+            heartbeat.id, heartbeat.service, heartbeat.zone or self.settings.zone, heartbeat.capacity
+        )
         now = self._loop.time()
-        if self.gate.on_heartbeat(life, beat.draining, beat.count, beat.cold_ms, now):
-            assert self.gate.instance is not None
-            self._own.set_instance(self.gate.instance.id)
-            self._report()
+        if self.admission.on_heartbeat(life, heartbeat.draining, heartbeat.count, heartbeat.cold_ms, now):
+            assert self.admission.instance is not None
+            self._local_server.set_instance(self.admission.instance.id)
+            self._publish_change()
 
-    def _left(self, server: str) -> None:
-        if self.gate.remove_instance(server):
-            self._own.clear_instance()
-            self._report()
+    def _on_deregistered(self, server: str) -> None:
+        if self.admission.remove_instance(server):
+            self._local_server.clear_instance()
+            self._publish_change()
 
-    def _node(self) -> wire.Node:
+    def _node_entry(self) -> wire.Node:
         node = wire.Node(
             name=self.settings.name,
             zone=self.settings.zone,
             address=self._address,
-            life=self._life,
-            number=self._number,
+            life=self._incarnation,
+            number=self._report_number,
             service=self.settings.service,
         )
-        life = self.gate.instance
+        life = self.admission.instance
         if life is not None and self._terminated_at is None:
             node.servers.add(
                 id=life.id,
@@ -330,86 +336,90 @@
                 capacity=life.capacity,
                 draining=life.draining_since is not None,
             )
-        if self._possession:
-            node.used = self._used
+        if self._maintenance_windows:
+            node.used = self._peak_slots_used
             node.tallies.extend(self._ledger.closed.values())
             node.through = self._ledger.through
         return node
 
-    def _hello(self) -> wire.Node:
-        self._number += 1
-        node = self._node()
-        self.state.take_own(zone_relays.without_servers(node), node)
+    def _next_report(self) -> wire.Node:
+        self._report_number += 1
+        node = self._node_entry()
+        self.state.apply_own(zone_relays.without_servers(node), node)
         return node
 
-    def _report(self) -> None:
-        """Our server has changed: others must hear of it, and so must our own points."""
-        self._session.say(self._hello())
+    def _publish_change(self) -> None:
+        """Report a change of the local server to the control plane and to the local load balancers."""
+        self._session.report(self._next_report())
         self.state.changes.flush()
 
-    # ------------------------------------------------------------ time
+    # ------------------------------------------------------------ periodic work
 
-    def _sweep(self) -> None:
+    def _tick(self) -> None:
         if self._done.is_set():
-            return  # what it would dial now would outlive the event loop
-        self._loop.call_later(SWEEP_S, self._sweep)
+            return  # a connection attempt begun now would outlive the event loop
+        self._loop.call_later(TICK_INTERVAL_S, self._tick)
         now = self._loop.time()
-        if self.gate.expire_instance(now, SILENT_BEATS * self.settings.beat_ms / 1000.0):
-            self.ring.note("our server fell silent")
-            self._own.clear_instance()
-            self._report()
-        self._gates.close_idle()
-        self.state.look_for_sources()
-        if self._possession:
-            self._tell_use()
-        if self._refused and now - self._noted_at >= NOTE_EACH_S:
-            self._noted_at = now
-            self.ring.note("came back: " + ", ".join(f"{why} {n}" for why, n in self._refused.most_common(8)))
-            self._refused.clear()
+        if self.admission.expire_instance(now, MAX_MISSED_HEARTBEATS * self.settings.beat_ms / 1000.0):
+            self.log_buffer.note("the local server has sent no heartbeat and counts as crashed")
+            self._local_server.clear_instance()
+            self._publish_change()
+        self._peer_links.close_idle()
+        self.state.update_subscriptions()
+        if self._maintenance_windows:
+            self._report_usage()
+        if self._refusals and now - self._refusals_logged_at >= REFUSAL_LOG_INTERVAL_S:
+            self._refusals_logged_at = now
+            self.log_buffer.note(
+                "calls without a response: "
+                + ", ".join(f"{why} {n}" for why, n in self._refusals.most_common(8))
+            )
+            self._refusals.clear()
         if self._terminated_at is not None:
-            self._end_when_quiet(now - self._terminated_at)
+            self._stop_when_idle(now - self._terminated_at)
 
-    def _tell_use(self) -> None:
-        """Slots in use and what became of bookings, each epoch: for those who plan and report windows."""
-        self._used = max(self._used, self.gate.running_calls)
+    def _report_usage(self) -> None:
+        """Report slots in use and request outcomes each epoch; maintenance windows are planned by these."""
+        self._peak_slots_used = max(self._peak_slots_used, self.admission.running_calls)
         if self._ledger.close(self._wall()):
-            self._session.say(self._hello())
-            self._used = 0
+            self._session.report(self._next_report())
+            self._peak_slots_used = 0
 
     def _reload(self) -> None:
-        """SIGHUP: the settings file has changed."""
+        """Handle SIGHUP: reload the settings file."""
         read = load()
         if isinstance(read, Success):
             self._session.seeds = read.unwrap().seed_links
         else:
-            self.ring.wrong(f"kept the old settings: {read.failure()}")
+            self.log_buffer.wrong(f"reload failed, keeping the previous settings: {read.failure()}")
 
     def terminate(self) -> None:
-        """SIGTERM: finish what is here, send others elsewhere, then end."""
+        """Handle SIGTERM: finish open requests, refuse new ones that would not end in time, then stop."""
         if self._terminated_at is not None:
             return
-        self.ring.say(
-            f"ends: {self._outbound.open_requests} requests open, {self.gate.running_calls} at our server"
+        self.log_buffer.say(
+            f"stopping: {self._outbound.open_requests} open requests, "
+            f"{self.admission.running_calls} running calls"
         )
         self._terminated_at = self._loop.time()
         grace_s = self.settings.bounds.grace / 1000.0
-        self._outbound.unrestricted_until = self._terminated_at + grace_s / 2.0 - FIRST_HALF_PART_S
-        self._outbound.answers_due_by = self._terminated_at + grace_s - GRACE_PART_S - ANSWERS_OUT_S
-        self.gate.terminating = True
+        self._outbound.unrestricted_until = self._terminated_at + grace_s / 2.0 - FIRST_HALF_MARGIN_S
+        self._outbound.answers_due_by = self._terminated_at + grace_s - STOP_MARGIN_S - ANSWER_MARGIN_S
+        self.admission.terminating = True
         self._outbound.closing = True
-        self._report()
+        self._publish_change()
 
-    def _end_when_quiet(self, since_s: float) -> None:
-        quiet = not self._outbound.busy() and not self.gate.running_calls
-        quiet = quiet and self._loop.time() - self._outbound.last_request_at >= QUIET_S
-        if (quiet and since_s >= LEAST_LEAVING_S) or (
-            since_s >= self.settings.bounds.grace / 1000.0 - GRACE_PART_S
+    def _stop_when_idle(self, elapsed_s: float) -> None:
+        idle = not self._outbound.busy() and not self.admission.running_calls
+        idle = idle and self._loop.time() - self._outbound.last_request_at >= IDLE_BEFORE_STOP_S
+        if (idle and elapsed_s >= MIN_SHUTDOWN_S) or (
+            elapsed_s >= self.settings.bounds.grace / 1000.0 - STOP_MARGIN_S
         ):
             self._listener.close()
             self._outbound.close()
-            self._control.close()
+            self._api_server.close()
             self._session.close()
-            self.state.newsstand.close()
-            self._gates.close()
-            self._own.close()
+            self.state.discovery.close()
+            self._peer_links.close()
+            self._local_server.close()
             self._done.set()
--- a/leadrudder/data_plane/request_accounting.py
+++ b/leadrudder/data_plane/request_accounting.py
@@ -8,19 +8,19 @@
 from leadrudder.data_plane.load_balancer import ClientRequest
 from leadrudder.maintenance.ledger import Ledger, epoch_of
 from leadrudder.observability.invariants import Invariants
-from leadrudder.observability.traffic import Answered, Traffic
+from leadrudder.observability.traffic import AnswerClass, TrafficCounters
 from leadrudder.protocol.outcome import Executed, RequestFailure, ServerResponse
 
 DEADLINE_TOLERANCE_S = 0.5  # after its deadline, by which every request must have been answered
 
 
-def classify_answer(result: ServerResponse | RequestFailure, took_ms: float, target_ms: float) -> Answered:
+def classify_answer(result: ServerResponse | RequestFailure, took_ms: float, target_ms: float) -> AnswerClass:
     """The metric category of a client's answer."""
     if isinstance(result, RequestFailure):
-        return Answered.REFUSED if result.ran is Executed.NEVER else Answered.FAILED
+        return AnswerClass.REFUSED if result.ran is Executed.NEVER else AnswerClass.FAILED
     if not 200 <= result.status < 300:
-        return Answered.FAILED
-    return Answered.IN_TARGET if took_ms <= target_ms else Answered.LATE
+        return AnswerClass.FAILED
+    return AnswerClass.IN_TARGET if took_ms <= target_ms else AnswerClass.LATE
 
 
 class RequestAccounting:
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        traffic: Traffic,
+        traffic: TrafficCounters,
         invariants: Invariants,
         ledger: Ledger | None,
         *,
--- a/leadrudder/data_plane/server_connections.py
+++ b/leadrudder/data_plane/server_connections.py
@@ -15,7 +15,7 @@
 from leadrudder.node.lists import Address, EndpointUpdate
 from leadrudder.node.platform import SYSTEM, Platform
 from leadrudder.node.servers import Endpoint, HttpUpstream, UpstreamCall, UpstreamConnection
-from leadrudder.transport.http import WholeMessage, WholeReader
+from leadrudder.transport.http import BufferedHttpMessage, HttpReader
 
 ATTEMPT_ID_HEADER = b"attempt-id"
 SERVER_SEAL_HEADER = b"server-seal"
@@ -24,7 +24,7 @@
 SERVER_IDLE_TIMEOUT_S = 8.0
 MAX_ANSWER_BYTES = 80 * 1024 * 1024
 
-OnEnded = Callable[[Outcome, WholeMessage | None], None]
+OnEnded = Callable[[Outcome, BufferedHttpMessage | None], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
         super().__init__(peer, servers)
 
     def create_parser(self) -> HttpParser:
-        return WholeReader(self._on_response, requests=False, body_most=MAX_ANSWER_BYTES)
+        return HttpReader(self._on_response, requests=False, max_body_bytes=MAX_ANSWER_BYTES)
 
     def send(self, call: UpstreamCall) -> None:
         assert isinstance(call.render, ServerRequest)
@@ -94,7 +94,7 @@
         """Send a request; ended is called exactly once, after this returns."""
 
         def on_done(outcome: Outcome, message: HttpMessage | None) -> None:
-            assert message is None or isinstance(message, WholeMessage)
+            assert message is None or isinstance(message, BufferedHttpMessage)
             ended(outcome, message)
 
         return self.call(instance_id.encode(), request, timeout_s, on_done)
--- a/leadrudder/observability/traffic.py
+++ b/leadrudder/observability/traffic.py
@@ -1,7 +1,7 @@
-"""Counts of what a data-plane process sends, what is refused, and what its clients are answered.
+"""Counters of the calls that a data-plane node sends, of refusals, and of the answers to its clients.
 
-They tell a service without slots from one whose calls are lost on the way: refusals for each answer rise, and
-slots of servers elsewhere stand idle.
+They distinguish a service without free slots from one whose calls are lost on the way: in the latter case
+refusals per answer rise while slots of servers elsewhere are idle.
 """
 
 from __future__ import annotations
@@ -13,24 +13,24 @@
 from leadrudder.observability.metrics import Metrics
 
 
-class Answered(StrEnum):
-    """What a client was answered."""
+class AnswerClass(StrEnum):
+    """How a client request was answered."""
 
-    IN_TARGET = "in_target"  # a success inside the route's target
-    LATE = "late"  # a success after it
+    IN_TARGET = "in_target"  # success within the route's target time
+    LATE = "late"  # success after it
     REFUSED = "refused"  # never ran
-    FAILED = "failed"  # ran without success, or may have
+    FAILED = "failed"  # ran without success, or may have run
 
 
 @dataclass(slots=True)
-class Traffic:
-    """Since the start of the process.  refused: calls that came back without a server's answer, by reason."""
+class TrafficCounters:
+    """Counters since the start of the process.  refused: calls without a response of a server, by reason."""
 
     calls: int = 0
     refused: Counter[str] = field(default_factory=Counter)
     answered: Counter[str] = field(default_factory=Counter)
 
-    def add_figures(self, metrics: Metrics) -> None:
+    def register_metrics(self, metrics: Metrics) -> None:
         metrics.add("calls_total", lambda: self.calls)
         metrics.add_labelled("calls_refused_total", "why", lambda: self.refused)
         metrics.add_labelled("requests_answered_total", "how", lambda: self.answered)
--- a/tests/mesh/test_outbound.py
+++ b/tests/mesh/test_outbound.py
@@ -13,7 +13,7 @@
 from leadrudder.data_plane.outbound import ClientConnection, OutboundProxy
 from leadrudder.data_plane.server_connections import LocalServerConnection, ServerRequest
 from leadrudder.interface import Outcome
-from leadrudder.observability.loop_lag import BEHIND_S
+from leadrudder.observability.loop_lag import OVERLOAD_LAG_S
 from leadrudder.protocol.outcome import Executed, RequestFailure, ServerResponse
 
 ROUTE = Route("r", "h", "/a/", False, 1000.0, 250.0, 1, (("s", 1.0),), 2, 1)
@@ -113,7 +113,7 @@
         self.assertLess(self.transport.written.index(b"first"), self.transport.written.index(b"second"))
 
     def test_event_loop_lag_refuses_requests_only_while_it_lasts(self) -> None:
-        self.lag_s = BEHIND_S + 0.01
+        self.lag_s = OVERLOAD_LAG_S + 0.01
         self.client.data_received(request(attempt="x1"))
         self.assertEqual((self.statuses(), self.client_requests), ([b"503"], []))
         self.assertIn(b"Retry-After: ", self.transport.written)
--- a/tests/mesh/test_shedding.py
+++ b/tests/mesh/test_shedding.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from leadrudder.emulation.fleet import Fleet
-from leadrudder.observability.loop_lag import BEHIND_S, LoopLag
+from leadrudder.observability.loop_lag import OVERLOAD_LAG_S, LoopLag
 from leadrudder.protocol.mesh_pb2 import ForwardRequest, Frame
 from leadrudder.protocol.outcome import Executed
 from tests.mesh.test_emulation import PLAN
@@ -24,7 +24,7 @@
         link = mock.Mock()
         station.on_up(link)
         waybill = ForwardRequest(number=3, server="i-side-0-0", method=b"GET", target=b"/", left_ms=900.0)
-        with mock.patch.object(LoopLag, "seconds", lambda lag: 2 * BEHIND_S):
+        with mock.patch.object(LoopLag, "seconds", lambda lag: 2 * OVERLOAD_LAG_S):
             station.on_frame(link, Frame(waybill=waybill))
         delivery = cast(Any, link.send.call_args.args[0]).delivery
         self.assertEqual(
@@ -40,7 +40,7 @@
         actual_seconds = LoopLag.seconds
 
         def seconds(lag: LoopLag) -> float:
-            return 2 * BEHIND_S if lag is lagging_node._lag else actual_seconds(lag)
+            return 2 * OVERLOAD_LAG_S if lag is lagging_node._lag else actual_seconds(lag)
 
         with mock.patch.object(LoopLag, "seconds", seconds):
             fleet.play(LAG_START_S + LAG_DURATION_S)
