--- a/bench/soak/planted_faults.py
+++ b/bench/soak/planted_faults.py
@@ -29,7 +29,7 @@
         return True
 
     with (
-        mock.patch("leadrudder.transport.link.connect", connect),
+        mock.patch("leadrudder.transport.link.open_connection", connect),
         mock.patch.object(Link, "send_packed", send_packed),
     ):
         yield
--- a/tests/experiment/test_results.py
+++ b/tests/experiment/test_results.py
@@ -246,7 +246,9 @@
     tree = tmp_path / "tree"
     shutil.copytree(PACKAGE, tree / "leadrudder", ignore=shutil.ignore_patterns("__pycache__"))
     place = tree / "leadrudder" / "state" / "least_loaded.py"
-    place.write_text(place.read_text().replace("calls == least", "True"))
+    text, condition = place.read_text(), "calls == fewest"
+    assert text.count(condition) == 1
+    place.write_text(text.replace(condition, "True"))
     other = Decisions("another", tree)
     made = values(length_s=2, runs__seeds=1, load__of_capacity=0.9)
     made["side"] = [{"name": "then", "ref": "then"}]
