--- a/leadrudder/adapter.py
+++ b/leadrudder/adapter.py
@@ -29,7 +29,7 @@
                     continue
                 instance = self._instances.get(node)
                 if instance is None:
-                    raise WireError(f"event for instance {node}, which has not started")
+                    raise WireError(f"an event for instance {node}, which has not started")
                 actions = instance.handle(event, now)
             except WireError:
                 raise
--- a/leadrudder/policy/decide.py
+++ b/leadrudder/policy/decide.py
@@ -298,7 +298,7 @@
         key = (event.request, event.attempt)
         found = self._attempts.pop(key, None)
         if found is None:
-            raise api.UnexpectedEvent(f"attempt {event.attempt} of request {event.request} is not in flight")
+            raise api.UnexpectedEvent(f"attempt {event.attempt} of request {event.request} was not out")
         server, attempt = found
         attempt.outcome = event.outcome
         del server.outstanding[key]
@@ -407,7 +407,7 @@
     def _on_answer_started(self, event: api.AnswerStarted) -> None:
         found = self._attempts.get((event.request, event.attempt))
         if found is None:
-            raise api.UnexpectedEvent(f"attempt {event.attempt} of request {event.request} is not in flight")
+            raise api.UnexpectedEvent(f"attempt {event.attempt} of request {event.request} was not out")
         found[0].last_heard_at = self._turn.now
         request = self._requests.get(event.request)
         if request is not None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -165,7 +165,7 @@
     balancer = Balancer(Settings(classes=(EFFECTS[0],)), seed=1)
     assert balancer.handle(RequestGone(77), 1.0) == []
     assert balancer.handle(TimerFired(9), 1.0) == []
-    with pytest.raises(UnexpectedEvent, match="is not in flight"):
+    with pytest.raises(UnexpectedEvent, match="was not out"):
         balancer.handle(AttemptEnded(5, 0, b"x", Outcome.OK, 1.0, True), 2.0)
     with pytest.raises(UnexpectedEvent, match="unknown class"):
         balancer.handle(Arrival(6, 9, 100.0), 2.0)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -283,7 +283,7 @@
     )
     (records,) = replies(run_batches(batch(*start, bad, arrival_record(5, 7))))
     assert [c for c, _ in records if c in (74, 65)] == [74, 65]
-    assert b"attempt 0 of request 55 is not in flight" in next(f for c, f in records if c == 74)
+    assert b"attempt 0 of request 55 was not out" in next(f for c, f in records if c == 74)
 
 
 def test_a_very_large_batch() -> None:
