--- a/leadrudder/compiled.py
+++ b/leadrudder/compiled.py
@@ -24,7 +24,7 @@
     "policy.health",
     "policy.placement",
     "recovery.limit",
-    "recovery.strain",
+    "recovery.saturation",
     "state.capacity",
     "state.estimators",
     "state.backoff",
--- a/leadrudder/data_plane/load_balancer.py
+++ b/leadrudder/data_plane/load_balancer.py
@@ -20,7 +20,7 @@
 from leadrudder.policy.decide import Balancer
 from leadrudder.protocol.mesh_pb2 import Delivery
 from leadrudder.protocol.outcome import Ran, Reply, Verdict, worst
-from leadrudder.recovery.strain import Saturation
+from leadrudder.recovery.saturation import Saturation
 
 ATTEMPTS_MOST = 3  # draws for one request, those that gates refuse included
 DRAWS_FREE = 2  # after so many refusals a call may wait at a gate though it will be late
@@ -39,7 +39,7 @@
     def rescale(self, by: float, servers: float, part: float) -> None:
         """Nothing moves it."""
 
-    def record_outcome(self, strain: Saturation, latency_share: float, out: int, patience: float) -> None:
+    def record_outcome(self, saturation: Saturation, latency_share: float, out: int, patience: float) -> None:
         """Nothing moves it."""
 
 
--- a/leadrudder/experiment/limits.py
+++ b/leadrudder/experiment/limits.py
@@ -7,10 +7,13 @@
 
 import math
 from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 from leadrudder import interface as api
 from leadrudder.experiment.node import Decider
-from leadrudder.recovery.strain import Saturation
+
+if TYPE_CHECKING:  # older revisions, whose decisions are played too, have it under another name
+    from leadrudder.recovery.saturation import Saturation
 
 START_EACH = 6.0  # calls for each warm server that all of them begin with, as the module does
 LEAST = 1.0
@@ -26,7 +29,7 @@
     def rescale(self, by: float, servers: float, part: float) -> None:
         self.value = self._each * part
 
-    def record_outcome(self, strain: Saturation, latency_share: float, out: int, patience: float) -> None:
+    def record_outcome(self, saturation: Saturation, latency_share: float, out: int, patience: float) -> None:
         """It feels nothing."""
 
 
@@ -51,7 +54,7 @@
     LATE = 0.5  # of the aim
     DOWN = 0.9
 
-    def record_outcome(self, strain: Saturation, latency_share: float, out: int, patience: float) -> None:
+    def record_outcome(self, saturation: Saturation, latency_share: float, out: int, patience: float) -> None:
         if latency_share > self.LATE:
             self._set(self.value * (1.0 - (1.0 - self.DOWN) / max(1.0, self.value)), out)
         else:
@@ -68,8 +71,8 @@
         super().__init__()
         self._long = 0.0
 
-    def record_outcome(self, strain: Saturation, latency_share: float, out: int, patience: float) -> None:
-        level = strain.mean_latency_ms
+    def record_outcome(self, saturation: Saturation, latency_share: float, out: int, patience: float) -> None:
+        level = saturation.mean_latency_ms
         if level <= 0.0:
             return
         self._long += (level - self._long) * (self.LONG if self._long else 1.0)
@@ -83,11 +86,11 @@
 class Vegas(_Adaptive):
     """As TCP Vegas: the calls that queue, by the calmest latency against the present one, kept in a band."""
 
-    def record_outcome(self, strain: Saturation, latency_share: float, out: int, patience: float) -> None:
-        calm = min(strain.baseline_ms, strain.provisional_baseline_ms)
-        if not calm < math.inf or strain.mean_latency_ms <= 0.0:
+    def record_outcome(self, saturation: Saturation, latency_share: float, out: int, patience: float) -> None:
+        calm = min(saturation.baseline_ms, saturation.provisional_baseline_ms)
+        if not calm < math.inf or saturation.mean_latency_ms <= 0.0:
             return
-        queue = self.value * (1.0 - calm / strain.mean_latency_ms)
+        queue = self.value * (1.0 - calm / saturation.mean_latency_ms)
         scale = math.log10(max(10.0, self.value))
         step = scale / max(1.0, self.value)
         if queue < 3.0 * scale:
@@ -109,15 +112,15 @@
         self._least = math.inf  # of this interval
         self._cuts = 0
 
-    def record_outcome(self, strain: Saturation, latency_share: float, out: int, patience: float) -> None:
-        self._least = min(self._least, latency_share * strain.min_aim_ms)
+    def record_outcome(self, saturation: Saturation, latency_share: float, out: int, patience: float) -> None:
+        self._least = min(self._least, latency_share * saturation.min_aim_ms)
         now = self._now()
         if now < self._next:
             return
-        calm = min(strain.baseline_ms, strain.provisional_baseline_ms)
+        calm = min(saturation.baseline_ms, saturation.provisional_baseline_ms)
         over = calm < math.inf and self._least > self.TARGET_TIMES * calm
         self._cuts = self._cuts + 1 if over else 0
-        self._next = now + self.INTERVAL * strain.min_aim_ms / math.sqrt(max(1, self._cuts))
+        self._next = now + self.INTERVAL * saturation.min_aim_ms / math.sqrt(max(1, self._cuts))
         self._least = math.inf
         self._set(self.value * 0.9 if over else self.value + 1.0, out)
 
--- a/leadrudder/policy/decide.py
+++ b/leadrudder/policy/decide.py
@@ -193,7 +193,7 @@
         self._end_unserved(request)
 
     def _try_place(self, request: Request, last_resort: bool) -> bool:
-        calm, out = self._admission.strain.baseline_ms, len(self._attempts)
+        calm, out = self._admission.saturation.baseline_ms, len(self._attempts)
         context = DrawContext(
             request, self.automaton.mean() or 0.0, calm, out, self._latency.late_threshold()
         )
@@ -223,7 +223,7 @@
         server.outstanding[request.id, number] = now
         self._attempts[request.id, number] = (server, attempt)
         self._fleet.on_sent(server, request.appraisal.units)
-        self._admission.strain.record_send()
+        self._admission.saturation.record_send()
         self._set_hedge_timer(request)
         if self._needs_new_connection(request, server):
             self._turn.actions.append(api.CloseIdle(server.entry.server))
@@ -239,7 +239,7 @@
         latencies exceed their target (in the overload case the result fell from 0.87 to 0.72).
         """
         unheard = self._turn.now - server.last_heard_at > self._latency.mean
-        return unheard and self._admission.strain.latency_ratio < 1.0 and not request.may_repeat()
+        return unheard and self._admission.saturation.latency_ratio < 1.0 and not request.may_repeat()
 
     def _set_hedge_timer(self, request: Request) -> None:
         """Sets a timer for when the attempt is late, if another attempt could still be answered in time."""
@@ -261,7 +261,7 @@
         """
         late = self._class_latency[request.class_index].late_threshold()
         out = [self._fleet.servers[a.entry.server] for a in request.attempts if a.outcome is None]
-        affordable = self._retry_tokens >= 1.0 and self._admission.strain.latency_ratio < 1.0
+        affordable = self._retry_tokens >= 1.0 and self._admission.saturation.latency_ratio < 1.0
         if affordable and all(self._fleet.is_silent(s, late) for s in out):
             if not self.settings.may_duplicate:
                 self._cancel_attempts(request, None)
@@ -361,7 +361,7 @@
                 aim = request.request_class.aim_ms
             # Divides by half of the work that the cost hint predicted.
             normalized = elapsed / (0.5 + 0.5 * attempt.work_units)
-            self._admission.strain.record_latency(normalized)
+            self._admission.saturation.record_latency(normalized)
             self._observe_latency(elapsed / aim)
             self.automaton.learn(server.position, normalized)
             self._health.on_success(server, server.class_health[attempt.class_index])
--- a/leadrudder/recovery/limit.py
+++ b/leadrudder/recovery/limit.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from leadrudder.interface import Settings
-from leadrudder.recovery.strain import MAX_BASELINE_RATIO, Saturation
+from leadrudder.recovery.saturation import MAX_BASELINE_RATIO, Saturation
 from leadrudder.state.records import EventContext
 
 MAX_CUT_FACTOR = 0.9
--- a/tests/experiment/test_compare.py
+++ b/tests/experiment/test_compare.py
@@ -48,7 +48,7 @@
     shutil.copytree(PACKAGE, tree / "leadrudder", ignore=shutil.ignore_patterns("__pycache__"))
     path = tree / "leadrudder" / "policy" / "decide.py"
     text = path.read_text()
-    place = "        calm, out = self._admission.strain.baseline_ms, len(self._attempts)\n"
+    place = "        calm, out = self._admission.saturation.baseline_ms, len(self._attempts)\n"
     assert text.count(place) == 1
     wait = (
         f"        if not last_resort and self._turn.now < request.arrived_at + {held} * self._latency.mean:\n"
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -146,7 +146,7 @@
     """Latencies show a queue only once its calls have ended, when every server has already turned slow."""
     play = fleet(6)
     answer(play, latency=500.0, every=60.0, count=400)
-    saturation = play.balancer._admission.strain
+    saturation = play.balancer._admission.saturation
     assert saturation.baseline_ms == pytest.approx(500.0, rel=0.1) and saturation.value < 1.0
     mean_latency = saturation.mean_latency_ms
     # New calls get no answer; those sent before end after their sent_before latency.
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -391,7 +391,10 @@
     node = harness.balancer
     serve(harness, 60, latency=400.0)  # two and a half answers a second
     true_rate = 1 / 400.0
-    assert node._admission.strain.baseline_known() and 0.0 < node._admission.strain._peak_rate < true_rate
+    assert (
+        node._admission.saturation.baseline_known()
+        and 0.0 < node._admission.saturation._peak_rate < true_rate
+    )
 
 
 def test_a_fraction_of_the_limit_lets_in_that_part_of_the_requests() -> None:
@@ -410,9 +413,9 @@
     assert 80 <= sent <= 160
 
 
-def test_with_few_answers_strain_is_detected_sooner() -> None:
+def test_with_few_answers_saturation_is_detected_sooner() -> None:
     """At full size the servers were overloaded before five answers showed twice the calm latency."""
-    strains = []
+    saturations = []
     for gap in (5.0, 2000.0):
         harness = make()
         node = harness.balancer
@@ -421,8 +424,8 @@
             harness.step(latency)
             harness.end(request, 0, Outcome.OK)
             harness.step(gap)
-        strains.append(node._admission.strain.value)
-    assert strains[0] < 1.0 < strains[1]
+        saturations.append(node._admission.saturation.value)
+    assert saturations[0] < 1.0 < saturations[1]
 
 
 def test_under_overload_the_limit_falls_within_a_few_latency_targets() -> None:
@@ -495,7 +498,7 @@
     reason while no server had a queue.
     """
     harness, refused = _start_of_a_day(lambda out: 400.0)
-    assert not harness.balancer._admission.strain.baseline_known()
+    assert not harness.balancer._admission.saturation.baseline_known()
     assert harness.balancer._admission.limit.value > 40.0 and refused < 100
 
 
@@ -639,14 +642,14 @@
     assert bytes([2]) not in harness.balancer._fleet.servers
 
 
-def test_one_full_server_is_skipped_and_does_not_count_as_strain() -> None:
+def test_one_full_server_is_skipped_and_does_not_count_as_saturation() -> None:
     """Guards against draining servers that cut the limit, so that half of the requests were refused."""
     harness = make(servers=5)
     serve(harness, 60)
-    before = harness.balancer._admission.strain.value
+    before = harness.balancer._admission.saturation.value
     since = len(harness.log)
     serve(harness, 120, bad=bytes([2]), outcome=Outcome.FULL)
-    assert harness.balancer._admission.strain.value <= before + 0.05
+    assert harness.balancer._admission.saturation.value <= before + 0.05
     assert sent_to(harness, since).count(bytes([2])) <= 8
     serve(harness, 200)
     assert bytes([2]) in sent_to(harness, len(harness.log) - 600), "it was never attempt again"
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -237,7 +237,7 @@
 
 def _draw_context(balancer: Balancer, request: int) -> DrawContext:
     mean = balancer.automaton.mean() or 0.0
-    calm, late = balancer._admission.strain.baseline_ms, balancer._latency.late_threshold()
+    calm, late = balancer._admission.saturation.baseline_ms, balancer._latency.late_threshold()
     return DrawContext(balancer._requests[request], mean, calm, len(balancer._attempts), late)
 
 
--- a/tests/test_request_value.py
+++ b/tests/test_request_value.py
@@ -215,7 +215,7 @@
     context = EventContext(random.Random(1))
     settings = Settings((HEAVY,))
     admission = Admission(settings, context, LoadReports(settings, context))
-    admission.limit.value, admission.strain.value = 10.0, saturation
+    admission.limit.value, admission.saturation.value = 10.0, saturation
 
     def calls(worth: float) -> int:
         """The most outstanding calls with which a request of this worth is still admitted."""
