--- a/leadrudder/data_plane/load_balancer.py
+++ b/leadrudder/data_plane/load_balancer.py
@@ -21,7 +21,7 @@
 from leadrudder.policy.decide import Balancer
 from leadrudder.protocol.mesh_pb2 import ForwardResponse
 from leadrudder.protocol.outcome import Executed, RequestFailure, ServerResponse, combined_failure
-from leadrudder.recovery.strain import Saturation
+from leadrudder.recovery.saturation import Saturation
 
 MAX_ATTEMPTS = 3  # per request, including those refused by admission control
 ATTEMPTS_BEFORE_WAITING = 2  # later attempts may be queued even if the answer will miss its target
@@ -41,7 +41,7 @@
     def rescale(self, by: float, servers: float, part: float) -> None:
         """The limit does not change."""
 
-    def record_outcome(self, strain: Saturation, latency_share: float, out: int, patience: float) -> None:
+    def record_outcome(self, saturation: Saturation, latency_share: float, out: int, patience: float) -> None:
         """The limit does not change."""
 
 
