--- a/bench/mesh.py
+++ b/bench/mesh.py
@@ -20,7 +20,7 @@
 
 from leadrudder.consensus.outputs import Answer
 from leadrudder.control_simulation.world import Machine, World
-from leadrudder.mesh.demo import Fleet, free_port
+from leadrudder.mesh.demo import LoopbackFleet, free_port
 from leadrudder.protocol.mesh_pb2 import Frame, Item, News
 from leadrudder.transport.http import WholeMessage, WholeReader, rendered
 from leadrudder.transport.link import packed
@@ -85,26 +85,26 @@
 
 async def _cost(folder: Path) -> tuple[float, float]:
     """Processor time of both stations against one relay, and the larger peak of memory, MB."""
-    fleet = Fleet(free_port(), folder)
-    origin, gate = fleet.sides
+    fleet = LoopbackFleet(free_port(), folder)
+    origin, gate = fleet.data_plane_ips
     loop = asyncio.get_running_loop()
     for ip in (gate, "127.0.0.1"):
-        await loop.create_server(_Server, ip, fleet.app)
+        await loop.create_server(_Server, ip, fleet.app_port)
     relay = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "bench.relay", str(fleet.app), stderr=asyncio.subprocess.PIPE
+        sys.executable, "-m", "bench.relay", str(fleet.app_port), stderr=asyncio.subprocess.PIPE
     )
     try:
         assert relay.stderr is not None
         relay_port = int((await relay.stderr.readline()).rpartition(b":")[2])
         await fleet.start()
         await fleet.configure()
-        await fleet.beat(gate)
-        await fleet.ready()
-        pids = [fleet.processes[ip].pid for ip in fleet.sides]
+        await fleet.send_heartbeat(gate)
+        await fleet.wait_ready()
+        pids = [fleet.processes[ip].pid for ip in fleet.data_plane_ips]
         meshes, bares = 0.0, 0.0
         for turn in range(ROUNDS):
-            await fleet.beat(gate, 2 + turn)
-            mesh = await _load((origin, fleet.outbound), pids, 10_000 * turn)
+            await fleet.send_heartbeat(gate, 2 + turn)
+            mesh = await _load((origin, fleet.outbound_port), pids, 10_000 * turn)
             # Many more, as the kernel counts in ticks of 10 ms and a relay's request takes some 20 us.
             bare = await _load(("127.0.0.1", relay_port), [relay.pid], 0, BARE_TIMES * REQUESTS)
             print(f"round {turn}: {mesh:.0f} us over both nodes, {bare:.0f} us by a bare relay")
@@ -114,7 +114,7 @@
     finally:
         relay.terminate()
         await relay.wait()
-        await fleet.end()
+        await fleet.stop()
 
 
 class _Watched(World):
--- a/bench/soak/checks.py
+++ b/bench/soak/checks.py
@@ -9,11 +9,11 @@
 from bench.soak.clients import PROMISES, KeptRequest
 from bench.soak.operators import Held, Operators
 from bench.soak.world import InvariantError, Machine, World
-from leadrudder.control_plane.feeds import UNSENT_MOST
+from leadrudder.control_plane.feeds import MAX_UNSENT_BYTES
 from leadrudder.emulation.standins import Asked, call, request
 
 READ_TRIES = 100
-UNSENT_BOUND = UNSENT_MOST + 1024 * 1024  # a whole book may be written beside what waits
+UNSENT_BOUND = MAX_UNSENT_BYTES + 1024 * 1024  # a whole book may be written beside what waits
 OPEN_FIGURES = ("requests_open", "calls_running", "operator_calls_open")  # none of these in calm
 SERVED_LEAST = 0.3  # of requests, over the whole soak
 ENDS_AFTER_S = 1.5  # a process that has closed its connections, at most: it may stand still in a dial
--- a/bench/soak/process.py
+++ b/bench/soak/process.py
@@ -24,7 +24,7 @@
 from absl import logging  # noqa: E402
 
 from leadrudder.bootstrap.settings import load  # noqa: E402
-from leadrudder.control_plane.program import Signalbox  # noqa: E402
+from leadrudder.control_plane.program import ControlPlaneNode  # noqa: E402
 from leadrudder.data_plane.program import Station  # noqa: E402
 
 RELAY_VARIABLE = "LEADRUDDER_SOAK_RELAY"  # IP:PORT
@@ -70,7 +70,7 @@
     """plant: a fault of bench.soak.planted_faults that is put in, to see that the soak finds it."""
     settings = load().unwrap()
     with planted(plant) if plant else nullcontext():
-        program = Station(settings) if role == "station" else Signalbox(settings)
+        program = Station(settings) if role == "station" else ControlPlaneNode(settings)
         await program.run()
 
 
--- a/bench/window.py
+++ b/bench/window.py
@@ -144,7 +144,7 @@
     while fleet.now < LAST_S:
         fleet.play(fleet.now + 0.25)
         box = next((m.signalbox for m in fleet.core if m.signalbox is not None), None)
-        windows = box._possessions.situation().windows if box is not None and box._possessions else {}
+        windows = box._maintenance.situation().windows if box is not None and box._maintenance else {}
         step = windows["huolto"].steps[0] if "huolto" in windows else None
         stage = str(step.stage) if step is not None else ""
         if stage and (not stages or stages[-1][1] != stage):
@@ -184,7 +184,7 @@
 
 def _holds(machine: Machine, now: float) -> bool:
     box = machine.signalbox
-    return box is not None and box.interlocking.leases.holds(POSSESSION, now)
+    return box is not None and box.state_machine.leases.holds(POSSESSION, now)
 
 
 def pair(seed: int) -> tuple[Day, Day]:
--- a/leadrudder/control_plane/__main__.py
+++ b/leadrudder/control_plane/__main__.py
@@ -11,12 +11,12 @@
 
 from leadrudder.bootstrap.settings import Settings  # noqa: E402
 from leadrudder.bootstrap.start import start  # noqa: E402
-from leadrudder.control_plane.program import Signalbox  # noqa: E402
+from leadrudder.control_plane.program import ControlPlaneNode  # noqa: E402
 from leadrudder.storage.store import DiskError  # noqa: E402
 
 
 async def _serve(settings: Settings, told: argparse.Namespace) -> None:
-    await Signalbox(settings, possession=told.possession).run()
+    await ControlPlaneNode(settings, maintenance_enabled=told.possession).run()
 
 
 if __name__ == "__main__":
--- a/leadrudder/control_plane/feeds.py
+++ b/leadrudder/control_plane/feeds.py
@@ -16,11 +16,11 @@
 from leadrudder.protocol.mesh_pb2 import Frame, Item, Node
 from leadrudder.transport.link import Link, packed
 
-UNSENT_MOST = 256 * 1024  # bytes that wait for a station to read, beyond which it counts as behind
+MAX_UNSENT_BYTES = 256 * 1024  # bytes that wait for a station to read, beyond which it counts as behind
 
 
 @dataclass(slots=True)
-class Feed:
+class SessionFeed:
     """One station's session.  wanted: services whose servers it has asked to hear of."""
 
     link: Link
@@ -33,7 +33,7 @@
 
     def behind(self) -> bool:
         """Whether news is to wait: some waits already, or the link holds too much that was not read."""
-        return self.waits() or self.link.unsent() > UNSENT_MOST
+        return self.waits() or self.link.unsent() > MAX_UNSENT_BYTES
 
     def waits(self) -> bool:
         return bool(self.items or self.members or self.servers)
@@ -44,7 +44,7 @@
         self.servers.clear()
 
 
-class Feeds:
+class SessionFeeds:
     """All sessions.  item, node: what is known of a key and of a station now."""
 
     def __init__(
@@ -57,7 +57,7 @@
         self._largest = 0  # bytes of the largest frame that a session was sent
         self.merged = 0  # pieces of news that were not sent at once, since the start
         self._item, self._node = item, node
-        self._feeds: dict[Link, Feed] = {}
+        self._feeds: dict[Link, SessionFeed] = {}
         self._sessions: Counter[str] = Counter()  # by station
 
     def __contains__(self, link: Link) -> bool:
@@ -69,7 +69,7 @@
     def links(self) -> list[Link]:
         return list(self._feeds)
 
-    def most_unsent(self) -> int:
+    def max_unsent_bytes(self) -> int:
         """Bytes that wait for the station that is furthest behind."""
         return max((link.unsent() for link in self._feeds), default=0)
 
@@ -82,7 +82,7 @@
         link.send_packed(data)
 
     def add(self, link: Link, station: str) -> None:
-        self._feeds[link] = Feed(link, station)
+        self._feeds[link] = SessionFeed(link, station)
         self._sessions[station] += 1
 
     def remove(self, link: Link) -> str | None:
@@ -107,7 +107,7 @@
 
     # ------------------------------------------------------------ news
 
-    def tell_items(self, items: Iterable[Item]) -> None:
+    def publish_items(self, items: Iterable[Item]) -> None:
         items = list(items)
         data = packed(Frame(news=wire.News(items=items)))
         for feed in list(self._feeds.values()):
@@ -117,7 +117,7 @@
             else:
                 self._send(feed.link, data)
 
-    def tell_members(self, nodes: list[Node], but: Link | None = None) -> None:
+    def publish_members(self, nodes: list[Node], but: Link | None = None) -> None:
         """Members that have come, gone or changed; but: the session that they were heard on."""
         data = packed(Frame(news=wire.News(nodes=map(zone_relays.bare, nodes))))
         for feed in list(self._feeds.values()):
@@ -129,7 +129,7 @@
             else:
                 self._send(feed.link, data)
 
-    def tell_servers(self, nodes: list[Node]) -> None:
+    def publish_servers(self, nodes: list[Node]) -> None:
         """Stations whose servers may have changed, to whoever has asked for them."""
         data_by_wanted: dict[frozenset[str], bytes] = {}
         for feed in list(self._feeds.values()):
@@ -147,20 +147,20 @@
             if data:
                 self._send(feed.link, data)
 
-    def catch_up(self) -> None:
+    def flush_pending(self) -> None:
         """To be called some times a second: what waits is told as it is now, where it is read again."""
         for feed in list(self._feeds.values()):
-            if feed.waits() and feed.link.unsent() <= UNSENT_MOST // 2:
+            if feed.waits() and feed.link.unsent() <= MAX_UNSENT_BYTES // 2:
                 news = self._waiting(feed)
                 feed.forget()
                 self._send(feed.link, packed(Frame(news=news)))
             self._invariants.check(
                 "a_session_keeps_bounded_bytes_waiting",
-                feed.link.unsent() <= UNSENT_MOST + 2 * self._largest,
+                feed.link.unsent() <= MAX_UNSENT_BYTES + 2 * self._largest,
                 lambda feed=feed: f"{feed.link.unsent()} bytes wait for {feed.station}",  # type: ignore[misc]
             )
 
-    def _waiting(self, feed: Feed) -> wire.News:
+    def _waiting(self, feed: SessionFeed) -> wire.News:
         items = [item for key in feed.items if (item := self._item(key)) is not None]
         members = [node for name in feed.members if (node := self._node(name)) is not None]
         servers = [node for name in feed.servers if (node := self._node(name)) is not None]
--- a/leadrudder/control_plane/maintenance.py
+++ b/leadrudder/control_plane/maintenance.py
@@ -71,7 +71,7 @@
 _ORDER = _Order()
 
 
-class Possessions:
+class MaintenanceCoordinator:
     """book: what stands; nodes: the members; change: has items stand; wall, steady: clocks, seconds."""
 
     def __init__(
--- a/leadrudder/control_plane/operator_api.py
+++ b/leadrudder/control_plane/operator_api.py
@@ -28,7 +28,7 @@
 Pack = Callable[[Iterable[Item]], bytes]
 
 
-class Operator:
+class OperatorApi:
     """known: what this process holds of the control state; change and read: through the interlocking.
 
     pack: items as a snapshot.  owed: what other holders of seats miss.  core: who holds which seat.  least:
--- a/leadrudder/control_plane/program.py
+++ b/leadrudder/control_plane/program.py
@@ -18,8 +18,8 @@
 from leadrudder.consensus.lease import DUTIES, POSSESSION, SWEEP
 from leadrudder.consensus.outputs import Answer, Note, Output, Send, Stands, Write
 from leadrudder.consensus.state_machine import Interlocking
-from leadrudder.control_plane.feeds import Feeds
-from leadrudder.control_plane.operator_api import Operator
+from leadrudder.control_plane.feeds import SessionFeeds
+from leadrudder.control_plane.operator_api import OperatorApi
 from leadrudder.membership import zone_relays
 from leadrudder.membership.registry import Register
 from leadrudder.observability.invariants import Invariants
@@ -33,7 +33,7 @@
 from leadrudder.transport.link import Link, dial
 
 if TYPE_CHECKING:
-    from leadrudder.control_plane.maintenance import Possessions
+    from leadrudder.control_plane.maintenance import MaintenanceCoordinator
 
 TICK_S = 0.1
 OPEN_TRIES = 50  # of a disk that refuses, before the program ends
@@ -44,25 +44,25 @@
 LEAVE_LATEST_S = 1.5  # before the grace is over it ends in any case
 
 
-class Signalbox:
+class ControlPlaneNode:
     """The program.  One event loop, one thread for the disk."""
 
     def __init__(
         self,
         settings: Settings,
         *,
-        possession: bool = False,
+        maintenance_enabled: bool = False,
         rng: Random | None = None,
         wall: Callable[[], float] = time.time,
         writer: Callable[[Store, Callable[[str], None]], Writes] = Writer,
         store: Store | None = None,
         monotonic: Callable[[], float] | None = None,
     ) -> None:
-        """possession: maintenance windows are on.  The others are the simulation's."""
+        """maintenance_enabled: maintenance windows are on.  The others are the simulation's."""
         self.settings = settings
-        self._possession, self._wall, self._make_writer = possession, wall, writer
+        self._maintenance_enabled, self._wall, self._make_writer = maintenance_enabled, wall, writer
         self._rng = rng or Random()
-        self._possessions: Possessions | None = None
+        self._maintenance: MaintenanceCoordinator | None = None
         self.address = f"{settings.ip}:{settings.signal_port}"
         self.ring = Ring(settings.name)
         self.invariants = Invariants(self.ring.wrong)
@@ -73,7 +73,7 @@
         )
         self._register = Register(self.address)
         self._links: dict[str, list[Link]] = {}  # to other signalboxes, the newest last
-        self._feeds = Feeds(
+        self._feeds = SessionFeeds(
             lambda key: self._known().items.get(key), self._register.nodes.get, self.invariants
         )
         self._others: dict[str, None] = dict.fromkeys(a for a in settings.seed_links if a != self.address)
@@ -92,7 +92,7 @@
             self.ring.wrong(f"disk spoilt, counts as lost: {spoilt}")
         self.ring.say(f"starts with {len(kept)} records, first run: {self.settings.first_run}")
         self._writer = self._make_writer(self._store, self.ring.wrong)
-        self.interlocking = Interlocking(
+        self.state_machine = Interlocking(
             self.address,
             self.settings.zone,
             first_run=self.settings.first_run and not spoilt,
@@ -100,25 +100,25 @@
             losses=self.settings.losses,
             rng=self._rng,
             kept=kept,
-            duties=(*DUTIES, POSSESSION) if self._possession else DUTIES,
+            duties=(*DUTIES, POSSESSION) if self._maintenance_enabled else DUTIES,
         )
-        if self._possession:
-            from leadrudder.control_plane.maintenance import Possessions
+        if self._maintenance_enabled:
+            from leadrudder.control_plane.maintenance import MaintenanceCoordinator
 
-            self._possessions = Possessions(
+            self._maintenance = MaintenanceCoordinator(
                 self._known, self._register.members, self._change, self.ring, self._wall, self._loop.time
             )
-        operator = Operator(
+        operator = OperatorApi(
             self._known,
             self._change,
             self._read,
             (),
             self.ring,
             self._pack,
-            self.interlocking.repair.owed,
-            self.interlocking.told_core,
+            self.state_machine.repair.owed,
+            self.state_machine.told_core,
             2 * self.settings.losses + 1,
-            self._possessions.dispatch if self._possessions is not None else None,
+            self._maintenance.dispatch if self._maintenance is not None else None,
             self._metrics().text,
         )
         self._control = ControlServer(operator.dispatch, lambda e: self.ring.wrong(f"fault: {e!r}"))
@@ -133,14 +133,14 @@
 
     def _metrics(self) -> Metrics:
         metrics = Metrics()
-        interlocking, feeds = self.interlocking, self._feeds
+        interlocking, feeds = self.state_machine, self._feeds
         metrics.add("sessions", lambda: len(feeds))
         metrics.add("members", lambda: len(self._register.members()))
         metrics.add("items", lambda: len(interlocking.book.items))
         metrics.add("items_unsettled", lambda: len(interlocking.unsettled))
         metrics.add("operator_calls_open", lambda: len(self._waiting))
         metrics.add("news_merged_total", lambda: feeds.merged)
-        metrics.add("session_unsent_bytes", feeds.most_unsent)
+        metrics.add("session_unsent_bytes", feeds.max_unsent_bytes)
         metrics.add("loop_lag_seconds", self._lag.seconds)
         metrics.add("loop_lag_highest_seconds", lambda: self._lag.highest_s)
         metrics.add("process_cpu_seconds_total", time.process_time)
@@ -173,7 +173,7 @@
             elif isinstance(output, Write):
                 self._write(output)
             elif isinstance(output, Stands):
-                self._feeds.tell_items(output.items)
+                self._feeds.publish_items(output.items)
             elif isinstance(output, Answer):
                 future = self._waiting.pop(output.number, None)
                 if future is not None and not future.done():
@@ -183,11 +183,11 @@
 
     def _send(self, output: Send) -> None:
         if output.to == self.address:
-            self._carry_out(self.interlocking.frame(self.address, output.frame, self._loop.time()))
+            self._carry_out(self.state_machine.frame(self.address, output.frame, self._loop.time()))
             return
         if output.frame.WhichOneof("body") == "digest":
             output.frame.digest.members = self._register.digest
-            if self._possessions is not None:
+            if self._maintenance is not None:
                 output.frame.digest.wall = self._wall()
         for link in reversed(self._links.get(output.to, [])):
             if link.send(output.frame):
@@ -231,18 +231,18 @@
                     self._others.setdefault(seat.holder)
         if not link.peer:
             return
-        if kind == "digest" and frame.digest.wall and self._possessions is not None:
-            self._possessions.clocks[link.peer] = frame.digest.wall - now
+        if kind == "digest" and frame.digest.wall and self._maintenance is not None:
+            self._maintenance.clocks[link.peer] = frame.digest.wall - now
         if kind == "digest" and frame.digest.members != self._register.digest:
             link.send(Frame(members=wire.Members(nodes=self._register.nodes.values())))
-        self._carry_out(self.interlocking.frame(link.peer, frame, now))
+        self._carry_out(self.state_machine.frame(link.peer, frame, now))
 
     def _add(self, peer: str, link: Link) -> None:
         self._links.setdefault(peer, []).append(link)
         now = self._loop.time()
         self._register.signalbox(peer, True, now)
         link.send(Frame(members=wire.Members(nodes=self._register.nodes.values())))
-        self._carry_out(self.interlocking.up(peer, now))
+        self._carry_out(self.state_machine.up(peer, now))
 
     def on_down(self, link: Link) -> None:
         now = self._loop.time()
@@ -255,15 +255,15 @@
             if not links:
                 del self._links[link.peer]
                 self._register.signalbox(link.peer, False, now)
-                if self._possessions is not None:
-                    self._possessions.clocks.pop(link.peer, None)
-                self._carry_out(self.interlocking.down(link.peer, now))
+                if self._maintenance is not None:
+                    self._maintenance.clocks.pop(link.peer, None)
+                self._carry_out(self.state_machine.down(link.peer, now))
 
     def _dial_all(self) -> None:
         if self._done.is_set():
             return  # a dial begun now would outlive the event loop
         self._loop.call_later(DIAL_S, self._dial_all)
-        seats = self.interlocking.seats.holders()
+        seats = self.state_machine.seats.holders()
         for address in [a for a in {**self._others, **dict.fromkeys(seats)} if a != self.address]:
             if address not in self._links and address not in self._dialling:
                 self._dialling.add(address)
@@ -303,7 +303,7 @@
         if new:
             settled = self._loop.time() >= self._settled_at
             news = wire.News(
-                items=self.interlocking.standing.items.values(),
+                items=self.state_machine.standing.items.values(),
                 nodes=map(zone_relays.bare, self._register.members()),
                 whole=settled,
                 signalboxes=self._signalboxes(),
@@ -314,7 +314,7 @@
         """Other signalboxes of a zone that take sessions, as far as we know; none if it is ours."""
         if zone == self.settings.zone:
             return []
-        peers = self.interlocking.peers.values()
+        peers = self.state_machine.peers.values()
         return [p.address for p in peers if p.zone == zone and p.up and p.full and not p.resigned]
 
     def _signalboxes(self) -> list[str]:
@@ -327,31 +327,31 @@
         members = Frame(members=wire.Members(nodes=nodes))
         for links in self._links.values():
             links[-1].send(members)
-        self._feeds.tell_members(nodes, but)
-        self._feeds.tell_servers(nodes)
+        self._feeds.publish_members(nodes, but)
+        self._feeds.publish_servers(nodes)
 
     def _serves(self, new: bool) -> bool:
         """Whether a station may be told what we know; new: it has no session here yet."""
-        contact, now = self.interlocking.contact, self._loop.time()
+        contact, now = self.state_machine.contact, self._loop.time()
         in_contact = contact.fresh(now) if new else not contact.lost(now)
-        return in_contact and self.interlocking.owner.complete()
+        return in_contact and self.state_machine.owner.complete()
 
     def _leaving(self) -> bool:
-        return self._done.is_set() or self.interlocking.resigned
+        return self._done.is_set() or self.state_machine.resigned
 
     def _tick(self) -> None:
         self._loop.call_later(TICK_S, self._tick)  # first: a fault below must not end it
         now = self._loop.time()
-        if self.interlocking.has_majority():
+        if self.state_machine.has_majority():
             self._settled_at = min(self._settled_at, now + SETTLED_S)
-        self._carry_out(self.interlocking.tick(now))
+        self._carry_out(self.state_machine.tick(now))
         self._leave_when_safe(now)
-        self._tell(self._register.tick(now, self.interlocking.leases.holds(SWEEP, now)))
+        self._tell(self._register.tick(now, self.state_machine.leases.holds(SWEEP, now)))
         self._register.forget()
-        self._feeds.catch_up()
-        if self._possessions is not None:
-            self._possessions.tick(self.interlocking.leases.holds(POSSESSION, now))
-        if self.interlocking.contact.lost(now):
+        self._feeds.flush_pending()
+        if self._maintenance is not None:
+            self._maintenance.tick(self.state_machine.leases.holds(POSSESSION, now))
+        if self.state_machine.contact.lost(now):
             self._settled_at = float("inf")
             for link in self._feeds.links():
                 link.cut()
@@ -359,20 +359,20 @@
     # ------------------------------------------------------------ operators
 
     def _known(self) -> Book:
-        return self.interlocking.standing
+        return self.state_machine.standing
 
     def _pack(self, items: Iterable[Item]) -> bytes:
-        seats = [(i, seat.holder, seat.incarnation) for i, seat in self.interlocking.seats.table.items()]
-        return snapshot.pack(items, seats, self.interlocking.promised, self._wall())
+        seats = [(i, seat.holder, seat.incarnation) for i, seat in self.state_machine.seats.table.items()]
+        return snapshot.pack(items, seats, self.state_machine.promised, self._wall())
 
     async def _change(self, items: list[Item]) -> Answer:
         number, future = self._ask()
-        self._carry_out(self.interlocking.change(number, items, self._loop.time()))
+        self._carry_out(self.state_machine.change(number, items, self._loop.time()))
         return await self._answer(number, future)
 
     async def _read(self) -> Answer:
         number, future = self._ask()
-        self._carry_out(self.interlocking.read(number, self._loop.time()))
+        self._carry_out(self.state_machine.read(number, self._loop.time()))
         return await self._answer(number, future)
 
     def _ask(self) -> tuple[int, asyncio.Future[Answer]]:
@@ -402,11 +402,11 @@
         """Stay, and serve on, while a majority needs what we hold: a member that is being filled, say."""
         if self._leave_by == float("inf") or self._leaving():
             return
-        if not self.interlocking.may_leave() and now < self._leave_by:
+        if not self.state_machine.may_leave() and now < self._leave_by:
             return
         self.ring.say("ends: hands over what it owns")
         self._control.closing = True
-        self._carry_out(self.interlocking.resign(now))
+        self._carry_out(self.state_machine.resign(now))
         for link in self._feeds.links():
             link.close()
         self._loop.call_later(LEAVE_S, self._leave)
--- a/leadrudder/emulation/fleet.py
+++ b/leadrudder/emulation/fleet.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from leadrudder.bootstrap.settings import Settings, read
-from leadrudder.control_plane.program import Signalbox
+from leadrudder.control_plane.program import ControlPlaneNode
 from leadrudder.data_plane.program import Station
 from leadrudder.emulation.standins import Asked, Clients, Server, Wish, Work, call, request
 from leadrudder.simulation.loop import VirtualLoop
@@ -80,7 +80,7 @@
     disk: MemoryStore = field(default_factory=MemoryStore)  # what was synced stays when a process dies
     loops: dict[str, VirtualLoop] = field(default_factory=dict)
     station: Station | None = None
-    signalbox: Signalbox | None = None
+    signalbox: ControlPlaneNode | None = None
     server: Server | None = None
     lives: list[Server] = field(default_factory=list)  # of the server, that are over
     clients: Clients | None = None
@@ -193,9 +193,9 @@
         settings = self._settings(machine, first=first)
 
         async def main() -> None:
-            machine.signalbox = Signalbox(
+            machine.signalbox = ControlPlaneNode(
                 settings,
-                possession=self._possession,
+                maintenance_enabled=self._possession,
                 rng=rng,
                 wall=lambda: self.wall,
                 writer=lambda store, told: Syncing(store, rng),
--- a/leadrudder/mesh/__main__.py
+++ b/leadrudder/mesh/__main__.py
@@ -178,14 +178,14 @@
             "atOnce": told.at_once,
             "tenants": [name for name in told.tenants.split(",") if name],
         }
-        return windows.order(told.node, told.name, order, keep=told.action == "start")
+        return windows.request_window(told.node, told.name, order, keep=told.action == "start")
     if told.action == "page":
-        return windows.page(told.node, told.name, told.out)
+        return windows.write_report(told.node, told.name, told.out)
     if told.action == "stop":
-        return windows.stop(told.node, told.name)
+        return windows.stop_window(told.node, told.name)
     if told.action == "done":
-        return windows.done(told.node, told.name, told.machine)
-    return windows.watch(told.node.split(","), told.name, once=told.once, as_json=told.json)
+        return windows.finish_machine(told.node, told.name, told.machine)
+    return windows.watch_window(told.node.split(","), told.name, once=told.once, as_json=told.json)
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
@@ -248,17 +248,17 @@
     if told.command == "prove":
         return _prove(told.scene or [*SCENES, WINDOWS], told.states, told.seconds, told.walks)
     if told.command == "snapshot":
-        return snapshots.take(told.node, told.folder, told.keep)
+        return snapshots.save_snapshot(told.node, told.folder, told.keep)
     if told.command == "verify":
-        return snapshots.verify(told.path)
+        return snapshots.verify_snapshots(told.path)
     if told.command == "repair":
-        return snapshots.repair(told.node)
+        return snapshots.print_replica_lag(told.node)
     if told.command == "window":
         return _window(told)
     if told.command == "core":
-        return snapshots.core(told.node, told.seats)
+        return snapshots.print_voters(told.node, told.seats)
     if told.command == "restore":
-        return snapshots.restore(told.source, told.holders.split(","), told.into)
+        return snapshots.restore_disks(told.source, told.holders.split(","), told.into)
     from leadrudder.mesh import demo  # starts processes: not needed by the others
 
     return demo.run(told.port, told.drill, told.window)
--- a/leadrudder/mesh/demo.py
+++ b/leadrudder/mesh/demo.py
@@ -22,7 +22,7 @@
 from leadrudder.mesh import snapshots
 from leadrudder.transport.http import WholeMessage, WholeReader, rendered
 
-CORES, SIDES = 3, 2
+CONTROL_PLANE_NODES, DATA_PLANE_NODES = 3, 2
 WHOLE_S = 20.0  # in which all must be served
 _SETTINGS = """nodeName = "{name}"
 zone = "z{zone}"
@@ -117,34 +117,36 @@
 
 
 @dataclass(slots=True)
-class Fleet:
+class LoopbackFleet:
     """The processes on loopback, and where they listen."""
 
-    base: int
+    base_port: int
     folder: Path
-    possession: bool = False
-    cores: tuple[str, ...] = tuple(f"127.0.1.{i + 1}" for i in range(CORES))
-    sides: tuple[str, ...] = tuple(f"127.0.2.{i + 1}" for i in range(SIDES))
+    maintenance_enabled: bool = False
+    control_plane_ips: tuple[str, ...] = tuple(f"127.0.1.{i + 1}" for i in range(CONTROL_PLANE_NODES))
+    data_plane_ips: tuple[str, ...] = tuple(f"127.0.2.{i + 1}" for i in range(DATA_PLANE_NODES))
     processes: dict[str, asyncio.subprocess.Process] = field(default_factory=dict)
 
     @property
-    def app(self) -> int:
+    def app_port(self) -> int:
         """The port of the stand-in servers."""
-        return self.base + 1
+        return self.base_port + 1
 
     @property
-    def outbound(self) -> int:
-        return self.base + 2
+    def outbound_port(self) -> int:
+        return self.base_port + 2
 
     async def start(self, ips: Sequence[str] = (), *, first_run: bool = True) -> None:
         """Start all processes, or those of some addresses; each is told by a settings file of its own."""
-        seeds = ", ".join(f'"{ip}:{self.base}"' for ip in self.cores)
-        for i, ip in enumerate([*self.cores, *self.sides]):
+        seeds = ", ".join(f'"{ip}:{self.base_port}"' for ip in self.control_plane_ips)
+        for i, ip in enumerate([*self.control_plane_ips, *self.data_plane_ips]):
             if ips and ip not in ips:
                 continue
-            side = ip in self.sides
+            side = ip in self.data_plane_ips
             more = (
-                f'outboundPort = "{ip}:{self.outbound}"\nreadiness = "{ip}:{self.base + 3}"' if side else ""
+                f'outboundPort = "{ip}:{self.outbound_port}"\nreadiness = "{ip}:{self.base_port + 3}"'
+                if side
+                else ""
             )
             path = self.folder / f"node-{i}.toml"
             path.write_text(
@@ -152,12 +154,12 @@
                     name=f"{'station' if side else 'signalbox'}-{i}",
                     zone=i % 3,
                     ip=ip,
-                    port=self.base + 4,
-                    last=self.base + 9,
+                    port=self.base_port + 4,
+                    last=self.base_port + 9,
                     seeds=seeds,
                     folder="" if side else self.folder / f"disk-{i}",
-                    app=self.app,
-                    control=self.base,
+                    app=self.app_port,
+                    control=self.base_port,
                     first="true" if first_run else "false",
                     more=more,
                 )
@@ -166,7 +168,7 @@
                 sys.executable,
                 "-m",
                 "leadrudder.data_plane" if side else "leadrudder.control_plane",
-                *(["--possession"] if self.possession else []),
+                *(["--possession"] if self.maintenance_enabled else []),
                 env={**os.environ, "LEADRUDDER_NODE_FILE": str(path)},
                 stderr=asyncio.subprocess.DEVNULL,
             )
@@ -174,53 +176,53 @@
     async def configure(self) -> None:
         """The first configuration, from whichever signalbox takes it."""
         patch = _http("PATCH", "/config", json.dumps(CONFIGURATION).encode())
-        await _until("configuration taken", patch, [(ip, self.base) for ip in self.cores])
+        await _until("configuration taken", patch, [(ip, self.base_port) for ip in self.control_plane_ips])
 
-    async def beat(self, ip: str, count: int = 1, *, quiet: bool = False) -> None:
+    async def send_heartbeat(self, ip: str, count: int = 1, *, quiet: bool = False) -> None:
         """What a server says of itself to the station beside it."""
         beat = {
-            "address": f"{ip}:{self.app}",
+            "address": f"{ip}:{self.app_port}",
             "details": {"service": "palvelu", "zone": "z0", "capacity": 64},
             "status": {"state": "ready", "callCount": count, "coldLeft": "0ms"},
         }
         put = _http("PUT", f"/servers/i-{ip}", json.dumps(beat).encode())
         if quiet:
-            await _call((ip, self.base), put)
+            await _call((ip, self.base_port), put)
         else:
-            await _until("beat acknowledged", put, [(ip, self.base)])
+            await _until("beat acknowledged", put, [(ip, self.base_port)])
 
-    async def ready(self) -> None:
-        for ip in self.sides:
-            await _until("ready", _http("GET", "/ready"), [(ip, self.base + 3)])
+    async def wait_ready(self) -> None:
+        for ip in self.data_plane_ips:
+            await _until("ready", _http("GET", "/ready"), [(ip, self.base_port + 3)])
 
-    async def end(self) -> list[int]:
+    async def stop(self) -> list[int]:
         return await _end(list(self.processes.values()))
 
 
-async def _drill(fleet: Fleet, folder: Path, stands: bytes) -> None:
+async def _drill(fleet: LoopbackFleet, folder: Path, stands: bytes) -> None:
     """Every signalbox loses its disk; they begin anew from a snapshot, and all that stood stands."""
-    cores = [(ip, fleet.base) for ip in fleet.cores]
+    cores = [(ip, fleet.base_port) for ip in fleet.control_plane_ips]
     taken = await _until("snapshot", _http("GET", "/snapshot"), cores)
     path = snapshot.keep(str(folder / "kept"), taken.body, time.time(), 1)
-    codes = await _end([fleet.processes[ip] for ip in fleet.cores])
+    codes = await _end([fleet.processes[ip] for ip in fleet.control_plane_ips])
     for disk in folder.glob("disk-*"):
         shutil.rmtree(disk)
     print(f"signalboxes ended {codes}, their disks are gone", flush=True)
-    holders = [f"{ip}:{fleet.base + 4}" for ip in fleet.cores]
-    if snapshots.restore([path], holders, str(folder / "new")):
+    holders = [f"{ip}:{fleet.base_port + 4}" for ip in fleet.control_plane_ips]
+    if snapshots.restore_disks([path], holders, str(folder / "new")):
         raise TimeoutError
     for i, holder in enumerate(holders):
         (folder / "new" / holder.replace(":", "-")).rename(folder / f"disk-{i}")
-    await fleet.start(fleet.cores, first_run=False)
+    await fleet.start(fleet.control_plane_ips, first_run=False)
     again = await _until("configuration read back", _http("GET", "/config"), cores)
     if json.loads(again.body) != json.loads(stands):
         raise TimeoutError
     print("it is what stood before", flush=True)
 
 
-async def _window(fleet: Fleet) -> None:
+async def _window(fleet: LoopbackFleet) -> None:
     """The first machine is out of the tenant's traffic for a while, while clients go on asking."""
-    cores = [(ip, fleet.base) for ip in fleet.cores]
+    cores = [(ip, fleet.base_port) for ip in fleet.control_plane_ips]
     contract = {"hosts": ["demo.example"], "timeZone": "Europe/Helsinki", "capacityLeft": 0.5, "version": "1"}
     contract["approved"] = [{"days": list(DAYS), "from": "00:00", "to": "24:00"}]
     body = json.dumps({"addOrReplace": {"contracts": {"kampaamo": contract}}}).encode()
@@ -234,14 +236,14 @@
     while stage != "back":
         asked += 1
         ask = _http("GET", "/haku/lauantai", fields=f"Attempt-Id: w{asked}\r\nTime-Left: 1500\r\n")
-        answer = await _call((fleet.sides[asked % SIDES], fleet.outbound), ask)
+        answer = await _call((fleet.data_plane_ips[asked % DATA_PLANE_NODES], fleet.outbound_port), ask)
         if answer is None or answer.status != 200:
             print(f"a look-up was answered {answer and answer.status} while the window ran", file=sys.stderr)
             raise TimeoutError
         batch[answer.body.split()[2].decode()] += 1
         if asked % 20 == 0:
-            for ip in fleet.sides:
-                await fleet.beat(ip, 1 + asked, quiet=True)
+            for ip in fleet.data_plane_ips:
+                await fleet.send_heartbeat(ip, 1 + asked, quiet=True)
             looked = await _call(cores[0], _http("GET", "/maintenance/huolto"))
             if looked is not None and looked.status == 200:
                 before, stage = stage, json.loads(looked.body)["machines"][0]["stage"]
@@ -251,40 +253,44 @@
         await asyncio.sleep(0.02)
     for name, counts in served.items():
         print(f"{name}: {', '.join(f'{by} served {n}' for by, n in sorted(counts.items()))}")
-    if fleet.sides[0] in served.get("out", Counter([fleet.sides[0]])):
+    if fleet.data_plane_ips[0] in served.get("out", Counter([fleet.data_plane_ips[0]])):
         raise TimeoutError
     print(f"{asked} look-ups were served, none by the machine while it was out", flush=True)
 
 
 async def _play(base: int, folder: Path, drill: bool, window: bool) -> int:
     loop = asyncio.get_running_loop()
-    fleet = Fleet(base, folder, possession=window)
+    fleet = LoopbackFleet(base, folder, maintenance_enabled=window)
     try:
         async with asyncio.timeout(WHOLE_S * (1 + drill + 2 * window)):
             await fleet.start()
-            for ip in fleet.sides:
-                await loop.create_server(lambda ip=ip: _Server(ip.encode()), ip, fleet.app)  # type: ignore[misc]
+            for ip in fleet.data_plane_ips:
+                await loop.create_server(lambda ip=ip: _Server(ip.encode()), ip, fleet.app_port)  # type: ignore[misc]
             await fleet.configure()
-            for ip in fleet.sides:
-                await fleet.beat(ip)
-            await fleet.ready()
+            for ip in fleet.data_plane_ips:
+                await fleet.send_heartbeat(ip)
+            await fleet.wait_ready()
             ask = _http("GET", "/haku/lauantai", fields="Attempt-Id: a1\r\nTime-Left: 1500\r\n")
-            answer = await _until("request served", ask, [(ip, fleet.outbound) for ip in fleet.sides])
+            answer = await _until(
+                "request served", ask, [(ip, fleet.outbound_port) for ip in fleet.data_plane_ips]
+            )
             print(answer.body.decode(), end="")
-            cores = [(ip, fleet.base) for ip in fleet.cores]
+            cores = [(ip, fleet.base_port) for ip in fleet.control_plane_ips]
             stands = await _until("configuration read back", _http("GET", "/config"), cores)
             if window:
                 await _window(fleet)
             if drill:
                 await _drill(fleet, folder, stands.body)
-                for ip in fleet.sides:  # they were silent for long enough to count as gone
-                    await fleet.beat(ip, 2)
-                await _until("request served", ask, [(ip, fleet.outbound) for ip in fleet.sides])
+                for ip in fleet.data_plane_ips:  # they were silent for long enough to count as gone
+                    await fleet.send_heartbeat(ip, 2)
+                await _until(
+                    "request served", ask, [(ip, fleet.outbound_port) for ip in fleet.data_plane_ips]
+                )
     except TimeoutError:
         print("leadrudder: the demo was not served in time", file=sys.stderr)
         return 1
     finally:
-        codes = await fleet.end()
+        codes = await fleet.stop()
     print(f"ended: {codes}")
     return 0 if not any(codes) else 1
 
--- a/leadrudder/mesh/snapshots.py
+++ b/leadrudder/mesh/snapshots.py
@@ -14,14 +14,14 @@
 from leadrudder.backup.snapshot import Snapshot
 from leadrudder.storage.store import DiskError, DumbStore
 
-CALL_S = 5.0
+CALL_TIMEOUT_S = 5.0
 
 
-def fetch(node: str, path: str, method: str = "GET", body: bytes | None = None) -> Result[bytes, str]:
+def call_api(node: str, path: str, method: str = "GET", body: bytes | None = None) -> Result[bytes, str]:
     """A node's answer, IP:PORT of its control address; else one line why there is none."""
     host, _, port = node.rpartition(":")
     try:
-        connection = http.client.HTTPConnection(host, int(port), timeout=CALL_S)
+        connection = http.client.HTTPConnection(host, int(port), timeout=CALL_TIMEOUT_S)
         try:
             connection.request(method, path, body)
             answer = connection.getresponse()
@@ -40,9 +40,9 @@
     return 2
 
 
-def take(node: str, folder: str, most: int) -> int:
+def save_snapshot(node: str, folder: str, most: int) -> int:
     """Fetch a snapshot, look at it, and keep it."""
-    fetched = fetch(node, "/snapshot")
+    fetched = call_api(node, "/snapshot")
     if isinstance(fetched, Failure):
         return _fail(fetched.failure())
     data = fetched.unwrap()
@@ -57,9 +57,9 @@
     return 0
 
 
-def repair(node: str) -> int:
+def print_replica_lag(node: str) -> int:
     """A table of what others miss, as a signalbox sees it.  0: nothing is owed; 1: something is."""
-    fetched = fetch(node, "/repair")
+    fetched = call_api(node, "/repair")
     if isinstance(fetched, Failure):
         return _fail(fetched.failure())
     rows = json.loads(fetched.unwrap())
@@ -71,14 +71,14 @@
     return 1 if any(row["items"] for row in rows) else 0
 
 
-def core(node: str, wanted: int | None) -> int:
+def print_voters(node: str, wanted: int | None) -> int:
     """A table of seats; wanted: have so many of them first.  0: as many as wanted, all full; 1: not yet."""
     if wanted is not None:
-        ordered = fetch(node, f"/core/{wanted}", "POST")
+        ordered = call_api(node, f"/core/{wanted}", "POST")
         if isinstance(ordered, Failure):
             return _fail(ordered.failure())
         print(f"{wanted} seats are wanted; machines without one take them, one after the other")
-    fetched = fetch(node, "/core")
+    fetched = call_api(node, "/core")
     if isinstance(fetched, Failure):
         return _fail(fetched.failure())
     told = json.loads(fetched.unwrap())
@@ -95,7 +95,7 @@
     return 0 if full == wants == len(states) else 1
 
 
-def verify(paths: Sequence[str]) -> int:
+def verify_snapshots(paths: Sequence[str]) -> int:
     """0: all can be used; 1: some cannot."""
     wrong = 0
     for path in paths:
@@ -108,7 +108,7 @@
     return 1 if wrong else 0
 
 
-def restore(sources: Sequence[str], holders: Sequence[str], into: str) -> int:
+def restore_disks(sources: Sequence[str], holders: Sequence[str], into: str) -> int:
     """Write one folder a machine, of the newest that the sources hold."""
     if len(set(holders)) != len(holders) or len(holders) % 2 == 0:
         return _fail("--holders: an odd number of different addresses is wanted")
--- a/leadrudder/mesh/windows.py
+++ b/leadrudder/mesh/windows.py
@@ -12,83 +12,87 @@
 from returns.result import Failure, Result
 
 from leadrudder.maintenance.ledger import longest
-from leadrudder.mesh.snapshots import fetch
+from leadrudder.mesh.snapshots import call_api
 
-WATCH_EACH_S = 2.0
-OVER = ("done", "stopped", "expired")
-BOOKS = ("asked", "landed", "failed", "refused", "in_doubt", "lost", "twice")
+WATCH_PERIOD_S = 2.0
+FINAL_STATES = ("done", "stopped", "expired")
+REPORT_COUNTS = ("asked", "landed", "failed", "refused", "in_doubt", "lost", "twice")
 
 
-def _show(answer: Result[bytes, str]) -> dict[str, Any] | None:
+def _print_window(answer: Result[bytes, str]) -> dict[str, Any] | None:
     """A window as a table; None after one line that says why there is none."""
     if isinstance(answer, Failure):
         print(f"leadrudder: {answer.failure()}", file=sys.stderr)
         return None
     told: dict[str, Any] = json.loads(answer.unwrap())
-    print(f"window {told['name']}: {told['state']}, {_when(told['from'])} to {_when(told['to'])}")
+    print(
+        f"window {told['name']}: {told['state']}, {_format_time(told['from'])} to {_format_time(told['to'])}"
+    )
     print(f"{'machine':<20} {'stage':<10} {'out from':<19} {'back by':<19} tenants")
     for step in told["machines"]:
         tenants = ", ".join(step["tenants"])
-        leave, back = _when(step["leave"]), _when(step["back"])
+        leave, back = _format_time(step["leave"]), _format_time(step["back"])
         print(f"{step['machine']:<20} {step['stage']:<10} {leave:<19} {back:<19} {tenants}")
         if step["why"]:
             print(f"{'':<20} {step['why']}")
     return told
 
 
-def _when(at: float) -> str:
+def _format_time(at: float) -> str:
     return time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(at))
 
 
-def order(node: str, name: str, told: dict[str, Any], *, keep: bool) -> int:
+def request_window(node: str, name: str, told: dict[str, Any], *, keep: bool) -> int:
     """Ask for a window, or only for its plan.  0: it is possible; 2: why not."""
     path = f"/maintenance/{name}" if keep else f"/maintenance/{name}/plan"
-    return 0 if _show(fetch(node, path, "POST", json.dumps(told).encode())) is not None else 2
+    return 0 if _print_window(call_api(node, path, "POST", json.dumps(told).encode())) is not None else 2
 
 
-def stop(node: str, name: str) -> int:
-    return 0 if _show(fetch(node, f"/maintenance/{name}", "DELETE")) is not None else 2
+def stop_window(node: str, name: str) -> int:
+    return 0 if _print_window(call_api(node, f"/maintenance/{name}", "DELETE")) is not None else 2
 
 
-def done(node: str, name: str, machine: str) -> int:
+def finish_machine(node: str, name: str, machine: str) -> int:
     """The works at a machine are over."""
-    return 0 if _show(fetch(node, f"/maintenance/{name}/done/{machine}", "POST")) is not None else 2
+    return (
+        0 if _print_window(call_api(node, f"/maintenance/{name}/done/{machine}", "POST")) is not None else 2
+    )
 
 
-def watch(nodes: Sequence[str], name: str, *, once: bool, as_json: bool) -> int:
+def watch_window(nodes: Sequence[str], name: str, *, once: bool, as_json: bool) -> int:
     """Show a window until it is over.  0: done; 1: stopped or expired, or a booking is lost or doubled."""
     told: dict[str, Any] | None = None
     while True:
         for node in nodes:
-            answer = fetch(node, f"/maintenance/{name}")
+            answer = call_api(node, f"/maintenance/{name}")
             if not isinstance(answer, Failure):
                 break
         if as_json and not isinstance(answer, Failure):
             told = json.loads(answer.unwrap())
             print(json.dumps(told, indent=1))
         else:
-            told = _show(answer)
+            told = _print_window(answer)
         if told is None:
             return 2
         report = told.get("report", {})
         if not as_json:
-            _books(report)
-        if once or told["state"] in OVER:
+            _print_report(report)
+        if once or told["state"] in FINAL_STATES:
             wrong = any(row["lost"] or row["twice"] for row in report.values())
             return 1 if wrong or told["state"] in ("stopped", "expired") else 0
-        time.sleep(WATCH_EACH_S)
+        time.sleep(WATCH_PERIOD_S)
 
 
-def page(node: str, name: str, out: str) -> int:
+def write_report(node: str, name: str, out: str) -> int:
     """A window's report as one page with charts.  0: written; 1: it tells of a lost or doubled booking."""
-    answer = fetch(node, f"/maintenance/{name}")
+    answer = call_api(node, f"/maintenance/{name}")
     if isinstance(answer, Failure):
         print(f"leadrudder: {answer.failure()}", file=sys.stderr)
         return 2
     told: dict[str, Any] = json.loads(answer.unwrap())
     try:
         with open(out, "w", encoding="utf-8") as file:
-            file.write(rendered(told))
+            file.write(render_report(told))
     except OSError as error:
         print(f"leadrudder: {out}: {error.strerror}", file=sys.stderr)
         return 2
@@ -96,15 +100,15 @@
     return 1 if any(row["lost"] or row["twice"] for row in told["report"].values()) else 0
 
 
-def rendered(told: dict[str, Any]) -> str:
+def render_report(told: dict[str, Any]) -> str:
     """The page: stages of each machine, the books of each service, its look-ups beside those before."""
     steps = "".join(
-        f"<tr><td>{escape(s['machine'])}<td>{escape(s['stage'])}<td>{_when(s['leave'])}<td>{_when(s['back'])}"
+        f"<tr><td>{escape(s['machine'])}<td>{escape(s['stage'])}<td>{_format_time(s['leave'])}<td>{_format_time(s['back'])}"
         f"<td>{escape(', '.join(s['tenants']))}<td>{escape(s['why'])}"
         for s in told["machines"]
     )
     books = "".join(
-        f"<tr><td>{escape(service)}" + "".join(f"<td>{row[key]}" for key in BOOKS)
+        f"<tr><td>{escape(service)}" + "".join(f"<td>{row[key]}" for key in REPORT_COUNTS)
         for service, row in sorted(told["report"].items())
     )
     charts = "".join(
@@ -112,12 +116,12 @@
         for service, row in sorted(told["report"].items())
         if row["lookups"]
     )
-    heads = "".join(f"<th>{key}" for key in BOOKS)
+    heads = "".join(f"<th>{key}" for key in REPORT_COUNTS)
     return (
         "<!doctype html><meta charset=utf-8><style>body{font:14px sans-serif;margin:2em}"
         "td,th{padding:2px 10px;text-align:right}td:first-child{text-align:left}</style>"
         f"<title>window {escape(told['name'])}</title><h1>Window {escape(told['name'])}: "
-        f"{escape(told['state'])}</h1><p>{_when(told['from'])} to {_when(told['to'])} UTC "
+        f"{escape(told['state'])}</h1><p>{_format_time(told['from'])} to {_format_time(told['to'])} UTC "
         f"{escape(told['stopped'])}<h2>Machines</h2><table><tr><th>machine<th>stage<th>out from<th>back by"
         f"<th>tenants<th>{steps}</table><h2>Bookings, by both ends</h2><table><tr><th>service{heads}{books}"
         f"</table><h2>Look-ups</h2><p>Dark: while it ran; light: before, scaled to as many.{charts}\n"
@@ -143,7 +147,7 @@
     return f'<svg width="{width}" height="140">{"".join(bars)}{"".join(marks)}</svg><p>ms'
 
 
-def _books(report: dict[str, dict[str, Any]]) -> None:
+def _print_report(report: dict[str, dict[str, Any]]) -> None:
     if not report:
         return
     heads = ("asked", "landed", "lost", "twice", "doubt", "refused")
--- a/tests/mesh/test_control.py
+++ b/tests/mesh/test_control.py
@@ -19,7 +19,7 @@
 from leadrudder.bootstrap.start import start
 from leadrudder.configuration.item_store import Book
 from leadrudder.consensus.outputs import Answer, Code
-from leadrudder.control_plane.operator_api import Operator
+from leadrudder.control_plane.operator_api import OperatorApi
 from leadrudder.data_plane.server_api import Beat, Beats
 from leadrudder.membership.registry import MOVE_S, ORPHAN_S, Register
 from leadrudder.protocol.mesh_pb2 import Item, Node
@@ -147,7 +147,7 @@
         return Answer(0, Code.DONE, tuple(self.book.items.values()))
 
     def call(self, method: str, *segments: str, body: bytes = b"") -> Told:
-        operator = Operator(lambda: self.book, self._change, self._read, ("z",), Ring("r"))
+        operator = OperatorApi(lambda: self.book, self._change, self._read, ("z",), Ring("r"))
         return told(operator.dispatch(Call(method, segments, body)))
 
     def test_what_is_no_call_gets_a_clear_answer(self) -> None:
--- a/tests/mesh/test_emulation.py
+++ b/tests/mesh/test_emulation.py
@@ -158,7 +158,7 @@
         self.assertEqual(bookings["asked"], bookings["landed"])
         self.assertEqual([bookings[k] for k in ("lost", "twice", "in_doubt")], [0, 0, 0])
         self.assertGreater(told["report"]["kal"]["lookups"], 100)
-        shown = windows.rendered(told)
+        shown = windows.render_report(told)
         self.assertIn("<svg", shown)
         self.assertIn(f"<td>{bookings['landed']}", shown)
 
@@ -256,13 +256,13 @@
 
     def holds(self, machine: Machine, fleet: Fleet) -> bool:
         box = machine.signalbox
-        return box is not None and box.interlocking.leases.holds(POSSESSION, fleet.now)
+        return box is not None and box.state_machine.leases.holds(POSSESSION, fleet.now)
 
     def state(self, fleet: Fleet) -> str:
         """The window's, as a signalbox that is left has it."""
         left = next(m.signalbox for m in fleet.core if m.signalbox is not None)
-        assert left._possessions is not None
-        return left._possessions.situation().windows["huolto"].state()
+        assert left._maintenance is not None
+        return left._maintenance.situation().windows["huolto"].state()
 
     def test_what_a_contract_wants_is_given_back_when_a_zone_is_lost(self) -> None:
         fleet = self.fleet(23, **order("side-0", works="15s"))
@@ -310,7 +310,7 @@
         fleet.play(14.0)
         self.assertEqual(len(self.lent(fleet)), 5)
         holders = [
-            m for m in fleet.core if m.signalbox and m.signalbox.interlocking.leases.holds(POSSESSION, 14.0)
+            m for m in fleet.core if m.signalbox and m.signalbox.state_machine.leases.holds(POSSESSION, 14.0)
         ]
         self.assertEqual(len(holders), 1)
         fleet.kill(holders[0], "signalbox")
--- a/tests/mesh/test_feeds.py
+++ b/tests/mesh/test_feeds.py
@@ -5,7 +5,7 @@
 import unittest
 from typing import Any, cast
 
-from leadrudder.control_plane.feeds import UNSENT_MOST, Feeds
+from leadrudder.control_plane.feeds import MAX_UNSENT_BYTES, SessionFeeds
 from leadrudder.observability.invariants import Invariants
 from leadrudder.protocol.mesh_pb2 import Frame, Item, Node
 from leadrudder.transport.link import Link
@@ -34,14 +34,14 @@
         self.items: dict[str, Item] = {}
         self.nodes: dict[str, Node] = {}
         self.complaints: list[str] = []
-        self.feeds = Feeds(self.items.get, self.nodes.get, Invariants(self.complaints.append))
+        self.feeds = SessionFeeds(self.items.get, self.nodes.get, Invariants(self.complaints.append))
         self.reader, self.other = Reader(), Reader()
         for link, name in ((self.reader, "a"), (self.other, "b")):
             self.feeds.add(cast(Any, link), name)
 
     def change(self, key: str, version: int, size: int = 1000) -> None:
         self.items[key] = Item(key=key, version=version, value=b"x" * size)
-        self.feeds.tell_items([self.items[key]])
+        self.feeds.publish_items([self.items[key]])
 
     def test_a_station_that_reads_is_told_at_once(self) -> None:
         self.change("routes/r", 1)
@@ -52,12 +52,12 @@
         self.reader.reads = False
         for version in range(1, 2001):
             self.change(f"routes/r{version % 3}", version)
-            self.feeds.catch_up()
-        self.assertLess(self.reader.waiting, UNSENT_MOST + 2000)
+            self.feeds.flush_pending()
+        self.assertLess(self.reader.waiting, MAX_UNSENT_BYTES + 2000)
         self.assertEqual(len(self.other.told), 2000, "the others are told at once all the same")
         told_before = len(self.reader.told)
         self.reader.reads, self.reader.waiting = True, 0
-        self.feeds.catch_up()
+        self.feeds.flush_pending()
         (last,) = self.reader.told[told_before:]
         newest = {item.key: item.version for item in last.news.items}
         self.assertEqual(newest, {key: item.version for key, item in self.items.items()})
@@ -67,23 +67,23 @@
 
     def test_members_and_servers_are_merged_alike(self) -> None:
         self.feeds.subscribe(cast(Any, self.reader), frozenset({"s"}), [])
-        self.reader.reads, self.reader.waiting = False, UNSENT_MOST + 1
+        self.reader.reads, self.reader.waiting = False, MAX_UNSENT_BYTES + 1
         for number in (1, 2):
             node = Node(name="n", service="s", number=number)
             node.servers.add(id="i", service="s")
             self.nodes["n"] = node
-            self.feeds.tell_members([node])
-            self.feeds.tell_servers([node])
+            self.feeds.publish_members([node])
+            self.feeds.publish_servers([node])
         self.assertEqual(self.reader.told, [])
         self.reader.waiting = 0
-        self.feeds.catch_up()
+        self.feeds.flush_pending()
         (last,) = self.reader.told
         self.assertEqual([node.number for node in last.news.nodes], [2])
         self.assertEqual([node.number for node in last.news.served], [2])
 
     def test_a_session_that_is_over_bounds_is_counted(self) -> None:
-        self.reader.waiting = 100 * UNSENT_MOST
-        self.feeds.catch_up()
+        self.reader.waiting = 100 * MAX_UNSENT_BYTES
+        self.feeds.flush_pending()
         self.assertEqual(len(self.complaints), 1)
 
     def test_a_station_is_gone_with_its_last_session(self) -> None:
--- a/tests/mesh/test_graceful_shutdown.py
+++ b/tests/mesh/test_graceful_shutdown.py
@@ -49,9 +49,9 @@
         while fleet.now < began + GRACE_S:
             fleet.play(fleet.now + 0.05)
             assert wiped.signalbox is not None and leaving.signalbox is not None
-            if not filled_at and wiped.signalbox.interlocking.seats.full:
+            if not filled_at and wiped.signalbox.state_machine.seats.full:
                 filled_at = fleet.now
-            if not left_at and leaving.signalbox.interlocking.resigned:
+            if not left_at and leaving.signalbox.state_machine.resigned:
                 left_at = fleet.now
         self.assertGreater(filled_at, 0.0)
         self.assertGreaterEqual(left_at, filled_at)
