--- a/leadrudder/control_plane/__init__.py
+++ b/leadrudder/control_plane/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane's program: knows servers and nodes, keeps the configuration, brings it to all."""
+"""The control plane: tracks servers and nodes, stores the configuration and distributes it."""
--- a/leadrudder/control_plane/__main__.py
+++ b/leadrudder/control_plane/__main__.py
@@ -1,4 +1,4 @@
-"""python -m leadrudder.control_plane: the control plane's program, told by its settings file."""
+"""python -m leadrudder.control_plane: runs a control-plane node, configured by its settings file."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import signal
 import sys
 
-# Until it is handled, a SIGHUP would end the process: what is imported below takes most of its start.
+# A SIGHUP before its handler is installed would end the process; the imports below take most of the start.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 from leadrudder.bootstrap.settings import Settings  # noqa: E402
@@ -15,8 +15,8 @@
 from leadrudder.storage.store import DiskError  # noqa: E402
 
 
-async def _serve(settings: Settings, told: argparse.Namespace) -> None:
-    await ControlPlaneNode(settings, maintenance_enabled=told.possession).run()
+async def _serve(settings: Settings, arguments: argparse.Namespace) -> None:
+    await ControlPlaneNode(settings, maintenance_enabled=arguments.possession).run()
 
 
 if __name__ == "__main__":
--- a/leadrudder/control_plane/feeds.py
+++ b/leadrudder/control_plane/feeds.py
@@ -1,7 +1,8 @@
-"""What stations are told: at once while they take it in, and merged while they are behind.
+"""State updates to data-plane nodes: sent at once, or coalesced for sessions that read too slowly.
 
-A station that does not read keeps no more waiting here than a bound of bytes and one mark for each thing that
-has changed meanwhile. When it reads again it is told how these things are then, and not all they have been.
+For a node that does not read, a bounded number of bytes is buffered, and one entry for each item, member or
+server list that has changed since. When it reads again it receives their latest state without the
+intermediate ones.
 """
 
 from __future__ import annotations
@@ -16,49 +17,49 @@
 from leadrudder.protocol.mesh_pb2 import Frame, Item, Node
 from leadrudder.transport.link import Link, packed
 
-MAX_UNSENT_BYTES = 256 * 1024  # bytes that wait for a station to read, beyond which it counts as behind
+MAX_UNSENT_BYTES = 256 * 1024  # unread by a node, above which its updates are deferred and coalesced
 
 
 @dataclass(slots=True)
 class SessionFeed:
-    """One station's session.  wanted: services whose servers it has asked to hear of."""
+    """One data-plane node's session.  subscribed_services: services whose servers it has asked for."""
 
     link: Link
-    station: str
-    wanted: frozenset[str] | None = None
-    # What has changed since the station fell behind, by name.
-    items: dict[str, None] = field(default_factory=dict)
-    members: dict[str, None] = field(default_factory=dict)
-    servers: dict[str, None] = field(default_factory=dict)
+    node_name: str
+    subscribed_services: frozenset[str] | None = None
+    # Keys or names that have changed since the node fell behind.
+    changed_items: dict[str, None] = field(default_factory=dict)
+    changed_members: dict[str, None] = field(default_factory=dict)
+    changed_servers: dict[str, None] = field(default_factory=dict)
 
-    def behind(self) -> bool:
-        """Whether news is to wait: some waits already, or the link holds too much that was not read."""
-        return self.waits() or self.link.unsent() > MAX_UNSENT_BYTES
+    def is_behind(self) -> bool:
+        """Whether updates are deferred: some are pending already, or the link has too many unsent bytes."""
+        return self.has_pending() or self.link.unsent() > MAX_UNSENT_BYTES
 
-    def waits(self) -> bool:
-        return bool(self.items or self.members or self.servers)
+    def has_pending(self) -> bool:
+        return bool(self.changed_items or self.changed_members or self.changed_servers)
 
-    def forget(self) -> None:
-        self.items.clear()
-        self.members.clear()
-        self.servers.clear()
+    def clear_pending(self) -> None:
+        self.changed_items.clear()
+        self.changed_members.clear()
+        self.changed_servers.clear()
 
 
 class SessionFeeds:
-    """All sessions.  item, node: what is known of a key and of a station now."""
+    """All sessions.  find_item, find_node: current state of a key and of a data-plane node."""
 
     def __init__(
         self,
-        item: Callable[[str], Item | None],
-        node: Callable[[str], Node | None],
+        find_item: Callable[[str], Item | None],
+        find_node: Callable[[str], Node | None],
         invariants: Invariants,
     ) -> None:
         self._invariants = invariants
-        self._largest = 0  # bytes of the largest frame that a session was sent
-        self.merged = 0  # pieces of news that were not sent at once, since the start
-        self._item, self._node = item, node
+        self._largest_frame_bytes = 0  # sent to any session so far
+        self.deferred_updates = 0  # updates that were not sent at once, since the start
+        self._find_item, self._find_node = find_item, find_node
         self._feeds: dict[Link, SessionFeed] = {}
-        self._sessions: Counter[str] = Counter()  # by station
+        self._session_counts: Counter[str] = Counter()  # by data-plane node
 
     def __contains__(self, link: Link) -> bool:
         return link in self._feeds
@@ -70,102 +71,102 @@
         return list(self._feeds)
 
     def max_unsent_bytes(self) -> int:
-        """Bytes that wait for the station that is furthest behind."""
+        """Unsent bytes of the session that is furthest behind."""
         return max((link.unsent() for link in self._feeds), default=0)
 
-    def begin(self, link: Link, news: wire.News) -> None:
-        """The first that a new session is told: all there is."""
+    def send_initial_state(self, link: Link, news: wire.News) -> None:
+        """Sends the whole state, as the first update of a new session."""
         self._send(link, packed(Frame(news=news)))
 
     def _send(self, link: Link, data: bytes) -> None:
-        self._largest = max(self._largest, len(data))
+        self._largest_frame_bytes = max(self._largest_frame_bytes, len(data))
         link.send_packed(data)
 
-    def add(self, link: Link, station: str) -> None:
-        self._feeds[link] = SessionFeed(link, station)
-        self._sessions[station] += 1
+    def add_session(self, link: Link, node_name: str) -> None:
+        self._feeds[link] = SessionFeed(link, node_name)
+        self._session_counts[node_name] += 1
 
-    def remove(self, link: Link) -> str | None:
-        """Returns the station, if it was its last session."""
+    def remove_session(self, link: Link) -> str | None:
+        """Returns the node's name if this was its last session."""
         feed = self._feeds.pop(link, None)
         if feed is None:
             return None
-        self._sessions[feed.station] -= 1
-        if self._sessions[feed.station]:
+        self._session_counts[feed.node_name] -= 1
+        if self._session_counts[feed.node_name]:
             return None
-        del self._sessions[feed.station]
-        return feed.station
+        del self._session_counts[feed.node_name]
+        return feed.node_name
 
     def subscribe(self, link: Link, services: frozenset[str], known: Iterable[Node]) -> None:
-        """A station asks for the servers of these services, in place of what it asked for before."""
+        """Replaces the set of services whose servers the node asks for."""
         feed = self._feeds.get(link)
         if feed is None:
             return
-        feed.wanted = services
+        feed.subscribed_services = services
         if served := zone_relays.of_services(known, services):
             self._send(link, packed(Frame(news=wire.News(served=served))))
 
-    # ------------------------------------------------------------ news
+    # ------------------------------------------------------------ updates
 
     def publish_items(self, items: Iterable[Item]) -> None:
         items = list(items)
         data = packed(Frame(news=wire.News(items=items)))
         for feed in list(self._feeds.values()):
-            if feed.behind():
-                feed.items.update(dict.fromkeys(item.key for item in items))
-                self.merged += 1
+            if feed.is_behind():
+                feed.changed_items.update(dict.fromkeys(item.key for item in items))
+                self.deferred_updates += 1
             else:
                 self._send(feed.link, data)
 
-    def publish_members(self, nodes: list[Node], but: Link | None = None) -> None:
-        """Members that have come, gone or changed; but: the session that they were heard on."""
+    def publish_members(self, nodes: list[Node], except_link: Link | None = None) -> None:
+        """Sends members that were added, removed or changed.  except_link: the session that reported them."""
         data = packed(Frame(news=wire.News(nodes=map(zone_relays.bare, nodes))))
         for feed in list(self._feeds.values()):
-            if feed.link is but:
+            if feed.link is except_link:
                 continue
-            if feed.behind():
-                feed.members.update(dict.fromkeys(node.name for node in nodes))
-                self.merged += 1
+            if feed.is_behind():
+                feed.changed_members.update(dict.fromkeys(node.name for node in nodes))
+                self.deferred_updates += 1
             else:
                 self._send(feed.link, data)
 
     def publish_servers(self, nodes: list[Node]) -> None:
-        """Stations whose servers may have changed, to whoever has asked for them."""
-        data_by_wanted: dict[frozenset[str], bytes] = {}
+        """Sends nodes whose servers may have changed to the sessions that subscribed to their services."""
+        data_by_services: dict[frozenset[str], bytes] = {}
         for feed in list(self._feeds.values()):
-            if feed.wanted is None:
+            if feed.subscribed_services is None:
                 continue
-            if feed.behind():
-                feed.servers.update(dict.fromkeys(node.name for node in nodes))
-                self.merged += 1
+            if feed.is_behind():
+                feed.changed_servers.update(dict.fromkeys(node.name for node in nodes))
+                self.deferred_updates += 1
                 continue
-            data = data_by_wanted.get(feed.wanted)
+            data = data_by_services.get(feed.subscribed_services)
             if data is None:
-                served = zone_relays.of_services(nodes, feed.wanted)
+                served = zone_relays.of_services(nodes, feed.subscribed_services)
                 data = packed(Frame(news=wire.News(served=served))) if served else b""
-                data_by_wanted[feed.wanted] = data
+                data_by_services[feed.subscribed_services] = data
             if data:
                 self._send(feed.link, data)
 
     def flush_pending(self) -> None:
-        """To be called some times a second: what waits is told as it is now, where it is read again."""
+        """Sends pending updates to sessions that read again; called several times a second."""
         for feed in list(self._feeds.values()):
-            if feed.waits() and feed.link.unsent() <= MAX_UNSENT_BYTES // 2:
-                news = self._waiting(feed)
-                feed.forget()
+            if feed.has_pending() and feed.link.unsent() <= MAX_UNSENT_BYTES // 2:
+                news = self._pending_update(feed)
+                feed.clear_pending()
                 self._send(feed.link, packed(Frame(news=news)))
             self._invariants.check(
                 "a_session_keeps_bounded_bytes_waiting",
-                feed.link.unsent() <= MAX_UNSENT_BYTES + 2 * self._largest,
-                lambda feed=feed: f"{feed.link.unsent()} bytes wait for {feed.station}",  # type: ignore[misc]
+                feed.link.unsent() <= MAX_UNSENT_BYTES + 2 * self._largest_frame_bytes,
+                lambda feed=feed: f"{feed.link.unsent()} unsent bytes for {feed.node_name}",  # type: ignore[misc]
             )
 
-    def _waiting(self, feed: SessionFeed) -> wire.News:
-        items = [item for key in feed.items if (item := self._item(key)) is not None]
-        members = [node for name in feed.members if (node := self._node(name)) is not None]
-        servers = [node for name in feed.servers if (node := self._node(name)) is not None]
+    def _pending_update(self, feed: SessionFeed) -> wire.News:
+        items = [item for key in feed.changed_items if (item := self._find_item(key)) is not None]
+        members = [node for name in feed.changed_members if (node := self._find_node(name)) is not None]
+        servers = [node for name in feed.changed_servers if (node := self._find_node(name)) is not None]
         return wire.News(
             items=items,
             nodes=map(zone_relays.bare, members),
-            served=zone_relays.of_services(servers, feed.wanted or frozenset()),
+            served=zone_relays.of_services(servers, feed.subscribed_services or frozenset()),
         )
--- a/leadrudder/control_plane/maintenance.py
+++ b/leadrudder/control_plane/maintenance.py
@@ -1,7 +1,7 @@
-"""Maintenance at a signalbox: what operators call, and the duty that carries windows out.
+"""Maintenance windows on a control-plane node: the operators' API, and carrying windows out under a lease.
 
-All that is decided is decided in `leadrudder.maintenance`; this brings it what is known, and has its steps
-stand as items of the control state.
+All decisions are made in `leadrudder.maintenance`; this module supplies the current state and commits the
+resulting steps as items of the control state.
 """
 
 from __future__ import annotations
@@ -29,17 +29,17 @@
 from leadrudder.protocol.mesh_pb2 import Item, Node
 from leadrudder.transport.http import Call, Told
 
-KEPT = 50  # windows that are over
-OUT_MOST = 64  # steps that are being taken
-TRIES = 5  # of an order whose count has moved on
-_JSON = b"Content-Type: application/json\r\n"
-_COME_BACK = b"Retry-After: 0.2\r\n"
+MAX_FINISHED_WINDOWS = 50  # kept after their end
+MAX_PENDING_STEPS = 64  # commits in progress
+MAX_ALTER_ATTEMPTS = 5  # of a request whose window was changed concurrently
+_JSON_FIELDS = b"Content-Type: application/json\r\n"
+_RETRY_AFTER = b"Retry-After: 0.2\r\n"
 
-Change = Callable[[list[Item]], Awaitable[Answer]]
+Commit = Callable[[list[Item]], Awaitable[Answer]]
 
 
-class _Instant(fields.Field[float]):
-    """ISO 8601 with its distance from universal time, or seconds since 1970."""
+class _TimestampField(fields.Field[float]):
+    """An ISO 8601 timestamp with its UTC offset, or seconds since 1970."""
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **kwargs: Any) -> float:
         from datetime import datetime
@@ -55,12 +55,12 @@
         return read.timestamp()
 
 
-class _Order(Schema):
+class _WindowRequestSchema(Schema):
     class Meta:
         unknown = EXCLUDE
 
-    begin = _Instant(data_key="from", required=True)
-    end = _Instant(data_key="to", required=True)
+    begin = _TimestampField(data_key="from", required=True)
+    end = _TimestampField(data_key="to", required=True)
     machines = fields.List(fields.String(), required=True)
     at_once = fields.Integer(data_key="atOnce", load_default=1, validate=validate.Range(min=1))
     works_s = Span(data_key="works", load_default=0.0)
@@ -68,37 +68,43 @@
     tenants = fields.List(fields.String(), load_default=list)
 
 
-_ORDER = _Order()
+_WINDOW_REQUEST = _WindowRequestSchema()
 
 
 class MaintenanceCoordinator:
-    """book: what stands; nodes: the members; change: has items stand; wall, steady: clocks, seconds."""
+    """committed_items: the control state.  commit: writes items to a majority.  wall, monotonic: seconds."""
 
     def __init__(
         self,
-        book: Callable[[], Book],
-        nodes: Callable[[], Iterable[Node]],
-        change: Change,
+        committed_items: Callable[[], Book],
+        list_members: Callable[[], Iterable[Node]],
+        commit: Commit,
         ring: Ring,
         wall: Callable[[], float],
-        steady: Callable[[], float],
+        monotonic: Callable[[], float],
     ) -> None:
-        self._book, self._nodes, self._change, self._ring = book, nodes, change, ring
-        self._wall, self._steady = wall, steady
+        self._committed_items, self._list_members, self._commit, self._ring = (
+            committed_items,
+            list_members,
+            commit,
+            ring,
+        )
+        self._wall, self._monotonic = wall, monotonic
         self._keeper = Keeper()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._busiest: dict[str, dict[int, float]] = {}  # slots in use by service and hour, since our start
+        self._peak_slots: dict[str, dict[int, float]] = {}  # slots in use by service and hour, since start
         self._hour = -1
         self._totals = ledger.Totals()
-        self.clocks: dict[str, float] = {}  # of other signalboxes that are connected, against our steady one
+        # Wall clocks of the connected peers, less the monotonic clock of this process.
+        self.peer_clock_offsets_s: dict[str, float] = {}
 
-    # ------------------------------------------------------------ what is known
+    # ------------------------------------------------------------ current state
 
     def situation(self) -> Situation:
-        book = self._book()
+        book = self._committed_items()
         routing = RoutingTable(book)
         machines = {}
-        for node in self._nodes():
+        for node in self._list_members():
             for server in node.servers:
                 machines[node.name] = Machine(
                     node.name, server.zone, server.service, server.capacity, not server.draining
@@ -114,25 +120,27 @@
             used,
         )
 
-    # ------------------------------------------------------------ the duty
+    # ------------------------------------------------------------ carrying windows out
 
-    def tick(self, held: bool) -> None:
-        """Some times a second.  held: the duty is ours."""
+    def tick(self, has_lease: bool) -> None:
+        """Called several times a second.  has_lease: this node holds the maintenance lease."""
         wall = self._wall()
-        self._note_use(wall, held)
-        at = self.situation() if held and self._book().standing(WINDOW) else Situation()
-        steady = self._steady()
-        others = [off + steady for off in self.clocks.values()]
-        for moved in self._keeper.tick(wall, steady, held, at, others):
-            if moved.begun is None and any(step.stage in LENT for step in moved.steps):
-                moved = dataclasses.replace(moved, begun=self._totals.latest()[1])
-            self._later(self._take(moved, self._next(moved.name)))
-        if held:
-            for closed in self._closed(at.windows.values()):
-                self._later(self._take(closed, self._next(closed.name)))
-
-    def _closed(self, windows: Iterable[Window]) -> list[Window]:
-        """Windows that are over, and of whose time all stations have told by now."""
+        self._record_usage(wall, has_lease)
+        situation = (
+            self.situation() if has_lease and self._committed_items().standing(WINDOW) else Situation()
+        )
+        now = self._monotonic()
+        peer_walls = [offset_s + now for offset_s in self.peer_clock_offsets_s.values()]
+        for changed in self._keeper.tick(wall, now, has_lease, situation, peer_walls):
+            if changed.begun is None and any(step.stage in LENT for step in changed.steps):
+                changed = dataclasses.replace(changed, begun=self._totals.latest()[1])
+            self._spawn(self._commit_step(changed, self._next_version(changed.name)))
+        if has_lease:
+            for closed in self._newly_closed(situation.windows.values()):
+                self._spawn(self._commit_step(closed, self._next_version(closed.name)))
+
+    def _newly_closed(self, windows: Iterable[Window]) -> list[Window]:
+        """Finished windows for whose whole time every data-plane node has reported its counts."""
         through, counts = self._totals.latest()
         return [
             dataclasses.replace(each, ended=counts)
@@ -143,161 +151,167 @@
             and through >= ledger.epoch_of(max(step.since for step in each.steps))
         ]
 
-    def _later(self, work: Coroutine[Any, Any, None]) -> None:
-        if len(self._tasks) >= OUT_MOST:
+    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
+        if len(self._tasks) >= MAX_PENDING_STEPS:
             work.close()
             return
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _take(self, moved: Window, count: int) -> None:
+    async def _commit_step(self, changed: Window, version: int) -> None:
         try:
             async with asyncio.timeout(1.0):
-                code = (await self._set(moved, count)).code
+                code = (await self._commit_window(changed, version)).code
         except TimeoutError:
             code = Code.BUSY
-        self._keeper.told(moved.name)
+        self._keeper.told(changed.name)
         if code is Code.DONE:
-            stages = ", ".join(f"{s.machine} {s.stage}{': ' + s.why if s.why else ''}" for s in moved.steps)
-            self._ring.note(f"window {moved.name}: {stages}")
+            stages = ", ".join(f"{s.machine} {s.stage}{': ' + s.why if s.why else ''}" for s in changed.steps)
+            self._ring.note(f"window {changed.name}: {stages}")
 
-    def _next(self, name: str) -> int:
-        """The count that follows the window as we know it just now: a step is made from what it was then."""
-        known = self._book().items.get(WINDOW + name)
+    def _next_version(self, name: str) -> int:
+        """The version after the one known now: a step derived from an older version gets a conflict."""
+        known = self._committed_items().items.get(WINDOW + name)
         return 1 if known is None else known.version + 1
 
-    async def _set(self, moved: Window, count: int) -> Answer:
-        """A count of a window; CONFLICT where somebody was before us."""
-        return await self._change([Item(key=WINDOW + moved.name, version=count, value=moved.packed())])
+    async def _commit_window(self, changed: Window, version: int) -> Answer:
+        """Commits a version of a window; CONFLICT if another node has written that version."""
+        return await self._commit([Item(key=WINDOW + changed.name, version=version, value=changed.packed())])
 
-    def _note_use(self, wall: float, held: bool) -> None:
-        """The busiest of the hour, by service; who holds the duty keeps it when the hour is over."""
+    def _record_usage(self, wall: float, has_lease: bool) -> None:
+        """Tracks the peak usage of each service by hour; the lease holder saves it when the hour ends."""
         hour = hour_of_week(wall)
-        sums: dict[str, float] = {}
-        nodes = list(self._nodes())
+        slots_by_service: dict[str, float] = {}
+        nodes = list(self._list_members())
         self._totals.keep({node.name for node in nodes})
         for node in nodes:
             self._totals.take(node.name, node.through, node.tallies)
             if node.used:
-                sums[node.service] = sums.get(node.service, 0.0) + node.used
-        for service, slots in sums.items():
-            hours = self._busiest.setdefault(service, {})
+                slots_by_service[node.service] = slots_by_service.get(node.service, 0.0) + node.used
+        for service, slots in slots_by_service.items():
+            hours = self._peak_slots.setdefault(service, {})
             hours[hour] = max(hours.get(hour, 0.0), slots)
-        if self._hour not in (-1, hour) and held:
-            for service, hours in self._busiest.items():
+        if self._hour not in (-1, hour) and has_lease:
+            for service, hours in self._peak_slots.items():
                 if self._hour in hours:
-                    self._keep_use(service, self._hour, hours[self._hour])
+                    self._save_usage(service, self._hour, hours[self._hour])
         self._hour = hour
 
-    def _keep_use(self, service: str, hour: int, slots: float) -> None:
-        known = self._book().items.get(USED + service)
-        told = json.loads(known.value) if known is not None and not known.dropped else {}
-        told[str(hour)] = slots
+    def _save_usage(self, service: str, hour: int, slots: float) -> None:
+        known = self._committed_items().items.get(USED + service)
+        usage = json.loads(known.value) if known is not None and not known.dropped else {}
+        usage[str(hour)] = slots
         version = 1 if known is None else known.version + 1
-        item = Item(key=USED + service, version=version, value=json.dumps(told, sort_keys=True).encode())
-        self._later(self._put(item))
+        item = Item(key=USED + service, version=version, value=json.dumps(usage, sort_keys=True).encode())
+        self._spawn(self._commit_item(item))
 
-    async def _put(self, item: Item) -> None:
-        await self._change([item])
+    async def _commit_item(self, item: Item) -> None:
+        await self._commit([item])
 
     # ------------------------------------------------------------ operators
 
     async def dispatch(self, call: Call) -> Told | None:
-        """None: the call is another's."""
+        """Returns None for requests that are not about maintenance."""
         match call.method, call.segments:
             case "GET", ("contracts",):
-                found = self._book().standing(CONTRACT)
+                found = self._committed_items().standing(CONTRACT)
                 return _json({"contracts": {name: json.loads(i.value) for name, i in found.items()}})
             case "PATCH", ("contracts",):
-                return await self._contracts(call.body)
+                return await self._patch_contracts(call.body)
             case "GET", ("maintenance",):
                 windows = self.situation().windows
-                return _json({name: told(each) for name, each in sorted(windows.items())})
+                return _json({name: describe_window(each) for name, each in sorted(windows.items())})
             case "GET", ("maintenance", name):
                 found_window = self.situation().windows.get(name)
                 if found_window is None:
                     return Told(404)
-                return _json({**told(found_window), "report": self._report(found_window)})
+                return _json({**describe_window(found_window), "report": self._report(found_window)})
             case "POST", ("maintenance", name):
-                return await self._start(name, call.body, keep=True)
+                return await self._request_window(name, call.body, keep=True)
             case "POST", ("maintenance", name, "plan"):
-                return await self._start(name, call.body, keep=False)
+                return await self._request_window(name, call.body, keep=False)
             case "DELETE", ("maintenance", name):
-                return await self._alter(name, lambda w: controller.stopped(w, "an operator stopped it"))
+                return await self._alter_window(
+                    name, lambda w: controller.stopped(w, "an operator stopped it")
+                )
             case "POST", ("maintenance", name, "done", machine):
-                return await self._alter(name, lambda w: controller.done_early(w, machine, self._wall()))
+                return await self._alter_window(
+                    name, lambda w: controller.done_early(w, machine, self._wall())
+                )
             case _, ("contracts" | "maintenance", *_):
                 return Told(405)
         return None
 
     def _report(self, each: Window) -> dict[str, Any]:
-        """What became of bookings while it ran, so far or in all; ordinary: between plan and beginning."""
+        """Results of bookings in the window, so far or final.  ordinary: those between planning and start."""
         if each.begun is None:
             return {}
         usual = ledger.difference(each.planned, each.begun)
         end = each.ended if each.ended is not None else self._totals.latest()[1]
         return ledger.report(each.begun, end, usual)
 
-    async def _contracts(self, body: bytes) -> Told:
+    async def _patch_contracts(self, body: bytes) -> Told:
         parsed = contract.parse(body)
         if isinstance(parsed, Failure):
-            return _refused(400, parsed.failure())
+            return _rejected(400, parsed.failure())
         changes = parsed.unwrap()
-        made = [
+        items = [
             Item(key=c.key, version=c.version, dropped=c.value is None, value=c.value or b"") for c in changes
         ]
-        answer = await self._change(made)
+        answer = await self._commit(items)
         if answer.code is not Code.DONE:
-            return _answered(answer.code)
+            return _commit_failed(answer.code)
         now = self._wall()
-        read = contract.standing((i.key[len(CONTRACT) :], i) for i in made if not i.dropped)
-        return _json({"warnings": [str(f) for each in read.values() for f in contract.warnings(each, now)]})
+        contracts = contract.standing((i.key[len(CONTRACT) :], i) for i in items if not i.dropped)
+        return _json(
+            {"warnings": [str(f) for each in contracts.values() for f in contract.warnings(each, now)]}
+        )
 
-    async def _start(self, name: str, body: bytes, *, keep: bool) -> Told:
+    async def _request_window(self, name: str, body: bytes, *, keep: bool) -> Told:
         try:
-            read = cast(dict[str, Any], _ORDER.load(json.loads(body)))
+            order = cast(dict[str, Any], _WINDOW_REQUEST.load(json.loads(body)))
         except ValidationError as error:
-            return _refused(400, [Finding("order", f"windows.{name}", str(error.messages))])
+            return _rejected(400, [Finding("order", f"windows.{name}", str(error.messages))])
         except (ValueError, RecursionError) as error:
-            return _refused(400, [Finding("cut_short", "the body", f"cannot be read whole: {error}")])
-        read["machines"], read["tenants"] = tuple(read["machines"]), frozenset(read["tenants"])
-        made = planner.plan(Order(name, **read), self._wall(), self.situation())
-        if isinstance(made, list):
-            return _refused(409, made)
+            return _rejected(400, [Finding("cut_short", "the body", f"cannot be read whole: {error}")])
+        order["machines"], order["tenants"] = tuple(order["machines"]), frozenset(order["tenants"])
+        planned = planner.plan(Order(name, **order), self._wall(), self.situation())
+        if isinstance(planned, list):
+            return _rejected(409, planned)
         if not keep:
-            return _json(told(made))
-        made = dataclasses.replace(made, planned=self._totals.latest()[1])
-        answer = await self._set(made, self._next(name))
+            return _json(describe_window(planned))
+        planned = dataclasses.replace(planned, planned=self._totals.latest()[1])
+        answer = await self._commit_window(planned, self._next_version(name))
         if answer.code is not Code.DONE:
-            return _answered(answer.code)
-        await self._forget()
-        return _json(told(made))
-
-    async def _forget(self) -> None:
-        for name in controller.finished(dict(self.situation().windows), KEPT):
-            known = self._book().items[WINDOW + name]
-            await self._change([Item(key=known.key, version=known.version + 1, dropped=True)])
-
-    async def _alter(self, name: str, alter: Callable[[Window], Window | None]) -> Told:
-        """A step of an operator's: taken again where the holder was before us."""
-        for _ in range(TRIES):
+            return _commit_failed(answer.code)
+        await self._drop_old_windows()
+        return _json(describe_window(planned))
+
+    async def _drop_old_windows(self) -> None:
+        for name in controller.finished(dict(self.situation().windows), MAX_FINISHED_WINDOWS):
+            known = self._committed_items().items[WINDOW + name]
+            await self._commit([Item(key=known.key, version=known.version + 1, dropped=True)])
+
+    async def _alter_window(self, name: str, alter: Callable[[Window], Window | None]) -> Told:
+        """Applies an operator's change, with retries when the lease holder changed the window first."""
+        for _ in range(MAX_ALTER_ATTEMPTS):
             known = self.situation().windows.get(name)
             if known is None:
                 return Told(404)
             altered = None if known.over() else alter(known)
             if altered is None:
                 return Told(409, f"it is {known.state()}\n".encode())
-            answer = await self._set(altered, self._next(name))
+            answer = await self._commit_window(altered, self._next_version(name))
             if answer.code is Code.DONE:
-                return _json(told(altered))
+                return _json(describe_window(altered))
             if answer.code is not Code.CONFLICT:
-                return _answered(answer.code)
-        return _answered(Code.BUSY)
+                return _commit_failed(answer.code)
+        return _commit_failed(Code.BUSY)
 
 
-def told(each: Window) -> dict[str, Any]:
-    """A window as operators are told it."""
+def describe_window(each: Window) -> dict[str, Any]:
+    """A window as it is shown to operators."""
     steps = [dataclasses.asdict(step) for step in each.steps]
     return {
         "name": each.name,
@@ -312,14 +326,14 @@
 
 
 def _json(what: Any) -> Told:
-    return Told(200, json.dumps(what).encode(), _JSON)
+    return Told(200, json.dumps(what).encode(), _JSON_FIELDS)
 
 
-def _refused(status: int, findings: list[Finding]) -> Told:
+def _rejected(status: int, findings: list[Finding]) -> Told:
     return Told(status, "".join(f"{finding}\n" for finding in findings[:20]).encode())
 
 
-def _answered(code: Code) -> Told:
+def _commit_failed(code: Code) -> Told:
     if code is Code.CONFLICT:
         return Told(409, b"somebody was before you: look again\n")
-    return Told(503, b"no majority answered in time\n", _COME_BACK)
+    return Told(503, b"no majority answered in time\n", _RETRY_AFTER)
--- a/leadrudder/control_plane/operator_api.py
+++ b/leadrudder/control_plane/operator_api.py
@@ -1,4 +1,4 @@
-"""What operators call: one dispatch on method and path segments."""
+"""The operators' HTTP API: one dispatch on method and path segments."""
 
 from __future__ import annotations
 
@@ -19,68 +19,70 @@
 from leadrudder.protocol.mesh_pb2 import Item
 from leadrudder.transport.http import PLAIN_TEXT, Call, Told
 
-CALL_S = 0.95  # operators wait a second, then go to another node
-_JSON = b"Content-Type: application/json\r\n"
-_COME_BACK = b"Retry-After: 0.2\r\n"
+CALL_TIMEOUT_S = 0.95  # clients time out after one second and then try another node
+_JSON_FIELDS = b"Content-Type: application/json\r\n"
+_RETRY_AFTER = b"Retry-After: 0.2\r\n"
 
-Change = Callable[[list[Item]], Awaitable[Answer]]
-Read = Callable[[], Awaitable[Answer]]
-Pack = Callable[[Iterable[Item]], bytes]
+Commit = Callable[[list[Item]], Awaitable[Answer]]
+ReadItems = Callable[[], Awaitable[Answer]]
+PackSnapshot = Callable[[Iterable[Item]], bytes]
 
 
 class OperatorApi:
-    """known: what this process holds of the control state; change and read: through the interlocking.
+    """committed_items: this process's view of the control state.  commit, read_items: through a majority.
 
-    pack: items as a snapshot.  owed: what other holders of seats miss.  core: who holds which seat.  least:
-    the fewest seats that bear the losses that are to be borne.  metrics: this process's figures, as text.
+    pack_snapshot: encodes items as a snapshot.  list_replica_lag: what other replicas are missing.
+    describe_voters: the holder of each voter slot.  min_voters: the fewest voter slots that tolerate the
+    configured number of machine losses.  fallback: handles requests that are not listed here, or returns
+    None.  metrics_text: this process's metrics in text format.
     """
 
     def __init__(
         self,
-        known: Callable[[], Book],
-        change: Change,
-        read: Read,
+        committed_items: Callable[[], Book],
+        commit: Commit,
+        read_items: ReadItems,
         zones: Iterable[str],
         ring: Ring,
-        pack: Pack = lambda items: b"",
-        owed: Callable[[], list[Owed]] = list,
-        core: Callable[[], dict[str, Any]] = dict,
-        least: int = 1,
-        more: Callable[[Call], Awaitable[Told | None]] | None = None,
-        metrics: Callable[[], bytes] = bytes,
+        pack_snapshot: PackSnapshot = lambda items: b"",
+        list_replica_lag: Callable[[], list[Owed]] = list,
+        describe_voters: Callable[[], dict[str, Any]] = dict,
+        min_voters: int = 1,
+        fallback: Callable[[Call], Awaitable[Told | None]] | None = None,
+        metrics_text: Callable[[], bytes] = bytes,
     ) -> None:
-        self._more, self._metrics = more, metrics
-        self._core, self._least = core, least
-        self._pack, self._owed = pack, owed
-        self._known, self._change, self._read = known, change, read
+        self._fallback, self._metrics_text = fallback, metrics_text
+        self._describe_voters, self._min_voters = describe_voters, min_voters
+        self._pack_snapshot, self._list_replica_lag = pack_snapshot, list_replica_lag
+        self._committed_items, self._commit, self._read_items = committed_items, commit, read_items
         self._zones = frozenset(zones)
         self._ring = ring
 
     async def dispatch(self, call: Call) -> Told:
         try:
-            async with asyncio.timeout(CALL_S):
+            async with asyncio.timeout(CALL_TIMEOUT_S):
                 match call.method, call.segments:
                     case "PATCH", ("config",):
-                        return await self._patch(call.body)
+                        return await self._patch_config(call.body)
                     case "GET", ("config",):
-                        return await self._get()
+                        return await self._get_config()
                     case "POST", ("evacuate", zone):
-                        return await self._evacuate(zone, True)
+                        return await self._set_evacuation(zone, True)
                     case "DELETE", ("evacuate", zone):
-                        return await self._evacuate(zone, False)
+                        return await self._set_evacuation(zone, False)
                     case "GET", ("snapshot",):
-                        return await self._snapshot()
+                        return await self._get_snapshot()
                     case "GET", ("repair",):
-                        owed = [dataclasses.asdict(each) for each in self._owed()]
-                        return Told(200, json.dumps(owed).encode(), _JSON)
+                        lags = [dataclasses.asdict(each) for each in self._list_replica_lag()]
+                        return Told(200, json.dumps(lags).encode(), _JSON_FIELDS)
                     case "GET", ("core",):
-                        return Told(200, json.dumps(self._core()).encode(), _JSON)
-                    case "POST", ("core", seats):
-                        return await self._size(seats)
+                        return Told(200, json.dumps(self._describe_voters()).encode(), _JSON_FIELDS)
+                    case "POST", ("core", voters):
+                        return await self._resize_core(voters)
                     case "GET", ("ring",):
                         return Told(200, "\n".join(self._ring.lines()).encode() + b"\n")
                     case "GET", ("metrics",):
-                        return Told(200, self._metrics(), PLAIN_TEXT)
+                        return Told(200, self._metrics_text(), PLAIN_TEXT)
                     case (
                         _,
                         ("config" | "ring" | "metrics" | "snapshot" | "repair" | "core",)
@@ -88,78 +90,79 @@
                     ):
                         return Told(405)
                     case _:
-                        told = await self._more(call) if self._more is not None else None
-                        return told if told is not None else Told(404)
+                        response = await self._fallback(call) if self._fallback is not None else None
+                        return response if response is not None else Told(404)
         except TimeoutError:
-            return Told(503, b"no majority answered in time\n", _COME_BACK)
+            return Told(503, b"no majority answered in time\n", _RETRY_AFTER)
 
-    async def _patch(self, body: bytes) -> Told:
+    async def _patch_config(self, body: bytes) -> Told:
         parsed = validation.parse(body)
         if isinstance(parsed, Failure):
-            return self._refuse(parsed.failure())
+            return self._reject(parsed.failure())
         assert isinstance(parsed, Success)
-        call = parsed.unwrap()
-        findings = validation.against(call, self._known().standing(SERVICE))
+        patch = parsed.unwrap()
+        findings = validation.against(patch, self._committed_items().standing(SERVICE))
         if findings:
-            # What this process knows may be old: a majority knows whether there is such a service.
-            answer = await self._read()
+            # The view of this process may be stale: a majority knows whether the service exists.
+            answer = await self._read_items()
             if answer.code is not Code.DONE:
-                return Told(503, b"no majority answered in time\n", _COME_BACK)
+                return Told(503, b"no majority answered in time\n", _RETRY_AFTER)
             book = Book()
             book.take(answer.items)
-            findings = validation.against(call, book.standing(SERVICE))
+            findings = validation.against(patch, book.standing(SERVICE))
             if findings:
-                return self._refuse(findings)
-        changed = [
+                return self._reject(findings)
+        items = [
             Item(key=c.key, version=c.version, dropped=c.value is None, value=c.value or b"")
-            for c in call.changes
+            for c in patch.changes
         ]
-        answer = await self._change(changed)
+        answer = await self._commit(items)
         if answer.code is Code.DONE:
-            return Told(200, b"{}", _JSON)
+            return Told(200, b"{}", _JSON_FIELDS)
         if answer.code is Code.CONFLICT:
-            self._ring.note(f"409: {[c.key for c in call.changes][:3]}")
+            self._ring.note(f"409: {[c.key for c in patch.changes][:3]}")
             return Told(409, b"an item's version has another value already\n")
-        return Told(503, b"no majority answered in time\n", _COME_BACK)
+        return Told(503, b"no majority answered in time\n", _RETRY_AFTER)
 
-    def _refuse(self, findings: list[validation.Finding]) -> Told:
+    def _reject(self, findings: list[validation.Finding]) -> Told:
         self._ring.note(f"400: {findings[0]}")
         return Told(400, "".join(f"{finding}\n" for finding in findings[:20]).encode())
 
-    async def _get(self) -> Told:
-        answer = await self._read()
+    async def _get_config(self) -> Told:
+        answer = await self._read_items()
         if answer.code is not Code.DONE:
-            return Told(503, b"no majority answered in time\n", _COME_BACK)
+            return Told(503, b"no majority answered in time\n", _RETRY_AFTER)
         book = Book()
         book.take(answer.items)
-        return Told(200, json.dumps(book.laid_out()).encode(), _JSON)
+        return Told(200, json.dumps(book.laid_out()).encode(), _JSON_FIELDS)
 
-    async def _snapshot(self) -> Told:
-        answer = await self._read()
+    async def _get_snapshot(self) -> Told:
+        answer = await self._read_items()
         if answer.code is not Code.DONE:
-            return Told(503, b"no majority answered in time\n", _COME_BACK)
-        return Told(200, self._pack(answer.items), b"Content-Type: application/octet-stream\r\n")
+            return Told(503, b"no majority answered in time\n", _RETRY_AFTER)
+        return Told(200, self._pack_snapshot(answer.items), b"Content-Type: application/octet-stream\r\n")
 
-    async def _evacuate(self, zone: str, on: bool) -> Told:
+    async def _set_evacuation(self, zone: str, on: bool) -> Told:
         if self._zones and zone not in self._zones:
             return Told(404, b"no such zone\n")
-        return await self._order(EVACUATION + zone, b"1" if on else b"0")
+        return await self._commit_next_version(EVACUATION + zone, b"1" if on else b"0")
 
-    async def _size(self, seats: str) -> Told:
-        """How many seats the control state is to have: odd, as one more would bear no more losses."""
-        wanted = int(seats) if seats.isascii() and seats.isdigit() and len(seats) <= 3 else 0
-        if not self._least <= wanted <= SEATS_MOST or wanted % 2 == 0:
-            return Told(400, f"an odd number from {self._least} to {SEATS_MOST} is wanted\n".encode())
-        return await self._order(CORE, b"%d" % wanted)
+    async def _resize_core(self, voters: str) -> Told:
+        """Sets the number of voters: an odd one, as one voter more would tolerate no further loss."""
+        wanted = int(voters) if voters.isascii() and voters.isdigit() and len(voters) <= 3 else 0
+        if not self._min_voters <= wanted <= SEATS_MOST or wanted % 2 == 0:
+            return Told(400, f"an odd number from {self._min_voters} to {SEATS_MOST} is wanted\n".encode())
+        return await self._commit_next_version(CORE, b"%d" % wanted)
 
-    async def _order(self, key: str, value: bytes) -> Told:
-        known = self._known().items.get(key)
+    async def _commit_next_version(self, key: str, value: bytes) -> Told:
+        known = self._committed_items().items.get(key)
         while True:
-            # Orders have no version: each counts on from the one before, so a late one finds it has moved on.
+            # These requests carry no version of their own: each takes the one after the latest, so that a
+            # request that was overtaken gets a conflict.
             version = 1 if known is None else known.version + (known.value != value)
-            answer = await self._change([Item(key=key, version=version, value=value)])
+            answer = await self._commit([Item(key=key, version=version, value=value)])
             if answer.code is Code.DONE:
                 return Told(200)
             if answer.code is not Code.CONFLICT:
-                return Told(503, b"no majority answered in time\n", _COME_BACK)
+                return Told(503, b"no majority answered in time\n", _RETRY_AFTER)
             known = next((item for item in answer.items if item.key == key), None)
--- a/leadrudder/control_plane/program.py
+++ b/leadrudder/control_plane/program.py
@@ -1,4 +1,4 @@
-"""A signalbox: links, sessions, the disk and the operators' calls around the machines that decide."""
+"""A control-plane node: links, sessions, disk and operator requests around the state machine that decides."""
 
 from __future__ import annotations
 
@@ -36,16 +36,16 @@
     from leadrudder.control_plane.maintenance import MaintenanceCoordinator
 
 TICK_S = 0.1
-OPEN_TRIES = 50  # of a disk that refuses, before the program ends
-OPEN_AGAIN_S = 0.2
-DIAL_S = 0.25  # between tries to reach another signalbox
-SETTLED_S = 4.0  # after which our list of members is whole
-LEAVE_S = 0.6  # for what is under way when this process gives up what it owns
-LEAVE_LATEST_S = 1.5  # before the grace is over it ends in any case
+DISK_OPEN_ATTEMPTS = 50  # of a disk that reports errors, before the program exits
+DISK_OPEN_RETRY_S = 0.2
+REDIAL_PERIOD_S = 0.25  # between attempts to connect to another control-plane node
+MEMBERS_COMPLETE_AFTER_S = 4.0  # of contact with a majority, after which the list of members is complete
+HANDOVER_S = 0.6  # for requests in progress when this process hands over the sections it owns
+EXIT_MARGIN_S = 1.5  # before the end of the grace period, by which the process has exited in any case
 
 
 class ControlPlaneNode:
-    """The program.  One event loop, one thread for the disk."""
+    """The control-plane process: one event loop, and one thread for disk writes."""
 
     def __init__(
         self,
@@ -58,364 +58,377 @@
         store: Store | None = None,
         monotonic: Callable[[], float] | None = None,
     ) -> None:
-        """maintenance_enabled: maintenance windows are on.  The others are the simulation's."""
+        """maintenance_enabled: whether maintenance windows are carried out.  The rest is for simulation."""
         self.settings = settings
-        self._maintenance_enabled, self._wall, self._make_writer = maintenance_enabled, wall, writer
+        self._maintenance_enabled, self._wall, self._writer_factory = maintenance_enabled, wall, writer
         self._rng = rng or Random()
         self._maintenance: MaintenanceCoordinator | None = None
         self.address = f"{settings.ip}:{settings.signal_port}"
         self.ring = Ring(settings.name)
         self.invariants = Invariants(self.ring.wrong)
-        self._lag = LoopLag(time.monotonic if monotonic is None else monotonic)
+        self._loop_lag = LoopLag(time.monotonic if monotonic is None else monotonic)
         self._loop = asyncio.get_running_loop()
         self._store: Store = store or (
             DumbStore(settings.data_folder) if settings.data_folder else MemoryStore()
         )
-        self._register = Register(self.address)
-        self._links: dict[str, list[Link]] = {}  # to other signalboxes, the newest last
+        self._registry = Register(self.address)
+        self._links: dict[str, list[Link]] = {}  # by peer address, the newest last
         self._feeds = SessionFeeds(
-            lambda key: self._known().items.get(key), self._register.nodes.get, self.invariants
+            lambda key: self._committed_items().items.get(key), self._registry.nodes.get, self.invariants
         )
-        self._others: dict[str, None] = dict.fromkeys(a for a in settings.seed_links if a != self.address)
-        self._dialling: set[str] = set()
-        self._waiting: dict[int, asyncio.Future[Answer]] = {}
-        self._last = 0
-        self._leave_by = float("inf")  # SIGTERM has come: when we end at the latest
-        self._settled_at = float("inf")
-        self._done = asyncio.Event()
+        self._peer_addresses: dict[str, None] = dict.fromkeys(
+            a for a in settings.seed_links if a != self.address
+        )
+        self._dialing: set[str] = set()
+        self._pending_requests: dict[int, asyncio.Future[Answer]] = {}
+        self._last_request_id = 0
+        self._resign_by = float("inf")  # after SIGTERM: when to resign at the latest
+        self._members_complete_at = float("inf")
+        self._stopped = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        kept = await self._open()
-        spoilt = getattr(self._store, "spoilt", "")
-        if spoilt:
-            self.ring.wrong(f"disk spoilt, counts as lost: {spoilt}")
-        self.ring.say(f"starts with {len(kept)} records, first run: {self.settings.first_run}")
-        self._writer = self._make_writer(self._store, self.ring.wrong)
+        records = await self._open_store()
+        corruption = getattr(self._store, "spoilt", "")
+        if corruption:
+            self.ring.wrong(f"disk is corrupt and treated as lost: {corruption}")
+        self.ring.say(f"starting with {len(records)} records, first run: {self.settings.first_run}")
+        self._writer = self._writer_factory(self._store, self.ring.wrong)
         self.state_machine = Interlocking(
             self.address,
             self.settings.zone,
-            first_run=self.settings.first_run and not spoilt,
+            first_run=self.settings.first_run and not corruption,
             seeds=self.settings.seed_links,
             losses=self.settings.losses,
             rng=self._rng,
-            kept=kept,
+            kept=records,
             duties=(*DUTIES, POSSESSION) if self._maintenance_enabled else DUTIES,
         )
         if self._maintenance_enabled:
             from leadrudder.control_plane.maintenance import MaintenanceCoordinator
 
             self._maintenance = MaintenanceCoordinator(
-                self._known, self._register.members, self._change, self.ring, self._wall, self._loop.time
+                self._committed_items,
+                self._registry.members,
+                self._commit,
+                self.ring,
+                self._wall,
+                self._loop.time,
             )
-        operator = OperatorApi(
-            self._known,
-            self._change,
-            self._read,
+        operator_api = OperatorApi(
+            self._committed_items,
+            self._commit,
+            self._read_items,
             (),
             self.ring,
-            self._pack,
+            self._pack_snapshot,
             self.state_machine.repair.owed,
             self.state_machine.told_core,
             2 * self.settings.losses + 1,
             self._maintenance.dispatch if self._maintenance is not None else None,
             self._metrics().text,
         )
-        self._control = ControlServer(operator.dispatch, lambda e: self.ring.wrong(f"fault: {e!r}"))
+        self._api_server = ControlServer(
+            operator_api.dispatch,
+            lambda e: self.ring.wrong(f"unhandled exception in an operator request: {e!r}"),
+        )
         host, port = self.address.rsplit(":", 1)
         self._listener = await self._loop.create_server(
             lambda: Link(self), host, int(port), family=socket.AF_INET, backlog=512
         )
         if self.settings.control is not None:
-            await self._control.listen(self.settings.control)
+            await self._api_server.listen(self.settings.control)
         self._tick()
-        self._dial_all()
+        self._dial_missing_peers()
 
     def _metrics(self) -> Metrics:
         metrics = Metrics()
-        interlocking, feeds = self.state_machine, self._feeds
+        state_machine, feeds = self.state_machine, self._feeds
         metrics.add("sessions", lambda: len(feeds))
-        metrics.add("members", lambda: len(self._register.members()))
-        metrics.add("items", lambda: len(interlocking.book.items))
-        metrics.add("items_unsettled", lambda: len(interlocking.unsettled))
-        metrics.add("operator_calls_open", lambda: len(self._waiting))
-        metrics.add("news_merged_total", lambda: feeds.merged)
+        metrics.add("members", lambda: len(self._registry.members()))
+        metrics.add("items", lambda: len(state_machine.book.items))
+        metrics.add("items_unsettled", lambda: len(state_machine.unsettled))
+        metrics.add("operator_calls_open", lambda: len(self._pending_requests))
+        metrics.add("news_merged_total", lambda: feeds.deferred_updates)
         metrics.add("session_unsent_bytes", feeds.max_unsent_bytes)
-        metrics.add("loop_lag_seconds", self._lag.seconds)
-        metrics.add("loop_lag_highest_seconds", lambda: self._lag.highest_s)
+        metrics.add("loop_lag_seconds", self._loop_lag.seconds)
+        metrics.add("loop_lag_highest_seconds", lambda: self._loop_lag.highest_s)
         metrics.add("process_cpu_seconds_total", time.process_time)
         metrics.add_labelled("invariant_violations_total", "name", lambda: self.invariants.violations)
         return metrics
 
-    async def _open(self) -> dict[str, bytes]:
-        """What the disk holds; one that refuses is tried again for a while."""
-        for _ in range(OPEN_TRIES):
+    async def _open_store(self) -> dict[str, bytes]:
+        """Reads all records from the disk, with retries when it reports errors."""
+        for _ in range(DISK_OPEN_ATTEMPTS):
             try:
                 return self._store.open()
             except DiskError as error:
-                self.ring.note(f"disk cannot be read: {error}")
-                await asyncio.sleep(OPEN_AGAIN_S)
+                self.ring.note(f"disk cannot be read, retrying: {error}")
+                await asyncio.sleep(DISK_OPEN_RETRY_S)
         return self._store.open()
 
     async def run(self) -> None:
         await self.start()
         self._loop.add_signal_handler(signal.SIGTERM, self.terminate)
         self._loop.add_signal_handler(signal.SIGHUP, lambda: None)
-        await self._done.wait()
+        await self._stopped.wait()
         self._writer.stop(0.5)
 
-    # ------------------------------------------------------------ the machines' outputs
+    # ------------------------------------------------------------ outputs of the state machine
 
-    def _carry_out(self, outputs: list[Output]) -> None:
+    def _apply_outputs(self, outputs: list[Output]) -> None:
         for output in outputs:
             if isinstance(output, Send):
-                self._send(output)
+                self._send_to_peer(output)
             elif isinstance(output, Write):
-                self._write(output)
+                self._write_records(output)
             elif isinstance(output, Stands):
                 self._feeds.publish_items(output.items)
             elif isinstance(output, Answer):
-                future = self._waiting.pop(output.number, None)
+                future = self._pending_requests.pop(output.number, None)
                 if future is not None and not future.done():
                     future.set_result(output)
             elif isinstance(output, Note):
                 self.ring.note(output.text)
 
-    def _send(self, output: Send) -> None:
+    def _send_to_peer(self, output: Send) -> None:
         if output.to == self.address:
-            self._carry_out(self.state_machine.frame(self.address, output.frame, self._loop.time()))
+            self._apply_outputs(self.state_machine.frame(self.address, output.frame, self._loop.time()))
             return
         if output.frame.WhichOneof("body") == "digest":
-            output.frame.digest.members = self._register.digest
+            output.frame.digest.members = self._registry.digest
             if self._maintenance is not None:
                 output.frame.digest.wall = self._wall()
         for link in reversed(self._links.get(output.to, [])):
             if link.send(output.frame):
                 return
 
-    def _write(self, output: Write) -> None:
-        def done() -> None:
+    def _write_records(self, output: Write) -> None:
+        def on_synced() -> None:
             for send in output.then:
-                self._send(send)
+                self._send_to_peer(send)
 
         if output.records:
-            self._writer.put(output.records, done)
+            self._writer.put(output.records, on_synced)
         else:
-            self._writer.after(done)
+            self._writer.after(on_synced)
 
     # ------------------------------------------------------------ links
 
     def on_up(self, link: Link) -> None:
-        if link.peer:  # one that we dialled
-            self._add(link.peer, link)
+        if link.peer:  # an outgoing link
+            self._add_link(link.peer, link)
 
     def on_frame(self, link: Link, frame: Frame) -> None:
         now = self._loop.time()
         kind = frame.WhichOneof("body")
         if kind == "hello":
-            self._hello(link, frame.hello)
+            self._on_hello(link, frame.hello)
             return
         if kind == "subscribe":
-            self._feeds.subscribe(link, frozenset(frame.subscribe.services), self._register.members())
+            self._feeds.subscribe(link, frozenset(frame.subscribe.services), self._registry.members())
             return
         if kind == "members":
-            self._tell(self._register.take(frame.members.nodes))
+            self._broadcast_members(self._registry.take(frame.members.nodes))
             return
         if kind == "greeting":
             if not link.peer:
                 link.peer = frame.greeting.address
-                self._add(link.peer, link)
-            self._others.setdefault(link.peer)
-            for seat in frame.greeting.seats:
-                if seat.holder != self.address:
-                    self._others.setdefault(seat.holder)
+                self._add_link(link.peer, link)
+            self._peer_addresses.setdefault(link.peer)
+            for slot in frame.greeting.seats:
+                if slot.holder != self.address:
+                    self._peer_addresses.setdefault(slot.holder)
         if not link.peer:
             return
         if kind == "digest" and frame.digest.wall and self._maintenance is not None:
-            self._maintenance.clocks[link.peer] = frame.digest.wall - now
-        if kind == "digest" and frame.digest.members != self._register.digest:
-            link.send(Frame(members=wire.Members(nodes=self._register.nodes.values())))
-        self._carry_out(self.state_machine.frame(link.peer, frame, now))
+            self._maintenance.peer_clock_offsets_s[link.peer] = frame.digest.wall - now
+        if kind == "digest" and frame.digest.members != self._registry.digest:
+            link.send(Frame(members=wire.Members(nodes=self._registry.nodes.values())))
+        self._apply_outputs(self.state_machine.frame(link.peer, frame, now))
 
-    def _add(self, peer: str, link: Link) -> None:
+    def _add_link(self, peer: str, link: Link) -> None:
         self._links.setdefault(peer, []).append(link)
         now = self._loop.time()
-        self._register.signalbox(peer, True, now)
-        link.send(Frame(members=wire.Members(nodes=self._register.nodes.values())))
-        self._carry_out(self.state_machine.up(peer, now))
+        self._registry.signalbox(peer, True, now)
+        link.send(Frame(members=wire.Members(nodes=self._registry.nodes.values())))
+        self._apply_outputs(self.state_machine.up(peer, now))
 
     def on_down(self, link: Link) -> None:
         now = self._loop.time()
-        station = self._feeds.remove(link)
-        if station is not None:
-            self._register.ended(station, now)
+        node_name = self._feeds.remove_session(link)
+        if node_name is not None:
+            self._registry.ended(node_name, now)
         links = self._links.get(link.peer, [])
         if link in links:
             links.remove(link)
             if not links:
                 del self._links[link.peer]
-                self._register.signalbox(link.peer, False, now)
+                self._registry.signalbox(link.peer, False, now)
                 if self._maintenance is not None:
-                    self._maintenance.clocks.pop(link.peer, None)
-                self._carry_out(self.state_machine.down(link.peer, now))
-
-    def _dial_all(self) -> None:
-        if self._done.is_set():
-            return  # a dial begun now would outlive the event loop
-        self._loop.call_later(DIAL_S, self._dial_all)
-        seats = self.state_machine.seats.holders()
-        for address in [a for a in {**self._others, **dict.fromkeys(seats)} if a != self.address]:
-            if address not in self._links and address not in self._dialling:
-                self._dialling.add(address)
-                task = self._loop.create_task(self._dial(address))
+                    self._maintenance.peer_clock_offsets_s.pop(link.peer, None)
+                self._apply_outputs(self.state_machine.down(link.peer, now))
+
+    def _dial_missing_peers(self) -> None:
+        if self._stopped.is_set():
+            return  # a connection attempt started now would outlive the event loop
+        self._loop.call_later(REDIAL_PERIOD_S, self._dial_missing_peers)
+        slots = self.state_machine.seats.holders()
+        for address in [a for a in {**self._peer_addresses, **dict.fromkeys(slots)} if a != self.address]:
+            if address not in self._links and address not in self._dialing:
+                self._dialing.add(address)
+                task = self._loop.create_task(self._dial_peer(address))
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
-        if len(self._others) > 64:  # replaced ones are known by their seats no more
-            for address in [a for a in self._others if a not in self._links and a not in seats][:16]:
-                del self._others[address]
+        if len(self._peer_addresses) > 64:  # addresses of replaced nodes no longer hold a voter slot
+            for address in [a for a in self._peer_addresses if a not in self._links and a not in slots][:16]:
+                del self._peer_addresses[address]
 
-    async def _dial(self, address: str) -> None:
+    async def _dial_peer(self, address: str) -> None:
         try:
             await dial(address, lambda: Link(self, peer=address))
         finally:
-            self._dialling.discard(address)
+            self._dialing.discard(address)
 
     # ------------------------------------------------------------ sessions
 
-    def _hello(self, link: Link, hello: wire.Hello) -> None:
-        """A station reports; without fresh contact with a majority it is sent elsewhere.
-
-        What we know may be old then.
+    def _on_hello(self, link: Link, hello: wire.Hello) -> None:
+        """Handles a data-plane node's report; a new session begins with the whole state.
 
-        One of another zone is sent to a signalbox there, if there is one: bytes between zones are dear.
+        Without recent contact with a majority the link is closed, as the state here may be stale; the node
+        then connects elsewhere. A node of another zone is redirected to a control-plane node of its own zone,
+        if there is one, because traffic between zones is expensive.
         """
         node = hello.node
         new = link not in self._feeds
-        if not self._serves(new) or self._leaving():
+        if not self._can_serve(new) or self._is_stopping():
             link.cut()
             return
-        if new and hello.movable and (near := self._near(node.zone)):
+        if new and hello.movable and (near := self._peers_in_zone(node.zone)):
             link.send(Frame(news=wire.News(near=near)))
             return
         if new:
-            self._feeds.add(link, node.name)
-        self._tell(self._register.hello(node), but=None if new else link)
+            self._feeds.add_session(link, node.name)
+        self._broadcast_members(self._registry.hello(node), except_link=None if new else link)
         if new:
-            settled = self._loop.time() >= self._settled_at
+            members_complete = self._loop.time() >= self._members_complete_at
             news = wire.News(
                 items=self.state_machine.standing.items.values(),
-                nodes=map(zone_relays.bare, self._register.members()),
-                whole=settled,
-                signalboxes=self._signalboxes(),
+                nodes=map(zone_relays.bare, self._registry.members()),
+                whole=members_complete,
+                signalboxes=self._connected_addresses(),
             )
-            self._feeds.begin(link, news)
+            self._feeds.send_initial_state(link, news)
 
-    def _near(self, zone: str) -> list[str]:
-        """Other signalboxes of a zone that take sessions, as far as we know; none if it is ours."""
+    def _peers_in_zone(self, zone: str) -> list[str]:
+        """Other control-plane nodes of a zone that seem to accept sessions; none for this node's zone."""
         if zone == self.settings.zone:
             return []
         peers = self.state_machine.peers.values()
         return [p.address for p in peers if p.zone == zone and p.up and p.full and not p.resigned]
 
-    def _signalboxes(self) -> list[str]:
+    def _connected_addresses(self) -> list[str]:
         return [self.address, *self._links]
 
-    def _tell(self, nodes: list[Node], but: Link | None = None) -> None:
-        """Entries that are new go to the other signalboxes and to our stations."""
+    def _broadcast_members(self, nodes: list[Node], except_link: Link | None = None) -> None:
+        """Sends updated member entries to the other control-plane nodes and to this node's sessions."""
         if not nodes:
             return
         members = Frame(members=wire.Members(nodes=nodes))
         for links in self._links.values():
             links[-1].send(members)
-        self._feeds.publish_members(nodes, but)
+        self._feeds.publish_members(nodes, except_link)
         self._feeds.publish_servers(nodes)
 
-    def _serves(self, new: bool) -> bool:
-        """Whether a station may be told what we know; new: it has no session here yet."""
+    def _can_serve(self, new_session: bool) -> bool:
+        """Whether the state here is fresh enough to be served.  new_session: there is no session yet."""
         contact, now = self.state_machine.contact, self._loop.time()
-        in_contact = contact.fresh(now) if new else not contact.lost(now)
+        in_contact = contact.fresh(now) if new_session else not contact.lost(now)
         return in_contact and self.state_machine.owner.complete()
 
-    def _leaving(self) -> bool:
-        return self._done.is_set() or self.state_machine.resigned
+    def _is_stopping(self) -> bool:
+        return self._stopped.is_set() or self.state_machine.resigned
 
     def _tick(self) -> None:
-        self._loop.call_later(TICK_S, self._tick)  # first: a fault below must not end it
+        self._loop.call_later(TICK_S, self._tick)  # first, so that an exception below does not stop the timer
         now = self._loop.time()
         if self.state_machine.has_majority():
-            self._settled_at = min(self._settled_at, now + SETTLED_S)
-        self._carry_out(self.state_machine.tick(now))
-        self._leave_when_safe(now)
-        self._tell(self._register.tick(now, self.state_machine.leases.holds(SWEEP, now)))
-        self._register.forget()
+            self._members_complete_at = min(self._members_complete_at, now + MEMBERS_COMPLETE_AFTER_S)
+        self._apply_outputs(self.state_machine.tick(now))
+        self._resign_when_safe(now)
+        self._broadcast_members(self._registry.tick(now, self.state_machine.leases.holds(SWEEP, now)))
+        self._registry.forget()
         self._feeds.flush_pending()
         if self._maintenance is not None:
             self._maintenance.tick(self.state_machine.leases.holds(POSSESSION, now))
         if self.state_machine.contact.lost(now):
-            self._settled_at = float("inf")
+            self._members_complete_at = float("inf")
             for link in self._feeds.links():
                 link.cut()
 
     # ------------------------------------------------------------ operators
 
-    def _known(self) -> Book:
+    def _committed_items(self) -> Book:
         return self.state_machine.standing
 
-    def _pack(self, items: Iterable[Item]) -> bytes:
-        seats = [(i, seat.holder, seat.incarnation) for i, seat in self.state_machine.seats.table.items()]
-        return snapshot.pack(items, seats, self.state_machine.promised, self._wall())
+    def _pack_snapshot(self, items: Iterable[Item]) -> bytes:
+        slots = [(i, slot.holder, slot.incarnation) for i, slot in self.state_machine.seats.table.items()]
+        return snapshot.pack(items, slots, self.state_machine.promised, self._wall())
 
-    async def _change(self, items: list[Item]) -> Answer:
-        number, future = self._ask()
-        self._carry_out(self.state_machine.change(number, items, self._loop.time()))
-        return await self._answer(number, future)
+    async def _commit(self, items: list[Item]) -> Answer:
+        number, future = self._new_request()
+        self._apply_outputs(self.state_machine.change(number, items, self._loop.time()))
+        return await self._wait_for_answer(number, future)
 
-    async def _read(self) -> Answer:
-        number, future = self._ask()
-        self._carry_out(self.state_machine.read(number, self._loop.time()))
-        return await self._answer(number, future)
+    async def _read_items(self) -> Answer:
+        number, future = self._new_request()
+        self._apply_outputs(self.state_machine.read(number, self._loop.time()))
+        return await self._wait_for_answer(number, future)
 
-    def _ask(self) -> tuple[int, asyncio.Future[Answer]]:
-        self._last += 1
+    def _new_request(self) -> tuple[int, asyncio.Future[Answer]]:
+        self._last_request_id += 1
         future: asyncio.Future[Answer] = self._loop.create_future()
-        self._waiting[self._last] = future
-        return self._last, future
+        self._pending_requests[self._last_request_id] = future
+        return self._last_request_id, future
 
-    async def _answer(self, number: int, future: asyncio.Future[Answer]) -> Answer:
+    async def _wait_for_answer(self, number: int, future: asyncio.Future[Answer]) -> Answer:
         try:
             return await future
         finally:
-            self._waiting.pop(number, None)
+            self._pending_requests.pop(number, None)
 
-    # ------------------------------------------------------------ the end
+    # ------------------------------------------------------------ shutdown
 
     def terminate(self) -> None:
-        """SIGTERM: as soon as the others can do without us, hand over and end."""
-        if self._leave_by < float("inf"):
+        """Handles SIGTERM: hands over and exits as soon as the remaining voters no longer need this node."""
+        if self._resign_by < float("inf"):
             return
-        self.ring.say("told to end")
+        self.ring.say("received SIGTERM")
         now = self._loop.time()
-        self._leave_by = now + max(0.0, self.settings.bounds.grace / 1000.0 - LEAVE_LATEST_S - LEAVE_S)
-        self._leave_when_safe(now)
+        self._resign_by = now + max(0.0, self.settings.bounds.grace / 1000.0 - EXIT_MARGIN_S - HANDOVER_S)
+        self._resign_when_safe(now)
 
-    def _leave_when_safe(self, now: float) -> None:
-        """Stay, and serve on, while a majority needs what we hold: a member that is being filled, say."""
-        if self._leave_by == float("inf") or self._leaving():
+    def _resign_when_safe(self, now: float) -> None:
+        """Resigns unless a majority still needs this node's data, e.g. while another voter is being filled.
+
+        Until then the node keeps serving, but not past the deadline.
+        """
+        if self._resign_by == float("inf") or self._is_stopping():
             return
-        if not self.state_machine.may_leave() and now < self._leave_by:
+        if not self.state_machine.may_leave() and now < self._resign_by:
             return
-        self.ring.say("ends: hands over what it owns")
-        self._control.closing = True
-        self._carry_out(self.state_machine.resign(now))
+        self.ring.say("shutting down: handing over owned sections")
+        self._api_server.closing = True
+        self._apply_outputs(self.state_machine.resign(now))
         for link in self._feeds.links():
             link.close()
-        self._loop.call_later(LEAVE_S, self._leave)
+        self._loop.call_later(HANDOVER_S, self._shut_down)
 
-    def _leave(self) -> None:
-        self._control.close()
+    def _shut_down(self) -> None:
+        self._api_server.close()
         self._listener.close()
         for links in list(self._links.values()):
             for link in list(links):
                 with contextlib.suppress(OSError):
                     link.close()
-        self._done.set()
+        self._stopped.set()
--- a/tests/mesh/test_control.py
+++ b/tests/mesh/test_control.py
@@ -1,4 +1,4 @@
-"""Settings, the register, the ring, and what servers and operators call."""
+"""Settings, the member registry, the log buffer, and the APIs for servers and operators."""
 
 from __future__ import annotations
 
@@ -37,11 +37,11 @@
 }
 
 
-def told(work: Coroutine[Any, Any, Told]) -> Told:
+def run(work: Coroutine[Any, Any, Told]) -> Told:
     return asyncio.run(work)
 
 
-class Settings(unittest.TestCase):
+class SettingsTest(unittest.TestCase):
     def test_unknown_fields_are_skipped(self) -> None:
         settings = read(FILE)
         assert isinstance(settings, Success)
@@ -49,7 +49,7 @@
         self.assertEqual((found.bounds.drain, found.bounds.retry_ratio, found.losses), (2500.0, 0.2, 2))
         self.assertEqual(found.seed_links, ("10.1.0.12:7620",))
 
-    def test_a_wrong_field_is_named_in_one_line(self) -> None:
+    def test_invalid_field_is_named_in_one_line(self) -> None:
         for change, name in (
             ({"ip": None}, "ip"),
             ({"sparePorts": [9]}, "sparePorts"),
@@ -65,10 +65,10 @@
                 self.assertNotIn("\n", failed.failure())
 
 
-class Start(unittest.TestCase):
-    def test_settings_that_cannot_be_used_end_the_program_with_one_line(self) -> None:
-        async def serve(settings: object, told: object) -> None:
-            raise AssertionError("it must not be started")
+class StartTest(unittest.TestCase):
+    def test_unusable_settings_end_the_program_with_one_line(self) -> None:
+        async def serve(settings: object, arguments: object) -> None:
+            raise AssertionError("the program must not be started")
 
         with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
             file.write("nodeName = 3\n")
@@ -78,53 +78,53 @@
                 (file.name, "nodeName"),
                 (file.name + ".none", "No such file"),
             ):
-                told = io.StringIO()
+                stderr = io.StringIO()
                 environment = {"LEADRUDDER_NODE_FILE": path}
-                with self.subTest(word), mock.patch.dict("os.environ", environment), redirect_stderr(told):
+                with self.subTest(word), mock.patch.dict("os.environ", environment), redirect_stderr(stderr):
                     self.assertEqual(start("p", "plane", serve, arguments=[]), 2)
-                    self.assertIn(word, told.getvalue())
-                    self.assertEqual(told.getvalue().count("\n"), 1)
+                    self.assertIn(word, stderr.getvalue())
+                    self.assertEqual(stderr.getvalue().count("\n"), 1)
 
 
-class TheRegister(unittest.TestCase):
-    def test_members_with_each_others_numbers_have_another_digest(self) -> None:
-        # Sums of a CRC are alike for these two, so nobody would have told the other.
+class MemberRegistryTest(unittest.TestCase):
+    def test_swapped_numbers_give_another_digest(self) -> None:
+        # Sums of CRCs are equal for these two, so that the difference would never have been sent to a peer.
         digests = set()
         for one, two in ((1, 2), (2, 1)):
-            register = Register("a")
-            register.take([Node(name="s1", life=7, number=one), Node(name="s2", life=7, number=two)])
-            digests.add(register.digest)
+            registry = Register("a")
+            registry.take([Node(name="s1", life=7, number=one), Node(name="s2", life=7, number=two)])
+            digests.add(registry.digest)
         self.assertEqual(len(digests), 2)
         many = Register("a")
         many.take(Node(name=f"side-{i}", life=7, number=1) for i in range(12))
         self.assertNotEqual(many.digest, 0)
 
-    def test_a_station_that_finds_another_signalbox_stays_a_member(self) -> None:
-        register = Register("a")
-        register.hello(Node(name="s", life=1, number=1))
-        register.ended("s", 10.0)
-        register.take([Node(name="s", life=1, number=2, holder="b")])
-        self.assertEqual(register.tick(10.0 + MOVE_S, True), [])
-        self.assertEqual(len(register.members()), 1)
-
-    def test_one_whose_session_ended_is_told_as_gone_and_its_old_news_changes_nothing(self) -> None:
-        register = Register("a")
-        register.hello(Node(name="s", life=1, number=1))
-        register.ended("s", 10.0)
-        self.assertEqual(register.tick(10.0 + MOVE_S / 2, True), [])
-        (gone,) = register.tick(10.0 + MOVE_S, True)
+    def test_node_that_reconnects_elsewhere_stays_a_member(self) -> None:
+        registry = Register("a")
+        registry.hello(Node(name="s", life=1, number=1))
+        registry.ended("s", 10.0)
+        registry.take([Node(name="s", life=1, number=2, holder="b")])
+        self.assertEqual(registry.tick(10.0 + MOVE_S, True), [])
+        self.assertEqual(len(registry.members()), 1)
+
+    def test_node_without_session_is_gone_and_stale_entries_are_ignored(self) -> None:
+        registry = Register("a")
+        registry.hello(Node(name="s", life=1, number=1))
+        registry.ended("s", 10.0)
+        self.assertEqual(registry.tick(10.0 + MOVE_S / 2, True), [])
+        (gone,) = registry.tick(10.0 + MOVE_S, True)
         self.assertTrue(gone.gone)
-        self.assertEqual(register.take([Node(name="s", life=1, number=1)]), [])
-        self.assertEqual(len(register.take([Node(name="s", life=2, number=1)])), 1)
+        self.assertEqual(registry.take([Node(name="s", life=1, number=1)]), [])
+        self.assertEqual(len(registry.take([Node(name="s", life=2, number=1)])), 1)
 
-    def test_members_of_a_lost_signalbox_go_only_with_a_majority(self) -> None:
-        register = Register("a")
-        register.take([Node(name="s", life=1, number=1, holder="b")])
-        register.signalbox("b", False, 0.0)
-        self.assertEqual(register.tick(ORPHAN_S, False), [])
-        self.assertEqual([n.name for n in register.tick(ORPHAN_S, True)], ["s"])
+    def test_members_of_a_lost_control_plane_node_expire_only_with_a_majority(self) -> None:
+        registry = Register("a")
+        registry.take([Node(name="s", life=1, number=1, holder="b")])
+        registry.signalbox("b", False, 0.0)
+        self.assertEqual(registry.tick(ORPHAN_S, False), [])
+        self.assertEqual([n.name for n in registry.tick(ORPHAN_S, True)], ["s"])
 
-    def test_equal_registers_have_equal_digests(self) -> None:
+    def test_equal_registries_have_equal_digests(self) -> None:
         nodes = [Node(name=f"s{i}", life=i, number=1) for i in range(5)]
         one, other = Register("a"), Register("b")
         one.take(nodes)
@@ -133,7 +133,7 @@
         self.assertEqual(one.digest, other.digest)
 
 
-class Calls(unittest.TestCase):
+class ApiTest(unittest.TestCase):
     def setUp(self) -> None:
         self.book = Book()
         self.changes: list[list[Item]] = []
@@ -147,10 +147,10 @@
         return Answer(0, Code.DONE, tuple(self.book.items.values()))
 
     def call(self, method: str, *segments: str, body: bytes = b"") -> Told:
-        operator = OperatorApi(lambda: self.book, self._change, self._read, ("z",), Ring("r"))
-        return told(operator.dispatch(Call(method, segments, body)))
+        api = OperatorApi(lambda: self.book, self._change, self._read, ("z",), Ring("r"))
+        return run(api.dispatch(Call(method, segments, body)))
 
-    def test_what_is_no_call_gets_a_clear_answer(self) -> None:
+    def test_unknown_paths_methods_and_bodies_are_rejected(self) -> None:
         for status, call in (
             (404, ("GET", "nothing")),
             (404, ("GET",)),
@@ -163,19 +163,19 @@
         self.assertEqual(self.call("PATCH", "config", body=b"{").status, 400)
         self.assertEqual(self.changes, [])
 
-    def test_answers_follow_what_became_of_the_change(self) -> None:
+    def test_status_follows_the_result_of_the_change(self) -> None:
         for code, status in ((Code.DONE, 200), (Code.CONFLICT, 409), (Code.BUSY, 503)):
             with self.subTest(code):
                 self.answers = [Answer(0, code)]
                 self.assertEqual(self.call("PATCH", "config", body=b'{"addOrReplace":{}}').status, status)
 
-    def test_an_evacuation_counts_on_from_what_stands(self) -> None:
-        standing = Item(key="evacuations/z", version=4, value=b"0")
-        self.answers = [Answer(0, Code.CONFLICT, (standing,)), Answer(0, Code.DONE)]
+    def test_evacuation_takes_the_version_after_the_committed_one(self) -> None:
+        committed = Item(key="evacuations/z", version=4, value=b"0")
+        self.answers = [Answer(0, Code.CONFLICT, (committed,)), Answer(0, Code.DONE)]
         self.assertEqual(self.call("POST", "evacuate", "z").status, 200)
         self.assertEqual([(i.version, i.value) for (i,) in self.changes], [(1, b"1"), (5, b"1")])
 
-    def test_what_is_read_back_is_what_was_sent(self) -> None:
+    def test_config_reads_back_as_it_was_written(self) -> None:
         self.book.take(
             [
                 Item(key="routes/r", version=2, value=b'{"host":"h"}'),
@@ -190,25 +190,25 @@
             {"routes": {"r": {"host": "h"}}, "services": {}, "limits": {"idle": "5s"}},
         )
 
-    def test_beats(self) -> None:
+    def test_heartbeats(self) -> None:
         beats: list[Beat] = []
         left: list[str] = []
-        server = Beats(beats.append, left.append, lambda: False)
+        api = Beats(beats.append, left.append, lambda: False)
         body = {
             "address": "10.1.0.8:8301",
             "details": {"service": "s", "version": "v1", "zone": "z", "capacity": 9},
             "status": {"state": "draining", "callCount": 4, "coldLeft": "1.5s"},
         }
         put = Call("PUT", ("servers", "i-1"), json.dumps(body).encode())
-        self.assertEqual(told(server.dispatch(put)).status, 200)
+        self.assertEqual(run(api.dispatch(put)).status, 200)
         self.assertEqual(beats, [Beat("i-1", "s", "z", 9, True, 4, 1500.0)])
-        self.assertEqual(told(server.dispatch(Call("PUT", ("servers", "i-1"), b"x"))).status, 400)
-        self.assertEqual(told(server.dispatch(Call("PUT", ("servers", "i-1"), b"x" * 5000))).status, 413)
-        self.assertEqual(told(server.dispatch(Call("DELETE", ("servers", "i-1"), b""))).status, 200)
+        self.assertEqual(run(api.dispatch(Call("PUT", ("servers", "i-1"), b"x"))).status, 400)
+        self.assertEqual(run(api.dispatch(Call("PUT", ("servers", "i-1"), b"x" * 5000))).status, 413)
+        self.assertEqual(run(api.dispatch(Call("DELETE", ("servers", "i-1"), b""))).status, 200)
         self.assertEqual(left, ["i-1"])
-        self.assertEqual(told(server.dispatch(Call("GET", ("ready",), b""))).status, 503)
+        self.assertEqual(run(api.dispatch(Call("GET", ("ready",), b""))).status, 503)
 
-    def test_the_ring_is_bounded(self) -> None:
+    def test_log_buffer_is_bounded(self) -> None:
         ring = Ring("r", now=lambda: 0.0)
         for i in range(LINES + 50):
             ring.note(str(i))
--- a/tests/mesh/test_graceful_shutdown.py
+++ b/tests/mesh/test_graceful_shutdown.py
@@ -81,7 +81,7 @@
         assert leaving.signalbox is not None
         leaving.signalbox.terminate()
         fleet.play(fleet.now + GRACE_S - 1.0)
-        self.assertTrue(leaving.signalbox._done.is_set())
+        self.assertTrue(leaving.signalbox._stopped.is_set())
 
 
 class Clock(Loop):
--- a/tests/mesh/test_start_and_end.py
+++ b/tests/mesh/test_start_and_end.py
@@ -48,12 +48,12 @@
         fleet.play(5.0)
         signalbox = fleet.core[0].signalbox
         assert signalbox is not None
-        signalbox._done.set()
+        signalbox._stopped.set()
         with mock.patch.object(asyncio.AbstractEventLoop, "create_task") as create_task:
             signalbox._links.clear()
-            signalbox._dial_all()
+            signalbox._dial_missing_peers()
         create_task.assert_not_called()
-        self.assertEqual(signalbox._dialling, set())
+        self.assertEqual(signalbox._dialing, set())
 
     def test_a_station_that_has_ended_looks_for_nothing(self) -> None:
         fleet = Fleet(11, PLAN)
