--- a/leadrudder/mesh/__main__.py
+++ b/leadrudder/mesh/__main__.py
@@ -1,4 +1,4 @@
-"""python -m leadrudder.mesh: checks, plays, snapshots, seats, windows and a demo of the mesh."""
+"""python -m leadrudder.mesh: checks, simulations, snapshots, voters, maintenance windows and a demo."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 from leadrudder.model_checker.scenarios import SCENES, WALKED
 from leadrudder.model_checker.search import Found, Search
 
-WINDOWS = "windows"  # a small world of its own: who carries a maintenance window out
+WINDOWS_SCENE = "windows"  # a separate model: which node carries a maintenance window out
 
 
-def _seeds(text: str) -> range:
+def _parse_seeds(text: str) -> range:
     first, _, last = text.partition(":")
     try:
         return range(int(first), int(last))
@@ -31,13 +31,13 @@
         raise argparse.ArgumentTypeError(f"not a range such as 0:100: {text!r}") from None
 
 
-def _check(paths: Sequence[str]) -> int:
-    """0: all would be taken; 1: findings; 2: a file cannot be read.
+def _check_files(paths: Sequence[str]) -> int:
+    """Returns 0 if all files would be accepted, 1 if there are findings, 2 if a file cannot be read.
 
-    The files count as sent one after the other: a route may name a service of a file before its own.
+    The files are checked as if sent in this order: a route may refer to a service of an earlier file.
     """
     services: set[str] = set()
-    wrong = 0
+    finding_count = 0
     for path in paths:
         try:
             with open(path, "rb") as file:
@@ -45,11 +45,11 @@
         except OSError as error:
             print(f"leadrudder: {path}: {error.strerror}", file=sys.stderr)
             return 2
-        if _of_contracts(body):
+        if _is_contract_patch(body):
             findings = _check_contracts(path, body)
             for finding in findings:
                 print(f"{path}: {finding}")
-            wrong += len(findings)
+            finding_count += len(findings)
             continue
         parsed = validation.parse(body)
         if isinstance(parsed, Failure):
@@ -62,16 +62,16 @@
                 print(f"{path}: warning: {warning}")
         for finding in findings:
             print(f"{path}: {finding}")
-        wrong += len(findings)
-    print("would be taken" if not wrong else f"would be refused: {wrong} findings")
-    return 1 if wrong else 0
+        finding_count += len(findings)
+    print("would be taken" if not finding_count else f"would be refused: {finding_count} findings")
+    return 1 if finding_count else 0
 
 
-def _of_contracts(body: bytes) -> bool:
-    """Whether a call is one of PATCH /contracts."""
+def _is_contract_patch(body: bytes) -> bool:
+    """Whether a file is the body of PATCH /contracts, not of PATCH /config."""
     try:
         raw = json.loads(body)
-        return any("contracts" in raw.get(part, {}) for part in ("addOrReplace", "remove"))
+        return any("contracts" in raw.get(section, {}) for section in ("addOrReplace", "remove"))
     except (ValueError, RecursionError, AttributeError, TypeError):
         return False
 
@@ -89,179 +89,219 @@
     return []
 
 
-def _rehearse(courses: Sequence[Course], shrink: bool) -> int:
-    broken = 0
+def _run_courses(courses: Sequence[Course], shrink: bool) -> int:
+    failures = 0
     for course in courses:
         try:
             course.play()
         except Broken as error:
-            broken += 1
+            failures += 1
             print(f"seed {course.seed}: {error}")
-            least = cut(course, print) if shrink else None
-            if least is not None:
-                print(f"seed {course.seed}, cut down: {least[1]}")
-                print("faults:", *(f"  {fault}" for fault in least[0].drawn()), sep="\n")
-    print(f"seeds={len(courses)} broken={broken}")
-    return 1 if broken else 0
+            smallest = cut(course, print) if shrink else None
+            if smallest is not None:
+                print(f"seed {course.seed}, cut down: {smallest[1]}")
+                print("faults:", *(f"  {fault}" for fault in smallest[0].drawn()), sep="\n")
+    print(f"seeds={len(courses)} broken={failures}")
+    return 1 if failures else 0
 
 
-def _prove(names: Sequence[str], states: int, seconds: float, walks: range) -> int:
-    broken = 0
+def _run_searches(names: Sequence[str], states: int, seconds: float, walks: range) -> int:
+    failures = 0
     for name in names:
-        if name == WINDOWS:
-            window = Windows().run(states)
-            broken += bool(window.rule)
-            if window.rule:
-                print(f"{name}: {window.rule}", *window.story, sep="\n")
-            bound = "every state within its bounds" if window.whole else "broken off by --states"
-            print(f"{name}: {window.states} states, {bound}; in calm {', '.join(sorted(window.over))}")
+        if name == WINDOWS_SCENE:
+            outcome = Windows().run(states)
+            failures += bool(outcome.rule)
+            if outcome.rule:
+                print(f"{name}: {outcome.rule}", *outcome.story, sep="\n")
+            bound = "every state within its bounds" if outcome.whole else "broken off by --states"
+            print(f"{name}: {outcome.states} states, {bound}; in calm {', '.join(sorted(outcome.over))}")
             continue
         search = Search(SCENES[name], states=states, seconds=seconds)
-        found = [search.walk(seed) for seed in walks] if name in WALKED else [search.run()]
-        for each in found:
-            broken += bool(each.rule)
-            if each.rule:
-                print(f"{name}: {each.rule}", *each.story, sep="\n")
-        print(_proved(name, found))
-    print(f"scenes={len(names)} broken={broken}")
-    return 1 if broken else 0
+        results = [search.walk(seed) for seed in walks] if name in WALKED else [search.run()]
+        for result in results:
+            failures += bool(result.rule)
+            if result.rule:
+                print(f"{name}: {result.rule}", *result.story, sep="\n")
+        print(_summarize(name, results))
+    print(f"scenes={len(names)} broken={failures}")
+    return 1 if failures else 0
 
 
-def _proved(name: str, found: Sequence[Found]) -> str:
-    states, calms = sum(f.states for f in found), sum(f.calms for f in found)
+def _summarize(name: str, results: Sequence[Found]) -> str:
+    states, calms = sum(f.states for f in results), sum(f.calms for f in results)
     if name in WALKED:
-        return f"{name}: {len(found)} walks, {states} states, calm played out from {calms}"
-    bound = "every state within its bounds" if found[0].whole else "broken off by --states or --seconds"
-    return f"{name}: {states} states, {found[0].depth} moves deep, {bound}; calm played out from {calms}"
+        return f"{name}: {len(results)} walks, {states} states, calm played out from {calms}"
+    bound = "every state within its bounds" if results[0].whole else "broken off by --states or --seconds"
+    return f"{name}: {states} states, {results[0].depth} moves deep, {bound}; calm played out from {calms}"
 
 
-def _add_windows(parser: argparse.ArgumentParser) -> None:
+def _add_window_commands(parser: argparse.ArgumentParser) -> None:
     actions = parser.add_subparsers(dest="action", required=True)
     for name, about in (
-        ("plan", "say when each machine would be out, or why it cannot be, and keep nothing"),
-        ("start", "have a window carried out"),
-        ("stop", "give everything back at once"),
-        ("done", "the works at a machine are over: give it back before its time"),
-        ("watch", "show a window until it is over"),
+        ("plan", "show when each machine would be out, or why it cannot be, without starting anything"),
+        ("start", "start a maintenance window"),
+        ("stop", "return all machines to service at once"),
+        ("done", "the work on a machine is finished: return it to service early"),
+        ("watch", "show a window until it ends"),
         ("page", "write a window's report as a page with charts"),
     ):
         action = actions.add_parser(name, help=about)
         action.add_argument(
-            "node", help="the control address of a signalbox, IP:PORT; of watch also several, by commas"
+            "node",
+            help="control address of a control-plane node, IP:PORT; watch takes several, separated by commas",
         )
-        action.add_argument("name", help="of the window")
+        action.add_argument("name", help="name of the window")
         if name in ("plan", "start"):
             action.add_argument("machines", nargs="+", help="nodeName of each")
-            action.add_argument("--from", dest="begin", required=True, help="as 2026-12-02T22:00:00+02:00")
+            action.add_argument("--from", dest="begin", required=True, help="e.g. 2026-12-02T22:00:00+02:00")
             action.add_argument("--to", dest="end", required=True)
             action.add_argument(
-                "--works", default="0s", help="how long each is out, as 20m; else as long as can be"
+                "--works",
+                default="0s",
+                help="how long each machine is out, e.g. 20m; default: as long as possible",
             )
             action.add_argument("--at-once", type=int, default=1)
-            action.add_argument("--tenants", default="", help="by commas; else all that the machines serve")
+            action.add_argument(
+                "--tenants", default="", help="separated by commas; default: all that the machines serve"
+            )
         elif name == "done":
             action.add_argument("machine")
         elif name == "page":
-            action.add_argument("out", help="the file to be written")
+            action.add_argument("out", help="the file to write")
         elif name == "watch":
             action.add_argument("--once", action="store_true")
             action.add_argument("--json", action="store_true")
 
 
-def _window(told: argparse.Namespace) -> int:
-    if told.action in ("plan", "start"):
+def _run_window_command(options: argparse.Namespace) -> int:
+    if options.action in ("plan", "start"):
         order = {
-            "from": told.begin,
-            "to": told.end,
-            "machines": told.machines,
-            "works": told.works,
-            "atOnce": told.at_once,
-            "tenants": [name for name in told.tenants.split(",") if name],
+            "from": options.begin,
+            "to": options.end,
+            "machines": options.machines,
+            "works": options.works,
+            "atOnce": options.at_once,
+            "tenants": [name for name in options.tenants.split(",") if name],
         }
-        return windows.request_window(told.node, told.name, order, keep=told.action == "start")
-    if told.action == "page":
-        return windows.write_report(told.node, told.name, told.out)
-    if told.action == "stop":
-        return windows.stop_window(told.node, told.name)
-    if told.action == "done":
-        return windows.finish_machine(told.node, told.name, told.machine)
-    return windows.watch_window(told.node.split(","), told.name, once=told.once, as_json=told.json)
+        return windows.request_window(options.node, options.name, order, keep=options.action == "start")
+    if options.action == "page":
+        return windows.write_report(options.node, options.name, options.out)
+    if options.action == "stop":
+        return windows.stop_window(options.node, options.name)
+    if options.action == "done":
+        return windows.finish_machine(options.node, options.name, options.machine)
+    return windows.watch_window(
+        options.node.split(","), options.name, once=options.once, as_json=options.json
+    )
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
     parser = argparse.ArgumentParser(
-        prog="leadrudder mesh", description="Tools around the mesh's two programs."
+        prog="leadrudder mesh", description="Tools for operating and testing the mesh."
     )
     commands = parser.add_subparsers(dest="command", required=True)
-    checking = commands.add_parser(
-        "check", help="say whether calls of PATCH /config would be taken, and why not"
+    check = commands.add_parser(
+        "check", help="check bodies of PATCH /config and PATCH /contracts before they are sent"
+    )
+    check.add_argument("file", nargs="+", help="the body of a request, JSON")
+    rehearse = commands.add_parser(
+        "rehearse", help="simulate the control plane in virtual time with random faults"
+    )
+    rehearse.add_argument("--seeds", type=_parse_seeds, default=range(100), metavar="A:B")
+    rehearse.add_argument("--machines", type=int, default=3, choices=range(1, 10))
+    rehearse.add_argument("--faults", type=int, default=6)
+    rehearse.add_argument(
+        "--stations", type=int, default=0, help="data-plane nodes that subscribe to the state"
+    )
+    rehearse.add_argument("--shrink", action="store_true", help="reduce a failing run to the fewest faults")
+    rehearse.add_argument("--resize", action="store_true", help="also add and remove voters")
+    rehearse.add_argument("--kinds", default=",".join(FAULTS), help="of faults, separated by commas")
+    prove = commands.add_parser(
+        "prove", help="explore small models of the control plane in every order of events"
+    )
+    prove.add_argument(
+        "scene", nargs="*", choices=[*SCENES, WINDOWS_SCENE, []], help="; ".join([*SCENES, WINDOWS_SCENE])
+    )
+    prove.add_argument("--states", type=int, default=20_000, help="maximum for each scene")
+    prove.add_argument("--seconds", type=float, default=60.0, help="maximum for each scene")
+    prove.add_argument(
+        "--walks",
+        type=_parse_seeds,
+        default=range(20),
+        metavar="A:B",
+        help="seeds for the scenes that are walked at random",
+    )
+    take_snapshot = commands.add_parser(
+        "snapshot", help="fetch the control state from a control-plane node and save it"
     )
-    checking.add_argument("file", nargs="+", help="the body of a call, JSON")
-    rehearsing = commands.add_parser("rehearse", help="play the control state in virtual time against faults")
-    rehearsing.add_argument("--seeds", type=_seeds, default=range(100), metavar="A:B")
-    rehearsing.add_argument("--machines", type=int, default=3, choices=range(1, 10))
-    rehearsing.add_argument("--faults", type=int, default=6)
-    rehearsing.add_argument("--stations", type=int, default=0, help="that are told what stands")
-    rehearsing.add_argument("--shrink", action="store_true", help="cut what breaks to the least faults")
-    rehearsing.add_argument("--resize", action="store_true", help="have the core grow and shrink besides")
-    rehearsing.add_argument("--kinds", default=",".join(FAULTS), help="of faults, by commas")
-    proving = commands.add_parser("prove", help="go through small worlds of the control state in every order")
-    proving.add_argument(
-        "scene", nargs="*", choices=[*SCENES, WINDOWS, []], help="; ".join([*SCENES, WINDOWS])
+    take_snapshot.add_argument("node", help="control address of a control-plane node, IP:PORT")
+    take_snapshot.add_argument("folder")
+    take_snapshot.add_argument("--keep", type=int, default=8, help="how many to keep; the oldest are deleted")
+    verify = commands.add_parser("verify", help="verify snapshots or data folders")
+    verify.add_argument("path", nargs="+")
+    restore = commands.add_parser("restore", help="write new disks for a fleet that lost its majority")
+    restore.add_argument("source", nargs="+", help="snapshots, and data folders of the remaining machines")
+    restore.add_argument(
+        "--holders", required=True, help="link addresses of the control-plane nodes, separated by commas"
     )
-    proving.add_argument("--states", type=int, default=20_000, help="at most, of each scene")
-    proving.add_argument("--seconds", type=float, default=60.0, help="at most, for each scene")
-    proving.add_argument("--walks", type=_seeds, default=range(20), metavar="A:B", help="of five and three")
-    taking = commands.add_parser("snapshot", help="fetch the control state from a signalbox and keep it")
-    taking.add_argument("node", help="the control address of a signalbox, IP:PORT")
-    taking.add_argument("folder")
-    taking.add_argument("--keep", type=int, default=8, help="so many; the oldest go")
-    verifying = commands.add_parser("verify", help="say whether snapshots or folders can be used")
-    verifying.add_argument("path", nargs="+")
-    restoring = commands.add_parser("restore", help="make the disks of a fleet that lost too much")
-    restoring.add_argument("source", nargs="+", help="snapshots, and folders of the machines that are left")
-    restoring.add_argument("--holders", required=True, help="link addresses of the signalboxes, by commas")
-    restoring.add_argument("--into", required=True, metavar="FOLDER", help="for one folder a machine")
-    repairing = commands.add_parser("repair", help="what other signalboxes miss, as one sees it")
-    repairing.add_argument("node", help="the control address of a signalbox, IP:PORT")
-    sizing = commands.add_parser("core", help="who holds which seat; have more or fewer of them")
-    sizing.add_argument("node", help="the control address of a signalbox, IP:PORT")
-    sizing.add_argument("seats", nargs="?", type=int, help="how many there are to be, an odd number")
-    _add_windows(commands.add_parser("window", help="take machines out inside approved hours"))
-    showing = commands.add_parser("demo", help="start both programs on loopback and have a request served")
-    showing.add_argument("--drill", action="store_true", help="lose every disk, and restore from a snapshot")
-    showing.add_argument("--window", action="store_true", help="take a machine out while clients ask")
-    showing.add_argument("--port", type=int, default=0, help="the first of twenty free ports; 0: looked for")
-    told = parser.parse_args(arguments)
-    if told.command == "check":
-        return _check(told.file)
-    if told.command == "rehearse":
-        kinds = tuple(told.kinds.split(",")) + (RESIZING if told.resize else ())
+    restore.add_argument(
+        "--into", required=True, metavar="FOLDER", help="where to write one folder for each machine"
+    )
+    repair = commands.add_parser(
+        "repair", help="show what other control-plane nodes are missing, as seen by one"
+    )
+    repair.add_argument("node", help="control address of a control-plane node, IP:PORT")
+    core = commands.add_parser("core", help="show the voters, or set their number")
+    core.add_argument("node", help="control address of a control-plane node, IP:PORT")
+    core.add_argument("seats", nargs="?", type=int, help="the number of voters to have, odd")
+    _add_window_commands(
+        commands.add_parser("window", help="take machines out of traffic within approved hours")
+    )
+    demo_parser = commands.add_parser(
+        "demo", help="start both programs on loopback and have a request served"
+    )
+    demo_parser.add_argument(
+        "--drill", action="store_true", help="also delete every disk and restore from a snapshot"
+    )
+    demo_parser.add_argument(
+        "--window", action="store_true", help="also take a machine out for maintenance under load"
+    )
+    demo_parser.add_argument(
+        "--port", type=int, default=0, help="the first of twenty free ports; 0: chosen automatically"
+    )
+    options = parser.parse_args(arguments)
+    if options.command == "check":
+        return _check_files(options.file)
+    if options.command == "rehearse":
+        kinds = tuple(options.kinds.split(",")) + (RESIZING if options.resize else ())
         unknown = set(kinds) - {*FAULTS, *RESIZING}
         if unknown:
             print(f"leadrudder: --kinds: no such fault: {', '.join(sorted(unknown))}", file=sys.stderr)
             return 2
         courses = [
-            Course(seed, told.machines, told.faults, kinds, stations=told.stations) for seed in told.seeds
+            Course(seed, options.machines, options.faults, kinds, stations=options.stations)
+            for seed in options.seeds
         ]
-        return _rehearse(courses, told.shrink)
-    if told.command == "prove":
-        return _prove(told.scene or [*SCENES, WINDOWS], told.states, told.seconds, told.walks)
-    if told.command == "snapshot":
-        return snapshots.save_snapshot(told.node, told.folder, told.keep)
-    if told.command == "verify":
-        return snapshots.verify_snapshots(told.path)
-    if told.command == "repair":
-        return snapshots.print_replica_lag(told.node)
-    if told.command == "window":
-        return _window(told)
-    if told.command == "core":
-        return snapshots.print_voters(told.node, told.seats)
-    if told.command == "restore":
-        return snapshots.restore_disks(told.source, told.holders.split(","), told.into)
-    from leadrudder.mesh import demo  # starts processes: not needed by the others
+        return _run_courses(courses, options.shrink)
+    if options.command == "prove":
+        return _run_searches(
+            options.scene or [*SCENES, WINDOWS_SCENE], options.states, options.seconds, options.walks
+        )
+    if options.command == "snapshot":
+        return snapshots.save_snapshot(options.node, options.folder, options.keep)
+    if options.command == "verify":
+        return snapshots.verify_snapshots(options.path)
+    if options.command == "repair":
+        return snapshots.print_replica_lag(options.node)
+    if options.command == "window":
+        return _run_window_command(options)
+    if options.command == "core":
+        return snapshots.print_voters(options.node, options.seats)
+    if options.command == "restore":
+        return snapshots.restore_disks(options.source, options.holders.split(","), options.into)
+    from leadrudder.mesh import demo  # imported late, as only this command starts processes
 
-    return demo.run(told.port, told.drill, told.window)
+    return demo.run(options.port, options.drill, options.window)
 
 
 if __name__ == "__main__":
--- a/leadrudder/mesh/demo.py
+++ b/leadrudder/mesh/demo.py
@@ -1,4 +1,6 @@
-"""Both programs on loopback: three signalboxes, two stations, a stand-in server beside each, one client."""
+"""Both programs on loopback: three control-plane and two data-plane nodes, a stub server beside each of the
+latter, and one client.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +25,7 @@
 from leadrudder.transport.http import WholeMessage, WholeReader, rendered
 
 CONTROL_PLANE_NODES, DATA_PLANE_NODES = 3, 2
-WHOLE_S = 20.0  # in which all must be served
+TIMEOUT_S = 20.0  # for the whole demo, and more with --drill or --window
 _SETTINGS = """nodeName = "{name}"
 zone = "z{zone}"
 ip = "{ip}"
@@ -37,7 +39,7 @@
 service = "palvelu"
 [addresses]
 controlPort = "{ip}:{control}"
-{more}
+{extra_settings}
 [limits]
 ramMb = 300
 [withstand]
@@ -45,8 +47,8 @@
 """
 
 
-class _Server(asyncio.Protocol):
-    """A stand-in server: answers with its own name."""
+class _StubServer(asyncio.Protocol):
+    """A stub server that answers with its own name."""
 
     def __init__(self, name: bytes) -> None:
         self._name = name
@@ -61,20 +63,20 @@
 
     def _answer(self, message: object) -> None:
         assert isinstance(message, WholeMessage) and isinstance(self._transport, asyncio.Transport)
-        told = message.headers.get(b"attempt-id", b"")
-        fields = b"Attempt-Id: %s\r\nServer-Seal: %s\r\n" % (told, self._name)
+        attempt_id = message.headers.get(b"attempt-id", b"")
+        fields = b"Attempt-Id: %s\r\nServer-Seal: %s\r\n" % (attempt_id, self._name)
         self._transport.write(rendered(200, fields, b"served by %s for %s\n" % (self._name, message.target)))
 
 
-CALL_S = 2.0
+CALL_TIMEOUT_S = 2.0
 
 
 async def _call(address: tuple[str, int], text: bytes) -> WholeMessage | None:
-    """One call on a connection of its own; None where there is no whole answer."""
-    return await call(address, text, CALL_S)
+    """Sends one request on its own connection; returns None if there is no complete response."""
+    return await call(address, text, CALL_TIMEOUT_S)
 
 
-def _http(method: str, path: str, body: bytes = b"", fields: str = "") -> bytes:
+def _render_request(method: str, path: str, body: bytes = b"", fields: str = "") -> bytes:
     return request(method, path, "demo.example", fields, body)
 
 
@@ -105,20 +107,22 @@
 }
 
 
-async def _until(what: str, ask: bytes, addresses: list[tuple[str, int]], status: int = 200) -> WholeMessage:
-    """Ask each in turn until one answers so; TimeoutError is the caller's."""
+async def _call_until(
+    label: str, request_bytes: bytes, addresses: list[tuple[str, int]], status: int = 200
+) -> WholeMessage:
+    """Calls each address in turn until one returns the status; the caller sets the timeout."""
     while True:
         for address in addresses:
-            answer = await _call(address, ask)
+            answer = await _call(address, request_bytes)
             if answer is not None and answer.status == status:
-                print(f"{what}: {status} from {address[0]}:{address[1]}", flush=True)
+                print(f"{label}: {status} from {address[0]}:{address[1]}", flush=True)
                 return answer
         await asyncio.sleep(0.05)
 
 
 @dataclass(slots=True)
 class LoopbackFleet:
-    """The processes on loopback, and where they listen."""
+    """The processes on loopback and the ports they listen on."""
 
     base_port: int
     folder: Path
@@ -129,7 +133,7 @@
 
     @property
     def app_port(self) -> int:
-        """The port of the stand-in servers."""
+        """The port of the stub servers."""
         return self.base_port + 1
 
     @property
@@ -137,74 +141,76 @@
         return self.base_port + 2
 
     async def start(self, ips: Sequence[str] = (), *, first_run: bool = True) -> None:
-        """Start all processes, or those of some addresses; each is told by a settings file of its own."""
+        """Starts all processes, or those of the given addresses, each with its own settings file."""
         seeds = ", ".join(f'"{ip}:{self.base_port}"' for ip in self.control_plane_ips)
         for i, ip in enumerate([*self.control_plane_ips, *self.data_plane_ips]):
             if ips and ip not in ips:
                 continue
-            side = ip in self.data_plane_ips
-            more = (
+            is_data_plane = ip in self.data_plane_ips
+            extra_settings = (
                 f'outboundPort = "{ip}:{self.outbound_port}"\nreadiness = "{ip}:{self.base_port + 3}"'
-                if side
+                if is_data_plane
                 else ""
             )
             path = self.folder / f"node-{i}.toml"
             path.write_text(
                 _SETTINGS.format(
-                    name=f"{'station' if side else 'signalbox'}-{i}",
+                    name=f"{'station' if is_data_plane else 'signalbox'}-{i}",
                     zone=i % 3,
                     ip=ip,
                     port=self.base_port + 4,
                     last=self.base_port + 9,
                     seeds=seeds,
-                    folder="" if side else self.folder / f"disk-{i}",
+                    folder="" if is_data_plane else self.folder / f"disk-{i}",
                     app=self.app_port,
                     control=self.base_port,
                     first="true" if first_run else "false",
-                    more=more,
+                    extra_settings=extra_settings,
                 )
             )
             self.processes[ip] = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                "leadrudder.data_plane" if side else "leadrudder.control_plane",
+                "leadrudder.data_plane" if is_data_plane else "leadrudder.control_plane",
                 *(["--possession"] if self.maintenance_enabled else []),
                 env={**os.environ, "LEADRUDDER_NODE_FILE": str(path)},
                 stderr=asyncio.subprocess.DEVNULL,
             )
 
     async def configure(self) -> None:
-        """The first configuration, from whichever signalbox takes it."""
-        patch = _http("PATCH", "/config", json.dumps(CONFIGURATION).encode())
-        await _until("configuration taken", patch, [(ip, self.base_port) for ip in self.control_plane_ips])
+        """Writes the initial configuration to the first control-plane node that accepts it."""
+        patch = _render_request("PATCH", "/config", json.dumps(CONFIGURATION).encode())
+        await _call_until(
+            "configuration taken", patch, [(ip, self.base_port) for ip in self.control_plane_ips]
+        )
 
     async def send_heartbeat(self, ip: str, count: int = 1, *, quiet: bool = False) -> None:
-        """What a server says of itself to the station beside it."""
-        beat = {
+        """Sends a server's heartbeat to the data-plane node on its machine."""
+        heartbeat = {
             "address": f"{ip}:{self.app_port}",
             "details": {"service": "palvelu", "zone": "z0", "capacity": 64},
             "status": {"state": "ready", "callCount": count, "coldLeft": "0ms"},
         }
-        put = _http("PUT", f"/servers/i-{ip}", json.dumps(beat).encode())
+        put = _render_request("PUT", f"/servers/i-{ip}", json.dumps(heartbeat).encode())
         if quiet:
             await _call((ip, self.base_port), put)
         else:
-            await _until("beat acknowledged", put, [(ip, self.base_port)])
+            await _call_until("beat acknowledged", put, [(ip, self.base_port)])
 
     async def wait_ready(self) -> None:
         for ip in self.data_plane_ips:
-            await _until("ready", _http("GET", "/ready"), [(ip, self.base_port + 3)])
+            await _call_until("ready", _render_request("GET", "/ready"), [(ip, self.base_port + 3)])
 
     async def stop(self) -> list[int]:
-        return await _end(list(self.processes.values()))
+        return await _terminate(list(self.processes.values()))
 
 
-async def _drill(fleet: LoopbackFleet, folder: Path, stands: bytes) -> None:
-    """Every signalbox loses its disk; they begin anew from a snapshot, and all that stood stands."""
-    cores = [(ip, fleet.base_port) for ip in fleet.control_plane_ips]
-    taken = await _until("snapshot", _http("GET", "/snapshot"), cores)
-    path = snapshot.keep(str(folder / "kept"), taken.body, time.time(), 1)
-    codes = await _end([fleet.processes[ip] for ip in fleet.control_plane_ips])
+async def _restore_drill(fleet: LoopbackFleet, folder: Path, configuration: bytes) -> None:
+    """Deletes the disks of all control-plane nodes and restores their state from a snapshot."""
+    control_addresses = [(ip, fleet.base_port) for ip in fleet.control_plane_ips]
+    downloaded = await _call_until("snapshot", _render_request("GET", "/snapshot"), control_addresses)
+    path = snapshot.keep(str(folder / "kept"), downloaded.body, time.time(), 1)
+    codes = await _terminate([fleet.processes[ip] for ip in fleet.control_plane_ips])
     for disk in folder.glob("disk-*"):
         shutil.rmtree(disk)
     print(f"signalboxes ended {codes}, their disks are gone", flush=True)
@@ -214,29 +220,37 @@
     for i, holder in enumerate(holders):
         (folder / "new" / holder.replace(":", "-")).rename(folder / f"disk-{i}")
     await fleet.start(fleet.control_plane_ips, first_run=False)
-    again = await _until("configuration read back", _http("GET", "/config"), cores)
-    if json.loads(again.body) != json.loads(stands):
+    restored = await _call_until(
+        "configuration read back", _render_request("GET", "/config"), control_addresses
+    )
+    if json.loads(restored.body) != json.loads(configuration):
         raise TimeoutError
     print("it is what stood before", flush=True)
 
 
-async def _window(fleet: LoopbackFleet) -> None:
-    """The first machine is out of the tenant's traffic for a while, while clients go on asking."""
-    cores = [(ip, fleet.base_port) for ip in fleet.control_plane_ips]
+async def _maintenance_window(fleet: LoopbackFleet) -> None:
+    """Takes the first machine out of the tenant's traffic for a while, under continuous requests."""
+    control_addresses = [(ip, fleet.base_port) for ip in fleet.control_plane_ips]
     contract = {"hosts": ["demo.example"], "timeZone": "Europe/Helsinki", "capacityLeft": 0.5, "version": "1"}
     contract["approved"] = [{"days": list(DAYS), "from": "00:00", "to": "24:00"}]
     body = json.dumps({"addOrReplace": {"contracts": {"kampaamo": contract}}}).encode()
-    await _until("contract taken", _http("PATCH", "/contracts", body), cores)
+    await _call_until("contract taken", _render_request("PATCH", "/contracts", body), control_addresses)
     order = {"from": time.time(), "to": time.time() + 60.0, "machines": ["station-3"], "works": "2s"}
     body = json.dumps({**order, "return": "2s"}).encode()
-    await _until("window planned", _http("POST", "/maintenance/huolto", body), cores)
+    await _call_until(
+        "window planned", _render_request("POST", "/maintenance/huolto", body), control_addresses
+    )
     served: dict[str, Counter[str]] = {}
     batch: Counter[str] = Counter()
     stage, asked = "waiting", 0
     while stage != "back":
         asked += 1
-        ask = _http("GET", "/haku/lauantai", fields=f"Attempt-Id: w{asked}\r\nTime-Left: 1500\r\n")
-        answer = await _call((fleet.data_plane_ips[asked % DATA_PLANE_NODES], fleet.outbound_port), ask)
+        request_bytes = _render_request(
+            "GET", "/haku/lauantai", fields=f"Attempt-Id: w{asked}\r\nTime-Left: 1500\r\n"
+        )
+        answer = await _call(
+            (fleet.data_plane_ips[asked % DATA_PLANE_NODES], fleet.outbound_port), request_bytes
+        )
         if answer is None or answer.status != 200:
             print(f"a look-up was answered {answer and answer.status} while the window ran", file=sys.stderr)
             raise TimeoutError
@@ -244,10 +258,10 @@
         if asked % 20 == 0:
             for ip in fleet.data_plane_ips:
                 await fleet.send_heartbeat(ip, 1 + asked, quiet=True)
-            looked = await _call(cores[0], _http("GET", "/maintenance/huolto"))
-            if looked is not None and looked.status == 200:
-                before, stage = stage, json.loads(looked.body)["machines"][0]["stage"]
-                if before == stage:  # else some were served before it changed, some after
+            progress = await _call(control_addresses[0], _render_request("GET", "/maintenance/huolto"))
+            if progress is not None and progress.status == 200:
+                before, stage = stage, json.loads(progress.body)["machines"][0]["stage"]
+                if before == stage:  # otherwise the batch spans two stages
                     served.setdefault(stage, Counter()).update(batch)
                 batch.clear()
         await asyncio.sleep(0.02)
@@ -258,33 +272,39 @@
     print(f"{asked} look-ups were served, none by the machine while it was out", flush=True)
 
 
-async def _play(base: int, folder: Path, drill: bool, window: bool) -> int:
+async def _run(base_port: int, folder: Path, drill: bool, window: bool) -> int:
     loop = asyncio.get_running_loop()
-    fleet = LoopbackFleet(base, folder, maintenance_enabled=window)
+    fleet = LoopbackFleet(base_port, folder, maintenance_enabled=window)
     try:
-        async with asyncio.timeout(WHOLE_S * (1 + drill + 2 * window)):
+        async with asyncio.timeout(TIMEOUT_S * (1 + drill + 2 * window)):
             await fleet.start()
             for ip in fleet.data_plane_ips:
-                await loop.create_server(lambda ip=ip: _Server(ip.encode()), ip, fleet.app_port)  # type: ignore[misc]
+                await loop.create_server(lambda ip=ip: _StubServer(ip.encode()), ip, fleet.app_port)  # type: ignore[misc]
             await fleet.configure()
             for ip in fleet.data_plane_ips:
                 await fleet.send_heartbeat(ip)
             await fleet.wait_ready()
-            ask = _http("GET", "/haku/lauantai", fields="Attempt-Id: a1\r\nTime-Left: 1500\r\n")
-            answer = await _until(
-                "request served", ask, [(ip, fleet.outbound_port) for ip in fleet.data_plane_ips]
+            request_bytes = _render_request(
+                "GET", "/haku/lauantai", fields="Attempt-Id: a1\r\nTime-Left: 1500\r\n"
+            )
+            answer = await _call_until(
+                "request served", request_bytes, [(ip, fleet.outbound_port) for ip in fleet.data_plane_ips]
             )
             print(answer.body.decode(), end="")
-            cores = [(ip, fleet.base_port) for ip in fleet.control_plane_ips]
-            stands = await _until("configuration read back", _http("GET", "/config"), cores)
+            control_addresses = [(ip, fleet.base_port) for ip in fleet.control_plane_ips]
+            configuration = await _call_until(
+                "configuration read back", _render_request("GET", "/config"), control_addresses
+            )
             if window:
-                await _window(fleet)
+                await _maintenance_window(fleet)
             if drill:
-                await _drill(fleet, folder, stands.body)
-                for ip in fleet.data_plane_ips:  # they were silent for long enough to count as gone
+                await _restore_drill(fleet, folder, configuration.body)
+                for ip in fleet.data_plane_ips:  # without a heartbeat for so long they count as gone
                     await fleet.send_heartbeat(ip, 2)
-                await _until(
-                    "request served", ask, [(ip, fleet.outbound_port) for ip in fleet.data_plane_ips]
+                await _call_until(
+                    "request served",
+                    request_bytes,
+                    [(ip, fleet.outbound_port) for ip in fleet.data_plane_ips],
                 )
     except TimeoutError:
         print("leadrudder: the demo was not served in time", file=sys.stderr)
@@ -295,8 +315,8 @@
     return 0 if not any(codes) else 1
 
 
-async def _end(processes: list[asyncio.subprocess.Process]) -> list[int]:
-    """SIGTERM, and the exit codes; nothing is left."""
+async def _terminate(processes: list[asyncio.subprocess.Process]) -> list[int]:
+    """Sends SIGTERM, kills what does not exit, and returns the exit codes."""
     for process in processes:
         with contextlib.suppress(ProcessLookupError):
             process.terminate()
@@ -311,9 +331,9 @@
 
 
 def run(port: int, drill: bool = False, window: bool = False) -> int:
-    """0: a request was served, and all ended well.
+    """Returns 0 if a request was served and all processes exited cleanly.
 
-    drill: also after all disks were lost and restored; window: also while a machine was out for maintenance.
+    drill: also after all disks were lost and restored.  window: also while a machine was out for maintenance.
     """
     with tempfile.TemporaryDirectory(prefix="leadrudder-mesh-") as folder:
-        return asyncio.run(_play(port or free_port(), Path(folder), drill, window))
+        return asyncio.run(_run(port or free_port(), Path(folder), drill, window))
--- a/leadrudder/mesh/snapshots.py
+++ b/leadrudder/mesh/snapshots.py
@@ -1,4 +1,4 @@
-"""mesh snapshot | verify | restore | repair | core: the control state kept, looked at and begun anew."""
+"""mesh snapshot | verify | restore | repair | core: backups of the control state, its replicas and voters."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def call_api(node: str, path: str, method: str = "GET", body: bytes | None = None) -> Result[bytes, str]:
-    """A node's answer, IP:PORT of its control address; else one line why there is none."""
+    """Calls a node's control address, IP:PORT; returns the body, or one line that explains the failure."""
     host, _, port = node.rpartition(":")
     try:
         connection = http.client.HTTPConnection(host, int(port), timeout=CALL_TIMEOUT_S)
@@ -35,33 +35,33 @@
     return Success(body)
 
 
-def _fail(why: str) -> int:
-    print(f"leadrudder: {why}", file=sys.stderr)
+def _print_error(message: str) -> int:
+    print(f"leadrudder: {message}", file=sys.stderr)
     return 2
 
 
-def save_snapshot(node: str, folder: str, most: int) -> int:
-    """Fetch a snapshot, look at it, and keep it."""
+def save_snapshot(node: str, folder: str, max_kept: int) -> int:
+    """Fetches a snapshot, verifies it and saves it.  max_kept: older files are deleted."""
     fetched = call_api(node, "/snapshot")
     if isinstance(fetched, Failure):
-        return _fail(fetched.failure())
+        return _print_error(fetched.failure())
     data = fetched.unwrap()
-    held = snapshot.unpack(data)
-    if isinstance(held, Failure):
-        return _fail(f"{node}: {held.failure()}")
+    unpacked = snapshot.unpack(data)
+    if isinstance(unpacked, Failure):
+        return _print_error(f"{node}: {unpacked.failure()}")
     try:
-        path = snapshot.keep(folder, data, held.unwrap().taken_s, most)
+        path = snapshot.keep(folder, data, unpacked.unwrap().taken_s, max_kept)
     except OSError as error:
-        return _fail(f"{folder}: {error.strerror}")
-    print(f"{path}: {held.unwrap().summary()}")
+        return _print_error(f"{folder}: {error.strerror}")
+    print(f"{path}: {unpacked.unwrap().summary()}")
     return 0
 
 
 def print_replica_lag(node: str) -> int:
-    """A table of what others miss, as a signalbox sees it.  0: nothing is owed; 1: something is."""
+    """Prints what other replicas are missing, as seen by one node.  0: nothing; 1: something is missing."""
     fetched = call_api(node, "/repair")
     if isinstance(fetched, Failure):
-        return _fail(fetched.failure())
+        return _print_error(fetched.failure())
     rows = json.loads(fetched.unwrap())
     print(f"{'holder of a seat':<24} {'state':<14} {'items':>8} {'bytes':>10} {'since':>9}")
     for row in rows:
@@ -72,67 +72,67 @@
 
 
 def print_voters(node: str, wanted: int | None) -> int:
-    """A table of seats; wanted: have so many of them first.  0: as many as wanted, all full; 1: not yet."""
+    """Prints the voter slots.  wanted: sets their number first.  0: all wanted slots are full; 1: not yet."""
     if wanted is not None:
         ordered = call_api(node, f"/core/{wanted}", "POST")
         if isinstance(ordered, Failure):
-            return _fail(ordered.failure())
+            return _print_error(ordered.failure())
         print(f"{wanted} seats are wanted; machines without one take them, one after the other")
     fetched = call_api(node, "/core")
     if isinstance(fetched, Failure):
-        return _fail(fetched.failure())
-    told = json.loads(fetched.unwrap())
+        return _print_error(fetched.failure())
+    core = json.loads(fetched.unwrap())
     print(f"{'seat':>4} {'holder':<24} {'state':<14} {'incarnation':>11}  sections")
-    for row in told["seats"]:
+    for row in core["seats"]:
         owns = " ".join(map(str, row["sections"])) or "-"
         print(
             f"{row['seat']:>4} {row['holder'] or '-':<24} {row['state']:<14} {row['incarnation']:>11}  {owns}"
         )
-    states = [row["state"] for row in told["seats"] if row["state"] != "closed"]
+    states = [row["state"] for row in core["seats"] if row["state"] != "closed"]
     full = states.count("full")
-    wants = told["wanted"] or len(states)
-    print(f"{full} of {wants} seats are full; {told['majority']} decide")
-    return 0 if full == wants == len(states) else 1
+    wanted_slots = core["wanted"] or len(states)
+    print(f"{full} of {wanted_slots} seats are full; {core['majority']} decide")
+    return 0 if full == wanted_slots == len(states) else 1
 
 
 def verify_snapshots(paths: Sequence[str]) -> int:
-    """0: all can be used; 1: some cannot."""
-    wrong = 0
+    """Prints the contents of snapshots.  0: all are valid; 1: some are not."""
+    invalid = 0
     for path in paths:
-        held = snapshot.load(path)
-        if isinstance(held, Success):
-            print(f"{path}: {held.unwrap().summary()}")
+        loaded = snapshot.load(path)
+        if isinstance(loaded, Success):
+            print(f"{path}: {loaded.unwrap().summary()}")
         else:
-            wrong += 1
-            print(held.failure())
-    return 1 if wrong else 0
+            invalid += 1
+            print(loaded.failure())
+    return 1 if invalid else 0
 
 
 def restore_disks(sources: Sequence[str], holders: Sequence[str], into: str) -> int:
-    """Write one folder a machine, of the newest that the sources hold."""
+    """Writes one data folder for each machine, from the newest items and epochs of all sources."""
     if len(set(holders)) != len(holders) or len(holders) % 2 == 0:
-        return _fail("--holders: an odd number of different addresses is wanted")
+        return _print_error("--holders: an odd number of different addresses is wanted")
     for holder in holders:
         if not holder.rpartition(":")[2].isdecimal() or not holder.rpartition(":")[0]:
-            return _fail(f"--holders: not IP:PORT: {holder!r}")
-    held: list[Snapshot] = []
+            return _print_error(f"--holders: not IP:PORT: {holder!r}")
+    contents: list[Snapshot] = []
     for path in sources:
         loaded = snapshot.load(path)
         if isinstance(loaded, Failure):
-            return _fail(loaded.failure())
-        held.append(loaded.unwrap())
-        print(f"from {path}: {held[-1].summary()}")
-    records = snapshot.restored(held, list(holders))
+            return _print_error(loaded.failure())
+        contents.append(loaded.unwrap())
+        print(f"from {path}: {contents[-1].summary()}")
+    records = snapshot.restored(contents, list(holders))
     for holder in holders:
         folder = os.path.join(into, holder.replace(":", "-"))
         try:
             if os.path.isdir(folder) and os.listdir(folder):
-                return _fail(f"{folder}: is not empty")
+                return _print_error(f"{folder}: is not empty")
             store = DumbStore(folder)
             store.open()
             store.commit(records)
             store.close()
         except (OSError, DiskError) as error:
-            return _fail(f"{folder}: {error}")
+            return _print_error(f"{folder}: {error}")
         print(f"{folder}: {len(records)} records, for {holder}")
     return 0
