--- a/leadrudder/control_plane/__main__.py
+++ b/leadrudder/control_plane/__main__.py
@@ -16,7 +16,7 @@
 
 
 async def _serve(settings: Settings, arguments: argparse.Namespace) -> None:
-    await ControlPlaneNode(settings, maintenance_enabled=arguments.possession).run()
+    await ControlPlaneNode(settings, maintenance_windows=arguments.possession).run()
 
 
 if __name__ == "__main__":
--- a/leadrudder/control_plane/program.py
+++ b/leadrudder/control_plane/program.py
@@ -51,16 +51,16 @@
         self,
         settings: Settings,
         *,
-        maintenance_enabled: bool = False,
+        maintenance_windows: bool = False,
         rng: Random | None = None,
         wall: Callable[[], float] = time.time,
         writer: Callable[[Store, Callable[[str], None]], Writes] = Writer,
         store: Store | None = None,
         monotonic: Callable[[], float] | None = None,
     ) -> None:
-        """maintenance_enabled: whether maintenance windows are carried out.  The rest is for simulation."""
+        """maintenance_windows: whether maintenance windows are carried out.  The rest is for simulation."""
         self.settings = settings
-        self._maintenance_enabled, self._wall, self._writer_factory = maintenance_enabled, wall, writer
+        self._maintenance_windows, self._wall, self._writer_factory = maintenance_windows, wall, writer
         self._rng = rng or Random()
         self._maintenance: MaintenanceCoordinator | None = None
         self.address = f"{settings.ip}:{settings.signal_port}"
@@ -102,9 +102,9 @@
             losses=self.settings.losses,
             rng=self._rng,
             kept=records,
-            duties=(*DUTIES, POSSESSION) if self._maintenance_enabled else DUTIES,
+            duties=(*DUTIES, POSSESSION) if self._maintenance_windows else DUTIES,
         )
-        if self._maintenance_enabled:
+        if self._maintenance_windows:
             from leadrudder.control_plane.maintenance import MaintenanceCoordinator
 
             self._maintenance = MaintenanceCoordinator(
--- a/leadrudder/emulation/fleet.py
+++ b/leadrudder/emulation/fleet.py
@@ -195,7 +195,7 @@
         async def main() -> None:
             machine.signalbox = ControlPlaneNode(
                 settings,
-                maintenance_enabled=self._possession,
+                maintenance_windows=self._possession,
                 rng=rng,
                 wall=lambda: self.wall,
                 writer=lambda store, told: Syncing(store, rng),
--- a/leadrudder/mesh/demo.py
+++ b/leadrudder/mesh/demo.py
@@ -126,7 +126,7 @@
 
     base_port: int
     folder: Path
-    maintenance_enabled: bool = False
+    maintenance_windows: bool = False
     control_plane_ips: tuple[str, ...] = tuple(f"127.0.1.{i + 1}" for i in range(CONTROL_PLANE_NODES))
     data_plane_ips: tuple[str, ...] = tuple(f"127.0.2.{i + 1}" for i in range(DATA_PLANE_NODES))
     processes: dict[str, asyncio.subprocess.Process] = field(default_factory=dict)
@@ -172,7 +172,7 @@
                 sys.executable,
                 "-m",
                 "leadrudder.data_plane" if is_data_plane else "leadrudder.control_plane",
-                *(["--possession"] if self.maintenance_enabled else []),
+                *(["--possession"] if self.maintenance_windows else []),
                 env={**os.environ, "LEADRUDDER_NODE_FILE": str(path)},
                 stderr=asyncio.subprocess.DEVNULL,
             )
@@ -274,7 +274,7 @@
 
 async def _run(base_port: int, folder: Path, drill: bool, window: bool) -> int:
     loop = asyncio.get_running_loop()
-    fleet = LoopbackFleet(base_port, folder, maintenance_enabled=window)
+    fleet = LoopbackFleet(base_port, folder, maintenance_windows=window)
     try:
         async with asyncio.timeout(TIMEOUT_S * (1 + drill + 2 * window)):
             await fleet.start()
@@ -299,7 +299,7 @@
                 await _maintenance_window(fleet)
             if drill:
                 await _restore_drill(fleet, folder, configuration.body)
-                for ip in fleet.data_plane_ips:  # without a heartbeat for so long they count as gone
+                for ip in fleet.data_plane_ips:  # servers without heartbeats for so long count as gone
                     await fleet.send_heartbeat(ip, 2)
                 await _call_until(
                     "request served",
