--- a/tests/mesh/test_control.py
+++ b/tests/mesh/test_control.py
@@ -19,7 +19,7 @@
 from leadrudder.bootstrap.start import start
 from leadrudder.configuration.item_store import Book
 from leadrudder.consensus.outputs import Answer, ResultCode
-from leadrudder.control_plane.operator_api import Operator
+from leadrudder.control_plane.operator_api import OperatorApi
 from leadrudder.data_plane.server_api import Heartbeat, ServerApi
 from leadrudder.membership.registry import ORPHAN_GRACE_S, RECONNECT_GRACE_S, MemberRegistry
 from leadrudder.protocol.mesh_pb2 import Item, Node
@@ -37,11 +37,11 @@
 }
 
 
-def told(work: Coroutine[Any, Any, ApiResponse]) -> ApiResponse:
+def run(work: Coroutine[Any, Any, ApiResponse]) -> ApiResponse:
     return asyncio.run(work)
 
 
-class Settings(unittest.TestCase):
+class SettingsTest(unittest.TestCase):
     def test_unknown_fields_are_ignored(self) -> None:
         settings = read(FILE)
         assert isinstance(settings, Success)
@@ -49,7 +49,7 @@
         self.assertEqual((found.bounds.drain, found.bounds.retry_ratio, found.losses), (2500.0, 0.2, 2))
         self.assertEqual(found.seed_links, ("10.1.0.12:7620",))
 
-    def test_a_wrong_field_is_named_in_one_line(self) -> None:
+    def test_invalid_field_is_named_in_one_line(self) -> None:
         for change, name in (
             ({"ip": None}, "ip"),
             ({"sparePorts": [9]}, "sparePorts"),
@@ -65,10 +65,10 @@
                 self.assertNotIn("\n", failed.failure())
 
 
-class Start(unittest.TestCase):
-    def test_invalid_settings_end_the_program_with_one_line(self) -> None:
-        async def serve(settings: object, told: object) -> None:
-            raise AssertionError("it must not be started")
+class StartTest(unittest.TestCase):
+    def test_unusable_settings_end_the_program_with_one_line(self) -> None:
+        async def serve(settings: object, arguments: object) -> None:
+            raise AssertionError("the program must not be started")
 
         with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
             file.write("nodeName = 3\n")
@@ -78,17 +78,17 @@
                 (file.name, "nodeName"),
                 (file.name + ".none", "No such file"),
             ):
-                told = io.StringIO()
+                stderr = io.StringIO()
                 environment = {"LEADRUDDER_NODE_FILE": path}
-                with self.subTest(word), mock.patch.dict("os.environ", environment), redirect_stderr(told):
+                with self.subTest(word), mock.patch.dict("os.environ", environment), redirect_stderr(stderr):
                     self.assertEqual(start("p", "plane", serve, arguments=[]), 2)
-                    self.assertIn(word, told.getvalue())
-                    self.assertEqual(told.getvalue().count("\n"), 1)
+                    self.assertIn(word, stderr.getvalue())
+                    self.assertEqual(stderr.getvalue().count("\n"), 1)
 
 
 class MemberRegistryTest(unittest.TestCase):
-    def test_swapped_numbers_change_the_digest(self) -> None:
-        # XORed CRCs are equal for these two, so neither node would have sent its entries to the other.
+    def test_swapped_numbers_give_another_digest(self) -> None:
+        # Sums of CRCs are equal for these two, so that the difference would never have been sent to a peer.
         digests = set()
         for one, two in ((1, 2), (2, 1)):
             registry = MemberRegistry("a")
@@ -99,7 +99,7 @@
         large.merge(Node(name=f"side-{i}", life=7, number=1) for i in range(12))
         self.assertNotEqual(large.digest, 0)
 
-    def test_proxy_that_reconnects_elsewhere_stays_a_member(self) -> None:
+    def test_node_that_reconnects_elsewhere_stays_a_member(self) -> None:
         registry = MemberRegistry("a")
         registry.report(Node(name="s", life=1, number=1))
         registry.session_ended("s", 10.0)
@@ -107,7 +107,7 @@
         self.assertEqual(registry.tick(10.0 + RECONNECT_GRACE_S, True), [])
         self.assertEqual(len(registry.members()), 1)
 
-    def test_ended_session_is_reported_as_gone_and_late_entries_are_ignored(self) -> None:
+    def test_node_without_session_is_gone_and_stale_entries_are_ignored(self) -> None:
         registry = MemberRegistry("a")
         registry.report(Node(name="s", life=1, number=1))
         registry.session_ended("s", 10.0)
@@ -117,7 +117,7 @@
         self.assertEqual(registry.merge([Node(name="s", life=1, number=1)]), [])
         self.assertEqual(len(registry.merge([Node(name="s", life=2, number=1)])), 1)
 
-    def test_members_of_a_lost_control_node_expire_only_with_the_lease(self) -> None:
+    def test_members_of_a_lost_control_plane_node_expire_only_with_a_majority(self) -> None:
         registry = MemberRegistry("a")
         registry.merge([Node(name="s", life=1, number=1, holder="b")])
         registry.peer_link_changed("b", False, 0.0)
@@ -133,7 +133,7 @@
         self.assertEqual(one.digest, other.digest)
 
 
-class Calls(unittest.TestCase):
+class ApiTest(unittest.TestCase):
     def setUp(self) -> None:
         self.book = Book()
         self.changes: list[list[Item]] = []
@@ -147,10 +147,10 @@
         return Answer(0, ResultCode.DONE, tuple(self.book.items.values()))
 
     def call(self, method: str, *segments: str, body: bytes = b"") -> ApiResponse:
-        operator = Operator(lambda: self.book, self._change, self._read, ("z",), Ring("r"))
-        return told(operator.dispatch(ApiRequest(method, segments, body)))
+        api = OperatorApi(lambda: self.book, self._change, self._read, ("z",), Ring("r"))
+        return run(api.dispatch(ApiRequest(method, segments, body)))
 
-    def test_invalid_calls_get_the_right_status(self) -> None:
+    def test_unknown_paths_methods_and_bodies_are_rejected(self) -> None:
         for status, call in (
             (404, ("GET", "nothing")),
             (404, ("GET",)),
@@ -169,13 +169,13 @@
                 self.answers = [Answer(0, code)]
                 self.assertEqual(self.call("PATCH", "config", body=b'{"addOrReplace":{}}').status, status)
 
-    def test_evacuation_continues_from_the_committed_version(self) -> None:
+    def test_evacuation_takes_the_version_after_the_committed_one(self) -> None:
         committed = Item(key="evacuations/z", version=4, value=b"0")
         self.answers = [Answer(0, ResultCode.CONFLICT, (committed,)), Answer(0, ResultCode.DONE)]
         self.assertEqual(self.call("POST", "evacuate", "z").status, 200)
         self.assertEqual([(i.version, i.value) for (i,) in self.changes], [(1, b"1"), (5, b"1")])
 
-    def test_configuration_is_read_back_as_sent(self) -> None:
+    def test_config_reads_back_as_it_was_written(self) -> None:
         self.book.take(
             [
                 Item(key="routes/r", version=2, value=b'{"host":"h"}'),
@@ -190,25 +190,23 @@
             {"routes": {"r": {"host": "h"}}, "services": {}, "limits": {"idle": "5s"}},
         )
 
-    def test_beats(self) -> None:
+    def test_heartbeats(self) -> None:
         beats: list[Heartbeat] = []
         left: list[str] = []
-        server = ServerApi(beats.append, left.append, lambda: False)
+        api = ServerApi(beats.append, left.append, lambda: False)
         body = {
             "address": "10.1.0.8:8301",
             "details": {"service": "s", "version": "v1", "zone": "z", "capacity": 9},
             "status": {"state": "draining", "callCount": 4, "coldLeft": "1.5s"},
         }
         put = ApiRequest("PUT", ("servers", "i-1"), json.dumps(body).encode())
-        self.assertEqual(told(server.dispatch(put)).status, 200)
+        self.assertEqual(run(api.dispatch(put)).status, 200)
         self.assertEqual(beats, [Heartbeat("i-1", "s", "z", 9, True, 4, 1500.0)])
-        self.assertEqual(told(server.dispatch(ApiRequest("PUT", ("servers", "i-1"), b"x"))).status, 400)
-        self.assertEqual(
-            told(server.dispatch(ApiRequest("PUT", ("servers", "i-1"), b"x" * 5000))).status, 413
-        )
-        self.assertEqual(told(server.dispatch(ApiRequest("DELETE", ("servers", "i-1"), b""))).status, 200)
+        self.assertEqual(run(api.dispatch(ApiRequest("PUT", ("servers", "i-1"), b"x"))).status, 400)
+        self.assertEqual(run(api.dispatch(ApiRequest("PUT", ("servers", "i-1"), b"x" * 5000))).status, 413)
+        self.assertEqual(run(api.dispatch(ApiRequest("DELETE", ("servers", "i-1"), b""))).status, 200)
         self.assertEqual(left, ["i-1"])
-        self.assertEqual(told(server.dispatch(ApiRequest("GET", ("ready",), b""))).status, 503)
+        self.assertEqual(run(api.dispatch(ApiRequest("GET", ("ready",), b""))).status, 503)
 
     def test_log_buffer_is_bounded(self) -> None:
         ring = Ring("r", now=lambda: 0.0)
