--- a/leadrudder/backup/snapshot.py
+++ b/leadrudder/backup/snapshot.py
@@ -17,7 +17,7 @@
 from google.protobuf.message import DecodeError
 from returns.result import Failure, Result, Success
 
-from leadrudder.configuration.item_store import Book
+from leadrudder.configuration.item_store import ItemStore
 from leadrudder.consensus.outputs import SECTIONS
 from leadrudder.consensus.state_machine import ITEM_RECORD, PROMISED_RECORD, SEATS_RECORD
 from leadrudder.protocol.mesh_pb2 import Item
@@ -32,14 +32,14 @@
 class Snapshot:
     """What a snapshot, or a machine's disk, holds.  taken_s: seconds since 1970; 0: not told."""
 
-    book: Book = field(default_factory=Book)
+    book: ItemStore = field(default_factory=ItemStore)
     seats: list[tuple[int, str, int]] = field(default_factory=list)  # index, holder, incarnation
     promised: dict[int, int] = field(default_factory=dict)
     taken_s: float = 0.0
 
     def take(self, other: Snapshot) -> None:
         """Merge: of each item the highest version, of seats and epochs the highest."""
-        self.book.take(other.book.items.values())
+        self.book.merge(other.book.items.values())
         known = {index: (incarnation, holder) for index, holder, incarnation in self.seats}
         for index, holder, incarnation in other.seats:
             known[index] = max(known.get(index, (0, "")), (incarnation, holder))
@@ -93,7 +93,7 @@
                 item = Item.FromString(value)
                 if ITEM_RECORD + item.key != name:
                     return Failure(f"record {name!r} holds another item, {item.key!r}")
-                held.book.take([item])
+                held.book.merge([item])
             elif name.startswith(PROMISED_RECORD):
                 held.promised[int(name[len(PROMISED_RECORD) :])] = int(value)
             elif name == SEATS_RECORD:
--- a/leadrudder/configuration/item_store.py
+++ b/leadrudder/configuration/item_store.py
@@ -24,7 +24,7 @@
     return old is None or (new.version, new.epoch) > (old.version, old.epoch)
 
 
-def sealed(text: str) -> int:
+def hash64(text: str) -> int:
     """64 bits that tell texts apart, also when those of several are added up bit by bit.
 
     A CRC does not, as it is linear: two items with each other's versions had the digest of the two as they
@@ -37,16 +37,16 @@
     """Order does not count; equal sets have equal digests, others in all likelihood not."""
     total = 0
     for item in items:
-        total ^= sealed(f"{item.key}|{item.version}|{item.epoch}")
+        total ^= hash64(f"{item.key}|{item.version}|{item.epoch}")
     return total
 
 
-RANGES = 64  # of keys, each with a digest of its own
+KEY_RANGES = 64  # of keys, each with a digest of its own
 
 
 def range_of(key: str) -> int:
     """The range that a key falls into: the same in every process and release."""
-    return (zlib.crc32(key.encode()) >> 8) % RANGES
+    return (zlib.crc32(key.encode()) >> 8) % KEY_RANGES
 
 
 def kind_of(key: str) -> str:
@@ -56,16 +56,16 @@
 
 
 @dataclass(slots=True)
-class Book:
+class ItemStore:
     """Items by key; take() merges, so late and doubled news change nothing."""
 
     items: dict[str, Item] = field(default_factory=dict)
     digest: int = 0
-    ranges: list[int] = field(default_factory=lambda: [0] * RANGES)  # the same by range of keys
+    range_digests: list[int] = field(default_factory=lambda: [0] * KEY_RANGES)  # the same by range of keys
     _keys_by_range: dict[int, dict[str, None]] = field(default_factory=dict)
     _standing_by_kind: dict[str, SortedDict[str, Item]] = field(default_factory=dict)
 
-    def take(self, news: Iterable[Item]) -> list[Item]:
+    def merge(self, news: Iterable[Item]) -> list[Item]:
         """Merge; returns what was new."""
         taken = []
         for item in news:
@@ -79,7 +79,7 @@
         change = digest([item]) ^ (digest([old]) if old is not None else 0)
         at = range_of(item.key)
         self.digest ^= change
-        self.ranges[at] ^= change
+        self.range_digests[at] ^= change
         self.items[item.key] = item
         self._keys_by_range.setdefault(at, {})[item.key] = None
         kind = kind_of(item.key)
@@ -91,34 +91,36 @@
         else:
             standing[item.key[len(kind) :]] = item
 
-    def standing(self, kind: str) -> Mapping[str, Item]:
+    def live_items(self, kind: str) -> Mapping[str, Item]:
         """Items of one kind that were not dropped, by name and in the order of names; a live view."""
         standing: Mapping[str, Item] = self._standing_by_kind.get(kind, _NONE_STANDING)
         return standing
 
-    def of_ranges(self, ranges: Iterable[int]) -> list[Item]:
+    def items_in_ranges(self, ranges: Iterable[int]) -> list[Item]:
         """All items, dropped ones included, whose keys fall into these ranges."""
         return [self.items[key] for at in ranges for key in self._keys_by_range.get(at, ())]
 
-    def differing(self, digests: Iterable[int]) -> list[Item]:
+    def items_in_differing_ranges(self, digests: Iterable[int]) -> list[Item]:
         """Items of the ranges whose digests differ from these, which another process has told."""
-        differ = [at for at, theirs in enumerate(digests) if at < RANGES and theirs != self.ranges[at]]
-        return self.of_ranges(differ)
+        differ = [
+            at for at, theirs in enumerate(digests) if at < KEY_RANGES and theirs != self.range_digests[at]
+        ]
+        return self.items_in_ranges(differ)
 
-    def laid_out(self) -> dict[str, Any]:
+    def as_configuration(self) -> dict[str, Any]:
         """All items that stand, as the first call lays them out."""
         out: dict[str, Any] = {
-            "routes": {name: json.loads(item.value) for name, item in self.standing(ROUTE).items()},
-            "services": {name: json.loads(item.value) for name, item in self.standing(SERVICE).items()},
+            "routes": {name: json.loads(item.value) for name, item in self.live_items(ROUTE).items()},
+            "services": {name: json.loads(item.value) for name, item in self.live_items(SERVICE).items()},
         }
         limits = self.items.get(LIMITS)
         if limits is not None and not limits.dropped:
             out["limits"] = json.loads(limits.value)
         return out
 
-    def evacuated(self) -> frozenset[str]:
+    def evacuated_zones(self) -> frozenset[str]:
         """Zones whose servers are to get nothing."""
-        return frozenset(name for name, item in self.standing(EVACUATION).items() if item.value == b"1")
+        return frozenset(name for name, item in self.live_items(EVACUATION).items() if item.value == b"1")
 
 
 _NONE_STANDING: Mapping[str, Item] = {}
--- a/leadrudder/configuration/routing_table.py
+++ b/leadrudder/configuration/routing_table.py
@@ -15,7 +15,7 @@
 from marshmallow import ValidationError
 
 from leadrudder.configuration import items
-from leadrudder.configuration.item_store import Book, kind_of
+from leadrudder.configuration.item_store import ItemStore, kind_of
 from leadrudder.configuration.items import LIMITS, ROUTE, SERVICE, Limits, Route, Service
 from leadrudder.protocol.mesh_pb2 import Item
 
@@ -70,7 +70,7 @@
 class RoutingTable:
     """Routes, services and limits in force.  items_read: how many items were read since the start."""
 
-    def __init__(self, book: Book | None = None) -> None:
+    def __init__(self, book: ItemStore | None = None) -> None:
         self.routes: dict[str, Route] = {}
         self.services: dict[str, Service] = {}
         self.limits = Limits()
@@ -78,9 +78,9 @@
         self._hosts: dict[str, _Host] = {}
         self._routes_calling: Counter[str] = Counter()  # how many routes call each service
         if book is not None:
-            self.apply(book.standing(ROUTE).values())
-            self.apply(book.standing(SERVICE).values())
-            self.apply(book.standing(LIMITS).values())
+            self.apply(book.live_items(ROUTE).values())
+            self.apply(book.live_items(SERVICE).values())
+            self.apply(book.live_items(LIMITS).values())
 
     def apply(self, changed_items: Iterable[Item]) -> Changed:
         """Take in items that are newer than what they replace; those of other kinds are passed over."""
--- a/leadrudder/consensus/anti_entropy.py
+++ b/leadrudder/consensus/anti_entropy.py
@@ -68,15 +68,15 @@
         if not standing and not held:
             self._alike[peer] = machine.turn.now
             return
-        ranges = wire.Ranges(held=machine.book.ranges if held else (), full=machine.seats.full)
+        ranges = wire.Ranges(held=machine.book.range_digests if held else (), full=machine.seats.full)
         if standing:
-            ranges.standing.extend(machine.standing.ranges)
+            ranges.standing.extend(machine.standing.range_digests)
         machine.send(peer, Frame(ranges=ranges))
 
     def on_ranges(self, peer: str, ranges: wire.Ranges) -> None:
         """A peer's digests by range: it gets what we have in those that differ."""
         machine = self.machine
-        standing = machine.standing.differing(ranges.standing)
+        standing = machine.standing.items_in_differing_ranges(ranges.standing)
         if standing:
             machine.send(peer, Frame(standing=wire.Standing(items=standing)))
         if not machine.seats.full:
@@ -85,7 +85,7 @@
         self._credit = min(BYTES_S, self._credit + BYTES_S * (now - self._credited))
         self._credited = now
         items: list[Item] = []
-        missed = machine.book.differing(ranges.held)
+        missed = machine.book.items_in_differing_ranges(ranges.held)
         # Those after the last one handed over come first: a range larger than the bound is gone through, too.
         at = self._at.get(peer, "")
         for item in sorted(missed, key=lambda item: (item.key <= at, item.key)):
--- a/leadrudder/consensus/requests.py
+++ b/leadrudder/consensus/requests.py
@@ -8,7 +8,7 @@
 from enum import IntEnum, auto
 from typing import TYPE_CHECKING
 
-from leadrudder.configuration.item_store import Book
+from leadrudder.configuration.item_store import ItemStore
 from leadrudder.consensus.outputs import Code
 from leadrudder.consensus.quorum import Quorum
 from leadrudder.protocol import mesh_pb2 as wire
@@ -241,9 +241,9 @@
         reading.have.add(peer, told.mark)
         if not reading.have.reached(machine.seats.table):
             return
-        found = Book()
+        found = ItemStore()
         for items in reading.replies.values():
-            found.take(items)
+            found.merge(items)
         open_keys = [key for key, item in found.items.items() if not self._stands(item)]
         if not open_keys:
             self._end_read(reading, Code.DONE, found.items.values())
--- a/leadrudder/consensus/state_machine.py
+++ b/leadrudder/consensus/state_machine.py
@@ -13,7 +13,7 @@
 from random import Random
 from typing import Any
 
-from leadrudder.configuration.item_store import Book, newer
+from leadrudder.configuration.item_store import ItemStore, newer
 from leadrudder.configuration.items import CORE, read_core
 from leadrudder.consensus.anti_entropy import Repair
 from leadrudder.consensus.lease import DUTIES, Leases
@@ -71,8 +71,8 @@
         self.peers: dict[str, Peer] = {}
         self.seats = Seats(address)
         self.promised: dict[int, int] = {}
-        self.book = Book()  # what this seat holds
-        self.standing = Book()  # what a majority holds
+        self.book = ItemStore()  # what this seat holds
+        self.standing = ItemStore()  # what a majority holds
         self.unsettled: dict[str, None] = {}  # keys of which the book holds something newer than what stands
         self.keys_by_section: dict[int, dict[str, None]] = {}  # of the book
         self.resigned = False
@@ -226,7 +226,7 @@
         return {ITEM_RECORD + item.key: item.SerializeToString() for item in taken}
 
     def _take_into_book(self, items: Iterable[Item]) -> list[Item]:
-        taken = self.book.take(items)
+        taken = self.book.merge(items)
         for item in taken:
             self.keys_by_section.setdefault(self.section_of(item.key), {})[item.key] = None
             if newer(item, self.standing.items.get(item.key)):
@@ -272,7 +272,7 @@
 
     def stands(self, items: Iterable[Item], tell: bool = True) -> None:
         """Items are known to be on disk at a majority."""
-        taken = self.standing.take(items)
+        taken = self.standing.merge(items)
         if not taken:
             return
         for item in taken:
--- a/leadrudder/control_plane/maintenance.py
+++ b/leadrudder/control_plane/maintenance.py
@@ -16,7 +16,7 @@
 from returns.result import Failure
 
 from leadrudder.bootstrap.log_buffer import Ring
-from leadrudder.configuration.item_store import Book
+from leadrudder.configuration.item_store import ItemStore
 from leadrudder.configuration.items import CONTRACT, USED
 from leadrudder.configuration.routing_table import RoutingTable
 from leadrudder.configuration.validation import Finding
@@ -76,7 +76,7 @@
 
     def __init__(
         self,
-        book: Callable[[], Book],
+        book: Callable[[], ItemStore],
         nodes: Callable[[], Iterable[Node]],
         change: Change,
         ring: Ring,
@@ -104,13 +104,13 @@
                     node.name, server.zone, server.service, server.capacity, not server.draining
                 )
         used: dict[str, dict[int, float]] = {}
-        for service, item in book.standing(USED).items():
+        for service, item in book.live_items(USED).items():
             used[service] = {int(hour): float(n) for hour, n in json.loads(item.value).items()}
         return Situation(
-            contract.standing(book.standing(CONTRACT).items()),
+            contract.standing(book.live_items(CONTRACT).items()),
             routing.routes,
             machines,
-            window.standing(book.standing(WINDOW).items()),
+            window.standing(book.live_items(WINDOW).items()),
             used,
         )
 
@@ -120,7 +120,7 @@
         """Some times a second.  held: the duty is ours."""
         wall = self._wall()
         self._note_use(wall, held)
-        at = self.situation() if held and self._book().standing(WINDOW) else Situation()
+        at = self.situation() if held and self._book().live_items(WINDOW) else Situation()
         steady = self._steady()
         others = [off + steady for off in self.clocks.values()]
         for moved in self._keeper.tick(wall, steady, held, at, others):
@@ -207,7 +207,7 @@
         """None: the call is another's."""
         match call.method, call.segments:
             case "GET", ("contracts",):
-                found = self._book().standing(CONTRACT)
+                found = self._book().live_items(CONTRACT)
                 return _json({"contracts": {name: json.loads(i.value) for name, i in found.items()}})
             case "PATCH", ("contracts",):
                 return await self._contracts(call.body)
--- a/leadrudder/control_plane/operator_api.py
+++ b/leadrudder/control_plane/operator_api.py
@@ -12,7 +12,7 @@
 
 from leadrudder.bootstrap.log_buffer import Ring
 from leadrudder.configuration import validation
-from leadrudder.configuration.item_store import Book
+from leadrudder.configuration.item_store import ItemStore
 from leadrudder.configuration.items import CORE, EVACUATION, SEATS_MOST, SERVICE
 from leadrudder.consensus.anti_entropy import Owed
 from leadrudder.consensus.outputs import Answer, Code
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        known: Callable[[], Book],
+        known: Callable[[], ItemStore],
         change: Change,
         read: Read,
         zones: Iterable[str],
@@ -99,15 +99,15 @@
             return self._refuse(parsed.failure())
         assert isinstance(parsed, Success)
         call = parsed.unwrap()
-        findings = validation.against(call, self._known().standing(SERVICE))
+        findings = validation.against(call, self._known().live_items(SERVICE))
         if findings:
             # What this process knows may be old: a majority knows whether there is such a service.
             answer = await self._read()
             if answer.code is not Code.DONE:
                 return Told(503, b"no majority answered in time\n", _COME_BACK)
-            book = Book()
-            book.take(answer.items)
-            findings = validation.against(call, book.standing(SERVICE))
+            book = ItemStore()
+            book.merge(answer.items)
+            findings = validation.against(call, book.live_items(SERVICE))
             if findings:
                 return self._refuse(findings)
         changed = [
@@ -130,9 +130,9 @@
         answer = await self._read()
         if answer.code is not Code.DONE:
             return Told(503, b"no majority answered in time\n", _COME_BACK)
-        book = Book()
-        book.take(answer.items)
-        return Told(200, json.dumps(book.laid_out()).encode(), _JSON)
+        book = ItemStore()
+        book.merge(answer.items)
+        return Told(200, json.dumps(book.as_configuration()).encode(), _JSON)
 
     async def _snapshot(self) -> Told:
         answer = await self._read()
--- a/leadrudder/control_plane/program.py
+++ b/leadrudder/control_plane/program.py
@@ -14,7 +14,7 @@
 from leadrudder.backup import snapshot
 from leadrudder.bootstrap.log_buffer import Ring
 from leadrudder.bootstrap.settings import Settings
-from leadrudder.configuration.item_store import Book
+from leadrudder.configuration.item_store import ItemStore
 from leadrudder.consensus.lease import DUTIES, POSSESSION, SWEEP
 from leadrudder.consensus.outputs import Answer, Note, Output, Send, Stands, Write
 from leadrudder.consensus.state_machine import Interlocking
@@ -358,7 +358,7 @@
 
     # ------------------------------------------------------------ operators
 
-    def _known(self) -> Book:
+    def _known(self) -> ItemStore:
         return self.interlocking.standing
 
     def _pack(self, items: Iterable[Item]) -> bytes:
--- a/leadrudder/control_simulation/nodes.py
+++ b/leadrudder/control_simulation/nodes.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from leadrudder.configuration.item_store import Book
+from leadrudder.configuration.item_store import ItemStore
 from leadrudder.consensus.quorum_check import FRESH_S
 from leadrudder.control_simulation.world import DELAY_S, Machine, World
 from leadrudder.protocol.mesh_pb2 import Item
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Station:
-    book: Book = field(default_factory=Book)
+    book: ItemStore = field(default_factory=ItemStore)
     home: str = ""
     life: int = 0  # of the home's process
     had: dict[str, list[tuple[int, float]]] = field(
@@ -75,7 +75,7 @@
         else:
             take()
 
-    def _judge(self, home: Machine, told: Book) -> None:
+    def _judge(self, home: Machine, told: ItemStore) -> None:
         """What a station begins with is no older than what was acknowledged a moment before."""
         for acknowledged in self._world.acknowledgements:
             if acknowledged.at > self._world.now - FRESH_S:
@@ -97,7 +97,7 @@
 
     def _take(self, station: Station, items: Iterable[Item]) -> None:
         before = {item.key: station.book.items.get(item.key) for item in items}
-        for item in station.book.take(items):
+        for item in station.book.merge(items):
             station.had.setdefault(item.key, []).append((item.version, self._world.now))
         for key, old in before.items():
             new = station.book.items[key]
--- a/leadrudder/control_simulation/world.py
+++ b/leadrudder/control_simulation/world.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from leadrudder.configuration.item_store import Book
+from leadrudder.configuration.item_store import ItemStore
 from leadrudder.configuration.items import ORDERS
 from leadrudder.consensus.lease import SWEEP
 from leadrudder.consensus.outputs import Answer, Code, Output, Send, Stands, Write
@@ -470,8 +470,8 @@
 
         def judged(answer: Answer) -> None:
             if answer.code is Code.DONE:
-                found = Book()
-                found.take(answer.items)
+                found = ItemStore()
+                found.merge(answer.items)
                 for item in found.items.values():
                     self.history.append(self._operation(item, Outcome.READ, began, self.now))
                 for key, item in owed.items():
--- a/leadrudder/data_plane/machine_drains.py
+++ b/leadrudder/data_plane/machine_drains.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable
 
-from leadrudder.configuration.item_store import Book
+from leadrudder.configuration.item_store import ItemStore
 from leadrudder.configuration.items import CONTRACT, Route
 from leadrudder.maintenance import window
 from leadrudder.maintenance.window import WINDOW, Loans
@@ -35,10 +35,10 @@
     def some(self) -> bool:
         return bool(self._loans.by_machine)
 
-    def take(self, book: Book) -> None:
+    def take(self, book: ItemStore) -> None:
         """What stands may have changed."""
-        windows = window.standing(book.standing(WINDOW).items())
-        self._loans = Loans.of(windows, window.owns(book.standing(CONTRACT).items()))
+        windows = window.standing(book.live_items(WINDOW).items())
+        self._loans = Loans.of(windows, window.owns(book.live_items(CONTRACT).items()))
         # The wall's clock may be put back while a machine is lent: its time is over all the same.
         ahead = self._steady() - self._wall()
         known, self._ends = self._ends, {}
--- a/leadrudder/data_plane/mesh_state.py
+++ b/leadrudder/data_plane/mesh_state.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from leadrudder.bootstrap.settings import Settings
-from leadrudder.configuration.item_store import Book, kind_of
+from leadrudder.configuration.item_store import ItemStore, kind_of
 from leadrudder.configuration.items import CONTRACT, EVACUATION, WINDOW, Route
 from leadrudder.configuration.routing_table import RoutingTable
 from leadrudder.data_plane.admission_control import Gate
@@ -52,7 +52,7 @@
         monotonic: Callable[[], float],
         loans: bool,
     ) -> None:
-        self.book = Book()
+        self.book = ItemStore()
         self.routing = RoutingTable()
         self.members = Register("")
         self.endpoints = EndpointTable()
@@ -111,7 +111,7 @@
 
     def _take_items(self, items: Iterable[Item]) -> None:
         """Routes are in force at once; what follows from them is carried out with the next pass."""
-        taken = self.book.take(items)
+        taken = self.book.merge(items)
         if not taken:
             return
         read_before = self.routing.items_read
@@ -186,7 +186,7 @@
 
     def _evacuate(self) -> set[str]:
         """Returns the services that may have servers in zones that are emptied or taken back."""
-        evacuated = self.book.evacuated()
+        evacuated = self.book.evacuated_zones()
         if evacuated == self._evacuated:
             return set()
         self._evacuated = evacuated
--- a/leadrudder/membership/registry.py
+++ b/leadrudder/membership/registry.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from leadrudder.configuration.item_store import sealed
+from leadrudder.configuration.item_store import hash64
 from leadrudder.protocol.mesh_pb2 import Node
 
 MOVE_S = 0.8  # for a station that lost its signalbox to find another
@@ -23,7 +23,7 @@
 
 
 def seal(node: Node) -> int:
-    return sealed(f"{node.name}|{node.life}|{node.number}|{node.gone}")
+    return hash64(f"{node.name}|{node.life}|{node.number}|{node.gone}")
 
 
 @dataclass(slots=True)
--- a/leadrudder/model_checker/machine_states.py
+++ b/leadrudder/model_checker/machine_states.py
@@ -16,7 +16,7 @@
 
 from google.protobuf.message import Message
 
-from leadrudder.configuration.item_store import Book
+from leadrudder.configuration.item_store import ItemStore
 from leadrudder.consensus.lease import DUTIES
 from leadrudder.consensus.outputs import Answer, Output, Send, Stands, Write
 from leadrudder.consensus.state_machine import ITEM_RECORD, PROMISED_RECORD, SEATS_RECORD, Interlocking
@@ -128,7 +128,7 @@
         return tuple(map(_frozen, obj))
     if isinstance(obj, Still):
         return obj.count
-    if isinstance(obj, Book):
+    if isinstance(obj, ItemStore):
         return _frozen(obj.items)  # its digests follow from them
     names = getattr(obj, "__slots__", None) or sorted(vars(obj))
     return tuple((n, _frozen(getattr(obj, n))) for n in names if n not in ("_machine", "machine", "turn"))
--- a/tests/mesh/test_backup.py
+++ b/tests/mesh/test_backup.py
@@ -16,7 +16,7 @@
 from returns.result import Failure, Success
 
 from leadrudder.backup.snapshot import Snapshot, keep, load, pack, restored, unpack
-from leadrudder.configuration.item_store import Book
+from leadrudder.configuration.item_store import ItemStore
 from leadrudder.consensus.outputs import Answer, Code
 from leadrudder.control_simulation.world import World
 from leadrudder.mesh.__main__ import main
@@ -103,8 +103,8 @@
         after = held(item("routes/a", 4, dropped=True), item("routes/b", 6, b"old"))
         for sources in ([before, after], [after, before]):
             records = restored(sources, [holder for _, holder, _ in SEATS])
-            book = Book()
-            book.take(Item.FromString(v) for k, v in records.items() if k.startswith("item/"))
+            book = ItemStore()
+            book.merge(Item.FromString(v) for k, v in records.items() if k.startswith("item/"))
             self.assertTrue(book.items["routes/a"].dropped)
             self.assertEqual(book.items["routes/b"].value, b"new")
             self.assertIn("limits", book.items)
--- a/tests/mesh/test_control.py
+++ b/tests/mesh/test_control.py
@@ -17,7 +17,7 @@
 from leadrudder.bootstrap.log_buffer import LINES, Ring
 from leadrudder.bootstrap.settings import read
 from leadrudder.bootstrap.start import start
-from leadrudder.configuration.item_store import Book
+from leadrudder.configuration.item_store import ItemStore
 from leadrudder.consensus.outputs import Answer, Code
 from leadrudder.control_plane.operator_api import Operator
 from leadrudder.data_plane.server_api import Beat, Beats
@@ -135,7 +135,7 @@
 
 class Calls(unittest.TestCase):
     def setUp(self) -> None:
-        self.book = Book()
+        self.book = ItemStore()
         self.changes: list[list[Item]] = []
         self.answers: list[Answer] = []
 
@@ -176,7 +176,7 @@
         self.assertEqual([(i.version, i.value) for (i,) in self.changes], [(1, b"1"), (5, b"1")])
 
     def test_what_is_read_back_is_what_was_sent(self) -> None:
-        self.book.take(
+        self.book.merge(
             [
                 Item(key="routes/r", version=2, value=b'{"host":"h"}'),
                 Item(key="routes/gone", version=3, dropped=True),
--- a/tests/mesh/test_maintenance.py
+++ b/tests/mesh/test_maintenance.py
@@ -12,7 +12,7 @@
 
 from returns.result import Failure, Success
 
-from leadrudder.configuration.item_store import Book
+from leadrudder.configuration.item_store import ItemStore
 from leadrudder.configuration.items import Route
 from leadrudder.data_plane.machine_drains import Lent
 from leadrudder.maintenance import contract, planner, window
@@ -377,8 +377,8 @@
     def test_a_station_whose_clock_is_put_back_ends_a_loan_in_its_time(self) -> None:
         lent = planned().moved("m0", Stage.OUT, EVENING)
         back = lent.steps[0].back
-        book, clock = Book(), {"wall": back - 10.0, "steady": 100.0}
-        book.take([Item(key="windows/w", version=1, value=lent.packed())])
+        book, clock = ItemStore(), {"wall": back - 10.0, "steady": 100.0}
+        book.merge([Item(key="windows/w", version=1, value=lent.packed())])
         held = Lent(lambda: clock["wall"], lambda: clock["steady"], lambda after, do: None, lambda: None)
         held.take(book)
         self.assertTrue(held.lent("m0", route("kampaamo", "kal")))
--- a/tests/mesh/test_routing_table.py
+++ b/tests/mesh/test_routing_table.py
@@ -9,7 +9,7 @@
 from unittest import mock
 
 from leadrudder.configuration import items
-from leadrudder.configuration.item_store import RANGES, Book, range_of
+from leadrudder.configuration.item_store import KEY_RANGES, ItemStore, range_of
 from leadrudder.configuration.items import ROUTE
 from leadrudder.configuration.routing_table import RoutingTable
 from leadrudder.data_plane.change_queue import DELAY_MOST_S, ChangeQueue, PendingChanges
@@ -40,10 +40,10 @@
 class KeptByChange(unittest.TestCase):
     def test_any_course_of_changes_gives_the_table_of_the_whole_book(self) -> None:
         for seed in range(30):
-            rng, book, table = Random(seed), Book(), RoutingTable()
+            rng, book, table = Random(seed), ItemStore(), RoutingTable()
             for version in range(1, 60):
                 changes = [drawn(rng, version) for _ in range(rng.randint(1, 3))]
-                table.apply(book.take(changes))
+                table.apply(book.merge(changes))
                 anew = RoutingTable(book)
                 self.assertEqual(table.routes, anew.routes)
                 self.assertEqual(table.called_services(), anew.called_services())
@@ -53,25 +53,25 @@
 
     def test_one_change_among_many_routes_is_one_read(self) -> None:
         for count in (10, 1000):
-            book = Book()
+            book = ItemStore()
             for i in range(count):
                 value = json.dumps(route(f"h{i}.example", "/", "s")).encode()
-                book.take([Item(key=f"{ROUTE}r{i}", version=1, value=value)])
+                book.merge([Item(key=f"{ROUTE}r{i}", version=1, value=value)])
             table = RoutingTable(book)
             value = json.dumps(route("h0.example", "/new/", "s")).encode()
             with mock.patch.object(items, "read_route", wraps=items.read_route) as read:
-                table.apply(book.take([Item(key=f"{ROUTE}r0", version=2, value=value)]))
+                table.apply(book.merge([Item(key=f"{ROUTE}r0", version=2, value=value)]))
             self.assertEqual(read.call_count, 1)
 
     def test_the_books_indexes_tell_what_a_look_through_all_items_tells(self) -> None:
-        rng, book = Random(5), Book()
+        rng, book = Random(5), ItemStore()
         for version in range(1, 300):
-            book.take([drawn(rng, version)])
+            book.merge([drawn(rng, version)])
             standing = {k[len(ROUTE) :]: i for k, i in sorted(book.items.items()) if not i.dropped}
-            self.assertEqual(list(book.standing(ROUTE).items()), list(standing.items()))
-        for at in range(RANGES):
+            self.assertEqual(list(book.live_items(ROUTE).items()), list(standing.items()))
+        for at in range(KEY_RANGES):
             wanted = [item for key, item in book.items.items() if range_of(key) == at]
-            self.assertEqual(book.of_ranges([at]), wanted)
+            self.assertEqual(book.items_in_ranges([at]), wanted)
 
 
 class Endpoints(unittest.TestCase):
--- a/tests/mesh/test_validation.py
+++ b/tests/mesh/test_validation.py
@@ -12,7 +12,7 @@
 from returns.result import Failure, Success
 
 from leadrudder.configuration import validation
-from leadrudder.configuration.item_store import Book
+from leadrudder.configuration.item_store import ItemStore
 from leadrudder.configuration.routing_table import RoutingTable
 from leadrudder.mesh.__main__ import main
 from leadrudder.protocol.mesh_pb2 import Item
@@ -103,10 +103,10 @@
 
 class Find(unittest.TestCase):
     def _timetable(self) -> RoutingTable:
-        book = Book()
+        book = ItemStore()
         for name, start in (("short", "/a/"), ("long", "/a/b/"), ("all", "/")):
             raw = call(pathStart=start)["addOrReplace"]["routes"]["r"]
-            book.take([Item(key=f"routes/{name}", version=1, value=json.dumps(raw).encode())])
+            book.merge([Item(key=f"routes/{name}", version=1, value=json.dumps(raw).encode())])
         return RoutingTable(book)
 
     def test_the_longest_prefix_is_taken(self) -> None:
@@ -124,10 +124,10 @@
         self.assertIsNone(timetable.find("other.example", "/a/"))
 
     def test_items_never_go_back(self) -> None:
-        book = Book()
-        book.take([Item(key="limits", version=3, epoch=1, value=b"new")])
-        self.assertEqual(book.take([Item(key="limits", version=2, epoch=9, value=b"old")]), [])
-        self.assertEqual(book.take([Item(key="limits", version=3, epoch=1, value=b"new")]), [])
+        book = ItemStore()
+        book.merge([Item(key="limits", version=3, epoch=1, value=b"new")])
+        self.assertEqual(book.merge([Item(key="limits", version=2, epoch=9, value=b"old")]), [])
+        self.assertEqual(book.merge([Item(key="limits", version=3, epoch=1, value=b"new")]), [])
         self.assertEqual(book.items["limits"].value, b"new")
 
 
