--- a/bench/change_cost.py
+++ b/bench/change_cost.py
@@ -19,7 +19,7 @@
 from statistics import median
 from typing import Any
 
-from leadrudder.bootstrap.settings import read
+from leadrudder.bootstrap.settings import parse_settings
 from leadrudder.data_plane.admission_control import Gate
 from leadrudder.data_plane.mesh_state import MeshState
 from leadrudder.observability.invariants import Invariants
@@ -53,7 +53,7 @@
 
 def state(routes: int, stations: int) -> MeshState:
     """What a process knows of so many, with some balancers in use."""
-    settings = read(SETTINGS).unwrap()
+    settings = parse_settings(SETTINGS).unwrap()
     made = MeshState(
         settings,
         Gate(settings.bounds),
--- a/bench/soak/process.py
+++ b/bench/soak/process.py
@@ -23,7 +23,7 @@
 import uvloop  # noqa: E402
 from absl import logging  # noqa: E402
 
-from leadrudder.bootstrap.settings import load  # noqa: E402
+from leadrudder.bootstrap.settings import load_settings  # noqa: E402
 from leadrudder.control_plane.program import Signalbox  # noqa: E402
 from leadrudder.data_plane.program import Station  # noqa: E402
 
@@ -68,7 +68,7 @@
 
 async def serve(role: str, plant: str) -> None:
     """plant: a fault of bench.soak.planted_faults that is put in, to see that the soak finds it."""
-    settings = load().unwrap()
+    settings = load_settings().unwrap()
     with planted(plant) if plant else nullcontext():
         program = Station(settings) if role == "station" else Signalbox(settings)
         await program.run()
--- a/leadrudder/bootstrap/log_buffer.py
+++ b/leadrudder/bootstrap/log_buffer.py
@@ -11,37 +11,37 @@
 
 from absl import logging
 
-LINES = 300
-EACH_S = 5.0  # between two times that the ring is written out
-BEFORE = 25  # lines of it
+CAPACITY_LINES = 300
+DUMP_INTERVAL_S = 5.0  # between two times that the ring is written out
+DUMP_LINES = 25  # lines of it
 
 
-class Ring:
+class LogBuffer:
     """One process's.  now: seconds that only advance."""
 
     def __init__(self, name: str, now: Callable[[], float] = time.monotonic) -> None:
         self._name, self._now = name, now
-        self._lines: deque[tuple[float, str]] = deque(maxlen=LINES)
+        self._lines: deque[tuple[float, str]] = deque(maxlen=CAPACITY_LINES)
         self._written = float("-inf")
 
-    def note(self, text: str) -> None:
+    def record(self, text: str) -> None:
         """Something to be known when something else goes wrong."""
         self._lines.append((self._now(), text))
 
-    def say(self, text: str) -> None:
+    def log_info(self, text: str) -> None:
         """A line that is always written: starts and ends."""
-        self.note(text)
+        self.record(text)
         logging.info("%s: %s", self._name, text)
 
-    def wrong(self, text: str) -> None:
+    def log_warning(self, text: str) -> None:
         """Something that should not be: written with what went before it."""
         now = self._now()
-        self.note(text)
-        if now - self._written < EACH_S:
+        self.record(text)
+        if now - self._written < DUMP_INTERVAL_S:
             return
         self._written = now
         logging.warning("%s: %s", self._name, text)
-        for at, line in list(self._lines)[-BEFORE - 1 : -1]:
+        for at, line in list(self._lines)[-DUMP_LINES - 1 : -1]:
             logging.warning("  %.3f s before: %s", now - at, line)
 
     def lines(self) -> list[str]:
--- a/leadrudder/bootstrap/settings.py
+++ b/leadrudder/bootstrap/settings.py
@@ -19,7 +19,7 @@
 _TIME = re.compile(r"([0-9]+(?:\.[0-9]+)?)(ms|s)")
 
 
-def milliseconds(text: object) -> float | None:
+def parse_duration_ms(text: object) -> float | None:
     """A time as the pages write it, `1500ms` or `2.5s`, in milliseconds; None for anything else."""
     found = _TIME.fullmatch(text) if isinstance(text, str) else None
     if found is None:
@@ -27,17 +27,17 @@
     return float(found[1]) * (1000.0 if found[2] == "s" else 1.0)
 
 
-class Duration(fields.Field[float]):
+class DurationField(fields.Field[float]):
     """A time in text, in milliseconds after reading."""
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **kwargs: Any) -> float:
-        read = milliseconds(value)
+        read = parse_duration_ms(value)
         if read is None:
             raise ValidationError("not a time such as 1500ms or 2.5s")
         return read
 
 
-class Address(fields.Field[tuple[str, int]]):
+class AddressField(fields.Field[tuple[str, int]]):
     """IP:PORT."""
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **kwargs: Any) -> tuple[str, int]:
@@ -51,10 +51,10 @@
     class Meta:
         unknown = EXCLUDE
 
-    inbound = Address(data_key="inboundPort", load_default=None)
-    outbound = Address(data_key="outboundPort", load_default=None)
-    readiness = Address(load_default=None)
-    control = Address(data_key="controlPort", load_default=None)
+    inbound = AddressField(data_key="inboundPort", load_default=None)
+    outbound = AddressField(data_key="outboundPort", load_default=None)
+    readiness = AddressField(load_default=None)
+    control = AddressField(data_key="controlPort", load_default=None)
 
 
 class _Limits(Schema):
@@ -80,12 +80,12 @@
     zone = fields.String(required=True)
     ip = fields.String(required=True)
     ports = fields.List(fields.Integer(), data_key="sparePorts", required=True)
-    seeds = fields.List(Address(), data_key="seedNodes", required=True)
+    seeds = fields.List(AddressField(), data_key="seedNodes", required=True)
     first_run = fields.Boolean(data_key="firstRun", load_default=False)
     data_folder = fields.String(data_key="dataFolder", load_default="")
-    beat_ms = Duration(data_key="beatEvery", load_default=1500.0)
+    beat_ms = DurationField(data_key="beatEvery", load_default=1500.0)
     bounds = fields.List(fields.String(), data_key="ruleBounds", load_default=list)
-    app = Address(data_key="appAddress", load_default=None)
+    app = AddressField(data_key="appAddress", load_default=None)
     service = fields.String(load_default="")
     zones = fields.Dict(keys=fields.String(), values=fields.String(), load_default=dict)
     addresses = fields.Nested(_Addresses, load_default=dict)
@@ -94,7 +94,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class RuleBounds:
     """The rules' figures in force: milliseconds, and plain numbers as they stand."""
 
     drain: float = 2500.0
@@ -135,48 +135,48 @@
     ports: tuple[int, int]  # the first and the last that are free for talk between our processes
     seeds: tuple[tuple[str, int], ...]
     first_run: bool
-    data_folder: str
-    beat_ms: float
-    bounds: Bounds
-    app: tuple[str, int] | None
+    data_directory: str
+    heartbeat_interval_ms: float
+    bounds: RuleBounds
+    application_address: tuple[str, int] | None
     service: str
     inbound: tuple[str, int] | None
     outbound: tuple[str, int] | None
     readiness: tuple[str, int] | None
     control: tuple[str, int] | None
-    ram_mb: float
+    memory_limit_mb: float
     open_files: int
-    losses: int  # machines with a disk that may go at once
+    tolerated_machine_losses: int  # machines with a disk that may go at once
 
     @property
-    def signal_port(self) -> int:
+    def control_link_port(self) -> int:
         """Where signalboxes listen for links: the same on all machines."""
         return self.ports[0]
 
     @property
-    def station_port(self) -> int:
+    def proxy_link_port(self) -> int:
         """Where stations listen for links."""
         return min(self.ports[0] + 1, self.ports[1])
 
     @property
-    def seed_links(self) -> tuple[str, ...]:
+    def seed_link_addresses(self) -> tuple[str, ...]:
         """The link addresses of the seeds."""
-        return tuple(f"{host}:{self.signal_port}" for host, _ in self.seeds)
+        return tuple(f"{host}:{self.control_link_port}" for host, _ in self.seeds)
 
 
-def _bounds(texts: list[str]) -> Result[Bounds, str]:
+def _bounds(texts: list[str]) -> Result[RuleBounds, str]:
     values: dict[str, float] = {}
     for text in texts:
         name, _, raw = text.partition("=")
         field = _BOUNDS.get(name.strip())
         if field is None:
             continue
-        value = milliseconds(raw.strip())
+        value = parse_duration_ms(raw.strip())
         try:
             values[field] = float(raw) if value is None else value
         except ValueError:
             return Failure(f"ruleBounds: {name} is neither a time nor a number: {raw!r}")
-    return Success(Bounds(**values))
+    return Success(RuleBounds(**values))
 
 
 def _first_error(messages: Any, path: str = "") -> str:
@@ -186,7 +186,7 @@
     return f"{path}: {messages[0] if isinstance(messages, list) and messages else messages}"
 
 
-def read(raw: Mapping[str, Any]) -> Result[Settings, str]:
+def parse_settings(raw: Mapping[str, Any]) -> Result[Settings, str]:
     """Settings from a parsed file; the error is one line that names the field."""
     try:
         file = cast(dict[str, Any], _File().load(raw))
@@ -205,20 +205,20 @@
             ports=(file["ports"][0], file["ports"][1]),
             seeds=tuple(file["seeds"]),
             first_run=file["first_run"],
-            data_folder=file["data_folder"],
-            beat_ms=file["beat_ms"],
+            data_directory=file["data_folder"],
+            heartbeat_interval_ms=file["beat_ms"],
             bounds=bounds,
-            app=file["app"],
+            application_address=file["app"],
             service=file["service"],
-            ram_mb=limits["ram_mb"],
+            memory_limit_mb=limits["ram_mb"],
             open_files=limits["open_files"],
-            losses=file["withstand"].get("machines", 0),
+            tolerated_machine_losses=file["withstand"].get("machines", 0),
             **addresses,
         )
     )
 
 
-def load(environment: Mapping[str, str] = os.environ) -> Result[Settings, str]:
+def load_settings(environment: Mapping[str, str] = os.environ) -> Result[Settings, str]:
     """The settings from the file that the environment names."""
     path = environment.get(FILE_VARIABLE)
     if not path:
@@ -228,4 +228,4 @@
             raw = tomllib.load(file)
     except (OSError, ValueError) as error:
         return Failure(f"{path}: {error}")
-    return read(raw).alt(lambda text: f"{path}: {text}")
+    return parse_settings(raw).alt(lambda text: f"{path}: {text}")
--- a/leadrudder/bootstrap/start.py
+++ b/leadrudder/bootstrap/start.py
@@ -13,10 +13,10 @@
 from absl import flags, logging
 from returns.result import Failure
 
-from leadrudder.bootstrap.settings import FILE_VARIABLE, Settings, load
+from leadrudder.bootstrap.settings import FILE_VARIABLE, Settings, load_settings
 
 
-def start(
+def run_program(
     program: str,
     about: str,
     serve: Callable[[Settings, argparse.Namespace], Coroutine[Any, Any, None]],
@@ -36,7 +36,7 @@
     flags.FLAGS.mark_as_parsed()
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO)
-    settings = load()
+    settings = load_settings()
     if isinstance(settings, Failure):
         print(f"leadrudder: {settings.failure()}", file=sys.stderr)
         return 2
--- a/leadrudder/configuration/items.py
+++ b/leadrudder/configuration/items.py
@@ -11,7 +11,7 @@
 
 from marshmallow import EXCLUDE, Schema, ValidationError, fields, validate
 
-from leadrudder.bootstrap.settings import Duration
+from leadrudder.bootstrap.settings import DurationField
 from leadrudder.protocol.mesh_pb2 import Item
 
 GIVE_UP_MOST_MS = 600_000.0
@@ -59,12 +59,12 @@
         validate=validate.Regexp(r"/.*", error="does not begin with a slash"),
     )
     kind = fields.String(required=True, validate=validate.OneOf(["safe", "unsafe"]))
-    give_up_ms = Duration(
+    give_up_ms = DurationField(
         data_key="giveUp",
         required=True,
         validate=validate.Range(min=0, min_inclusive=False, max=GIVE_UP_MOST_MS),
     )
-    target_ms = Duration(data_key="target", load_default=None)
+    target_ms = DurationField(data_key="target", load_default=None)
     priority = fields.Integer(load_default=1)
     service = fields.String(load_default=None)
     split_to = fields.List(fields.Nested(_Split), data_key="splitTo", load_default=None)
@@ -78,7 +78,7 @@
 
     health_path = fields.String(data_key="healthPath", load_default="/health")
     max_connections = fields.Integer(data_key="maxConnections", load_default=100)
-    cold_ms = Duration(data_key="coldStart", load_default=0.0)
+    cold_ms = DurationField(data_key="coldStart", load_default=0.0)
     cold_per_s = fields.Float(data_key="coldPerS", load_default=0.0)
     version = Version(required=True)
 
@@ -89,8 +89,8 @@
 
     head_most = fields.Integer(data_key="maxHeaderBytes", load_default=16384)
     body_most = fields.Integer(data_key="maxBodyBytes", load_default=67108864)
-    head_wait_ms = Duration(data_key="headerWait", load_default=3000.0)
-    idle_ms = Duration(data_key="idle", load_default=15000.0)
+    head_wait_ms = DurationField(data_key="headerWait", load_default=3000.0)
+    idle_ms = DurationField(data_key="idle", load_default=15000.0)
     version = Version(required=True)
 
 
--- a/leadrudder/control_plane/__main__.py
+++ b/leadrudder/control_plane/__main__.py
@@ -10,7 +10,7 @@
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 from leadrudder.bootstrap.settings import Settings  # noqa: E402
-from leadrudder.bootstrap.start import start  # noqa: E402
+from leadrudder.bootstrap.start import run_program  # noqa: E402
 from leadrudder.control_plane.program import Signalbox  # noqa: E402
 from leadrudder.storage.store import DiskError  # noqa: E402
 
@@ -20,4 +20,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(start("leadrudder.control_plane", "control plane", _serve, (OSError, DiskError)))
+    sys.exit(run_program("leadrudder.control_plane", "control plane", _serve, (OSError, DiskError)))
--- a/leadrudder/control_plane/maintenance.py
+++ b/leadrudder/control_plane/maintenance.py
@@ -15,7 +15,7 @@
 from marshmallow import EXCLUDE, Schema, ValidationError, fields, validate
 from returns.result import Failure
 
-from leadrudder.bootstrap.log_buffer import Ring
+from leadrudder.bootstrap.log_buffer import LogBuffer
 from leadrudder.configuration.item_store import ItemStore
 from leadrudder.configuration.items import CONTRACT, USED
 from leadrudder.configuration.routing_table import RoutingTable
@@ -79,7 +79,7 @@
         book: Callable[[], ItemStore],
         nodes: Callable[[], Iterable[Node]],
         change: Change,
-        ring: Ring,
+        ring: LogBuffer,
         wall: Callable[[], float],
         steady: Callable[[], float],
     ) -> None:
@@ -160,7 +160,7 @@
         self._keeper.told(moved.name)
         if code is Code.DONE:
             stages = ", ".join(f"{s.machine} {s.stage}{': ' + s.why if s.why else ''}" for s in moved.steps)
-            self._ring.note(f"window {moved.name}: {stages}")
+            self._ring.record(f"window {moved.name}: {stages}")
 
     def _next(self, name: str) -> int:
         """The count that follows the window as we know it just now: a step is made from what it was then."""
--- a/leadrudder/control_plane/operator_api.py
+++ b/leadrudder/control_plane/operator_api.py
@@ -10,7 +10,7 @@
 
 from returns.result import Failure, Success
 
-from leadrudder.bootstrap.log_buffer import Ring
+from leadrudder.bootstrap.log_buffer import LogBuffer
 from leadrudder.configuration import validation
 from leadrudder.configuration.item_store import ItemStore
 from leadrudder.configuration.items import CORE, EVACUATION, SEATS_MOST, SERVICE
@@ -41,7 +41,7 @@
         change: Change,
         read: Read,
         zones: Iterable[str],
-        ring: Ring,
+        ring: LogBuffer,
         pack: Pack = lambda items: b"",
         owed: Callable[[], list[Owed]] = list,
         core: Callable[[], dict[str, Any]] = dict,
@@ -118,12 +118,12 @@
         if answer.code is Code.DONE:
             return Told(200, b"{}", _JSON)
         if answer.code is Code.CONFLICT:
-            self._ring.note(f"409: {[c.key for c in call.changes][:3]}")
+            self._ring.record(f"409: {[c.key for c in call.changes][:3]}")
             return Told(409, b"an item's version has another value already\n")
         return Told(503, b"no majority answered in time\n", _COME_BACK)
 
     def _refuse(self, findings: list[validation.Finding]) -> Told:
-        self._ring.note(f"400: {findings[0]}")
+        self._ring.record(f"400: {findings[0]}")
         return Told(400, "".join(f"{finding}\n" for finding in findings[:20]).encode())
 
     async def _get(self) -> Told:
--- a/leadrudder/control_plane/program.py
+++ b/leadrudder/control_plane/program.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from leadrudder.backup import snapshot
-from leadrudder.bootstrap.log_buffer import Ring
+from leadrudder.bootstrap.log_buffer import LogBuffer
 from leadrudder.bootstrap.settings import Settings
 from leadrudder.configuration.item_store import ItemStore
 from leadrudder.consensus.lease import DUTIES, POSSESSION, SWEEP
@@ -63,20 +63,22 @@
         self._possession, self._wall, self._make_writer = possession, wall, writer
         self._rng = rng or Random()
         self._possessions: Possessions | None = None
-        self.address = f"{settings.ip}:{settings.signal_port}"
-        self.ring = Ring(settings.name)
-        self.invariants = Invariants(self.ring.wrong)
+        self.address = f"{settings.ip}:{settings.control_link_port}"
+        self.ring = LogBuffer(settings.name)
+        self.invariants = Invariants(self.ring.log_warning)
         self._lag = LoopLag(time.monotonic if monotonic is None else monotonic)
         self._loop = asyncio.get_running_loop()
         self._store: Store = store or (
-            DumbStore(settings.data_folder) if settings.data_folder else MemoryStore()
+            DumbStore(settings.data_directory) if settings.data_directory else MemoryStore()
         )
         self._register = Register(self.address)
         self._links: dict[str, list[Link]] = {}  # to other signalboxes, the newest last
         self._feeds = Feeds(
             lambda key: self._known().items.get(key), self._register.nodes.get, self.invariants
         )
-        self._others: dict[str, None] = dict.fromkeys(a for a in settings.seed_links if a != self.address)
+        self._others: dict[str, None] = dict.fromkeys(
+            a for a in settings.seed_link_addresses if a != self.address
+        )
         self._dialling: set[str] = set()
         self._waiting: dict[int, asyncio.Future[Answer]] = {}
         self._last = 0
@@ -89,15 +91,15 @@
         kept = await self._open()
         spoilt = getattr(self._store, "spoilt", "")
         if spoilt:
-            self.ring.wrong(f"disk spoilt, counts as lost: {spoilt}")
-        self.ring.say(f"starts with {len(kept)} records, first run: {self.settings.first_run}")
-        self._writer = self._make_writer(self._store, self.ring.wrong)
+            self.ring.log_warning(f"disk spoilt, counts as lost: {spoilt}")
+        self.ring.log_info(f"starts with {len(kept)} records, first run: {self.settings.first_run}")
+        self._writer = self._make_writer(self._store, self.ring.log_warning)
         self.interlocking = Interlocking(
             self.address,
             self.settings.zone,
             first_run=self.settings.first_run and not spoilt,
-            seeds=self.settings.seed_links,
-            losses=self.settings.losses,
+            seeds=self.settings.seed_link_addresses,
+            losses=self.settings.tolerated_machine_losses,
             rng=self._rng,
             kept=kept,
             duties=(*DUTIES, POSSESSION) if self._possession else DUTIES,
@@ -117,11 +119,11 @@
             self._pack,
             self.interlocking.repair.owed,
             self.interlocking.told_core,
-            2 * self.settings.losses + 1,
+            2 * self.settings.tolerated_machine_losses + 1,
             self._possessions.dispatch if self._possessions is not None else None,
             self._metrics().text,
         )
-        self._control = ControlServer(operator.dispatch, lambda e: self.ring.wrong(f"fault: {e!r}"))
+        self._control = ControlServer(operator.dispatch, lambda e: self.ring.log_warning(f"fault: {e!r}"))
         host, port = self.address.rsplit(":", 1)
         self._listener = await self._loop.create_server(
             lambda: Link(self), host, int(port), family=socket.AF_INET, backlog=512
@@ -153,7 +155,7 @@
             try:
                 return self._store.open()
             except DiskError as error:
-                self.ring.note(f"disk cannot be read: {error}")
+                self.ring.record(f"disk cannot be read: {error}")
                 await asyncio.sleep(OPEN_AGAIN_S)
         return self._store.open()
 
@@ -179,7 +181,7 @@
                 if future is not None and not future.done():
                     future.set_result(output)
             elif isinstance(output, Note):
-                self.ring.note(output.text)
+                self.ring.record(output.text)
 
     def _send(self, output: Send) -> None:
         if output.to == self.address:
@@ -393,7 +395,7 @@
         """SIGTERM: as soon as the others can do without us, hand over and end."""
         if self._leave_by < float("inf"):
             return
-        self.ring.say("told to end")
+        self.ring.log_info("told to end")
         now = self._loop.time()
         self._leave_by = now + max(0.0, self.settings.bounds.grace / 1000.0 - LEAVE_LATEST_S - LEAVE_S)
         self._leave_when_safe(now)
@@ -404,7 +406,7 @@
             return
         if not self.interlocking.may_leave() and now < self._leave_by:
             return
-        self.ring.say("ends: hands over what it owns")
+        self.ring.log_info("ends: hands over what it owns")
         self._control.closing = True
         self._carry_out(self.interlocking.resign(now))
         for link in self._feeds.links():
--- a/leadrudder/data_plane/__main__.py
+++ b/leadrudder/data_plane/__main__.py
@@ -10,7 +10,7 @@
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 from leadrudder.bootstrap.settings import Settings  # noqa: E402
-from leadrudder.bootstrap.start import start  # noqa: E402
+from leadrudder.bootstrap.start import run_program  # noqa: E402
 from leadrudder.data_plane.program import Station  # noqa: E402
 
 
@@ -19,4 +19,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(start("leadrudder.data_plane", "data plane", _serve))
+    sys.exit(run_program("leadrudder.data_plane", "data plane", _serve))
--- a/leadrudder/data_plane/admission_control.py
+++ b/leadrudder/data_plane/admission_control.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from leadrudder.bootstrap.settings import Bounds
+from leadrudder.bootstrap.settings import RuleBounds
 from leadrudder.data_plane.admission_queue import AdmissionQueue, QueuedCall, Rank
 from leadrudder.data_plane.service_times import ArrivalRate, ServiceTimes
 from leadrudder.protocol.mesh_pb2 import Waybill
@@ -50,7 +50,7 @@
 class Gate:
     """What may go to the server now, later or never."""
 
-    def __init__(self, bounds: Bounds) -> None:
+    def __init__(self, bounds: RuleBounds) -> None:
         self._bounds = bounds
         self.life: Life | None = None
         self._ended: OrderedDict[str, None] = OrderedDict()  # lives that are over
--- a/leadrudder/data_plane/program.py
+++ b/leadrudder/data_plane/program.py
@@ -14,8 +14,8 @@
 
 from returns.result import Success
 
-from leadrudder.bootstrap.log_buffer import Ring
-from leadrudder.bootstrap.settings import Settings, load
+from leadrudder.bootstrap.log_buffer import LogBuffer
+from leadrudder.bootstrap.settings import Settings, load_settings
 from leadrudder.configuration.items import Route
 from leadrudder.data_plane.admission_control import Gate, Life
 from leadrudder.data_plane.inbound import Inbound, Withdraw, nothing_to_withdraw
@@ -68,11 +68,11 @@
         """possession: maintenance windows are on.  The others are the simulation's."""
         self.settings = settings
         self._possession, self._wall = possession, wall
-        self.ring = Ring(settings.name)
-        self.invariants = Invariants(self.ring.wrong)
+        self.ring = LogBuffer(settings.name)
+        self.invariants = Invariants(self.ring.log_warning)
         self._loop = asyncio.get_running_loop()
         self._rng = rng or Random()
-        self._address = f"{settings.ip}:{settings.station_port}"
+        self._address = f"{settings.ip}:{settings.proxy_link_port}"
         self._life = int(wall() * 1e6)
         self._number = 0
         self._lag = LoopLag(platform.monotonic)
@@ -85,7 +85,7 @@
             carried_out=lambda: self._inbound.advance(),
             ask=lambda services: self._session.subscribe(services),
             fed=lambda: self._session.stands() and self._terminated_at is None,
-            note=self.ring.note,
+            note=self.ring.record,
             rng=self._rng,
             wall=wall,
             monotonic=platform.monotonic,
@@ -98,7 +98,9 @@
         self._refused: Counter[str] = Counter()  # calls that came back without an answer, since the last note
         self._noted_at = 0.0
         self._calls_shed = 0  # calls to our server, refused because this process was behind
-        self._own = OwnServer(settings.app or (settings.ip, 0), most_open=100, platform=platform)
+        self._own = OwnServer(
+            settings.application_address or (settings.ip, 0), most_open=100, platform=platform
+        )
         self._ledger = Ledger()
         self._accounting = RequestAccounting(
             self.traffic,
@@ -107,12 +109,12 @@
             now=self._loop.time,
             wall=wall,
             lag_s=self._lag.seconds,
-            note=self.ring.note,
+            note=self.ring.record,
         )
         self._inbound = Inbound(
             self.gate,
             self._own,
-            self.ring.note,
+            self.ring.record,
             self._lent_here,
             (lambda epoch: self._ledger.ran(settings.service, epoch)) if possession else None,
         )
@@ -124,23 +126,23 @@
             self._begin,
             lambda: self.state.routing.limits,
             lambda: self._outbound.open < OPEN_MOST,
-            BODIES_PART * settings.ram_mb * 1e6,
+            BODIES_PART * settings.memory_limit_mb * 1e6,
             self._lag.seconds,
         )
         beats = Beats(self._beat, self._left, self.ready, self._metrics().text)
-        self._control = ControlServer(beats.dispatch, lambda e: self.ring.wrong(f"fault: {e!r}"))
+        self._control = ControlServer(beats.dispatch, lambda e: self.ring.log_warning(f"fault: {e!r}"))
         self._session = Session(
-            settings.seed_links,
+            settings.seed_link_addresses,
             self._hello,
             self._news,
             self.state.newsstand.session_ended,
             self._rng,
-            self.ring.note,
+            self.ring.record,
         )
 
     async def start(self) -> None:
         settings = self.settings
-        self.ring.say("starts")
+        self.ring.log_info("starts")
         host, port = self._address.rsplit(":", 1)
         self._listener = await self._loop.create_server(
             lambda: Link(self, silence_s=30.0), host, int(port), family=socket.AF_INET, backlog=1024
@@ -354,8 +356,8 @@
             return  # what it would dial now would outlive the event loop
         self._loop.call_later(SWEEP_S, self._sweep)
         now = self._loop.time()
-        if self.gate.silent(now, SILENT_BEATS * self.settings.beat_ms / 1000.0):
-            self.ring.note("our server fell silent")
+        if self.gate.silent(now, SILENT_BEATS * self.settings.heartbeat_interval_ms / 1000.0):
+            self.ring.record("our server fell silent")
             self._own.is_gone()
             self._report()
         self._gates.sweep()
@@ -364,7 +366,9 @@
             self._tell_use()
         if self._refused and now - self._noted_at >= NOTE_EACH_S:
             self._noted_at = now
-            self.ring.note("came back: " + ", ".join(f"{why} {n}" for why, n in self._refused.most_common(8)))
+            self.ring.record(
+                "came back: " + ", ".join(f"{why} {n}" for why, n in self._refused.most_common(8))
+            )
             self._refused.clear()
         if self._terminated_at is not None:
             self._end_when_quiet(now - self._terminated_at)
@@ -378,17 +382,17 @@
 
     def _reload(self) -> None:
         """SIGHUP: the settings file has changed."""
-        read = load()
+        read = load_settings()
         if isinstance(read, Success):
-            self._session.seeds = read.unwrap().seed_links
+            self._session.seeds = read.unwrap().seed_link_addresses
         else:
-            self.ring.wrong(f"kept the old settings: {read.failure()}")
+            self.ring.log_warning(f"kept the old settings: {read.failure()}")
 
     def terminate(self) -> None:
         """SIGTERM: finish what is here, send others elsewhere, then end."""
         if self._terminated_at is not None:
             return
-        self.ring.say(f"ends: {self._outbound.open} requests open, {self.gate.running} at our server")
+        self.ring.log_info(f"ends: {self._outbound.open} requests open, {self.gate.running} at our server")
         self._terminated_at = self._loop.time()
         grace_s = self.settings.bounds.grace / 1000.0
         self._outbound.last_taken = self._terminated_at + grace_s / 2.0 - FIRST_HALF_PART_S
--- a/leadrudder/data_plane/server_api.py
+++ b/leadrudder/data_plane/server_api.py
@@ -12,7 +12,7 @@
 
 from marshmallow import EXCLUDE, Schema, ValidationError, fields
 
-from leadrudder.bootstrap.settings import Duration
+from leadrudder.bootstrap.settings import DurationField
 from leadrudder.transport.http import PLAIN_TEXT, Call, Told
 
 BEAT_MOST = 4096  # bytes
@@ -35,7 +35,7 @@
 
     state = fields.String(load_default="ready")
     count = fields.Integer(data_key="callCount", load_default=0)
-    cold_ms = Duration(data_key="coldLeft", load_default=0.0)
+    cold_ms = DurationField(data_key="coldLeft", load_default=0.0)
 
 
 class _Beat(Schema):
--- a/leadrudder/data_plane/upstreams.py
+++ b/leadrudder/data_plane/upstreams.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 from random import Random
 
-from leadrudder.bootstrap.settings import Bounds
+from leadrudder.bootstrap.settings import RuleBounds
 from leadrudder.configuration.items import Route
 from leadrudder.data_plane.candidates import Candidates
 from leadrudder.data_plane.load_balancer import Carry, Points
@@ -19,7 +19,7 @@
 
     def __init__(
         self,
-        bounds: Bounds,
+        bounds: RuleBounds,
         candidates: Callable[[str, Route], Candidates],
         carry: Carry,
         note: Callable[[str], None],
--- a/leadrudder/emulation/fleet.py
+++ b/leadrudder/emulation/fleet.py
@@ -13,7 +13,7 @@
 from random import Random
 from typing import Any
 
-from leadrudder.bootstrap.settings import Settings, read
+from leadrudder.bootstrap.settings import Settings, parse_settings
 from leadrudder.control_plane.program import Signalbox
 from leadrudder.data_plane.program import Station
 from leadrudder.emulation.standins import Asked, Clients, Server, Wish, Work, call, request
@@ -185,7 +185,7 @@
         }
         if machine.service:
             raw["addresses"] |= {"outboundPort": f"{host}:{OUT}", "readiness": f"{host}:{READY}"}
-        return read(raw).unwrap()
+        return parse_settings(raw).unwrap()
 
     def start_signalbox(self, machine: Machine, *, first: bool = False) -> None:
         loop = self._process(machine, "signalbox")
--- a/leadrudder/maintenance/contract.py
+++ b/leadrudder/maintenance/contract.py
@@ -15,7 +15,7 @@
 from marshmallow import EXCLUDE, Schema, ValidationError, fields, validate
 from returns.result import Failure, Result, Success
 
-from leadrudder.bootstrap.settings import milliseconds
+from leadrudder.bootstrap.settings import parse_duration_ms
 from leadrudder.configuration import items
 from leadrudder.configuration.items import CONTRACT, Route
 from leadrudder.configuration.validation import Change, Finding
@@ -31,7 +31,7 @@
     """A length of time in text, also of hours and minutes; in seconds after reading."""
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **kwargs: Any) -> float:
-        read = milliseconds(value)
+        read = parse_duration_ms(value)
         if read is not None:
             return read / 1000.0
         found = _LONG.fullmatch(value) if isinstance(value, str) else None
--- a/tests/mesh/test_admission_control.py
+++ b/tests/mesh/test_admission_control.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from leadrudder.bootstrap.settings import Bounds
+from leadrudder.bootstrap.settings import RuleBounds
 from leadrudder.data_plane.admission_control import Gate, Life
 from leadrudder.data_plane.retry_budget import Purse
 from leadrudder.data_plane.service_times import KINDS_MOST, ServiceTimes
@@ -14,7 +14,7 @@
 
 class TheGate(unittest.TestCase):
     def setUp(self) -> None:
-        self.gate = Gate(Bounds())
+        self.gate = Gate(RuleBounds())
         self.gate.beat(Life("i-1", "s", "z", 2), False, 1, 0.0, 0.0)
         self.started: list[int] = []
         self.refused: list[Verdict] = []
@@ -120,7 +120,7 @@
     LOOKUP, INTERNAL = 300.0, 80.0  # targets of two kinds of calls
 
     def setUp(self) -> None:
-        self.gate = Gate(Bounds())
+        self.gate = Gate(RuleBounds())
         self.gate.beat(Life("i-1", "s", "z", 5), False, 1, 0.0, 0.0)
         for _ in range(60):
             for target_ms, took_ms in ((self.LOOKUP, 100.0), (self.INTERNAL, 20.0)):
--- a/tests/mesh/test_control.py
+++ b/tests/mesh/test_control.py
@@ -14,9 +14,9 @@
 
 from returns.result import Failure, Success
 
-from leadrudder.bootstrap.log_buffer import LINES, Ring
-from leadrudder.bootstrap.settings import read
-from leadrudder.bootstrap.start import start
+from leadrudder.bootstrap.log_buffer import CAPACITY_LINES, LogBuffer
+from leadrudder.bootstrap.settings import parse_settings
+from leadrudder.bootstrap.start import run_program
 from leadrudder.configuration.item_store import ItemStore
 from leadrudder.consensus.outputs import Answer, Code
 from leadrudder.control_plane.operator_api import Operator
@@ -43,11 +43,13 @@
 
 class Settings(unittest.TestCase):
     def test_unknown_fields_are_skipped(self) -> None:
-        settings = read(FILE)
+        settings = parse_settings(FILE)
         assert isinstance(settings, Success)
         found = settings.unwrap()
-        self.assertEqual((found.bounds.drain, found.bounds.retry_ratio, found.losses), (2500.0, 0.2, 2))
-        self.assertEqual(found.seed_links, ("10.1.0.12:7620",))
+        self.assertEqual(
+            (found.bounds.drain, found.bounds.retry_ratio, found.tolerated_machine_losses), (2500.0, 0.2, 2)
+        )
+        self.assertEqual(found.seed_link_addresses, ("10.1.0.12:7620",))
 
     def test_a_wrong_field_is_named_in_one_line(self) -> None:
         for change, name in (
@@ -59,7 +61,7 @@
             ({"addresses": {"controlPort": 5}}, "controlPort"),
         ):
             with self.subTest(name):
-                failed = read({**FILE, **change})
+                failed = parse_settings({**FILE, **change})
                 assert isinstance(failed, Failure)
                 self.assertIn(name, failed.failure())
                 self.assertNotIn("\n", failed.failure())
@@ -81,7 +83,7 @@
                 told = io.StringIO()
                 environment = {"LEADRUDDER_NODE_FILE": path}
                 with self.subTest(word), mock.patch.dict("os.environ", environment), redirect_stderr(told):
-                    self.assertEqual(start("p", "plane", serve, arguments=[]), 2)
+                    self.assertEqual(run_program("p", "plane", serve, arguments=[]), 2)
                     self.assertIn(word, told.getvalue())
                     self.assertEqual(told.getvalue().count("\n"), 1)
 
@@ -147,7 +149,7 @@
         return Answer(0, Code.DONE, tuple(self.book.items.values()))
 
     def call(self, method: str, *segments: str, body: bytes = b"") -> Told:
-        operator = Operator(lambda: self.book, self._change, self._read, ("z",), Ring("r"))
+        operator = Operator(lambda: self.book, self._change, self._read, ("z",), LogBuffer("r"))
         return told(operator.dispatch(Call(method, segments, body)))
 
     def test_what_is_no_call_gets_a_clear_answer(self) -> None:
@@ -209,11 +211,11 @@
         self.assertEqual(told(server.dispatch(Call("GET", ("ready",), b""))).status, 503)
 
     def test_the_ring_is_bounded(self) -> None:
-        ring = Ring("r", now=lambda: 0.0)
-        for i in range(LINES + 50):
-            ring.note(str(i))
-        self.assertEqual(len(ring.lines()), LINES)
-        self.assertIn(str(LINES + 49), ring.lines()[-1])
+        ring = LogBuffer("r", now=lambda: 0.0)
+        for i in range(CAPACITY_LINES + 50):
+            ring.record(str(i))
+        self.assertEqual(len(ring.lines()), CAPACITY_LINES)
+        self.assertIn(str(CAPACITY_LINES + 49), ring.lines()[-1])
 
 
 if __name__ == "__main__":
