--- a/bench/change_cost.py
+++ b/bench/change_cost.py
@@ -72,7 +72,7 @@
     made.take(wire.News(items=[route(i, 1) for i in range(routes)], nodes=nodes, served=nodes))
     made.changes.flush()
     for known in list(made.routing.routes.values())[::BALANCERS_PART]:
-        made.upstreams.balancer(known, known.split[0][0])
+        made.upstreams.balancer(known, known.service_shares[0][0])
     return made
 
 
--- a/bench/control.py
+++ b/bench/control.py
@@ -17,7 +17,7 @@
 from dataclasses import replace
 from random import Random
 
-from leadrudder.configuration.items import CORE
+from leadrudder.configuration.items import VOTER_COUNT_KEY
 from leadrudder.consensus import anti_entropy
 from leadrudder.consensus.outputs import SECTIONS, Answer, Code, Output, Send, Write, section_of
 from leadrudder.consensus.state_machine import Interlocking
@@ -185,7 +185,7 @@
     for i in range(2):
         world.join(f"10.{50 + i}.0.1:1")
     began = world.now
-    _call(world, [Item(key=CORE, version=1, value=b"5")])
+    _call(world, [Item(key=VOTER_COUNT_KEY, version=1, value=b"5")])
     while world.now < began + 60.0 and not _even(world, 5):
         world.play(world.now + 0.05)
     changed = {s for s, a in owners.items() if not _owns(world.machines[a], s)}
--- a/leadrudder/configuration/item_store.py
+++ b/leadrudder/configuration/item_store.py
@@ -15,7 +15,7 @@
 
 from sortedcontainers import SortedDict
 
-from leadrudder.configuration.items import EVACUATION, LIMITS, ROUTE, SERVICE
+from leadrudder.configuration.items import EVACUATION_PREFIX, LIMITS_KEY, ROUTE_PREFIX, SERVICE_PREFIX
 from leadrudder.protocol.mesh_pb2 import Item
 
 
@@ -110,17 +110,21 @@
     def as_configuration(self) -> dict[str, Any]:
         """All items that stand, as the first call lays them out."""
         out: dict[str, Any] = {
-            "routes": {name: json.loads(item.value) for name, item in self.live_items(ROUTE).items()},
-            "services": {name: json.loads(item.value) for name, item in self.live_items(SERVICE).items()},
+            "routes": {name: json.loads(item.value) for name, item in self.live_items(ROUTE_PREFIX).items()},
+            "services": {
+                name: json.loads(item.value) for name, item in self.live_items(SERVICE_PREFIX).items()
+            },
         }
-        limits = self.items.get(LIMITS)
+        limits = self.items.get(LIMITS_KEY)
         if limits is not None and not limits.dropped:
             out["limits"] = json.loads(limits.value)
         return out
 
     def evacuated_zones(self) -> frozenset[str]:
         """Zones whose servers are to get nothing."""
-        return frozenset(name for name, item in self.live_items(EVACUATION).items() if item.value == b"1")
+        return frozenset(
+            name for name, item in self.live_items(EVACUATION_PREFIX).items() if item.value == b"1"
+        )
 
 
 _NONE_STANDING: Mapping[str, Item] = {}
--- a/leadrudder/configuration/items.py
+++ b/leadrudder/configuration/items.py
@@ -14,24 +14,24 @@
 from leadrudder.bootstrap.settings import DurationField
 from leadrudder.protocol.mesh_pb2 import Item
 
-GIVE_UP_MOST_MS = 600_000.0
+MAX_ROUTE_TIMEOUT_MS = 600_000.0
 _VERSION = re.compile(r"[0-9a-fA-F]{1,16}")
 
-ROUTE, SERVICE, LIMITS, EVACUATION = "routes/", "services/", "limits", "evacuations/"
-CORE = "core"  # how many seats the control state is to have
-CONTRACT = "contracts/"  # with tenants: when their machines may be taken out
-WINDOW = "windows/"  # of maintenance
-USED = "used/"  # slots of a service that were in use, by the hour of the week
-ORDERS = (
-    EVACUATION,
-    CORE,
-    WINDOW,
-    USED,
+ROUTE_PREFIX, SERVICE_PREFIX, LIMITS_KEY, EVACUATION_PREFIX = "routes/", "services/", "limits", "evacuations/"
+VOTER_COUNT_KEY = "core"  # how many seats the control state is to have
+CONTRACT_PREFIX = "contracts/"  # with tenants: when their machines may be taken out
+WINDOW_PREFIX = "windows/"  # of maintenance
+USAGE_PREFIX = "used/"  # slots of a service that were in use, by the hour of the week
+SEQUENTIAL_PREFIXES = (
+    EVACUATION_PREFIX,
+    VOTER_COUNT_KEY,
+    WINDOW_PREFIX,
+    USAGE_PREFIX,
 )  # items that count on from the one before: they have no version of the operator's
-SEATS_MOST = 15
+MAX_VOTERS = 15
 
 
-class Version(fields.Field[int]):
+class VersionField(fields.Field[int]):
     """Hexadecimal digits."""
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **kwargs: Any) -> int:
@@ -40,7 +40,7 @@
         return int(value, 16)
 
 
-class _Split(Schema):
+class _ServiceShareSchema(Schema):
     class Meta:
         unknown = EXCLUDE
 
@@ -48,53 +48,53 @@
     share = fields.Float(required=True, allow_nan=False, validate=validate.Range(min=0))
 
 
-class _Route(Schema):
+class _RouteSchema(Schema):
     class Meta:
         unknown = EXCLUDE
 
     host = fields.String(required=True)
-    path_start = fields.String(
+    path_prefix = fields.String(
         data_key="pathStart",
         required=True,
         validate=validate.Regexp(r"/.*", error="does not begin with a slash"),
     )
     kind = fields.String(required=True, validate=validate.OneOf(["safe", "unsafe"]))
-    give_up_ms = DurationField(
+    timeout_ms = DurationField(
         data_key="giveUp",
         required=True,
-        validate=validate.Range(min=0, min_inclusive=False, max=GIVE_UP_MOST_MS),
+        validate=validate.Range(min=0, min_inclusive=False, max=MAX_ROUTE_TIMEOUT_MS),
     )
     target_ms = DurationField(data_key="target", load_default=None)
     priority = fields.Integer(load_default=1)
     service = fields.String(load_default=None)
-    split_to = fields.List(fields.Nested(_Split), data_key="splitTo", load_default=None)
+    service_shares = fields.List(fields.Nested(_ServiceShareSchema), data_key="splitTo", load_default=None)
     tries = fields.Integer(load_default=1, validate=validate.Range(min=1))
-    version = Version(required=True)
+    version = VersionField(required=True)
 
 
-class _Service(Schema):
+class _ServiceSchema(Schema):
     class Meta:
         unknown = EXCLUDE
 
     health_path = fields.String(data_key="healthPath", load_default="/health")
     max_connections = fields.Integer(data_key="maxConnections", load_default=100)
-    cold_ms = DurationField(data_key="coldStart", load_default=0.0)
-    cold_per_s = fields.Float(data_key="coldPerS", load_default=0.0)
-    version = Version(required=True)
+    cold_start_ms = DurationField(data_key="coldStart", load_default=0.0)
+    cold_start_requests_per_s = fields.Float(data_key="coldPerS", load_default=0.0)
+    version = VersionField(required=True)
 
 
-class _Limits(Schema):
+class _LimitsSchema(Schema):
     class Meta:
         unknown = EXCLUDE
 
-    head_most = fields.Integer(data_key="maxHeaderBytes", load_default=16384)
-    body_most = fields.Integer(data_key="maxBodyBytes", load_default=67108864)
-    head_wait_ms = DurationField(data_key="headerWait", load_default=3000.0)
-    idle_ms = DurationField(data_key="idle", load_default=15000.0)
-    version = Version(required=True)
+    max_header_bytes = fields.Integer(data_key="maxHeaderBytes", load_default=16384)
+    max_body_bytes = fields.Integer(data_key="maxBodyBytes", load_default=67108864)
+    header_timeout_ms = DurationField(data_key="headerWait", load_default=3000.0)
+    idle_timeout_ms = DurationField(data_key="idle", load_default=15000.0)
+    version = VersionField(required=True)
 
 
-_ROUTE, _SERVICE, _LIMITS = _Route(), _Service(), _Limits()
+_ROUTE_SCHEMA, _SERVICE_SCHEMA, _LIMITS_SCHEMA = _RouteSchema(), _ServiceSchema(), _LimitsSchema()
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,13 +103,13 @@
 
     name: str
     host: str
-    path_start: str
-    once: bool  # may run at most once
-    give_up_ms: float
+    path_prefix: str
+    at_most_once: bool  # may run at most once
+    timeout_ms: float
     target_ms: float
     priority: int
-    split: tuple[tuple[str, float], ...]  # services and their shares
-    tries: int
+    service_shares: tuple[tuple[str, float], ...]  # services and their shares
+    max_attempts: int
     version: int
 
 
@@ -118,8 +118,8 @@
     name: str
     health_path: str
     max_connections: int
-    cold_ms: float
-    cold_per_s: float
+    cold_start_ms: float
+    cold_start_requests_per_s: float
     version: int
 
 
@@ -127,59 +127,59 @@
 class Limits:
     """What a client may send, and how long it may take."""
 
-    head_most: int = 16384  # bytes
-    body_most: int = 67108864
-    head_wait_ms: float = 3000.0
-    idle_ms: float = 15000.0
+    max_header_bytes: int = 16384  # bytes
+    max_body_bytes: int = 67108864
+    header_timeout_ms: float = 3000.0
+    idle_timeout_ms: float = 15000.0
     version: int = 0
 
 
 def read_route(name: str, raw: Any) -> Route:
     """ValidationError where it cannot be read."""
-    read = cast(dict[str, Any], _ROUTE.load(raw))
-    split: tuple[tuple[str, float], ...]
-    if read["split_to"] is not None:
-        split = tuple((s["service"], s["share"]) for s in read["split_to"])
+    read = cast(dict[str, Any], _ROUTE_SCHEMA.load(raw))
+    shares: tuple[tuple[str, float], ...]
+    if read["service_shares"] is not None:
+        shares = tuple((s["service"], s["share"]) for s in read["service_shares"])
     elif read["service"] is not None:
-        split = ((read["service"], 1.0),)
+        shares = ((read["service"], 1.0),)
     else:
         raise ValidationError({"service": ["names no service"]})
-    if not math.fsum(share for _, share in split) > 0:
+    if not math.fsum(share for _, share in shares) > 0:
         raise ValidationError({"splitTo": ["the shares add up to 0"]})
     return Route(
         name=name,
         host=read["host"].lower(),
-        path_start=read["path_start"],
-        once=read["kind"] != "safe",
-        give_up_ms=read["give_up_ms"],
-        target_ms=read["target_ms"] or read["give_up_ms"],
+        path_prefix=read["path_prefix"],
+        at_most_once=read["kind"] != "safe",
+        timeout_ms=read["timeout_ms"],
+        target_ms=read["target_ms"] or read["timeout_ms"],
         priority=read["priority"],
-        split=split,
-        tries=read["tries"],
+        service_shares=shares,
+        max_attempts=read["tries"],
         version=read["version"],
     )
 
 
 def read_service(name: str, raw: Any) -> Service:
-    return Service(name=name, **cast(dict[str, Any], _SERVICE.load(raw)))
+    return Service(name=name, **cast(dict[str, Any], _SERVICE_SCHEMA.load(raw)))
 
 
 def read_limits(raw: Any) -> Limits:
-    return Limits(**cast(dict[str, Any], _LIMITS.load(raw)))
+    return Limits(**cast(dict[str, Any], _LIMITS_SCHEMA.load(raw)))
 
 
-def read_core(item: Item | None) -> int:
+def read_voter_count(item: Item | None) -> int:
     """How many seats an item asks for; 0 where there is none, or none that can be read."""
     if item is None or item.dropped or not item.value.isdigit():
         return 0
-    return min(SEATS_MOST, int(item.value))
+    return min(MAX_VOTERS, int(item.value))
 
 
 def read_version(raw: Any) -> int:
     """ValidationError where it is none."""
-    return int(Version().deserialize(raw))
+    return int(VersionField().deserialize(raw))
 
 
-def packed(raw: Mapping[str, Any]) -> bytes:
+def encode_item(raw: Mapping[str, Any]) -> bytes:
     """An item as it is kept: its fields in a fixed order, so that equal items have equal bytes."""
     return json.dumps(raw, sort_keys=True, separators=(",", ":")).encode()
--- a/leadrudder/configuration/routing_table.py
+++ b/leadrudder/configuration/routing_table.py
@@ -16,12 +16,12 @@
 
 from leadrudder.configuration import items
 from leadrudder.configuration.item_store import ItemStore, kind_of
-from leadrudder.configuration.items import LIMITS, ROUTE, SERVICE, Limits, Route, Service
+from leadrudder.configuration.items import LIMITS_KEY, ROUTE_PREFIX, SERVICE_PREFIX, Limits, Route, Service
 from leadrudder.protocol.mesh_pb2 import Item
 
 
 @dataclass(slots=True)
-class Changed:
+class TableChanges:
     """What applying items has changed, by name."""
 
     routes: set[str] = field(default_factory=set)
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class _Host:
+class _HostRoutes:
     """The routes of one host.
 
     by_prefix: names of the routes at each prefix, in order; the first one gets the requests.
@@ -41,20 +41,20 @@
     open_prefixes: int = 0
 
     def add(self, route: Route) -> None:
-        names = self.by_prefix.get(route.path_start)
+        names = self.by_prefix.get(route.path_prefix)
         if names is None:
-            names = self.by_prefix[route.path_start] = []
-            self.open_prefixes += not route.path_start.endswith("/")
+            names = self.by_prefix[route.path_prefix] = []
+            self.open_prefixes += not route.path_prefix.endswith("/")
         insort(names, route.name)
 
     def remove(self, route: Route) -> None:
-        names = self.by_prefix[route.path_start]
+        names = self.by_prefix[route.path_prefix]
         names.remove(route.name)
         if not names:
-            del self.by_prefix[route.path_start]
-            self.open_prefixes -= not route.path_start.endswith("/")
+            del self.by_prefix[route.path_prefix]
+            self.open_prefixes -= not route.path_prefix.endswith("/")
 
-    def longest(self, path: str) -> str | None:
+    def longest_prefix(self, path: str) -> str | None:
         """The longest prefix that begins a path."""
         if self.open_prefixes:
             fitting = [prefix for prefix in self.by_prefix if path.startswith(prefix)]
@@ -75,23 +75,23 @@
         self.services: dict[str, Service] = {}
         self.limits = Limits()
         self.items_read = 0
-        self._hosts: dict[str, _Host] = {}
+        self._hosts: dict[str, _HostRoutes] = {}
         self._routes_calling: Counter[str] = Counter()  # how many routes call each service
         if book is not None:
-            self.apply(book.live_items(ROUTE).values())
-            self.apply(book.live_items(SERVICE).values())
-            self.apply(book.live_items(LIMITS).values())
+            self.apply(book.live_items(ROUTE_PREFIX).values())
+            self.apply(book.live_items(SERVICE_PREFIX).values())
+            self.apply(book.live_items(LIMITS_KEY).values())
 
-    def apply(self, changed_items: Iterable[Item]) -> Changed:
+    def apply(self, changed_items: Iterable[Item]) -> TableChanges:
         """Take in items that are newer than what they replace; those of other kinds are passed over."""
-        changed = Changed()
+        changed = TableChanges()
         for item in changed_items:
             kind = kind_of(item.key)
-            if kind == ROUTE:
+            if kind == ROUTE_PREFIX:
                 self._set_route(item, changed)
-            elif kind == SERVICE:
+            elif kind == SERVICE_PREFIX:
                 self._set_service(item, changed)
-            elif kind == LIMITS:
+            elif kind == LIMITS_KEY:
                 self.limits = self._read_limits(item)
         return changed
 
@@ -108,18 +108,18 @@
         routes = self._hosts.get((name if name and port.isdecimal() else host).lower())
         if routes is None:
             return None
-        prefix = routes.longest(path)
+        prefix = routes.longest_prefix(path)
         return None if prefix is None else self.routes[routes.by_prefix[prefix][0]]
 
-    def _set_route(self, item: Item, changed: Changed) -> None:
-        name = item.key[len(ROUTE) :]
+    def _set_route(self, item: Item, changed: TableChanges) -> None:
+        name = item.key[len(ROUTE_PREFIX) :]
         changed.routes.add(name)
         old = self.routes.pop(name, None)
         new = self._read_route(name, item)
         if new is not None:
             self.routes[name] = new
             self._add_calls(new, changed)
-            self._hosts.setdefault(new.host, _Host()).add(new)
+            self._hosts.setdefault(new.host, _HostRoutes()).add(new)
         if old is not None:
             self._remove_calls(old, changed)
             self._remove_place(old)
@@ -130,20 +130,20 @@
         if not host.by_prefix:
             del self._hosts[route.host]
 
-    def _add_calls(self, route: Route, changed: Changed) -> None:
-        for service, _ in route.split:
+    def _add_calls(self, route: Route, changed: TableChanges) -> None:
+        for service, _ in route.service_shares:
             changed.called_services |= service not in self._routes_calling
             self._routes_calling[service] += 1
 
-    def _remove_calls(self, route: Route, changed: Changed) -> None:
-        for service, _ in route.split:
+    def _remove_calls(self, route: Route, changed: TableChanges) -> None:
+        for service, _ in route.service_shares:
             self._routes_calling[service] -= 1
             if not self._routes_calling[service]:
                 del self._routes_calling[service]
                 changed.called_services = True
 
-    def _set_service(self, item: Item, changed: Changed) -> None:
-        name = item.key[len(SERVICE) :]
+    def _set_service(self, item: Item, changed: TableChanges) -> None:
+        name = item.key[len(SERVICE_PREFIX) :]
         changed.services.add(name)
         new = self._read_service(name, item)
         if new is None:
--- a/leadrudder/configuration/validation.py
+++ b/leadrudder/configuration/validation.py
@@ -15,7 +15,7 @@
 from returns.result import Failure, Result, Success
 
 from leadrudder.configuration import items
-from leadrudder.configuration.items import LIMITS, ROUTE, SERVICE
+from leadrudder.configuration.items import LIMITS_KEY, ROUTE_PREFIX, SERVICE_PREFIX
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,15 +40,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
+class ChangeRequest:
     """A call that can be read whole; names: the services that its routes name."""
 
     changes: tuple[Change, ...]
     services: frozenset[str]  # that it adds or replaces
-    named: dict[str, frozenset[str]]  # by route: the services that it needs
+    services_by_route: dict[str, frozenset[str]]  # by route: the services that it needs
 
 
-def _object(raw: Any, where: str, findings: list[Finding]) -> dict[str, Any]:
+def _read_object(raw: Any, where: str, findings: list[Finding]) -> dict[str, Any]:
     if raw is None:
         return {}
     if not isinstance(raw, dict):
@@ -57,16 +57,16 @@
     return raw
 
 
-def _explain(error: ValidationError, where: str) -> list[Finding]:
+def _findings_of(error: ValidationError, where: str) -> list[Finding]:
     found = []
     messages = error.messages if isinstance(error.messages, dict) else {"": error.messages}
     for field, texts in messages.items():
         text = texts[0] if isinstance(texts, list) else str(texts)
-        found.append(Finding(_code(field, text), f"{where}.{field}", text))
+        found.append(Finding(_finding_code(field, text), f"{where}.{field}", text))
     return found
 
 
-def _code(field: str, text: str) -> str:
+def _finding_code(field: str, text: str) -> str:
     if field == "giveUp":
         return "time_out" if "greater" in text or "less" in text or "Must" in text else "unreadable"
     if field == "pathStart":
@@ -76,17 +76,17 @@
     return "unreadable"
 
 
-def _no_twice(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _reject_duplicate_fields(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     read = dict(pairs)
     if len(read) != len(pairs):
         raise ValueError("an object names a field twice")
     return read
 
 
-def parse(body: bytes) -> Result[Call, list[Finding]]:
+def parse(body: bytes) -> Result[ChangeRequest, list[Finding]]:
     """Read a call's body whole; the findings tell all that keeps it from being taken on its own."""
     try:
-        raw = json.loads(body, object_pairs_hook=_no_twice, parse_constant=_refuse_constant)
+        raw = json.loads(body, object_pairs_hook=_reject_duplicate_fields, parse_constant=_reject_constant)
     except (ValueError, RecursionError) as error:
         return Failure([Finding("cut_short", "the body", f"cannot be read whole: {error}")])
     findings: list[Finding] = []
@@ -95,36 +95,36 @@
     named: dict[str, frozenset[str]] = {}
     if not isinstance(raw, dict) or not raw.keys() & {"addOrReplace", "remove"}:
         return Failure([Finding("cut_short", "the body", "holds neither addOrReplace nor remove")])
-    adding = _object(raw.get("addOrReplace"), "addOrReplace", findings)
-    for name, item in _object(adding.get("routes"), "addOrReplace.routes", findings).items():
+    adding = _read_object(raw.get("addOrReplace"), "addOrReplace", findings)
+    for name, item in _read_object(adding.get("routes"), "addOrReplace.routes", findings).items():
         try:
             route = items.read_route(name, item)
         except ValidationError as error:
-            findings += _explain(error, f"routes.{name}")
+            findings += _findings_of(error, f"routes.{name}")
             continue
-        named[name] = frozenset(service for service, _ in route.split)
-        changes.append(Change(ROUTE + name, route.version, items.packed(item)))
-    for name, item in _object(adding.get("services"), "addOrReplace.services", findings).items():
+        named[name] = frozenset(service for service, _ in route.service_shares)
+        changes.append(Change(ROUTE_PREFIX + name, route.version, items.encode_item(item)))
+    for name, item in _read_object(adding.get("services"), "addOrReplace.services", findings).items():
         try:
             service = items.read_service(name, item)
         except ValidationError as error:
-            findings += _explain(error, f"services.{name}")
+            findings += _findings_of(error, f"services.{name}")
             continue
         services.add(name)
-        changes.append(Change(SERVICE + name, service.version, items.packed(item)))
+        changes.append(Change(SERVICE_PREFIX + name, service.version, items.encode_item(item)))
     if adding.get("limits") is not None:
         try:
             limits = items.read_limits(adding["limits"])
-            changes.append(Change(LIMITS, limits.version, items.packed(adding["limits"])))
+            changes.append(Change(LIMITS_KEY, limits.version, items.encode_item(adding["limits"])))
         except ValidationError as error:
-            findings += _explain(error, "limits")
-    _removals(_object(raw.get("remove"), "remove", findings), changes, findings)
+            findings += _findings_of(error, "limits")
+    _read_removals(_read_object(raw.get("remove"), "remove", findings), changes, findings)
     if findings:
         return Failure(findings)
-    return Success(Call(_highest(changes), frozenset(services), named))
+    return Success(ChangeRequest(_highest_versions(changes), frozenset(services), named))
 
 
-def _highest(changes: list[Change]) -> tuple[Change, ...]:
+def _highest_versions(changes: list[Change]) -> tuple[Change, ...]:
     """One call may drop an item and set it: the highest version holds, and of one version what is set."""
     best: dict[str, Change] = {}
     for change in changes:
@@ -137,8 +137,8 @@
     return tuple(best.values())
 
 
-def _removals(raw: dict[str, Any], changes: list[Change], findings: list[Finding]) -> None:
-    for kind, prefix in (("routes", ROUTE), ("services", SERVICE)):
+def _read_removals(raw: dict[str, Any], changes: list[Change], findings: list[Finding]) -> None:
+    for kind, prefix in (("routes", ROUTE_PREFIX), ("services", SERVICE_PREFIX)):
         listed = raw.get(kind) or []
         if not isinstance(listed, list):
             findings.append(Finding("cut_short", f"remove.{kind}", "not a list"))
@@ -150,45 +150,45 @@
                 findings.append(Finding("unreadable", f"remove.{kind}", "an entry has no name or version"))
 
 
-def _refuse_constant(text: str) -> None:
+def _reject_constant(text: str) -> None:
     raise ValueError(f"{text} is no number")
 
 
-def against(call: Call, standing: Collection[str]) -> list[Finding]:
+def unknown_services(call: ChangeRequest, standing: Collection[str]) -> list[Finding]:
     """What is wrong with a call beside the services that stand: a route must name services that there are."""
     there = set(standing) | call.services
     return [
         Finding("unknown_service", f"routes.{name}", f"goes to {service}, which is no service")
-        for name, services in sorted(call.named.items())
+        for name, services in sorted(call.services_by_route.items())
         for service in sorted(services - there)
     ]
 
 
-def warnings(call: Call) -> list[Finding]:
+def warnings(call: ChangeRequest) -> list[Finding]:
     """What would be taken, and most likely is not meant."""
     routes = [
-        items.read_route(change.key[len(ROUTE) :], json.loads(change.value))
+        items.read_route(change.key[len(ROUTE_PREFIX) :], json.loads(change.value))
         for change in call.changes
-        if change.key.startswith(ROUTE) and change.value is not None
+        if change.key.startswith(ROUTE_PREFIX) and change.value is not None
     ]
     found = []
     places: dict[tuple[str, str], str] = {}
     for route in sorted(routes, key=lambda r: r.name):
         where = f"routes.{route.name}"
-        first = places.setdefault((route.host, route.path_start), route.name)
+        first = places.setdefault((route.host, route.path_prefix), route.name)
         if first != route.name:
             found.append(
                 Finding("same_place", where, f"stands where {first} stands: only that gets requests")
             )
-        if route.give_up_ms < route.target_ms:
+        if route.timeout_ms < route.target_ms:
             found.append(Finding("early_end", where, "giveUp is under target: late answers are cut off"))
-        if route.once and route.tries > 1:
+        if route.at_most_once and route.max_attempts > 1:
             found.append(
                 Finding("tries_unused", where, "unsafe: further tries go out only where nothing ran")
             )
-        if not route.path_start.endswith("/"):
+        if not route.path_prefix.endswith("/"):
             found.append(Finding("open_prefix", where, "pathStart ends within a segment"))
-    reached = {service for services in call.named.values() for service in services}
+    reached = {service for services in call.services_by_route.values() for service in services}
     for service in sorted(call.services - reached):
         found.append(Finding("unreached", f"services.{service}", "no route of this call goes there"))
     return found
--- a/leadrudder/consensus/ownership.py
+++ b/leadrudder/consensus/ownership.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from leadrudder.configuration.item_store import newer
-from leadrudder.configuration.items import ORDERS
+from leadrudder.configuration.items import SEQUENTIAL_PREFIXES
 from leadrudder.consensus.outputs import Code
 from leadrudder.consensus.quorum import Quorum
 from leadrudder.protocol import mesh_pb2 as wire
@@ -426,7 +426,7 @@
             stood = machine.standing.items.get(item.key)
             stands = stood is not None and stood.version >= old.version
             other = (item.value, item.dropped) != (old.value, old.dropped)
-            if other and (item.version == old.version or item.key.startswith(ORDERS)):
+            if other and (item.version == old.version or item.key.startswith(SEQUENTIAL_PREFIXES)):
                 # For an order: its count has moved on.
                 if not stands:
                     return Code.BUSY, [], []
--- a/leadrudder/consensus/state_machine.py
+++ b/leadrudder/consensus/state_machine.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from leadrudder.configuration.item_store import ItemStore, newer
-from leadrudder.configuration.items import CORE, read_core
+from leadrudder.configuration.items import VOTER_COUNT_KEY, read_voter_count
 from leadrudder.consensus.anti_entropy import Repair
 from leadrudder.consensus.lease import DUTIES, Leases
 from leadrudder.consensus.outputs import (
@@ -174,7 +174,7 @@
     @property
     def wished(self) -> int:
         """How many seats the operator wants, as it stands; 0: it was never said, and they stay as founded."""
-        return read_core(self.standing.items.get(CORE))
+        return read_voter_count(self.standing.items.get(VOTER_COUNT_KEY))
 
     def send(self, to: str, frame: Frame) -> None:
         if to == self.address:
--- a/leadrudder/control_plane/maintenance.py
+++ b/leadrudder/control_plane/maintenance.py
@@ -17,7 +17,7 @@
 
 from leadrudder.bootstrap.log_buffer import LogBuffer
 from leadrudder.configuration.item_store import ItemStore
-from leadrudder.configuration.items import CONTRACT, USED
+from leadrudder.configuration.items import CONTRACT_PREFIX, USAGE_PREFIX
 from leadrudder.configuration.routing_table import RoutingTable
 from leadrudder.configuration.validation import Finding
 from leadrudder.consensus.outputs import Answer, Code
@@ -25,7 +25,7 @@
 from leadrudder.maintenance.contract import Span
 from leadrudder.maintenance.controller import Keeper
 from leadrudder.maintenance.planner import Machine, Order, Situation, hour_of_week
-from leadrudder.maintenance.window import LENT, WINDOW, Window
+from leadrudder.maintenance.window import LENT, WINDOW_PREFIX, Window
 from leadrudder.protocol.mesh_pb2 import Item, Node
 from leadrudder.transport.http import Call, Told
 
@@ -104,13 +104,13 @@
                     node.name, server.zone, server.service, server.capacity, not server.draining
                 )
         used: dict[str, dict[int, float]] = {}
-        for service, item in book.live_items(USED).items():
+        for service, item in book.live_items(USAGE_PREFIX).items():
             used[service] = {int(hour): float(n) for hour, n in json.loads(item.value).items()}
         return Situation(
-            contract.standing(book.live_items(CONTRACT).items()),
+            contract.standing(book.live_items(CONTRACT_PREFIX).items()),
             routing.routes,
             machines,
-            window.standing(book.live_items(WINDOW).items()),
+            window.standing(book.live_items(WINDOW_PREFIX).items()),
             used,
         )
 
@@ -120,7 +120,7 @@
         """Some times a second.  held: the duty is ours."""
         wall = self._wall()
         self._note_use(wall, held)
-        at = self.situation() if held and self._book().live_items(WINDOW) else Situation()
+        at = self.situation() if held and self._book().live_items(WINDOW_PREFIX) else Situation()
         steady = self._steady()
         others = [off + steady for off in self.clocks.values()]
         for moved in self._keeper.tick(wall, steady, held, at, others):
@@ -164,12 +164,12 @@
 
     def _next(self, name: str) -> int:
         """The count that follows the window as we know it just now: a step is made from what it was then."""
-        known = self._book().items.get(WINDOW + name)
+        known = self._book().items.get(WINDOW_PREFIX + name)
         return 1 if known is None else known.version + 1
 
     async def _set(self, moved: Window, count: int) -> Answer:
         """A count of a window; CONFLICT where somebody was before us."""
-        return await self._change([Item(key=WINDOW + moved.name, version=count, value=moved.packed())])
+        return await self._change([Item(key=WINDOW_PREFIX + moved.name, version=count, value=moved.packed())])
 
     def _note_use(self, wall: float, held: bool) -> None:
         """The busiest of the hour, by service; who holds the duty keeps it when the hour is over."""
@@ -191,11 +191,13 @@
         self._hour = hour
 
     def _keep_use(self, service: str, hour: int, slots: float) -> None:
-        known = self._book().items.get(USED + service)
+        known = self._book().items.get(USAGE_PREFIX + service)
         told = json.loads(known.value) if known is not None and not known.dropped else {}
         told[str(hour)] = slots
         version = 1 if known is None else known.version + 1
-        item = Item(key=USED + service, version=version, value=json.dumps(told, sort_keys=True).encode())
+        item = Item(
+            key=USAGE_PREFIX + service, version=version, value=json.dumps(told, sort_keys=True).encode()
+        )
         self._later(self._put(item))
 
     async def _put(self, item: Item) -> None:
@@ -207,7 +209,7 @@
         """None: the call is another's."""
         match call.method, call.segments:
             case "GET", ("contracts",):
-                found = self._book().live_items(CONTRACT)
+                found = self._book().live_items(CONTRACT_PREFIX)
                 return _json({"contracts": {name: json.loads(i.value) for name, i in found.items()}})
             case "PATCH", ("contracts",):
                 return await self._contracts(call.body)
@@ -251,7 +253,7 @@
         if answer.code is not Code.DONE:
             return _answered(answer.code)
         now = self._wall()
-        read = contract.standing((i.key[len(CONTRACT) :], i) for i in made if not i.dropped)
+        read = contract.standing((i.key[len(CONTRACT_PREFIX) :], i) for i in made if not i.dropped)
         return _json({"warnings": [str(f) for each in read.values() for f in contract.warnings(each, now)]})
 
     async def _start(self, name: str, body: bytes, *, keep: bool) -> Told:
@@ -276,7 +278,7 @@
 
     async def _forget(self) -> None:
         for name in controller.finished(dict(self.situation().windows), KEPT):
-            known = self._book().items[WINDOW + name]
+            known = self._book().items[WINDOW_PREFIX + name]
             await self._change([Item(key=known.key, version=known.version + 1, dropped=True)])
 
     async def _alter(self, name: str, alter: Callable[[Window], Window | None]) -> Told:
--- a/leadrudder/control_plane/operator_api.py
+++ b/leadrudder/control_plane/operator_api.py
@@ -13,7 +13,7 @@
 from leadrudder.bootstrap.log_buffer import LogBuffer
 from leadrudder.configuration import validation
 from leadrudder.configuration.item_store import ItemStore
-from leadrudder.configuration.items import CORE, EVACUATION, SEATS_MOST, SERVICE
+from leadrudder.configuration.items import VOTER_COUNT_KEY, EVACUATION_PREFIX, MAX_VOTERS, SERVICE_PREFIX
 from leadrudder.consensus.anti_entropy import Owed
 from leadrudder.consensus.outputs import Answer, Code
 from leadrudder.protocol.mesh_pb2 import Item
@@ -99,7 +99,7 @@
             return self._refuse(parsed.failure())
         assert isinstance(parsed, Success)
         call = parsed.unwrap()
-        findings = validation.against(call, self._known().live_items(SERVICE))
+        findings = validation.unknown_services(call, self._known().live_items(SERVICE_PREFIX))
         if findings:
             # What this process knows may be old: a majority knows whether there is such a service.
             answer = await self._read()
@@ -107,7 +107,7 @@
                 return Told(503, b"no majority answered in time\n", _COME_BACK)
             book = ItemStore()
             book.merge(answer.items)
-            findings = validation.against(call, book.live_items(SERVICE))
+            findings = validation.unknown_services(call, book.live_items(SERVICE_PREFIX))
             if findings:
                 return self._refuse(findings)
         changed = [
@@ -143,14 +143,14 @@
     async def _evacuate(self, zone: str, on: bool) -> Told:
         if self._zones and zone not in self._zones:
             return Told(404, b"no such zone\n")
-        return await self._order(EVACUATION + zone, b"1" if on else b"0")
+        return await self._order(EVACUATION_PREFIX + zone, b"1" if on else b"0")
 
     async def _size(self, seats: str) -> Told:
         """How many seats the control state is to have: odd, as one more would bear no more losses."""
         wanted = int(seats) if seats.isascii() and seats.isdigit() and len(seats) <= 3 else 0
-        if not self._least <= wanted <= SEATS_MOST or wanted % 2 == 0:
-            return Told(400, f"an odd number from {self._least} to {SEATS_MOST} is wanted\n".encode())
-        return await self._order(CORE, b"%d" % wanted)
+        if not self._least <= wanted <= MAX_VOTERS or wanted % 2 == 0:
+            return Told(400, f"an odd number from {self._least} to {MAX_VOTERS} is wanted\n".encode())
+        return await self._order(VOTER_COUNT_KEY, b"%d" % wanted)
 
     async def _order(self, key: str, value: bytes) -> Told:
         known = self._known().items.get(key)
--- a/leadrudder/control_simulation/scenario.py
+++ b/leadrudder/control_simulation/scenario.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from leadrudder.configuration.items import CORE
+from leadrudder.configuration.items import VOTER_COUNT_KEY
 from leadrudder.consensus.outputs import Answer, Code
 from leadrudder.control_simulation.nodes import Stations
 from leadrudder.control_simulation.world import Broken, Machine, World
@@ -254,7 +254,7 @@
         for _ in range(2 * more):
             self._replaced += 1
             world.join(f"10.{50 + self._replaced}.0.1:1")
-        self._send([Item(key=CORE, version=self._orders, value=b"%d" % wanted)])
+        self._send([Item(key=VOTER_COUNT_KEY, version=self._orders, value=b"%d" % wanted)])
 
     def _leave(self, machine: Machine) -> None:
         """SIGTERM, and it does not come back."""
--- a/leadrudder/control_simulation/world.py
+++ b/leadrudder/control_simulation/world.py
@@ -17,7 +17,7 @@
 from random import Random
 
 from leadrudder.configuration.item_store import ItemStore
-from leadrudder.configuration.items import ORDERS
+from leadrudder.configuration.items import SEQUENTIAL_PREFIXES
 from leadrudder.consensus.lease import SWEEP
 from leadrudder.consensus.outputs import Answer, Code, Output, Send, Stands, Write
 from leadrudder.consensus.state_machine import Interlocking
@@ -426,12 +426,12 @@
         """A refusal of several does not tell which of them is refused."""
         if answer.code is Code.DONE:
             return Outcome.CONFIRMED
-        alone = len(items) == 1 and not items[0].key.startswith(ORDERS)
+        alone = len(items) == 1 and not items[0].key.startswith(SEQUENTIAL_PREFIXES)
         return Outcome.REFUSED if answer.code is Code.CONFLICT and alone else Outcome.UNKNOWN
 
     def explained(self) -> None:
         """All answers so far are such as one register a key would have given."""
-        wrong = wrong_keys(each for each in self.history if not each.key.startswith(ORDERS))
+        wrong = wrong_keys(each for each in self.history if not each.key.startswith(SEQUENTIAL_PREFIXES))
         if wrong:
             self.broken(f"the answers about {wrong[0]} fit no order of events")
 
@@ -453,7 +453,7 @@
         Dropped items are passed over: another operator's drop of the same version looks alike.
         """
         for item in items:
-            if item.dropped or item.key.startswith(ORDERS):
+            if item.dropped or item.key.startswith(SEQUENTIAL_PREFIXES):
                 continue
             self.refused.add((item.key, item.version, item.value))
             if self.values.get((item.key, item.version)) == b"=" + item.value:
--- a/leadrudder/data_plane/load_balancer.py
+++ b/leadrudder/data_plane/load_balancer.py
@@ -91,8 +91,8 @@
         kind = api.RequestClass(
             name=route.name,
             aim_ms=max(1.0, route.target_ms),
-            deadline_ms=max(1.0, route.give_up_ms),
-            effect=Effect.UNSAFE if route.once else Effect.SAFE,
+            deadline_ms=max(1.0, route.timeout_ms),
+            effect=Effect.UNSAFE if route.at_most_once else Effect.SAFE,
         )
         settings = api.Settings(
             classes=(kind,),
@@ -218,7 +218,8 @@
         errand.sends += 1
         again = errand.arrivals > 0 or bool(errand.out)
         if errand.done or (
-            again and not (errand.arrivals + len(errand.out) < self.route.tries and self._purse.spend())
+            again
+            and not (errand.arrivals + len(errand.out) < self.route.max_attempts and self._purse.spend())
         ):
             # No further arrival is allowed: what is out may still answer.
             if not errand.out:
--- a/leadrudder/data_plane/machine_drains.py
+++ b/leadrudder/data_plane/machine_drains.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 
 from leadrudder.configuration.item_store import ItemStore
-from leadrudder.configuration.items import CONTRACT, Route
+from leadrudder.configuration.items import CONTRACT_PREFIX, Route
 from leadrudder.maintenance import window
-from leadrudder.maintenance.window import WINDOW, Loans
+from leadrudder.maintenance.window import WINDOW_PREFIX, Loans
 
 
 class Lent:
@@ -37,8 +37,8 @@
 
     def take(self, book: ItemStore) -> None:
         """What stands may have changed."""
-        windows = window.standing(book.live_items(WINDOW).items())
-        self._loans = Loans.of(windows, window.owns(book.live_items(CONTRACT).items()))
+        windows = window.standing(book.live_items(WINDOW_PREFIX).items())
+        self._loans = Loans.of(windows, window.owns(book.live_items(CONTRACT_PREFIX).items()))
         # The wall's clock may be put back while a machine is lent: its time is over all the same.
         ahead = self._steady() - self._wall()
         known, self._ends = self._ends, {}
--- a/leadrudder/data_plane/mesh_state.py
+++ b/leadrudder/data_plane/mesh_state.py
@@ -12,7 +12,7 @@
 
 from leadrudder.bootstrap.settings import Settings
 from leadrudder.configuration.item_store import ItemStore, kind_of
-from leadrudder.configuration.items import CONTRACT, EVACUATION, WINDOW, Route
+from leadrudder.configuration.items import CONTRACT_PREFIX, EVACUATION_PREFIX, WINDOW_PREFIX, Route
 from leadrudder.configuration.routing_table import RoutingTable
 from leadrudder.data_plane.admission_control import Gate
 from leadrudder.data_plane.candidates import Candidates, Distance
@@ -128,8 +128,8 @@
         pending.services |= changed.services
         pending.sources |= changed.called_services
         kinds = {kind_of(item.key) for item in taken}
-        pending.evacuations |= EVACUATION in kinds
-        if self._loans and kinds & {WINDOW, CONTRACT}:
+        pending.evacuations |= EVACUATION_PREFIX in kinds
+        if self._loans and kinds & {WINDOW_PREFIX, CONTRACT_PREFIX}:
             self.lent.take(self.book)
             pending.loans = True
 
@@ -219,7 +219,7 @@
             return
         service = self.routing.services.get(life.service)
         if service is not None:
-            self._gate.cold_per_s = service.cold_per_s
+            self._gate.cold_per_s = service.cold_start_requests_per_s
 
     # ------------------------------------------------------------ servers that may be drawn
 
--- a/leadrudder/data_plane/outbound.py
+++ b/leadrudder/data_plane/outbound.py
@@ -50,7 +50,10 @@
         self._outbound = outbound
         limits = outbound.limits()
         self._reader = WholeReader(
-            self._on_request, requests=True, head_most=limits.head_most, body_most=limits.body_most
+            self._on_request,
+            requests=True,
+            head_most=limits.max_header_bytes,
+            body_most=limits.max_body_bytes,
         )
         self._transport: asyncio.Transport | None = None
         self._places: deque[Place] = deque()
@@ -166,9 +169,11 @@
             if waited > 1000.0 * UNREAD_S:
                 self.drop()
         elif self._reader.begun:
-            if waited > max(limits.head_wait_ms, limits.idle_ms if self._reader.in_message else 0.0):
+            if waited > max(
+                limits.header_timeout_ms, limits.idle_timeout_ms if self._reader.in_message else 0.0
+            ):
                 self._refuse(408, "the request did not come in whole")
-        elif waited > limits.idle_ms or self._outbound.closing:
+        elif waited > limits.idle_timeout_ms or self._outbound.closing:
             self._transport.close()
 
     def drop(self) -> None:
@@ -267,7 +272,7 @@
         if told is not None and (not _NUMBER.fullmatch(told) or b"time-left" in message.repeated_headers):
             return self._plain(write, 400)
         late_s = self._late_s()
-        left_ms = min(route.give_up_ms, float(told) if told is not None else route.give_up_ms)
+        left_ms = min(route.timeout_ms, float(told) if told is not None else route.timeout_ms)
         waited_ms = self._patience.waited_ms(route.name, left_ms, self.now())
         left_ms -= 1000.0 * late_s
         if late_s > BEHIND_S or (late_s > 0.0 and left_ms <= 0.0):
--- a/leadrudder/data_plane/program.py
+++ b/leadrudder/data_plane/program.py
@@ -185,9 +185,9 @@
     # ------------------------------------------------------------ requests of our clients
 
     def _begin(self, route: Route, errand: Errand) -> Callable[[], None]:
-        service = route.split[0][0]
-        if len(route.split) > 1:
-            names, shares = zip(*route.split, strict=True)
+        service = route.service_shares[0][0]
+        if len(route.service_shares) > 1:
+            names, shares = zip(*route.service_shares, strict=True)
             service = self._rng.choices(names, shares)[0]
         self._accounting.begin(route, service, errand)
         return self.state.upstreams.balancer(route, service).begin(errand)
@@ -211,7 +211,7 @@
             body=errand.body,
             attempt_id=errand.attempt_id,
             left_ms=1000.0 * (errand.deadline - now),
-            once=route.once,
+            once=route.at_most_once,
             may_wait=may_wait,
             priority=max(0, route.priority),
             aim_ms=route.target_ms - errand.waited_ms - 1000.0 * (now - errand.began),
--- a/leadrudder/data_plane/upstreams.py
+++ b/leadrudder/data_plane/upstreams.py
@@ -105,9 +105,9 @@
 
         Requests that are open at a balancer which goes end there: each holds it until then.
         """
-        called = {service for service, _ in route.split} if route is not None else set()
+        called = {service for service, _ in route.service_shares} if route is not None else set()
         for service, points in list(self._by_route.get(name, {}).items()):
-            if route is None or service not in called or points.route.once != route.once:
+            if route is None or service not in called or points.route.at_most_once != route.at_most_once:
                 self._remove((name, service))
             else:
                 points.route = route
--- a/leadrudder/maintenance/contract.py
+++ b/leadrudder/maintenance/contract.py
@@ -17,7 +17,7 @@
 
 from leadrudder.bootstrap.settings import parse_duration_ms
 from leadrudder.configuration import items
-from leadrudder.configuration.items import CONTRACT, Route
+from leadrudder.configuration.items import CONTRACT_PREFIX, Route
 from leadrudder.configuration.validation import Change, Finding
 from leadrudder.maintenance.hours import Hours, Rule
 from leadrudder.protocol.mesh_pb2 import Item
@@ -86,7 +86,7 @@
     stays = fields.Float(
         data_key="capacityLeft", load_default=0.5, allow_nan=False, validate=validate.Range(min=0, max=1)
     )
-    version = items.Version(required=True)
+    version = items.VersionField(required=True)
 
 
 _CONTRACT = _Contract()
@@ -165,12 +165,14 @@
     changes: list[Change] = []
     for name, item in told.items():
         try:
-            changes.append(Change(CONTRACT + name, read(name, item).version, items.packed(item)))
+            changes.append(Change(CONTRACT_PREFIX + name, read(name, item).version, items.encode_item(item)))
         except ValidationError as error:
             findings += _explained(error, f"contracts.{name}")
     for entry in dropped:
         try:
-            changes.append(Change(CONTRACT + entry["name"], items.read_version(entry["version"]), None))
+            changes.append(
+                Change(CONTRACT_PREFIX + entry["name"], items.read_version(entry["version"]), None)
+            )
         except (TypeError, KeyError, ValidationError):
             findings.append(Finding("unreadable", "remove.contracts", "an entry has no name or version"))
     return Failure(findings) if findings else Success(tuple(changes))
--- a/leadrudder/maintenance/planner.py
+++ b/leadrudder/maintenance/planner.py
@@ -68,7 +68,7 @@
         there = self.machines.get(machine)
         if there is None:
             return {}
-        mine = [r for r in self.routes.values() if any(name == there.service for name, _ in r.split)]
+        mine = [r for r in self.routes.values() if any(name == there.service for name, _ in r.service_shares)]
         return {n: c for n, c in self.contracts.items() if any(c.covers(r) for r in mine)}
 
     def nobodys(self, machine: str) -> list[str]:
@@ -79,7 +79,7 @@
         return sorted(
             r.name
             for r in self.routes.values()
-            if any(name == there.service for name, _ in r.split)
+            if any(name == there.service for name, _ in r.service_shares)
             and not any(c.covers(r) for c in self.contracts.values())
         )
 
@@ -159,7 +159,7 @@
 def _drain_s(order: Order, at: Situation) -> float:
     """After the longest time that one of the tenants' requests is held, nothing of theirs is under way."""
     held = [
-        route.give_up_ms / 1000.0
+        route.timeout_ms / 1000.0
         for machine in order.machines
         for contract in _tenants(order, machine, at).values()
         for route in at.routes.values()
--- a/leadrudder/maintenance/window.py
+++ b/leadrudder/maintenance/window.py
@@ -14,7 +14,7 @@
 from enum import StrEnum
 from typing import Any
 
-from leadrudder.configuration.items import WINDOW
+from leadrudder.configuration.items import WINDOW_PREFIX
 from leadrudder.maintenance.ledger import Counts
 from leadrudder.protocol.mesh_pb2 import Item
 
@@ -205,7 +205,7 @@
     return out
 
 
-__all__ = ["CLOCKS_APART_S", "LENT", "OVER", "WINDOW", "Loans", "Stage", "Step", "Window", "standing"]
+__all__ = ["CLOCKS_APART_S", "LENT", "OVER", "WINDOW_PREFIX", "Loans", "Stage", "Step", "Window", "standing"]
 
 
 @dataclass(frozen=True, slots=True)
--- a/leadrudder/mesh/__main__.py
+++ b/leadrudder/mesh/__main__.py
@@ -11,7 +11,7 @@
 from returns.result import Failure
 
 from leadrudder.configuration import validation
-from leadrudder.configuration.items import CONTRACT
+from leadrudder.configuration.items import CONTRACT_PREFIX
 from leadrudder.control_simulation.scenario import FAULTS, RESIZING, Course, cut
 from leadrudder.control_simulation.world import Broken
 from leadrudder.maintenance import contract
@@ -56,7 +56,7 @@
             findings = parsed.failure()
         else:
             call = parsed.unwrap()
-            findings = validation.against(call, services)
+            findings = validation.unknown_services(call, services)
             services |= call.services
             for warning in validation.warnings(call):
                 print(f"{path}: warning: {warning}")
@@ -83,7 +83,7 @@
         return findings
     for change in parsed.unwrap():
         if change.value is not None:
-            read = contract.read(change.key[len(CONTRACT) :], json.loads(change.value))
+            read = contract.read(change.key[len(CONTRACT_PREFIX) :], json.loads(change.value))
             for warning in contract.warnings(read, time.time()):
                 print(f"{path}: warning: {warning}")
     return []
--- a/leadrudder/model_checker/scenarios.py
+++ b/leadrudder/model_checker/scenarios.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from leadrudder.configuration.items import CORE
+from leadrudder.configuration.items import VOTER_COUNT_KEY
 from leadrudder.model_checker.machine_states import Fact
 from leadrudder.model_checker.state import REST, Call, Left, Move, Scene
 
@@ -13,8 +13,11 @@
     return ((key, version, dropped, value),)
 
 
-CORE_TO_4, CORE_TO_3 = Call(change(CORE, 2, b"4")), Call(change(CORE, 2, b"3"))
-CORE_TO_5, CORE_BACK = Call(change(CORE, 2, b"5"), tries=4), Call(change(CORE, 3, b"3"), tries=4)
+CORE_TO_4, CORE_TO_3 = Call(change(VOTER_COUNT_KEY, 2, b"4")), Call(change(VOTER_COUNT_KEY, 2, b"3"))
+CORE_TO_5, CORE_BACK = (
+    Call(change(VOTER_COUNT_KEY, 2, b"5"), tries=4),
+    Call(change(VOTER_COUNT_KEY, 3, b"3"), tries=4),
+)
 RIVALS = (Call(change(ONE, 2, b"<a>")), Call(change(ONE, 2, b"<b>")))
 
 _AWAY: Move = ("hold", "arrives", 0, 1)  # what A sends does not reach B
--- a/leadrudder/model_checker/world.py
+++ b/leadrudder/model_checker/world.py
@@ -12,7 +12,7 @@
 from itertools import combinations
 from typing import Any
 
-from leadrudder.configuration.items import ORDERS
+from leadrudder.configuration.items import SEQUENTIAL_PREFIXES
 from leadrudder.consensus.outputs import Code
 from leadrudder.consensus.quorum_check import Contact
 from leadrudder.consensus.state_machine import Interlocking
@@ -447,7 +447,7 @@
             elif code is Code.DONE:
                 state = state._replace(acknowledged=state.acknowledged | frozenset(asked.items))
                 self._kept(state)
-            elif code is Code.CONFLICT and not asked.items[0][0].startswith(ORDERS):
+            elif code is Code.CONFLICT and not asked.items[0][0].startswith(SEQUENTIAL_PREFIXES):
                 # An order's count has moved on; of a call of several items no part stands.
                 state = state._replace(refused=state.refused | frozenset(asked.items))
                 self._stands(state, ())
--- a/tests/mesh/test_control_simulation.py
+++ b/tests/mesh/test_control_simulation.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from leadrudder.configuration.items import CORE
+from leadrudder.configuration.items import VOTER_COUNT_KEY
 from leadrudder.control_simulation.scenario import FAULTS, RESIZING, Course, cut, rule
 from leadrudder.control_simulation.world import Broken, World
 from leadrudder.protocol.mesh_pb2 import Item
@@ -56,7 +56,7 @@
         newcomers = [world.join(f"10.5{i}.0.1:1") for i in range(2)]
         world.play(6.0)
         first = next(iter(world.machines.values()))
-        world.call(first, [Item(key=CORE, version=1, value=b"5")], lambda answer: None)
+        world.call(first, [Item(key=VOTER_COUNT_KEY, version=1, value=b"5")], lambda answer: None)
         held: list[set[int]] = [set(), set()]
         while world.now < 8.0:
             world.play(world.now + 0.005)
--- a/tests/mesh/test_outbound.py
+++ b/tests/mesh/test_outbound.py
@@ -137,7 +137,7 @@
     def test_a_kept_connection_with_a_request_under_way_is_never_closed_by_us(self) -> None:
         self.client.data_received(request(attempt="x1"))
         limits = Limits()
-        for waited_ms in (limits.head_wait_ms, limits.idle_ms, 10 * limits.idle_ms):
+        for waited_ms in (limits.header_timeout_ms, limits.idle_timeout_ms, 10 * limits.idle_timeout_ms):
             self.client.check(100.0 + waited_ms / 1000.0 + 1.0, limits)
             self.assertFalse(self.transport.ended)
         self.outbound.closing = True
--- a/tests/mesh/test_routing_table.py
+++ b/tests/mesh/test_routing_table.py
@@ -10,7 +10,7 @@
 
 from leadrudder.configuration import items
 from leadrudder.configuration.item_store import KEY_RANGES, ItemStore, range_of
-from leadrudder.configuration.items import ROUTE
+from leadrudder.configuration.items import ROUTE_PREFIX
 from leadrudder.configuration.routing_table import RoutingTable
 from leadrudder.data_plane.change_queue import DELAY_MOST_S, ChangeQueue, PendingChanges
 from leadrudder.data_plane.endpoints import EndpointTable, endpoints_of
@@ -28,7 +28,7 @@
 
 def drawn(rng: Random, version: int) -> Item:
     """A change of one of few routes, so that they meet at one place, move, are dropped and come back."""
-    key = f"{ROUTE}r{rng.randrange(6)}"
+    key = f"{ROUTE_PREFIX}r{rng.randrange(6)}"
     if rng.random() < 0.25:
         return Item(key=key, version=version, dropped=True)
     if rng.random() < 0.05:
@@ -56,19 +56,19 @@
             book = ItemStore()
             for i in range(count):
                 value = json.dumps(route(f"h{i}.example", "/", "s")).encode()
-                book.merge([Item(key=f"{ROUTE}r{i}", version=1, value=value)])
+                book.merge([Item(key=f"{ROUTE_PREFIX}r{i}", version=1, value=value)])
             table = RoutingTable(book)
             value = json.dumps(route("h0.example", "/new/", "s")).encode()
             with mock.patch.object(items, "read_route", wraps=items.read_route) as read:
-                table.apply(book.merge([Item(key=f"{ROUTE}r0", version=2, value=value)]))
+                table.apply(book.merge([Item(key=f"{ROUTE_PREFIX}r0", version=2, value=value)]))
             self.assertEqual(read.call_count, 1)
 
     def test_the_books_indexes_tell_what_a_look_through_all_items_tells(self) -> None:
         rng, book = Random(5), ItemStore()
         for version in range(1, 300):
             book.merge([drawn(rng, version)])
-            standing = {k[len(ROUTE) :]: i for k, i in sorted(book.items.items()) if not i.dropped}
-            self.assertEqual(list(book.live_items(ROUTE).items()), list(standing.items()))
+            standing = {k[len(ROUTE_PREFIX) :]: i for k, i in sorted(book.items.items()) if not i.dropped}
+            self.assertEqual(list(book.live_items(ROUTE_PREFIX).items()), list(standing.items()))
         for at in range(KEY_RANGES):
             wanted = [item for key, item in book.items.items() if range_of(key) == at]
             self.assertEqual(book.items_in_ranges([at]), wanted)
--- a/tests/mesh/test_validation.py
+++ b/tests/mesh/test_validation.py
@@ -42,7 +42,7 @@
     parsed = validation.parse(body)
     if isinstance(parsed, Failure):
         return [finding.code for finding in parsed.failure()]
-    return [finding.code for finding in validation.against(parsed.unwrap(), ())]
+    return [finding.code for finding in validation.unknown_services(parsed.unwrap(), ())]
 
 
 class Check(unittest.TestCase):
