--- a/leadrudder/control_plane/maintenance.py
+++ b/leadrudder/control_plane/maintenance.py
@@ -22,10 +22,10 @@
 from leadrudder.configuration.validation import Finding
 from leadrudder.consensus.outputs import Answer, Code
 from leadrudder.maintenance import contract, controller, ledger, planner, window
-from leadrudder.maintenance.contract import Span
-from leadrudder.maintenance.controller import Keeper
-from leadrudder.maintenance.planner import Machine, Order, Situation, hour_of_week
-from leadrudder.maintenance.window import LENT, WINDOW_PREFIX, Window
+from leadrudder.maintenance.contract import DurationSecondsField
+from leadrudder.maintenance.controller import MaintenanceController
+from leadrudder.maintenance.planner import FleetState, Machine, WindowRequest, hour_of_week
+from leadrudder.maintenance.window import AWAY_STAGES, WINDOW_PREFIX, Window
 from leadrudder.protocol.mesh_pb2 import Item, Node
 from leadrudder.transport.http import Call, Told
 
@@ -63,8 +63,8 @@
     end = _Instant(data_key="to", required=True)
     machines = fields.List(fields.String(), required=True)
     at_once = fields.Integer(data_key="atOnce", load_default=1, validate=validate.Range(min=1))
-    works_s = Span(data_key="works", load_default=0.0)
-    return_s = Span(data_key="return", load_default=10.0)
+    works_s = DurationSecondsField(data_key="works", load_default=0.0)
+    return_s = DurationSecondsField(data_key="return", load_default=10.0)
     tenants = fields.List(fields.String(), load_default=list)
 
 
@@ -85,16 +85,16 @@
     ) -> None:
         self._book, self._nodes, self._change, self._ring = book, nodes, change, ring
         self._wall, self._steady = wall, steady
-        self._keeper = Keeper()
+        self._keeper = MaintenanceController()
         self._tasks: set[asyncio.Task[None]] = set()
         self._busiest: dict[str, dict[int, float]] = {}  # slots in use by service and hour, since our start
         self._hour = -1
-        self._totals = ledger.Totals()
+        self._totals = ledger.FleetTotals()
         self.clocks: dict[str, float] = {}  # of other signalboxes that are connected, against our steady one
 
     # ------------------------------------------------------------ what is known
 
-    def situation(self) -> Situation:
+    def situation(self) -> FleetState:
         book = self._book()
         routing = RoutingTable(book)
         machines = {}
@@ -106,11 +106,11 @@
         used: dict[str, dict[int, float]] = {}
         for service, item in book.live_items(USAGE_PREFIX).items():
             used[service] = {int(hour): float(n) for hour, n in json.loads(item.value).items()}
-        return Situation(
-            contract.standing(book.live_items(CONTRACT_PREFIX).items()),
+        return FleetState(
+            contract.read_contracts(book.live_items(CONTRACT_PREFIX).items()),
             routing.routes,
             machines,
-            window.standing(book.live_items(WINDOW_PREFIX).items()),
+            window.read_windows(book.live_items(WINDOW_PREFIX).items()),
             used,
         )
 
@@ -120,12 +120,12 @@
         """Some times a second.  held: the duty is ours."""
         wall = self._wall()
         self._note_use(wall, held)
-        at = self.situation() if held and self._book().live_items(WINDOW_PREFIX) else Situation()
+        at = self.situation() if held and self._book().live_items(WINDOW_PREFIX) else FleetState()
         steady = self._steady()
         others = [off + steady for off in self.clocks.values()]
         for moved in self._keeper.tick(wall, steady, held, at, others):
-            if moved.begun is None and any(step.stage in LENT for step in moved.steps):
-                moved = dataclasses.replace(moved, begun=self._totals.latest()[1])
+            if moved.counts_at_start is None and any(step.stage in AWAY_STAGES for step in moved.steps):
+                moved = dataclasses.replace(moved, counts_at_start=self._totals.latest_counts()[1])
             self._later(self._take(moved, self._next(moved.name)))
         if held:
             for closed in self._closed(at.windows.values()):
@@ -133,13 +133,13 @@
 
     def _closed(self, windows: Iterable[Window]) -> list[Window]:
         """Windows that are over, and of whose time all stations have told by now."""
-        through, counts = self._totals.latest()
+        through, counts = self._totals.latest_counts()
         return [
-            dataclasses.replace(each, ended=counts)
+            dataclasses.replace(each, counts_at_end=counts)
             for each in windows
-            if each.over()
-            and each.begun is not None
-            and each.ended is None
+            if each.is_over()
+            and each.counts_at_start is not None
+            and each.counts_at_end is None
             and through >= ledger.epoch_of(max(step.since for step in each.steps))
         ]
 
@@ -157,7 +157,7 @@
                 code = (await self._set(moved, count)).code
         except TimeoutError:
             code = Code.BUSY
-        self._keeper.told(moved.name)
+        self._keeper.step_answered(moved.name)
         if code is Code.DONE:
             stages = ", ".join(f"{s.machine} {s.stage}{': ' + s.why if s.why else ''}" for s in moved.steps)
             self._ring.record(f"window {moved.name}: {stages}")
@@ -169,16 +169,16 @@
 
     async def _set(self, moved: Window, count: int) -> Answer:
         """A count of a window; CONFLICT where somebody was before us."""
-        return await self._change([Item(key=WINDOW_PREFIX + moved.name, version=count, value=moved.packed())])
+        return await self._change([Item(key=WINDOW_PREFIX + moved.name, version=count, value=moved.encode())])
 
     def _note_use(self, wall: float, held: bool) -> None:
         """The busiest of the hour, by service; who holds the duty keeps it when the hour is over."""
         hour = hour_of_week(wall)
         sums: dict[str, float] = {}
         nodes = list(self._nodes())
-        self._totals.keep({node.name for node in nodes})
+        self._totals.retain_nodes({node.name for node in nodes})
         for node in nodes:
-            self._totals.take(node.name, node.through, node.tallies)
+            self._totals.add_report(node.name, node.through, node.tallies)
             if node.used:
                 sums[node.service] = sums.get(node.service, 0.0) + node.used
         for service, slots in sums.items():
@@ -226,20 +226,20 @@
             case "POST", ("maintenance", name, "plan"):
                 return await self._start(name, call.body, keep=False)
             case "DELETE", ("maintenance", name):
-                return await self._alter(name, lambda w: controller.stopped(w, "an operator stopped it"))
+                return await self._alter(name, lambda w: controller.stop_window(w, "an operator stopped it"))
             case "POST", ("maintenance", name, "done", machine):
-                return await self._alter(name, lambda w: controller.done_early(w, machine, self._wall()))
+                return await self._alter(name, lambda w: controller.finish_early(w, machine, self._wall()))
             case _, ("contracts" | "maintenance", *_):
                 return Told(405)
         return None
 
     def _report(self, each: Window) -> dict[str, Any]:
         """What became of bookings while it ran, so far or in all; ordinary: between plan and beginning."""
-        if each.begun is None:
+        if each.counts_at_start is None:
             return {}
-        usual = ledger.difference(each.planned, each.begun)
-        end = each.ended if each.ended is not None else self._totals.latest()[1]
-        return ledger.report(each.begun, end, usual)
+        usual = ledger.difference(each.counts_at_plan, each.counts_at_start)
+        end = each.counts_at_end if each.counts_at_end is not None else self._totals.latest_counts()[1]
+        return ledger.report(each.counts_at_start, end, usual)
 
     async def _contracts(self, body: bytes) -> Told:
         parsed = contract.parse(body)
@@ -253,7 +253,7 @@
         if answer.code is not Code.DONE:
             return _answered(answer.code)
         now = self._wall()
-        read = contract.standing((i.key[len(CONTRACT_PREFIX) :], i) for i in made if not i.dropped)
+        read = contract.read_contracts((i.key[len(CONTRACT_PREFIX) :], i) for i in made if not i.dropped)
         return _json({"warnings": [str(f) for each in read.values() for f in contract.warnings(each, now)]})
 
     async def _start(self, name: str, body: bytes, *, keep: bool) -> Told:
@@ -264,12 +264,12 @@
         except (ValueError, RecursionError) as error:
             return _refused(400, [Finding("cut_short", "the body", f"cannot be read whole: {error}")])
         read["machines"], read["tenants"] = tuple(read["machines"]), frozenset(read["tenants"])
-        made = planner.plan(Order(name, **read), self._wall(), self.situation())
+        made = planner.plan(WindowRequest(name, **read), self._wall(), self.situation())
         if isinstance(made, list):
             return _refused(409, made)
         if not keep:
             return _json(told(made))
-        made = dataclasses.replace(made, planned=self._totals.latest()[1])
+        made = dataclasses.replace(made, counts_at_plan=self._totals.latest_counts()[1])
         answer = await self._set(made, self._next(name))
         if answer.code is not Code.DONE:
             return _answered(answer.code)
@@ -277,7 +277,7 @@
         return _json(told(made))
 
     async def _forget(self) -> None:
-        for name in controller.finished(dict(self.situation().windows), KEPT):
+        for name in controller.surplus_finished(dict(self.situation().windows), KEPT):
             known = self._book().items[WINDOW_PREFIX + name]
             await self._change([Item(key=known.key, version=known.version + 1, dropped=True)])
 
@@ -287,7 +287,7 @@
             known = self.situation().windows.get(name)
             if known is None:
                 return Told(404)
-            altered = None if known.over() else alter(known)
+            altered = None if known.is_over() else alter(known)
             if altered is None:
                 return Told(409, f"it is {known.state()}\n".encode())
             answer = await self._set(altered, self._next(name))
@@ -308,7 +308,7 @@
         "to": each.end,
         "drain_s": each.drain_s,
         "return_s": each.return_s,
-        "stopped": each.stopped,
+        "stopped": each.stop_reason,
         "machines": steps,
     }
 
--- a/leadrudder/control_plane/operator_api.py
+++ b/leadrudder/control_plane/operator_api.py
@@ -13,7 +13,7 @@
 from leadrudder.bootstrap.log_buffer import LogBuffer
 from leadrudder.configuration import validation
 from leadrudder.configuration.item_store import ItemStore
-from leadrudder.configuration.items import VOTER_COUNT_KEY, EVACUATION_PREFIX, MAX_VOTERS, SERVICE_PREFIX
+from leadrudder.configuration.items import EVACUATION_PREFIX, MAX_VOTERS, SERVICE_PREFIX, VOTER_COUNT_KEY
 from leadrudder.consensus.anti_entropy import Owed
 from leadrudder.consensus.outputs import Answer, Code
 from leadrudder.protocol.mesh_pb2 import Item
--- a/leadrudder/data_plane/machine_drains.py
+++ b/leadrudder/data_plane/machine_drains.py
@@ -11,7 +11,7 @@
 from leadrudder.configuration.item_store import ItemStore
 from leadrudder.configuration.items import CONTRACT_PREFIX, Route
 from leadrudder.maintenance import window
-from leadrudder.maintenance.window import WINDOW_PREFIX, Loans
+from leadrudder.maintenance.window import WINDOW_PREFIX, DrainSchedule
 
 
 class Lent:
@@ -29,7 +29,7 @@
     ) -> None:
         self._wall, self._steady, self._later, self._changed = wall, steady, later, changed
         self._ends: dict[float, float] = {}  # when each loan ends by the steady clock, by when by the wall's
-        self._loans = Loans()
+        self._loans = DrainSchedule()
         self._due = float("inf")
 
     def some(self) -> bool:
@@ -37,12 +37,14 @@
 
     def take(self, book: ItemStore) -> None:
         """What stands may have changed."""
-        windows = window.standing(book.live_items(WINDOW_PREFIX).items())
-        self._loans = Loans.of(windows, window.owns(book.live_items(CONTRACT_PREFIX).items()))
+        windows = window.read_windows(book.live_items(WINDOW_PREFIX).items())
+        self._loans = DrainSchedule.from_windows(
+            windows, window.read_tenant_traffic(book.live_items(CONTRACT_PREFIX).items())
+        )
         # The wall's clock may be put back while a machine is lent: its time is over all the same.
         ahead = self._steady() - self._wall()
         known, self._ends = self._ends, {}
-        for until in self._loans.ends():
+        for until in self._loans.end_times():
             self._ends[until] = min(until + ahead, known.get(until, float("inf")))
         self._look_again()
 
@@ -51,7 +53,7 @@
         steady = self._steady()
         return any(
             steady < self._ends.get(loan.until, 0.0)
-            for loan in self._loans.of_machine(machine, route.name, route.host, now)
+            for loan in self._loans.active_drains(machine, route.name, route.host, now)
         )
 
     def _look_again(self) -> None:
--- a/leadrudder/data_plane/program.py
+++ b/leadrudder/data_plane/program.py
@@ -116,7 +116,7 @@
             self._own,
             self.ring.record,
             self._lent_here,
-            (lambda epoch: self._ledger.ran(settings.service, epoch)) if possession else None,
+            (lambda epoch: self._ledger.record_execution(settings.service, epoch)) if possession else None,
         )
         self._used = 0  # slots of our server, at the busiest since we last told
         self._gates = Gates()
@@ -376,7 +376,7 @@
     def _tell_use(self) -> None:
         """Slots in use and what became of bookings, each epoch: for those who plan and report windows."""
         self._used = max(self._used, self.gate.running)
-        if self._ledger.close(self._wall()):
+        if self._ledger.close_epochs(self._wall()):
             self._session.say(self._hello())
             self._used = 0
 
--- a/leadrudder/data_plane/request_accounting.py
+++ b/leadrudder/data_plane/request_accounting.py
@@ -79,6 +79,6 @@
         took_ms: float,
     ) -> None:
         name = errand.attempt_id.decode("latin-1")
-        ledger.answered(service, errand.epoch, route.at_most_once, name, what, took_ms)
+        ledger.record_answer(service, errand.epoch, route.at_most_once, name, what, took_ms)
         if route.at_most_once and isinstance(what, Verdict) and what.ran is not Ran.NEVER:
             self._note(f"in doubt: {name} of {route.name}: {what.why}")
--- a/leadrudder/maintenance/contract.py
+++ b/leadrudder/maintenance/contract.py
@@ -19,38 +19,38 @@
 from leadrudder.configuration import items
 from leadrudder.configuration.items import CONTRACT_PREFIX, Route
 from leadrudder.configuration.validation import Change, Finding
-from leadrudder.maintenance.hours import Hours, Rule
+from leadrudder.maintenance.hours import ApprovedHours, HoursRule
 from leadrudder.protocol.mesh_pb2 import Item
 
-DAYS = ("mon", "tue", "wed", "thu", "fri", "sat", "sun")
-_CLOCK = re.compile(r"([01][0-9]|2[0-4]):([0-5][0-9])")
-_LONG = re.compile(r"([0-9]+(?:\.[0-9]+)?)(h|m)")
+WEEKDAYS = ("mon", "tue", "wed", "thu", "fri", "sat", "sun")
+_TIME_OF_DAY = re.compile(r"([01][0-9]|2[0-4]):([0-5][0-9])")
+_HOURS_OR_MINUTES = re.compile(r"([0-9]+(?:\.[0-9]+)?)(h|m)")
 
 
-class Span(fields.Field[float]):
+class DurationSecondsField(fields.Field[float]):
     """A length of time in text, also of hours and minutes; in seconds after reading."""
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **kwargs: Any) -> float:
         read = parse_duration_ms(value)
         if read is not None:
             return read / 1000.0
-        found = _LONG.fullmatch(value) if isinstance(value, str) else None
+        found = _HOURS_OR_MINUTES.fullmatch(value) if isinstance(value, str) else None
         if found is None:
             raise ValidationError("not a time such as 24h, 20m, 90s or 1500ms")
         return float(found[1]) * (3600.0 if found[2] == "h" else 60.0)
 
 
-class Clock(fields.Field[int]):
+class TimeOfDayField(fields.Field[int]):
     """HH:MM, 24:00 at most; in minutes after reading."""
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **kwargs: Any) -> int:
-        found = _CLOCK.fullmatch(value) if isinstance(value, str) else None
+        found = _TIME_OF_DAY.fullmatch(value) if isinstance(value, str) else None
         if found is None or (found[1] == "24" and found[2] != "00"):
             raise ValidationError("not an hour such as 22:30 or 24:00")
         return 60 * int(found[1]) + int(found[2])
 
 
-class Day(fields.Field[date]):
+class DateField(fields.Field[date]):
     """YYYY-MM-DD."""
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **kwargs: Any) -> date:
@@ -60,36 +60,36 @@
             raise ValidationError("not a date such as 2026-12-24") from None
 
 
-class _Rule(Schema):
+class _RuleSchema(Schema):
     class Meta:
         unknown = EXCLUDE
 
-    days = fields.List(fields.String(validate=validate.OneOf(DAYS)), load_default=list)
-    on = Day(data_key="date", load_default=None)
-    begin = Clock(data_key="from", required=True)
-    end = Clock(data_key="to", required=True)
+    days = fields.List(fields.String(validate=validate.OneOf(WEEKDAYS)), load_default=list)
+    on = DateField(data_key="date", load_default=None)
+    begin = TimeOfDayField(data_key="from", required=True)
+    end = TimeOfDayField(data_key="to", required=True)
 
 
-class _Contract(Schema):
+class _ContractSchema(Schema):
     class Meta:
         unknown = EXCLUDE
 
     hosts = fields.List(fields.String(), load_default=list)
     routes = fields.List(fields.String(), load_default=list)
     zone = fields.String(data_key="timeZone", required=True)
-    approved = fields.List(fields.Nested(_Rule), load_default=list)
-    special = fields.List(fields.Nested(_Rule), load_default=list)
-    busy = fields.List(fields.Nested(_Rule), load_default=list)
-    never = fields.List(Day(), load_default=list)
-    notice_s = Span(data_key="notice", load_default=0.0)
-    most_out = fields.Integer(data_key="mostOut", load_default=1, validate=validate.Range(min=1))
-    stays = fields.Float(
+    approved = fields.List(fields.Nested(_RuleSchema), load_default=list)
+    special = fields.List(fields.Nested(_RuleSchema), load_default=list)
+    busy = fields.List(fields.Nested(_RuleSchema), load_default=list)
+    never = fields.List(DateField(), load_default=list)
+    notice_s = DurationSecondsField(data_key="notice", load_default=0.0)
+    max_machines_out = fields.Integer(data_key="mostOut", load_default=1, validate=validate.Range(min=1))
+    min_capacity_left = fields.Float(
         data_key="capacityLeft", load_default=0.5, allow_nan=False, validate=validate.Range(min=0, max=1)
     )
     version = items.VersionField(required=True)
 
 
-_CONTRACT = _Contract()
+_CONTRACT_SCHEMA = _ContractSchema()
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,10 +99,10 @@
     name: str
     hosts: frozenset[str]
     routes: frozenset[str]
-    hours: Hours
+    hours: ApprovedHours
     notice_s: float
-    most_out: int
-    stays: float
+    max_machines_out: int
+    min_capacity_left: float
     version: int
 
     def covers(self, route: Route) -> bool:
@@ -110,26 +110,26 @@
         return route.name in self.routes or route.host in self.hosts
 
 
-def _rule(raw: dict[str, Any], where: str) -> Rule:
+def _read_rule(raw: dict[str, Any], where: str) -> HoursRule:
     if bool(raw["days"]) == (raw["on"] is not None):
         raise ValidationError({where: ["a rule names either days or a date"]})
     if raw["begin"] == raw["end"]:
         raise ValidationError({where: ["begins when it ends: for a whole day write 00:00 to 24:00"]})
     if raw["begin"] == 24 * 60:
         raise ValidationError({where: ["24:00 is no beginning"]})
-    return Rule(raw["begin"], raw["end"], frozenset(DAYS.index(d) for d in raw["days"]), raw["on"])
+    return HoursRule(raw["begin"], raw["end"], frozenset(WEEKDAYS.index(d) for d in raw["days"]), raw["on"])
 
 
-def read(name: str, raw: Any) -> Contract:
+def read_contract(name: str, raw: Any) -> Contract:
     """ValidationError where it cannot be read, or could mean two things."""
-    told = cast(dict[str, Any], _CONTRACT.load(raw))
+    told = cast(dict[str, Any], _CONTRACT_SCHEMA.load(raw))
     try:
         zone = ZoneInfo(told["zone"])
     except (OSError, ValueError, KeyError):  # not found is a KeyError
         raise ValidationError({"timeZone": [f"no such time zone: {told['zone']!r}"]}) from None
-    approved = [_rule(r, f"approved.{i}") for i, r in enumerate(told["approved"])]
-    special = [_rule(r, f"special.{i}") for i, r in enumerate(told["special"])]
-    busy = [_rule(r, f"busy.{i}") for i, r in enumerate(told["busy"])]
+    approved = [_read_rule(r, f"approved.{i}") for i, r in enumerate(told["approved"])]
+    special = [_read_rule(r, f"special.{i}") for i, r in enumerate(told["special"])]
+    busy = [_read_rule(r, f"busy.{i}") for i, r in enumerate(told["busy"])]
     for i, rule in enumerate(special):
         if rule.on is None:
             raise ValidationError({f"special.{i}": ["is of a date, not of days"]})
@@ -141,10 +141,10 @@
         name,
         frozenset(host.lower() for host in told["hosts"]),
         frozenset(told["routes"]),
-        Hours(zone, tuple(approved + special), tuple(busy), frozenset(told["never"])),
+        ApprovedHours(zone, tuple(approved + special), tuple(busy), frozenset(told["never"])),
         told["notice_s"],
-        told["most_out"],
-        told["stays"],
+        told["max_machines_out"],
+        told["min_capacity_left"],
         told["version"],
     )
 
@@ -165,9 +165,11 @@
     changes: list[Change] = []
     for name, item in told.items():
         try:
-            changes.append(Change(CONTRACT_PREFIX + name, read(name, item).version, items.encode_item(item)))
+            changes.append(
+                Change(CONTRACT_PREFIX + name, read_contract(name, item).version, items.encode_item(item))
+            )
         except ValidationError as error:
-            findings += _explained(error, f"contracts.{name}")
+            findings += _findings_of(error, f"contracts.{name}")
     for entry in dropped:
         try:
             changes.append(
@@ -178,23 +180,25 @@
     return Failure(findings) if findings else Success(tuple(changes))
 
 
-def _explained(error: ValidationError, where: str) -> list[Finding]:
+def _findings_of(error: ValidationError, where: str) -> list[Finding]:
     messages = error.messages if isinstance(error.messages, dict) else {"": error.messages}
-    return [Finding("contract", f"{where}.{field}", _first(texts)) for field, texts in messages.items()]
+    return [
+        Finding("contract", f"{where}.{field}", _first_message(texts)) for field, texts in messages.items()
+    ]
 
 
-def _first(texts: Any) -> str:
+def _first_message(texts: Any) -> str:
     while isinstance(texts, dict | list) and texts:
         texts = next(iter(texts.values())) if isinstance(texts, dict) else texts[0]
     return str(texts)
 
 
-def standing(found: Iterable[tuple[str, Item]]) -> dict[str, Contract]:
+def read_contracts(found: Iterable[tuple[str, Item]]) -> dict[str, Contract]:
     """The contracts among items, by name; what cannot be read is kept by a later release, and left out."""
     out = {}
     for name, item in found:
         try:
-            out[name] = read(name, json.loads(item.value))
+            out[name] = read_contract(name, json.loads(item.value))
         except (ValueError, ValidationError):
             continue
     return out
@@ -205,6 +209,6 @@
     where = f"contracts.{contract.name}"
     if not contract.hours.approved:
         return [Finding("never", where, "has no approved hours: its machines are never taken out")]
-    if not contract.hours.between(now, now + 366 * 86400.0):
+    if not contract.hours.intervals_between(now, now + 366 * 86400.0):
         return [Finding("never", where, "no hour of the coming year is approved: busy times take all")]
     return []
--- a/leadrudder/maintenance/controller.py
+++ b/leadrudder/maintenance/controller.py
@@ -12,96 +12,109 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
 
-from leadrudder.maintenance.hours import Span
-from leadrudder.maintenance.planner import Situation, approved, too_much
-from leadrudder.maintenance.window import CLOCKS_APART_S, LENT, Stage, Step, Window
+from leadrudder.maintenance.hours import Interval
+from leadrudder.maintenance.planner import FleetState, approved_intervals, capacity_objection
+from leadrudder.maintenance.window import AWAY_STAGES, MAX_CLOCK_SKEW_S, Stage, Step, Window
 
-JUMP_S = 0.5  # by which wall and steady clock may part between two looks
-SLEPT_S = 3.0  # between two looks: who was away so long does not know what has become of its duty
-WATCH_S = 5.0  # after a jump, before steps are taken again
-AGAIN_S = 1.0  # for a step's answer, before it is asked for again
+CLOCK_JUMP_S = 0.5  # by which wall and steady clock may part between two looks
+MAX_TICK_GAP_S = 3.0  # between two looks: who was away so long does not know what has become of its duty
+CLOCK_OBSERVATION_S = 5.0  # after a jump, before steps are taken again
+STEP_RETRY_S = 1.0  # for a step's answer, before it is asked for again
 
 
-def agreed(wall: float, others: Sequence[float]) -> bool:
+def clock_agrees(wall: float, others: Sequence[float]) -> bool:
     """Whether a clock is as near as clocks are to be to those of a majority, itself counted."""
-    near = sum(abs(wall - other) <= CLOCKS_APART_S for other in others)
+    near = sum(abs(wall - other) <= MAX_CLOCK_SKEW_S for other in others)
     return 2 * (near + 1) > len(others) + 1
 
 
 @dataclass(slots=True)
-class Keeper:
+class MaintenanceController:
     """One process's.  tick() gives the windows as they are to be, each one step on."""
 
-    _looked: tuple[float, float] | None = None  # wall, steady
-    _sound_since: float = 0.0  # steady
-    _asked: dict[str, float] = field(default_factory=dict)  # windows whose step is out, since when
+    _last_clocks: tuple[float, float] | None = None  # wall, steady
+    _consistent_since: float = 0.0  # steady
+    _pending_since: dict[str, float] = field(default_factory=dict)  # windows whose step is out, since when
 
     def tick(
-        self, wall: float, steady: float, held: bool, at: Situation, others: Sequence[float]
+        self, wall: float, steady: float, held: bool, at: FleetState, others: Sequence[float]
     ) -> list[Window]:
         """held: the duty is ours, just now.  others: what the clocks of the other signalboxes show."""
-        if not self._sound(wall, steady) or not held or not agreed(wall, others):
+        if not self._clocks_consistent(wall, steady) or not held or not clock_agrees(wall, others):
             return []
         steps = []
         for window in at.windows.values():
-            if window.over() or steady - self._asked.get(window.name, float("-inf")) < AGAIN_S:
+            if (
+                window.is_over()
+                or steady - self._pending_since.get(window.name, float("-inf")) < STEP_RETRY_S
+            ):
                 continue
-            moved = self._step(window, wall, at)
+            moved = self._next_step(window, wall, at)
             if moved is not None:
-                self._asked[window.name] = steady
+                self._pending_since[window.name] = steady
                 steps.append(moved)
         return steps
 
-    def told(self, name: str) -> None:
+    def step_answered(self, name: str) -> None:
         """A step was answered, however."""
-        self._asked.pop(name, None)
+        self._pending_since.pop(name, None)
 
-    def _sound(self, wall: float, steady: float) -> bool:
+    def _clocks_consistent(self, wall: float, steady: float) -> bool:
         """Whether our clocks have gone alike for long enough."""
-        before, self._looked = self._looked, (wall, steady)
+        before, self._last_clocks = self._last_clocks, (wall, steady)
         if before is None:
             before = (float("-inf"), float("-inf"))
         passed = steady - before[1]
-        if not (passed <= SLEPT_S and abs(wall - before[0] - passed) <= JUMP_S):
-            self._sound_since = steady
-        return steady - self._sound_since >= WATCH_S
+        if not (passed <= MAX_TICK_GAP_S and abs(wall - before[0] - passed) <= CLOCK_JUMP_S):
+            self._consistent_since = steady
+        return steady - self._consistent_since >= CLOCK_OBSERVATION_S
 
-    def _step(self, window: Window, wall: float, at: Situation) -> Window | None:
+    def _next_step(self, window: Window, wall: float, at: FleetState) -> Window | None:
         for step in window.steps:
-            moved = self._machine(window, step, wall, at)
+            moved = self._next_stage(window, step, wall, at)
             if moved is not None:
                 return moved
         return None
 
-    def _machine(self, window: Window, step: Step, wall: float, at: Situation) -> Window | None:
+    def _next_stage(self, window: Window, step: Step, wall: float, at: FleetState) -> Window | None:
         """What is due for one machine."""
         if step.stage is Stage.WAITING:
-            if window.stopped or wall + window.drain_s + max(window.works_s, 1.0) > step.latest:
-                why = window.stopped or "its time had passed before it could be taken"
-                return window.moved(step.machine, Stage.SKIPPED, wall, why)
-            away = sum(s.stage in LENT or s.stage is Stage.RETURNING for s in window.steps)
-            if wall < step.leave or away >= window.at_once or self._wrong(window, step, wall, at) is not None:
+            if window.stop_reason or wall + window.drain_s + max(window.works_s, 1.0) > step.latest:
+                why = window.stop_reason or "its time had passed before it could be taken"
+                return window.with_stage(step.machine, Stage.SKIPPED, wall, why)
+            away = sum(s.stage in AWAY_STAGES or s.stage is Stage.RETURNING for s in window.steps)
+            if (
+                wall < step.leave
+                or away >= window.at_once
+                or self._objection(window, step, wall, at) is not None
+            ):
                 return None  # it may yet be possible: until its time has passed
-            return window.lent(step.machine, wall)
-        if step.stage in LENT:
-            why = window.stopped or self._wrong(window, step, wall, at) or ""
+            return window.with_drain_started(step.machine, wall)
+        if step.stage in AWAY_STAGES:
+            why = window.stop_reason or self._objection(window, step, wall, at) or ""
             if why or wall >= step.back:
-                return window.moved(step.machine, Stage.RETURNING, wall, why)
+                return window.with_stage(step.machine, Stage.RETURNING, wall, why)
             if step.stage is Stage.DRAINING and wall >= step.since + window.drain_s:
-                return window.moved(step.machine, Stage.OUT, wall)
+                return window.with_stage(step.machine, Stage.OUT, wall)
         elif step.stage is Stage.RETURNING and wall >= step.since + window.return_s:
-            return window.moved(step.machine, Stage.BACK, wall)
+            return window.with_stage(step.machine, Stage.BACK, wall)
         return None
 
-    def _wrong(self, window: Window, step: Step, wall: float, at: Situation) -> str | None:
+    def _objection(self, window: Window, step: Step, wall: float, at: FleetState) -> str | None:
         """Why a machine may not be out just now, by contracts and servers as they are; None: it may."""
         contracts = [at.contracts.get(name) for name in step.tenants]
         held = [c for c in contracts if c is not None]
         if len(held) < len(contracts):
             return "a contract is gone"
-        end = step.back if step.stage in LENT else min(step.latest, wall + window.drain_s + window.works_s)
-        rest = Span(wall, max(wall + 1.0, min(end, wall + 60.0)))
-        if not any(span.holds(rest) for span in approved(held, rest.begin - 5.0, rest.end + 5.0)):
+        end = (
+            step.back
+            if step.stage in AWAY_STAGES
+            else min(step.latest, wall + window.drain_s + window.works_s)
+        )
+        rest = Interval(wall, max(wall + 1.0, min(end, wall + 60.0)))
+        if not any(
+            span.contains(rest) for span in approved_intervals(held, rest.begin - 5.0, rest.end + 5.0)
+        ):
             return "these hours are approved no more"
         if step.machine not in at.machines:
             # It has died, or was taken away: there is nothing to be given back, and nothing more to be lost.
@@ -110,25 +123,25 @@
             other
             for each in at.windows.values()
             for other in each.steps
-            if other.stage in LENT and other.machine != step.machine
+            if other.stage in AWAY_STAGES and other.machine != step.machine
         ]
-        return too_much(step.machine, held, others, rest, at, step.whole)
+        return capacity_objection(step.machine, held, others, rest, at, step.whole)
 
 
-def stopped(window: Window, why: str) -> Window:
+def stop_window(window: Window, why: str) -> Window:
     """The window told to stop: what is out is given back at once, what waits is never taken."""
-    return replace(window, stopped=why)
+    return replace(window, stop_reason=why)
 
 
-def done_early(window: Window, machine: str, now: float) -> Window | None:
+def finish_early(window: Window, machine: str, now: float) -> Window | None:
     """The works at a machine are over before their time; None: it is not out."""
-    step = window.at(machine)
-    if step is None or step.stage not in LENT:
+    step = window.step_of(machine)
+    if step is None or step.stage not in AWAY_STAGES:
         return None
-    return window.moved(machine, Stage.RETURNING, now, "the works were over")
+    return window.with_stage(machine, Stage.RETURNING, now, "the works were over")
 
 
-def finished(windows: dict[str, Window], keep: int) -> list[str]:
+def surplus_finished(windows: dict[str, Window], keep: int) -> list[str]:
     """The oldest of those that are over, beyond as many as are kept."""
-    over = sorted((w.end, name) for name, w in windows.items() if w.over())
+    over = sorted((w.end, name) for name, w in windows.items() if w.is_over())
     return [name for _, name in over[: max(0, len(over) - keep)]]
--- a/leadrudder/maintenance/ledger.py
+++ b/leadrudder/maintenance/ledger.py
@@ -19,26 +19,28 @@
 from leadrudder.protocol.outcome import Ran, Reply, Verdict
 
 EPOCH_S = 8.0
-LAG = 3  # epochs after which one is closed: routes that hold requests for longer are counted late
-TOLD = 6  # closed epochs whose counts are remembered of each station
-SERVICES_MOST = 256
-DOUBTS_MOST = 16  # ids that are told
-BUCKETS = 40  # of look-ups' times, each 1.3 times as long as the one before, from 2 ms on
-_FIRST_MS, _STEP = 2.0, math.log(1.3)
+CLOSE_AFTER_EPOCHS = (
+    3  # epochs after which one is closed: routes that hold requests for longer are counted late
+)
+REPORTED_EPOCHS_KEPT = 6  # closed epochs whose counts are remembered of each station
+MAX_SERVICES = 256
+MAX_IN_DOUBT_IDS = 16  # ids that are told
+LATENCY_BUCKETS = 40  # of look-ups' times, each 1.3 times as long as the one before, from 2 ms on
+_FIRST_BUCKET_MS, _LOG_BUCKET_RATIO = 2.0, math.log(1.3)
 
 
 Counts = dict[str, list[int]]  # by service: asked, landed, failed, refused, doubt, ran, then look-ups
 
 
-def bucket(ms: float) -> int:
-    if ms <= _FIRST_MS:
+def bucket_index(ms: float) -> int:
+    if ms <= _FIRST_BUCKET_MS:
         return 0
-    return min(BUCKETS - 1, 1 + int(math.log(ms / _FIRST_MS) / _STEP))
+    return min(LATENCY_BUCKETS - 1, 1 + int(math.log(ms / _FIRST_BUCKET_MS) / _LOG_BUCKET_RATIO))
 
 
-def longest(index: int) -> float:
+def bucket_upper_bound_ms(index: int) -> float:
     """The longest time of a bucket, ms."""
-    return _FIRST_MS * math.exp(_STEP * index)
+    return _FIRST_BUCKET_MS * math.exp(_LOG_BUCKET_RATIO * index)
 
 
 def epoch_of(wall: float) -> int:
@@ -53,34 +55,34 @@
     closed: dict[str, Tally] = field(default_factory=dict)
     open: dict[int, dict[str, Tally]] = field(default_factory=dict)
 
-    def close(self, wall: float) -> bool:
+    def close_epochs(self, wall: float) -> bool:
         """Close what is over; True if anything was."""
-        through = epoch_of(wall) - LAG
+        through = epoch_of(wall) - CLOSE_AFTER_EPOCHS
         if through <= self.through:
             return False
         for epoch in sorted(e for e in self.open if e <= through):
             done = self.open.pop(epoch)
-            self.closed = summed([*self.closed.values(), *done.values()])
+            self.closed = sum_tallies([*self.closed.values(), *done.values()])
         self.through = through
         return True
 
-    def _of(self, service: str, epoch: int) -> Tally:
+    def _tally(self, service: str, epoch: int) -> Tally:
         tallies = self.open.setdefault(epoch, {}) if epoch > self.through else self.closed
         tally = tallies.get(service)
         if tally is None:
-            while len(tallies) >= SERVICES_MOST:
+            while len(tallies) >= MAX_SERVICES:
                 del tallies[next(iter(tallies))]
-            tally = tallies[service] = Tally(service=service, lookups=[0] * BUCKETS)
+            tally = tallies[service] = Tally(service=service, lookups=[0] * LATENCY_BUCKETS)
         return tally
 
-    def answered(
+    def record_answer(
         self, service: str, epoch: int, once: bool, name: str, what: Reply | Verdict, ms: float
     ) -> None:
         """A request that began here in an epoch has its answer."""
-        tally = self._of(service, epoch)
+        tally = self._tally(service, epoch)
         if not once:
             if isinstance(what, Reply) and 200 <= what.status < 300:
-                tally.lookups[bucket(ms)] += 1
+                tally.lookups[bucket_index(ms)] += 1
             return
         tally.asked += 1
         if isinstance(what, Reply):
@@ -93,57 +95,63 @@
         else:
             tally.doubt += 1
             tally.doubts.append(name)
-            del tally.doubts[:-DOUBTS_MOST]
+            del tally.doubts[:-MAX_IN_DOUBT_IDS]
 
-    def ran(self, service: str, epoch: int) -> None:
+    def record_execution(self, service: str, epoch: int) -> None:
         """The server beside us has run an unsafe request of an epoch, and said so."""
-        self._of(service, epoch).ran += 1
+        self._tally(service, epoch).ran += 1
 
 
 @dataclass(slots=True)
-class Totals:
+class FleetTotals:
     """What all stations told, remembered for the latest epochs of each."""
 
-    told: dict[str, dict[int, list[Tally]]] = field(default_factory=dict)
+    reports_by_node: dict[str, dict[int, list[Tally]]] = field(default_factory=dict)
 
-    def take(self, station: str, through: int, tallies: Iterable[Tally]) -> None:
+    def add_report(self, station: str, through: int, tallies: Iterable[Tally]) -> None:
         if not through:
             return
-        epochs = self.told.setdefault(station, {})
+        epochs = self.reports_by_node.setdefault(station, {})
         if through not in epochs:
             epochs[through] = list(tallies)
-            for old in sorted(epochs)[:-TOLD]:
+            for old in sorted(epochs)[:-REPORTED_EPOCHS_KEPT]:
                 del epochs[old]
 
-    def keep(self, stations: set[str]) -> None:
+    def retain_nodes(self, stations: set[str]) -> None:
         """Others are gone: what they told cannot be held against anything any more."""
-        for name in [name for name in self.told if name not in stations]:
-            del self.told[name]
+        for name in [name for name in self.reports_by_node if name not in stations]:
+            del self.reports_by_node[name]
 
-    def latest(self) -> tuple[int, Counts]:
+    def latest_counts(self) -> tuple[int, Counts]:
         """Counts through the latest epoch that all have told; epoch 0: there is none."""
-        common = set.intersection(*(set(epochs) for epochs in self.told.values())) if self.told else set()
+        common = (
+            set.intersection(*(set(epochs) for epochs in self.reports_by_node.values()))
+            if self.reports_by_node
+            else set()
+        )
         if not common:
             return 0, {}
         through = max(common)
-        return through, counts(summed(t for epochs in self.told.values() for t in epochs[through]))
+        return through, counts_by_service(
+            sum_tallies(t for epochs in self.reports_by_node.values() for t in epochs[through])
+        )
 
 
-def summed(tallies: Iterable[Tally]) -> dict[str, Tally]:
+def sum_tallies(tallies: Iterable[Tally]) -> dict[str, Tally]:
     """Those of several stations, by service."""
     total: dict[str, Tally] = {}
     for tally in tallies:
-        known = total.setdefault(tally.service, Tally(service=tally.service, lookups=[0] * BUCKETS))
+        known = total.setdefault(tally.service, Tally(service=tally.service, lookups=[0] * LATENCY_BUCKETS))
         for name in ("asked", "landed", "failed", "refused", "doubt", "ran"):
             setattr(known, name, getattr(known, name) + getattr(tally, name))
-        for i, count in enumerate(tally.lookups[:BUCKETS]):
+        for i, count in enumerate(tally.lookups[:LATENCY_BUCKETS]):
             known.lookups[i] += count
         known.doubts.extend(tally.doubts)
-        del known.doubts[:-DOUBTS_MOST]
+        del known.doubts[:-MAX_IN_DOUBT_IDS]
     return total
 
 
-def counts(total: dict[str, Tally]) -> Counts:
+def counts_by_service(total: dict[str, Tally]) -> Counts:
     """As they are kept with a window."""
     return {
         service: [t.asked, t.landed, t.failed, t.refused, t.doubt, t.ran, *t.lookups]
@@ -194,5 +202,5 @@
     for index, count in enumerate(took):
         left -= count
         if left <= 0:
-            return round(longest(index), 1)
+            return round(bucket_upper_bound_ms(index), 1)
     return None
--- a/leadrudder/maintenance/window.py
+++ b/leadrudder/maintenance/window.py
@@ -18,7 +18,7 @@
 from leadrudder.maintenance.ledger import Counts
 from leadrudder.protocol.mesh_pb2 import Item
 
-CLOCKS_APART_S = 2.0  # that machines' clocks are apart at most; both edges of all hours are narrowed by it
+MAX_CLOCK_SKEW_S = 2.0  # that machines' clocks are apart at most; both edges of all hours are narrowed by it
 
 
 class Stage(StrEnum):
@@ -32,8 +32,8 @@
     SKIPPED = "skipped"  # it was never taken
 
 
-LENT = (Stage.DRAINING, Stage.OUT)
-OVER = (Stage.BACK, Stage.SKIPPED)
+AWAY_STAGES = (Stage.DRAINING, Stage.OUT)
+FINAL_STAGES = (Stage.BACK, Stage.SKIPPED)
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,16 +71,16 @@
     steps: tuple[Step, ...]
     works_s: float = 0.0
     at_once: int = 1
-    stopped: str = ""  # why it was told to stop; empty: it was not
-    planned: Counts = field(default_factory=dict)  # of the ledger, when it was planned
-    begun: Counts | None = None  # when the first machine was lent
-    ended: Counts | None = None  # when the last was back, and all of that time was told
+    stop_reason: str = ""  # why it was told to stop; empty: it was not
+    counts_at_plan: Counts = field(default_factory=dict)  # of the ledger, when it was planned
+    counts_at_start: Counts | None = None  # when the first machine was lent
+    counts_at_end: Counts | None = None  # when the last was back, and all of that time was told
 
     def state(self) -> str:
         """Its state as operators are told it."""
         stages = {step.stage for step in self.steps}
-        if stages <= set(OVER):
-            if self.stopped:
+        if stages <= set(FINAL_STAGES):
+            if self.stop_reason:
                 return "stopped"
             return "expired" if stages == {Stage.SKIPPED} else "done"
         for stage in (Stage.OUT, Stage.DRAINING, Stage.RETURNING):
@@ -88,13 +88,13 @@
                 return stage.value
         return Stage.WAITING.value
 
-    def over(self) -> bool:
-        return all(step.stage in OVER for step in self.steps)
+    def is_over(self) -> bool:
+        return all(step.stage in FINAL_STAGES for step in self.steps)
 
-    def at(self, machine: str) -> Step | None:
+    def step_of(self, machine: str) -> Step | None:
         return next((step for step in self.steps if step.machine == machine), None)
 
-    def moved(self, machine: str, stage: Stage, now: float, why: str = "") -> Window:
+    def with_stage(self, machine: str, stage: Stage, now: float, why: str = "") -> Window:
         """The window with one machine at another stage."""
         steps = tuple(
             replace(s, stage=stage, since=now, why=why or s.why) if s.machine == machine else s
@@ -102,17 +102,17 @@
         )
         return replace(self, steps=steps)
 
-    def lent(self, machine: str, now: float) -> Window:
+    def with_drain_started(self, machine: str, now: float) -> Window:
         """The window with one machine lent from now on, for as long as its works take."""
-        step = self.at(machine)
+        step = self.step_of(machine)
         assert step is not None
         back = min(step.latest, now + self.drain_s + self.works_s) if self.works_s else step.latest
-        moved = self.moved(machine, Stage.DRAINING, now)
+        moved = self.with_stage(machine, Stage.DRAINING, now)
         return replace(
             moved, steps=tuple(replace(s, back=back) if s.machine == machine else s for s in moved.steps)
         )
 
-    def packed(self) -> bytes:
+    def encode(self) -> bytes:
         """As it is kept."""
         told = {
             "begin": self.begin,
@@ -121,10 +121,10 @@
             "return": self.return_s,
             "works": self.works_s,
             "at_once": self.at_once,
-            "stopped": self.stopped,
-            "planned": self.planned,
-            "begun": self.begun,
-            "ended": self.ended,
+            "stopped": self.stop_reason,
+            "planned": self.counts_at_plan,
+            "begun": self.counts_at_start,
+            "ended": self.counts_at_end,
             "steps": [
                 {
                     "machine": s.machine,
@@ -144,7 +144,7 @@
         return json.dumps(told, sort_keys=True, separators=(",", ":")).encode()
 
 
-def unpacked(name: str, value: bytes) -> Window:
+def decode_window(name: str, value: bytes) -> Window:
     """ValueError or KeyError where it is none."""
     told: dict[str, Any] = json.loads(value)
     steps = tuple(
@@ -178,21 +178,21 @@
     )
 
 
-def standing(found: Iterable[tuple[str, Item]]) -> dict[str, Window]:
+def read_windows(found: Iterable[tuple[str, Item]]) -> dict[str, Window]:
     """The windows among items, by name; what cannot be read is left out."""
     out = {}
     for name, item in found:
         try:
-            out[name] = unpacked(name, item.value)
+            out[name] = decode_window(name, item.value)
         except (ValueError, KeyError, TypeError):
             continue
     return out
 
 
-Owns = tuple[frozenset[str], frozenset[str]]  # a tenant's hosts and routes
+TenantTraffic = tuple[frozenset[str], frozenset[str]]  # a tenant's hosts and routes
 
 
-def owns(found: Iterable[tuple[str, Item]]) -> dict[str, Owns]:
+def read_tenant_traffic(found: Iterable[tuple[str, Item]]) -> dict[str, TenantTraffic]:
     """Hosts and routes of the contracts among items: all that a station needs of them."""
     out = {}
     for name, item in found:
@@ -205,11 +205,21 @@
     return out
 
 
-__all__ = ["CLOCKS_APART_S", "LENT", "OVER", "WINDOW_PREFIX", "Loans", "Stage", "Step", "Window", "standing"]
+__all__ = [
+    "MAX_CLOCK_SKEW_S",
+    "AWAY_STAGES",
+    "FINAL_STAGES",
+    "WINDOW_PREFIX",
+    "DrainSchedule",
+    "Stage",
+    "Step",
+    "Window",
+    "read_windows",
+]
 
 
 @dataclass(frozen=True, slots=True)
-class Loan:
+class Drain:
     """A machine is out of the traffic of these routes, and of all others to these hosts, until then."""
 
     until: float
@@ -218,29 +228,31 @@
 
 
 @dataclass(slots=True)
-class Loans:
+class DrainSchedule:
     """What a station makes of the windows: which machines are lent out of whose traffic, until when.
 
     Whose a route is follows from the contracts as they stand, beside the routes that there were when the
     window was planned: one that is added or moved while a machine is out finds it out.
     """
 
-    by_machine: dict[str, list[Loan]] = field(default_factory=dict)
+    by_machine: dict[str, list[Drain]] = field(default_factory=dict)
 
     @classmethod
-    def of(cls, windows: Mapping[str, Window], owns: Mapping[str, Owns] | None = None) -> Loans:
+    def from_windows(
+        cls, windows: Mapping[str, Window], owns: Mapping[str, TenantTraffic] | None = None
+    ) -> DrainSchedule:
         loans = cls()
         for window in windows.values():
             for step in window.steps:
-                if step.stage not in LENT or window.stopped:
+                if step.stage not in AWAY_STAGES or window.stop_reason:
                     continue
                 held = [owns[name] for name in step.tenants if owns is not None and name in owns]
                 routes = frozenset(step.routes).union(*(routes for _, routes in held))
                 hosts = frozenset[str]().union(*(hosts for hosts, _ in held))
-                loans.by_machine.setdefault(step.machine, []).append(Loan(step.back, routes, hosts))
+                loans.by_machine.setdefault(step.machine, []).append(Drain(step.back, routes, hosts))
         return loans
 
-    def of_machine(self, machine: str, route: str, host: str, now: float) -> list[Loan]:
+    def active_drains(self, machine: str, route: str, host: str, now: float) -> list[Drain]:
         """The loans by which a machine gets nothing of a route just now, by this process's clock."""
         return [
             loan
@@ -248,13 +260,13 @@
             if now < loan.until and (route in loan.routes or host in loan.hosts)
         ]
 
-    def lent(self, machine: str, route: str, host: str, now: float) -> bool:
-        return bool(self.of_machine(machine, route, host, now))
+    def is_drained(self, machine: str, route: str, host: str, now: float) -> bool:
+        return bool(self.active_drains(machine, route, host, now))
 
-    def ends(self) -> set[float]:
+    def end_times(self) -> set[float]:
         """When loans end by themselves."""
         return {loan.until for loans in self.by_machine.values() for loan in loans}
 
     def next_end(self, now: float) -> float | None:
         """When the next loan ends by itself; None: none does."""
-        return min((end for end in self.ends() if end > now), default=None)
+        return min((end for end in self.end_times() if end > now), default=None)
--- a/leadrudder/mesh/__main__.py
+++ b/leadrudder/mesh/__main__.py
@@ -83,7 +83,7 @@
         return findings
     for change in parsed.unwrap():
         if change.value is not None:
-            read = contract.read(change.key[len(CONTRACT_PREFIX) :], json.loads(change.value))
+            read = contract.read_contract(change.key[len(CONTRACT_PREFIX) :], json.loads(change.value))
             for warning in contract.warnings(read, time.time()):
                 print(f"{path}: warning: {warning}")
     return []
--- a/leadrudder/mesh/demo.py
+++ b/leadrudder/mesh/demo.py
@@ -18,7 +18,7 @@
 
 from leadrudder.backup import snapshot
 from leadrudder.emulation.standins import call, request
-from leadrudder.maintenance.contract import DAYS
+from leadrudder.maintenance.contract import WEEKDAYS
 from leadrudder.mesh import snapshots
 from leadrudder.transport.http import WholeMessage, WholeReader, rendered
 
@@ -201,7 +201,7 @@
     """Every signalbox loses its disk; they begin anew from a snapshot, and all that stood stands."""
     cores = [(ip, fleet.base) for ip in fleet.cores]
     taken = await _until("snapshot", _http("GET", "/snapshot"), cores)
-    path = snapshot.keep(str(folder / "kept"), taken.body, time.time(), 1)
+    path = snapshot.save_snapshot(str(folder / "kept"), taken.body, time.time(), 1)
     codes = await _end([fleet.processes[ip] for ip in fleet.cores])
     for disk in folder.glob("disk-*"):
         shutil.rmtree(disk)
@@ -222,7 +222,7 @@
     """The first machine is out of the tenant's traffic for a while, while clients go on asking."""
     cores = [(ip, fleet.base) for ip in fleet.cores]
     contract = {"hosts": ["demo.example"], "timeZone": "Europe/Helsinki", "capacityLeft": 0.5, "version": "1"}
-    contract["approved"] = [{"days": list(DAYS), "from": "00:00", "to": "24:00"}]
+    contract["approved"] = [{"days": list(WEEKDAYS), "from": "00:00", "to": "24:00"}]
     body = json.dumps({"addOrReplace": {"contracts": {"kampaamo": contract}}}).encode()
     await _until("contract taken", _http("PATCH", "/contracts", body), cores)
     order = {"from": time.time(), "to": time.time() + 60.0, "machines": ["station-3"], "works": "2s"}
--- a/leadrudder/mesh/snapshots.py
+++ b/leadrudder/mesh/snapshots.py
@@ -50,7 +50,7 @@
     if isinstance(held, Failure):
         return _fail(f"{node}: {held.failure()}")
     try:
-        path = snapshot.keep(folder, data, held.unwrap().taken_s, most)
+        path = snapshot.save_snapshot(folder, data, held.unwrap().taken_s, most)
     except OSError as error:
         return _fail(f"{folder}: {error.strerror}")
     print(f"{path}: {held.unwrap().summary()}")
@@ -99,7 +99,7 @@
     """0: all can be used; 1: some cannot."""
     wrong = 0
     for path in paths:
-        held = snapshot.load(path)
+        held = snapshot.load_snapshot(path)
         if isinstance(held, Success):
             print(f"{path}: {held.unwrap().summary()}")
         else:
@@ -117,12 +117,12 @@
             return _fail(f"--holders: not IP:PORT: {holder!r}")
     held: list[Snapshot] = []
     for path in sources:
-        loaded = snapshot.load(path)
+        loaded = snapshot.load_snapshot(path)
         if isinstance(loaded, Failure):
             return _fail(loaded.failure())
         held.append(loaded.unwrap())
         print(f"from {path}: {held[-1].summary()}")
-    records = snapshot.restored(held, list(holders))
+    records = snapshot.restored_records(held, list(holders))
     for holder in holders:
         folder = os.path.join(into, holder.replace(":", "-"))
         try:
--- a/leadrudder/mesh/windows.py
+++ b/leadrudder/mesh/windows.py
@@ -11,7 +11,7 @@
 
 from returns.result import Failure, Result
 
-from leadrudder.maintenance.ledger import longest
+from leadrudder.maintenance.ledger import bucket_upper_bound_ms
 from leadrudder.mesh.snapshots import fetch
 
 WATCH_EACH_S = 2.0
@@ -137,7 +137,8 @@
         for i, n in enumerate(side)
     ]
     marks = [
-        f'<text x="{12 * i}" y="134" font-size="9">{longest(i):.0f}</text>' for i in range(0, len(took), 4)
+        f'<text x="{12 * i}" y="134" font-size="9">{bucket_upper_bound_ms(i):.0f}</text>'
+        for i in range(0, len(took), 4)
     ]
     width = 12 * len(took) + 30
     return f'<svg width="{width}" height="140">{"".join(bars)}{"".join(marks)}</svg><p>ms'
--- a/leadrudder/model_checker/maintenance.py
+++ b/leadrudder/model_checker/maintenance.py
@@ -16,10 +16,18 @@
 from leadrudder.configuration.items import Route
 from leadrudder.maintenance import planner
 from leadrudder.maintenance.contract import Contract
-from leadrudder.maintenance.controller import Keeper
-from leadrudder.maintenance.hours import Hours, Rule, Span
-from leadrudder.maintenance.planner import Machine, Order, Situation
-from leadrudder.maintenance.window import CLOCKS_APART_S, LENT, OVER, Loans, Stage, Window, unpacked
+from leadrudder.maintenance.controller import MaintenanceController
+from leadrudder.maintenance.hours import ApprovedHours, HoursRule, Interval
+from leadrudder.maintenance.planner import FleetState, Machine, WindowRequest
+from leadrudder.maintenance.window import (
+    AWAY_STAGES,
+    FINAL_STAGES,
+    MAX_CLOCK_SKEW_S,
+    DrainSchedule,
+    Stage,
+    Window,
+    decode_window,
+)
 
 DAY_S = 86400.0
 BEGIN = 20_000 * DAY_S + 22 * 3600.0  # 22:00, when the approved hour begins
@@ -28,7 +36,7 @@
 STEPS = 25
 WORKS_S, RETURN_S = 4.0, 3.0
 BACK_AT_ONCE_S = (
-    2 * STEP_S + CLOCKS_APART_S
+    2 * STEP_S + MAX_CLOCK_SKEW_S
 )  # after a contract was withdrawn, and a keeper that is there looked
 
 Move = tuple[str | int, ...]
@@ -87,24 +95,24 @@
     _machines: dict[str, Machine] = field(init=False)
 
     def __post_init__(self) -> None:
-        hours = Hours(ZoneInfo("UTC"), (Rule(22 * 60, 22 * 60 + MINUTES, frozenset(range(7))),))
+        hours = ApprovedHours(ZoneInfo("UTC"), (HoursRule(22 * 60, 22 * 60 + MINUTES, frozenset(range(7))),))
         self._contract = Contract("t", frozenset({"t.example"}), frozenset(), hours, 0.0, 1, 0.5, 1)
         self._routes = {"r": Route("r", "t.example", "/", True, 1000.0, 300.0, 1, (("s", 1.0),), 1, 1)}
         self._machines = {f"m{i}": Machine(f"m{i}", "z", "s", 9) for i in range(self.machines + 2)}
 
-    def _situation(self, state: State, window: Window) -> Situation:
+    def _situation(self, state: State, window: Window) -> FleetState:
         contracts = {} if state.withdrawn >= 0.0 else {"t": self._contract}
-        return Situation(contracts, self._routes, self._machines, {"w": window})
+        return FleetState(contracts, self._routes, self._machines, {"w": window})
 
     def root(self) -> State:
         names = tuple(f"m{i}" for i in range(self.machines))
-        order = Order("w", BEGIN - 10.0, BEGIN + 120.0, names, works_s=WORKS_S, return_s=RETURN_S)
-        at = Situation({"t": self._contract}, self._routes, self._machines, {})
+        order = WindowRequest("w", BEGIN - 10.0, BEGIN + 120.0, names, works_s=WORKS_S, return_s=RETURN_S)
+        at = FleetState({"t": self._contract}, self._routes, self._machines, {})
         planned = planner.plan(order, BEGIN - 10.0, at)
         assert isinstance(planned, Window), planned
-        half = CLOCKS_APART_S / 2
+        half = MAX_CLOCK_SKEW_S / 2
         minds = tuple(Mind(off=half if i % 2 else -half) for i in range(self.processes))
-        return State(-12.5, planned.packed(), 1, minds)
+        return State(-12.5, planned.encode(), 1, minds)
 
     # ------------------------------------------------------------ moves
 
@@ -144,19 +152,25 @@
         self._check(state)
         return state
 
-    def _keeper(self, mind: Mind) -> Keeper:
-        keeper = Keeper()
-        keeper._looked, keeper._sound_since, keeper._asked = mind.looked, mind.sound_since, dict(mind.asked)
+    def _keeper(self, mind: Mind) -> MaintenanceController:
+        keeper = MaintenanceController()
+        keeper._last_clocks, keeper._consistent_since, keeper._pending_since = (
+            mind.looked,
+            mind.sound_since,
+            dict(mind.asked),
+        )
         return keeper
 
-    def _minded(self, state: State, i: int, keeper: Keeper) -> State:
-        asked = tuple(sorted(keeper._asked.items()))
-        mind = state.minds[i]._replace(looked=keeper._looked, sound_since=keeper._sound_since, asked=asked)
+    def _minded(self, state: State, i: int, keeper: MaintenanceController) -> State:
+        asked = tuple(sorted(keeper._pending_since.items()))
+        mind = state.minds[i]._replace(
+            looked=keeper._last_clocks, sound_since=keeper._consistent_since, asked=asked
+        )
         return state._replace(minds=(*state.minds[:i], mind, *state.minds[i + 1 :]))
 
     def _looks(self, state: State, i: int) -> State:
         """It looks as often as its clock needs to be known for sound, and takes the step that is due."""
-        window, keeper = unpacked("w", state.window), self._keeper(state.minds[i])
+        window, keeper = decode_window("w", state.window), self._keeper(state.minds[i])
         wall = BEGIN + state.now + state.minds[i].off
         # Of the other processes, and of one that never holds the duty.
         others = [BEGIN + state.now + mind.off for n, mind in enumerate(state.minds) if n != i]
@@ -164,14 +178,14 @@
         steps = keeper.tick(wall, state.now, True, self._situation(state, window), others)
         state = self._minded(state, i, keeper)
         for step in steps:
-            state = state._replace(flying=(*state.flying, (i, state.number + 1, step.packed())))
+            state = state._replace(flying=(*state.flying, (i, state.number + 1, step.encode())))
         return state
 
     def _lands(self, state: State, k: int) -> State:
         who, count, packed = state.flying[k]
         state = state._replace(flying=state.flying[:k] + state.flying[k + 1 :])
         if count == state.number + 1:
-            before, after = unpacked("w", state.window), unpacked("w", packed)
+            before, after = decode_window("w", state.window), decode_window("w", packed)
             changed = [(a, b) for a, b in zip(before.steps, after.steps, strict=True) if a.stage != b.stage]
             if len(changed) != 1 or changed[0][1].stage not in NEXT[changed[0][0].stage]:
                 raise Broken(f"not a step: {changed}")
@@ -180,20 +194,20 @@
 
     def _told(self, state: State, who: int) -> State:
         keeper = self._keeper(state.minds[who])
-        keeper.told("w")
+        keeper.step_answered("w")
         return self._minded(state, who, keeper)
 
     # ------------------------------------------------------------ rules
 
     def _check(self, state: State) -> None:
-        window = unpacked("w", state.window)
-        lent = [s for s in window.steps if s.stage in LENT]
-        loans = Loans.of({"w": window})
-        approved = Span(0.0, 60.0 * MINUTES)
+        window = decode_window("w", state.window)
+        lent = [s for s in window.steps if s.stage in AWAY_STAGES]
+        loans = DrainSchedule.from_windows({"w": window})
+        approved = Interval(0.0, 60.0 * MINUTES)
         for step in lent:
-            for off in (-CLOCKS_APART_S / 2, CLOCKS_APART_S / 2):  # of stations
+            for off in (-MAX_CLOCK_SKEW_S / 2, MAX_CLOCK_SKEW_S / 2):  # of stations
                 wall = BEGIN + state.now + off
-                if loans.lent(step.machine, "r", "t.example", wall) and not (
+                if loans.is_drained(step.machine, "r", "t.example", wall) and not (
                     approved.begin <= state.now < approved.end
                 ):
                     raise Broken(f"{step.machine} is lent outside its hours")
@@ -211,8 +225,8 @@
                     state = self._lands(state, 0)
                 self._check(state)
             state = state._replace(now=state.now + 1.0)
-        window = unpacked("w", state.window)
-        if not all(step.stage in OVER for step in window.steps):
+        window = decode_window("w", state.window)
+        if not all(step.stage in FINAL_STAGES for step in window.steps):
             raise Broken(f"in calm it is {window.state()} after its hours")
         return state
 
@@ -228,7 +242,7 @@
                 found.states += 1
                 try:
                     if found.states % calm_each == 0:
-                        found.over.add(unpacked("w", self.calm(state).window).state())
+                        found.over.add(decode_window("w", self.calm(state).window).state())
                     for move in self.moves(state):
                         after = self.after(state, move)
                         if after not in known:
--- a/tests/mesh/test_backup.py
+++ b/tests/mesh/test_backup.py
@@ -15,7 +15,7 @@
 
 from returns.result import Failure, Success
 
-from leadrudder.backup.snapshot import Snapshot, keep, load, pack, restored, unpack
+from leadrudder.backup.snapshot import Snapshot, load_snapshot, pack, restored_records, save_snapshot, unpack
 from leadrudder.configuration.item_store import ItemStore
 from leadrudder.consensus.outputs import Answer, Code
 from leadrudder.control_simulation.world import World
@@ -45,7 +45,7 @@
 class Snapshots(unittest.TestCase):
     def test_what_is_packed_is_unpacked(self) -> None:
         found = held(item("routes/a", 3), item("routes/b", 2, dropped=True))
-        self.assertEqual(found.book.items["routes/b"], item("routes/b", 2, dropped=True))
+        self.assertEqual(found.item_store.items["routes/b"], item("routes/b", 2, dropped=True))
         self.assertEqual((found.seats, found.promised, found.taken_s), (SEATS, {0: 768}, 5.0))
 
     def test_any_byte_cut_or_changed_is_told(self) -> None:
@@ -72,11 +72,11 @@
     def test_a_bounded_number_is_kept_the_newest(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             for taken_s in (10.0, 20.0, 20.0, 30.0):
-                last = keep(folder, pack([], SEATS, {}, taken_s), taken_s, 2)
+                last = save_snapshot(folder, pack([], SEATS, {}, taken_s), taken_s, 2)
             left = sorted(os.listdir(folder))
             self.assertEqual(len(left), 2)
             self.assertEqual(left[-1], os.path.basename(last))
-            self.assertIsInstance(load(last), Success)
+            self.assertIsInstance(load_snapshot(last), Success)
 
     def test_the_tool_says_what_is_wrong_in_one_line(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
@@ -102,7 +102,7 @@
         before = held(item("routes/a", 3), item("routes/b", 7, b"new"), item("limits", 1))
         after = held(item("routes/a", 4, dropped=True), item("routes/b", 6, b"old"))
         for sources in ([before, after], [after, before]):
-            records = restored(sources, [holder for _, holder, _ in SEATS])
+            records = restored_records(sources, [holder for _, holder, _ in SEATS])
             book = ItemStore()
             book.merge(Item.FromString(v) for k, v in records.items() if k.startswith("item/"))
             self.assertTrue(book.items["routes/a"].dropped)
@@ -114,7 +114,7 @@
         old = world.machines["10.2.0.1:1"]
         for machine in world.machines.values():
             machine.first_run = False
-        records = restored([held(item("routes/a", 3, b"kept"))], list(world.machines))
+        records = restored_records([held(item("routes/a", 3, b"kept"))], list(world.machines))
         for machine in world.machines.values():
             machine.disk = dict(records)
         # One disk is from before the loss: its seat has passed on, and what it had is of an older epoch.
@@ -133,7 +133,7 @@
 
     def test_the_tool_makes_a_disk_for_each_machine(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            path = keep(folder, pack([item("routes/a", 3)], SEATS, {}, 9.0), 9.0, 8)
+            path = save_snapshot(folder, pack([item("routes/a", 3)], SEATS, {}, 9.0), 9.0, 8)
             into = os.path.join(folder, "new")
             arguments = ["restore", path, "--holders", "10.0.0.1:5,10.0.0.2:5,10.0.0.3:5", "--into", into]
             with redirect_stdout(io.StringIO()), redirect_stderr(io.StringIO()):
--- a/tests/mesh/test_emulation.py
+++ b/tests/mesh/test_emulation.py
@@ -10,7 +10,7 @@
 from leadrudder.consensus.lease import POSSESSION
 from leadrudder.emulation.fleet import COLD_PER_S, Bookings, Fleet, Machine, Plan
 from leadrudder.emulation.standins import Wish
-from leadrudder.maintenance.ledger import EPOCH_S, LAG, Ledger, Totals, report
+from leadrudder.maintenance.ledger import CLOSE_AFTER_EPOCHS, EPOCH_S, FleetTotals, Ledger, report
 from leadrudder.mesh import windows
 from leadrudder.protocol.outcome import Reply
 from leadrudder.simulation import world
@@ -165,24 +165,24 @@
     def test_a_booking_that_ran_twice_or_never_is_told(self) -> None:
         here, there = Ledger(), Ledger()
         for number in range(3):
-            here.answered("var", 100, True, f"x{number}", Reply(200, b"", b""), 50.0)
+            here.record_answer("var", 100, True, f"x{number}", Reply(200, b"", b""), 50.0)
         for _ in range(2):
-            there.ran("var", 100)
-        epochs = 100 * EPOCH_S + LAG * EPOCH_S
-        totals = Totals()
+            there.record_execution("var", 100)
+        epochs = 100 * EPOCH_S + CLOSE_AFTER_EPOCHS * EPOCH_S
+        totals = FleetTotals()
         for name, each in (("a", here), ("b", there)):
-            each.close(epochs)
-            totals.take(name, each.through, each.closed.values())
-        through, counted = totals.latest()
+            each.close_epochs(epochs)
+            totals.add_report(name, each.through, each.closed.values())
+        through, counted = totals.latest_counts()
         self.assertEqual(through, 100)
         self.assertEqual(report({}, counted, {})["var"]["lost"], 1)
         for _ in range(3):
-            there.ran("var", 100)  # late: counted all the same
-        there.close(epochs + EPOCH_S)
-        here.close(epochs + EPOCH_S)
+            there.record_execution("var", 100)  # late: counted all the same
+        there.close_epochs(epochs + EPOCH_S)
+        here.close_epochs(epochs + EPOCH_S)
         for name, each in (("a", here), ("b", there)):
-            totals.take(name, each.through, each.closed.values())
-        self.assertEqual(report({}, totals.latest()[1], {})["var"]["twice"], 2)
+            totals.add_report(name, each.through, each.closed.values())
+        self.assertEqual(report({}, totals.latest_counts()[1], {})["var"]["twice"], 2)
 
     def test_one_tenant_leaves_a_machine_and_the_other_stays(self) -> None:
         terms = contracts(approved=True)["addOrReplace"]["contracts"]
--- a/tests/mesh/test_maintenance.py
+++ b/tests/mesh/test_maintenance.py
@@ -17,26 +17,31 @@
 from leadrudder.data_plane.machine_drains import Lent
 from leadrudder.maintenance import contract, planner, window
 from leadrudder.maintenance.contract import Contract
-from leadrudder.maintenance.controller import WATCH_S, Keeper, done_early, stopped
-from leadrudder.maintenance.hours import Hours, Rule, Span
-from leadrudder.maintenance.planner import Machine, Order, Situation, hour_of_week
-from leadrudder.maintenance.window import CLOCKS_APART_S, LENT, Loans, Stage, Window
+from leadrudder.maintenance.controller import (
+    CLOCK_OBSERVATION_S,
+    MaintenanceController,
+    finish_early,
+    stop_window,
+)
+from leadrudder.maintenance.hours import ApprovedHours, HoursRule, Interval
+from leadrudder.maintenance.planner import FleetState, Machine, WindowRequest, hour_of_week
+from leadrudder.maintenance.window import AWAY_STAGES, MAX_CLOCK_SKEW_S, DrainSchedule, Stage, Window
 from leadrudder.protocol.mesh_pb2 import Item
 
 EVERY_DAY = frozenset(range(7))
-NIGHT = Hours(ZoneInfo("Europe/Helsinki"), (Rule(22 * 60, 5 * 60, EVERY_DAY),))
+NIGHT = ApprovedHours(ZoneInfo("Europe/Helsinki"), (HoursRule(22 * 60, 5 * 60, EVERY_DAY),))
 
 
 def at(text: str) -> float:
     return datetime.fromisoformat(text).timestamp()
 
 
-def brute(hours: Hours, moment: float) -> bool:
+def brute(hours: ApprovedHours, moment: float) -> bool:
     """Whether a moment is approved, by what the wall's clock shows then."""
     wall = datetime.fromtimestamp(moment, hours.zone)
     minute = 60 * wall.hour + wall.minute
 
-    def inside(rules: tuple[Rule, ...]) -> bool:
+    def inside(rules: tuple[HoursRule, ...]) -> bool:
         for rule in rules:
             for day, shift in ((wall.date(), 0), (wall.date() - timedelta(days=1), 1440)):
                 of_day = day == rule.on if rule.on is not None else day.weekday() in rule.days
@@ -48,15 +53,15 @@
     return inside(hours.approved) and not inside(hours.busy) and wall.date() not in hours.never
 
 
-def drawn(rng: Random, zone: str) -> Hours:
-    def rule() -> Rule:
+def drawn(rng: Random, zone: str) -> ApprovedHours:
+    def rule() -> HoursRule:
         begin = 15 * rng.randrange(96)
         end = (begin + 15 * rng.randrange(1, 96)) % 1440
         days = frozenset(rng.sample(range(7), rng.randrange(1, 8)))
-        return Rule(begin, end if end != begin else 1440, days)
+        return HoursRule(begin, end if end != begin else 1440, days)
 
     day = date(2026, 1, 1)
-    return Hours(
+    return ApprovedHours(
         ZoneInfo(zone),
         tuple(rule() for _ in range(rng.randrange(1, 4))),
         tuple(rule() for _ in range(rng.randrange(3))),
@@ -70,7 +75,7 @@
         for zone in ("Europe/Helsinki", "Australia/Lord_Howe"):
             hours = drawn(rng, zone)
             begin = at("2026-01-01T00:00:00+00:00")
-            spans = hours.between(begin, begin + 365 * 86400.0)
+            spans = hours.intervals_between(begin, begin + 365 * 86400.0)
             i = 0
             for minute in range(0, 365 * 1440, 3):
                 moment = begin + 60.0 * minute
@@ -87,16 +92,18 @@
                 for month in (3, 4, 10, 11):
                     hours = drawn(rng, zone)
                     begin = datetime(year, month, day, tzinfo=UTC).timestamp()
-                    spans = hours.between(begin, begin + 7 * 86400.0)
+                    spans = hours.intervals_between(begin, begin + 7 * 86400.0)
                     for minute in range(0, 7 * 1440, 7):
                         moment = begin + 60.0 * minute
                         found = any(s.begin <= moment < s.end for s in spans)
                         self.assertEqual(found, brute(hours, moment), (zone, moment))
 
     def test_the_hour_that_comes_twice_and_the_one_that_does_not(self) -> None:
-        one_to_four = Hours(ZoneInfo("Europe/Helsinki"), (Rule(60, 240, EVERY_DAY),))
-        long = one_to_four.between(at("2026-10-24T20:00:00+00:00"), at("2026-10-25T12:00:00+00:00"))
-        short = one_to_four.between(at("2026-03-28T20:00:00+00:00"), at("2026-03-29T12:00:00+00:00"))
+        one_to_four = ApprovedHours(ZoneInfo("Europe/Helsinki"), (HoursRule(60, 240, EVERY_DAY),))
+        long = one_to_four.intervals_between(at("2026-10-24T20:00:00+00:00"), at("2026-10-25T12:00:00+00:00"))
+        short = one_to_four.intervals_between(
+            at("2026-03-28T20:00:00+00:00"), at("2026-03-29T12:00:00+00:00")
+        )
         self.assertEqual([s.end - s.begin for s in long], [4 * 3600.0])
         self.assertEqual([s.end - s.begin for s in short], [2 * 3600.0])
 
@@ -117,8 +124,8 @@
 
 class TheContracts(unittest.TestCase):
     def test_what_is_good_is_read(self) -> None:
-        read = contract.read("kampaamo", GOOD)
-        self.assertEqual((read.notice_s, read.most_out, read.stays), (86400.0, 1, 0.6))
+        read = contract.read_contract("kampaamo", GOOD)
+        self.assertEqual((read.notice_s, read.max_machines_out, read.min_capacity_left), (86400.0, 1, 0.6))
         self.assertEqual(len(read.hours.approved), 2)
         self.assertEqual(contract.warnings(read, at("2026-12-01T00:00:00+00:00")), [])
 
@@ -154,21 +161,21 @@
             self.assertIsInstance(contract.parse(data), Failure)
 
     def test_without_hours_it_is_never_and_says_so(self) -> None:
-        read = contract.read("kampaamo", {**GOOD, "approved": [], "special": []})
+        read = contract.read_contract("kampaamo", {**GOOD, "approved": [], "special": []})
         self.assertEqual([f.code for f in contract.warnings(read, 0.0)], ["never"])
-        self.assertEqual(read.hours.between(0.0, 1e7), [])
+        self.assertEqual(read.hours.intervals_between(0.0, 1e7), [])
 
 
 def route(name: str, service: str) -> Route:
     return Route(name, f"{name}.example", "/", False, 2000.0, 300.0, 1, ((service, 1.0),), 1, 1)
 
 
-def tenant(name: str, hours: Hours = NIGHT, **terms: Any) -> Contract:
-    given = {"notice_s": 0.0, "most_out": 1, "stays": 0.5, **terms}
+def tenant(name: str, hours: ApprovedHours = NIGHT, **terms: Any) -> Contract:
+    given = {"notice_s": 0.0, "max_machines_out": 1, "min_capacity_left": 0.5, **terms}
     return Contract(name, frozenset({f"{name}.example"}), frozenset(), hours, **given, version=1)
 
 
-def situation(**changes: Any) -> Situation:
+def situation(**changes: Any) -> FleetState:
     machines = {f"m{i}": Machine(f"m{i}", f"z{i % 3}", "kal" if i < 4 else "var", 9) for i in range(8)}
     given: dict[str, Any] = {
         "contracts": {name: tenant(name) for name in ("kampaamo", "hieroja", "korjaamo")},
@@ -179,7 +186,7 @@
         },
         "machines": machines,
     }
-    return Situation(**{**given, **changes})
+    return FleetState(**{**given, **changes})
 
 
 NOON, EVENING, MORNING = (
@@ -190,28 +197,28 @@
 
 
 class ThePlanner(unittest.TestCase):
-    def plan(self, order: Order, now: float = NOON, **changes: Any) -> Window | list[str]:
+    def plan(self, order: WindowRequest, now: float = NOON, **changes: Any) -> Window | list[str]:
         made = planner.plan(order, now, situation(**changes))
         return made if isinstance(made, Window) else [f.code for f in made]
 
-    def order(self, *machines: str, **changes: Any) -> Order:
-        return replace(Order("w", NOON, MORNING + 7200.0, machines, works_s=600.0), **changes)
+    def order(self, *machines: str, **changes: Any) -> WindowRequest:
+        return replace(WindowRequest("w", NOON, MORNING + 7200.0, machines, works_s=600.0), **changes)
 
     def test_a_machine_is_lent_inside_the_hours_with_room_at_both_edges(self) -> None:
         made = self.plan(self.order("m0"))
         assert isinstance(made, Window)
         (step,) = made.steps
-        self.assertEqual(step.leave, EVENING + CLOCKS_APART_S)
+        self.assertEqual(step.leave, EVENING + MAX_CLOCK_SKEW_S)
         self.assertEqual(step.tenants, ("hieroja", "kampaamo"))
         self.assertEqual(step.back, step.leave + made.drain_s + 600.0)
-        self.assertLessEqual(step.back + made.return_s, MORNING - CLOCKS_APART_S)
+        self.assertLessEqual(step.back + made.return_s, MORNING - MAX_CLOCK_SKEW_S)
 
     def test_one_after_the_other_and_not_beyond_what_contracts_allow(self) -> None:
         made = self.plan(self.order("m0", "m1", at_once=2))
         assert isinstance(made, Window)
         first, second = made.steps
         self.assertGreaterEqual(second.leave, first.back + made.return_s)
-        more = {name: tenant(name, most_out=2) for name in ("kampaamo", "hieroja", "korjaamo")}
+        more = {name: tenant(name, max_machines_out=2) for name in ("kampaamo", "hieroja", "korjaamo")}
         made = self.plan(self.order("m0", "m1", at_once=2), contracts=more)
         assert isinstance(made, Window)
         self.assertEqual(made.steps[0].leave, made.steps[1].leave)
@@ -223,7 +230,7 @@
         self.assertIn("2026-12-02 22:00", refused[0].text)
 
     def test_hours_that_do_not_meet_are_never(self) -> None:
-        day = Hours(ZoneInfo("Europe/Helsinki"), (Rule(8 * 60, 16 * 60, EVERY_DAY),))
+        day = ApprovedHours(ZoneInfo("Europe/Helsinki"), (HoursRule(8 * 60, 16 * 60, EVERY_DAY),))
         contracts = {"kampaamo": tenant("kampaamo"), "hieroja": tenant("hieroja", day)}
         contracts["korjaamo"] = tenant("korjaamo")
         refused = planner.plan(self.order("m0"), NOON, situation(contracts=contracts))
@@ -261,7 +268,7 @@
                 self.assertIn(code, made)
 
     def stays(self, part: float) -> dict[str, Contract]:
-        return {name: tenant(name, stays=part) for name in ("kampaamo", "hieroja", "korjaamo")}
+        return {name: tenant(name, min_capacity_left=part) for name in ("kampaamo", "hieroja", "korjaamo")}
 
     def notice(self, span: float) -> dict[str, Contract]:
         return {name: tenant(name, notice_s=span) for name in ("kampaamo", "hieroja", "korjaamo")}
@@ -272,12 +279,14 @@
 
 
 def planned(**changes: Any) -> Window:
-    made = planner.plan(Order("w", NOON, MORNING, ("m0",), works_s=600.0), NOON, situation(**changes))
+    made = planner.plan(WindowRequest("w", NOON, MORNING, ("m0",), works_s=600.0), NOON, situation(**changes))
     assert isinstance(made, Window)
     return made
 
 
-def look(keeper: Keeper, wall: float, steady: float, held: bool, at_hand: Situation) -> list[Window]:
+def look(
+    keeper: MaintenanceController, wall: float, steady: float, held: bool, at_hand: FleetState
+) -> list[Window]:
     """One look, while another signalbox's clock shows the same."""
     return keeper.tick(wall, steady, held, at_hand, [wall])
 
@@ -285,11 +294,11 @@
 class TheKeeper(unittest.TestCase):
     def play(self, given: Window, begin: float, span: float, **changes: Any) -> list[tuple[float, Window]]:
         """A keeper that holds the duty, looking once a second; each step stands at once."""
-        keeper, now, seen = Keeper(), begin - WATCH_S - 1.0, []
+        keeper, now, seen = MaintenanceController(), begin - CLOCK_OBSERVATION_S - 1.0, []
         while now < begin + span:
             at_hand = situation(**{"windows": {"w": given}, **changes})
             for given in look(keeper, now, now, True, at_hand):
-                keeper.told("w")
+                keeper.step_answered("w")
                 seen.append((now, given))
             now += 1.0
         return seen
@@ -299,7 +308,7 @@
         self.assertEqual(
             [w.steps[0].stage for _, w in seen], [Stage.DRAINING, Stage.OUT, Stage.RETURNING, Stage.BACK]
         )
-        self.assertGreaterEqual(seen[0][0], EVENING + CLOCKS_APART_S)
+        self.assertGreaterEqual(seen[0][0], EVENING + MAX_CLOCK_SKEW_S)
         self.assertEqual(seen[-1][1].state(), "done")
 
     def test_who_wakes_after_the_hours_changes_nothing_and_says_so(self) -> None:
@@ -309,11 +318,11 @@
         self.assertEqual(seen[0][1].state(), "expired")
 
     def test_without_the_duty_or_with_a_clock_that_jumped_no_step_is_taken(self) -> None:
-        at_hand, keeper = situation(windows={"w": planned()}), Keeper()
+        at_hand, keeper = situation(windows={"w": planned()}), MaintenanceController()
         for i in range(30):
             self.assertEqual(look(keeper, EVENING + 60.0 + i, float(i), False, at_hand), [])
         self.assertEqual(len(look(keeper, EVENING + 90.0, 30.0, True, at_hand)), 1)
-        keeper.told("w")
+        keeper.step_answered("w")
         self.assertEqual(
             look(keeper, EVENING + 100.0, 31.0, True, at_hand),
             [],
@@ -323,12 +332,14 @@
         for i in range(10):
             look(keeper, EVENING + 102.0 + i, 33.0 + i, False, at_hand)
         self.assertEqual(len(look(keeper, EVENING + 112.0, 43.0, True, at_hand)), 1)
-        keeper.told("w")
+        keeper.step_answered("w")
         self.assertEqual(look(keeper, EVENING + 132.0, 63.0, True, at_hand), [], "it slept for 20 s")
 
     def test_what_is_out_is_given_back_when_it_may_not_be_any_more(self) -> None:
         whole = planned()
-        lent = whole.moved("m0", Stage.DRAINING, EVENING + 10.0).moved("m0", Stage.OUT, EVENING + 20.0)
+        lent = whole.with_stage("m0", Stage.DRAINING, EVENING + 10.0).with_stage(
+            "m0", Stage.OUT, EVENING + 20.0
+        )
         contracts = {**situation().contracts, "kampaamo": tenant("kampaamo", replace(NIGHT, approved=()))}
         zone = {k: m for k, m in situation().machines.items() if m.zone != "z1"}
         thinner = {k: m for k, m in zone.items() if k in ("m0", "m3")}
@@ -344,41 +355,45 @@
                 self.assertLess(seen[0][0], EVENING + 32.0)
 
     def test_an_operators_stop_and_the_works_that_end_early(self) -> None:
-        lent = planned().moved("m0", Stage.DRAINING, EVENING + 10.0)
-        halted = stopped(lent, "an operator stopped it")
-        self.assertFalse(Loans.of({"w": halted}).lent("m0", "kampaamo", "kampaamo.example", EVENING + 11.0))
+        lent = planned().with_stage("m0", Stage.DRAINING, EVENING + 10.0)
+        halted = stop_window(lent, "an operator stopped it")
+        self.assertFalse(
+            DrainSchedule.from_windows({"w": halted}).is_drained(
+                "m0", "kampaamo", "kampaamo.example", EVENING + 11.0
+            )
+        )
         self.assertEqual(self.play(halted, EVENING + 12.0, 30.0)[-1][1].state(), "stopped")
-        early = done_early(lent, "m0", EVENING + 12.0)
+        early = finish_early(lent, "m0", EVENING + 12.0)
         assert early is not None
         self.assertEqual(early.steps[0].stage, Stage.RETURNING)
-        self.assertIsNone(done_early(planned(), "m0", EVENING))
+        self.assertIsNone(finish_early(planned(), "m0", EVENING))
 
     def test_a_loan_ends_by_the_stations_own_clock(self) -> None:
-        lent = planned().moved("m0", Stage.OUT, EVENING)
-        loans = Loans.of({"w": lent})
+        lent = planned().with_stage("m0", Stage.OUT, EVENING)
+        loans = DrainSchedule.from_windows({"w": lent})
         back = lent.steps[0].back
-        self.assertTrue(loans.lent("m0", "kampaamo", "kampaamo.example", back - 0.1))
-        self.assertFalse(loans.lent("m0", "kampaamo", "kampaamo.example", back))
-        self.assertFalse(loans.lent("m0", "korjaamo", "korjaamo.example", back - 0.1))
+        self.assertTrue(loans.is_drained("m0", "kampaamo", "kampaamo.example", back - 0.1))
+        self.assertFalse(loans.is_drained("m0", "kampaamo", "kampaamo.example", back))
+        self.assertFalse(loans.is_drained("m0", "korjaamo", "korjaamo.example", back - 0.1))
         self.assertEqual(loans.next_end(EVENING), back)
-        self.assertEqual(window.unpacked("w", lent.packed()), lent)
+        self.assertEqual(window.decode_window("w", lent.encode()), lent)
 
     def test_a_route_that_is_added_while_a_machine_is_out_finds_it_out(self) -> None:
-        lent = planned().moved("m0", Stage.OUT, EVENING)
+        lent = planned().with_stage("m0", Stage.OUT, EVENING)
         moment = lent.steps[0].back - 1.0
         terms = json.dumps({"hosts": ["Kampaamo.example"], "routes": ["more"]}).encode()
-        owns = window.owns([("kampaamo", Item(value=terms)), ("spoilt", Item(value=b"["))])
-        loans = Loans.of({"w": lent}, owns)
-        self.assertTrue(loans.lent("m0", "new", "kampaamo.example", moment))
-        self.assertTrue(loans.lent("m0", "more", "elsewhere.example", moment))
-        self.assertFalse(loans.lent("m0", "new", "elsewhere.example", moment))
-        self.assertFalse(loans.lent("m1", "new", "kampaamo.example", moment))
+        owns = window.read_tenant_traffic([("kampaamo", Item(value=terms)), ("spoilt", Item(value=b"["))])
+        loans = DrainSchedule.from_windows({"w": lent}, owns)
+        self.assertTrue(loans.is_drained("m0", "new", "kampaamo.example", moment))
+        self.assertTrue(loans.is_drained("m0", "more", "elsewhere.example", moment))
+        self.assertFalse(loans.is_drained("m0", "new", "elsewhere.example", moment))
+        self.assertFalse(loans.is_drained("m1", "new", "kampaamo.example", moment))
 
     def test_a_station_whose_clock_is_put_back_ends_a_loan_in_its_time(self) -> None:
-        lent = planned().moved("m0", Stage.OUT, EVENING)
+        lent = planned().with_stage("m0", Stage.OUT, EVENING)
         back = lent.steps[0].back
         book, clock = ItemStore(), {"wall": back - 10.0, "steady": 100.0}
-        book.merge([Item(key="windows/w", version=1, value=lent.packed())])
+        book.merge([Item(key="windows/w", version=1, value=lent.encode())])
         held = Lent(lambda: clock["wall"], lambda: clock["steady"], lambda after, do: None, lambda: None)
         held.take(book)
         self.assertTrue(held.lent("m0", route("kampaamo", "kal")))
@@ -390,16 +405,18 @@
 
     def test_two_windows_that_together_take_too_much(self) -> None:
         """Both were possible when they were planned; then a contract grew stricter."""
-        contracts = {name: tenant(name, most_out=2) for name in ("kampaamo", "hieroja", "korjaamo")}
-        orders = [Order(name, NOON, MORNING, (m,), works_s=600.0) for name, m in (("v", "m0"), ("w", "m1"))]
+        contracts = {name: tenant(name, max_machines_out=2) for name in ("kampaamo", "hieroja", "korjaamo")}
+        orders = [
+            WindowRequest(name, NOON, MORNING, (m,), works_s=600.0) for name, m in (("v", "m0"), ("w", "m1"))
+        ]
         first = planner.plan(orders[0], NOON, situation(contracts=contracts))
         assert isinstance(first, Window)
         second = planner.plan(orders[1], NOON, situation(contracts=contracts, windows={"v": first}))
         assert isinstance(second, Window)
-        out = first.moved("m0", Stage.OUT, EVENING + 10.0)
+        out = first.with_stage("m0", Stage.OUT, EVENING + 10.0)
         both = {"v": out, "w": second}
         for terms, stages in ((contracts, [("w", Stage.DRAINING)]), (situation().contracts, [])):
-            keeper = Keeper()
+            keeper = MaintenanceController()
             steps: list[Window] = []
             for i in range(8):
                 at_hand = situation(contracts=terms, windows=both)
@@ -407,13 +424,15 @@
             self.assertEqual([(w.name, step.stage) for w in steps for step in w.steps], stages)
 
     def test_a_window_of_seconds_is_refused_with_what_it_needs(self) -> None:
-        made = planner.plan(Order("w", EVENING, EVENING + 5.0, ("m0",), works_s=1.0), NOON, situation())
+        made = planner.plan(
+            WindowRequest("w", EVENING, EVENING + 5.0, ("m0",), works_s=1.0), NOON, situation()
+        )
         assert isinstance(made, list)
         self.assertEqual(made[0].code, "outside_hours")
         self.assertIn("needs 14 s", made[0].text)
 
     def test_a_machine_that_dies_while_it_is_out_ends_its_window(self) -> None:
-        lent = planned().moved("m0", Stage.OUT, EVENING + 10.0)
+        lent = planned().with_stage("m0", Stage.OUT, EVENING + 10.0)
         without = {k: m for k, m in situation().machines.items() if k != "m0"}
         seen = self.play(lent, EVENING + 20.0, 900.0, machines=without)
         self.assertEqual([w.steps[0].stage for _, w in seen], [Stage.RETURNING, Stage.BACK])
@@ -426,11 +445,11 @@
 
     def small_world(self, rng: Random) -> None:
         """Three processes by clocks apart as far as they may; one at a time has the duty, late by a lease."""
-        order = Order("w", NOON, MORNING, ("m0", "m1"), works_s=rng.choice((5.0, 60.0, 900.0)))
+        order = WindowRequest("w", NOON, MORNING, ("m0", "m1"), works_s=rng.choice((5.0, 60.0, 900.0)))
         given = planner.plan(order, NOON, situation())
         assert isinstance(given, Window)
-        clocks = [rng.uniform(-0.5, 0.5) * CLOCKS_APART_S for _ in range(3)]
-        keepers = [Keeper() for _ in range(3)]
+        clocks = [rng.uniform(-0.5, 0.5) * MAX_CLOCK_SKEW_S for _ in range(3)]
+        keepers = [MaintenanceController() for _ in range(3)]
         holder, begin = 0, rng.choice((EVENING - 20.0, MORNING - 120.0, EVENING + 3600.0))
         begin += rng.uniform(0.0, 60.0)
         flying: list[tuple[float, int, Window]] = []
@@ -439,7 +458,7 @@
             now = begin + tick
             if rng.random() < 0.02:
                 holder = rng.randrange(3)
-                keepers[holder] = Keeper()
+                keepers[holder] = MaintenanceController()
             shown = [now + off for off in clocks]
             for i, keeper in enumerate(keepers):
                 # The last holder may think for a moment longer that it has the duty: a step is out by then.
@@ -453,12 +472,12 @@
                     given, count = step, number
                     stages.append([s.stage for s in step.steps])
             for keeper in keepers:
-                keeper.told("w")
+                keeper.step_answered("w")
             for each in given.steps:
-                if each.stage in LENT and now < each.back:
-                    wall = Span(now - CLOCKS_APART_S / 2, now + CLOCKS_APART_S / 2)
+                if each.stage in AWAY_STAGES and now < each.back:
+                    wall = Interval(now - MAX_CLOCK_SKEW_S / 2, now + MAX_CLOCK_SKEW_S / 2)
                     self.assertTrue(wall.begin >= EVENING and wall.end <= MORNING, (now, given))
-            self.assertLessEqual(sum(s.stage in LENT for s in given.steps), 1)
+            self.assertLessEqual(sum(s.stage in AWAY_STAGES for s in given.steps), 1)
         self.assertEqual(len(stages), len({tuple(s) for s in stages}), "a step was taken twice")
 
 
--- a/tests/mesh/test_model_checker.py
+++ b/tests/mesh/test_model_checker.py
@@ -62,9 +62,9 @@
             self.assertIn("not a step", Windows().run(40_000).rule)
 
     def test_a_clock_that_jumps_unnoticed_and_edges_without_room_are_found(self) -> None:
-        with mock.patch("leadrudder.maintenance.controller.agreed", lambda wall, others: True):
+        with mock.patch("leadrudder.maintenance.controller.clock_agrees", lambda wall, others: True):
             self.assertIn("outside its hours", Windows().run(12_000).rule)
-        with mock.patch("leadrudder.maintenance.planner.CLOCKS_APART_S", 0.0):
+        with mock.patch("leadrudder.maintenance.planner.MAX_CLOCK_SKEW_S", 0.0):
             self.assertIn("outside its hours", Windows().run(40_000).rule)
 
     def test_every_planted_fault_has_a_place_where_it_is_found(self) -> None:
