--- a/leadrudder/backup/__init__.py
+++ b/leadrudder/backup/__init__.py
@@ -1,1 +1,1 @@
-"""The breakdown train: snapshots of the control state, and a fleet begun anew from what is left of it."""
+"""Backup: snapshots of the control state, and restoring a fleet from what is left of it."""
--- a/leadrudder/backup/snapshot.py
+++ b/leadrudder/backup/snapshot.py
@@ -1,7 +1,8 @@
-"""Snapshots of the control state: sealed files, told when spoilt, and disks made from them.
+"""Snapshots of the control state: checksummed files that detect corruption, and disks restored from them.
 
-A snapshot holds items, dropped ones too, so that restoring never brings back what was dropped before it was
-taken; seats; and the epochs that were promised. It has the form of a batch on disk, and its release's.
+A snapshot holds the items, the voters and the promised epochs. It includes deleted items, so that a restore
+never brings back what was deleted before the snapshot. Its format is that of a batch on disk, of the release
+that wrote it.
 """
 
 from __future__ import annotations
@@ -25,14 +26,13 @@
 
 META_RECORD = "meta"
 _FILE_NAME = re.compile(r"[0-9]{8}T[0-9]{6}Z-[0-9]{4}\.snapshot")
-RESTORE_HEADROOM = (
-    1 << 20
-)  # epochs and incarnations that a restore leaves free: lost disks may have known higher ones
+# The epochs and incarnations that a restore skips, as lost disks may have held higher ones.
+RESTORE_HEADROOM = 1 << 20
 
 
 @dataclass(slots=True)
 class Snapshot:
-    """What a snapshot, or a machine's disk, holds.  taken_s: seconds since 1970; 0: not told."""
+    """The content of a snapshot or of a machine's disk.  taken_s: seconds since 1970; 0: unknown."""
 
     item_store: ItemStore = field(default_factory=ItemStore)
     seats: list[tuple[int, str, int]] = field(default_factory=list)  # index, holder, incarnation
@@ -40,7 +40,7 @@
     taken_s: float = 0.0
 
     def merge(self, other: Snapshot) -> None:
-        """Merge: of each item the highest version, of seats and epochs the highest."""
+        """Merge another snapshot: the highest version of each item, the highest incarnations and epochs."""
         self.item_store.merge(other.item_store.items.values())
         known = {index: (incarnation, holder) for index, holder, incarnation in self.seats}
         for index, holder, incarnation in other.seats:
@@ -51,11 +51,11 @@
         self.taken_s = max(self.taken_s, other.taken_s)
 
     def summary(self) -> str:
-        """One line for an operator."""
-        gone = sum(item.dropped for item in self.item_store.items.values())
+        """A one-line summary for an operator."""
+        deleted = sum(item.dropped for item in self.item_store.items.values())
         when = time.strftime("%Y-%m-%d %H:%M:%S UTC", time.gmtime(self.taken_s)) if self.taken_s else "a disk"
-        standing = len(self.item_store.items) - gone
-        return f"{when}: {standing} items, {gone} dropped, {len(self.seats)} seats"
+        live = len(self.item_store.items) - deleted
+        return f"{when}: {live} items, {deleted} dropped, {len(self.seats)} seats"
 
 
 def pack(
@@ -64,7 +64,7 @@
     promised: Mapping[int, int],
     taken_s: float,
 ) -> bytes:
-    """A snapshot's bytes."""
+    """Encode a snapshot."""
     records = {ITEM_RECORD + item.key: item.SerializeToString() for item in items}
     records |= {f"{PROMISED_RECORD}{section}": str(epoch).encode() for section, epoch in promised.items()}
     records[SEATS_RECORD] = json.dumps({"seats": list(map(list, seats)), "full": False}).encode()
@@ -73,7 +73,7 @@
 
 
 def unpack(data: bytes) -> Result[Snapshot, str]:
-    """What a snapshot holds; else why it cannot be used."""
+    """Decode a snapshot; the failure says why it is unusable."""
     try:
         records = unsealed(data)
     except DiskError as error:
@@ -86,8 +86,8 @@
 
 
 def read_records(records: Mapping[str, bytes]) -> Result[Snapshot, str]:
-    """The records of a snapshot or of a disk."""
-    held = Snapshot()
+    """Decode the records of a snapshot or of a disk."""
+    snapshot = Snapshot()
     name = ""
     try:
         for name, value in records.items():
@@ -95,20 +95,20 @@
                 item = Item.FromString(value)
                 if ITEM_RECORD + item.key != name:
                     return Failure(f"record {name!r} holds another item, {item.key!r}")
-                held.item_store.merge([item])
+                snapshot.item_store.merge([item])
             elif name.startswith(PROMISED_RECORD):
-                held.promised[int(name[len(PROMISED_RECORD) :])] = int(value)
+                snapshot.promised[int(name[len(PROMISED_RECORD) :])] = int(value)
             elif name == SEATS_RECORD:
-                held.seats = [(int(i), str(h), int(n)) for i, h, n, *_ in json.loads(value)["seats"]]
+                snapshot.seats = [(int(i), str(h), int(n)) for i, h, n, *_ in json.loads(value)["seats"]]
             elif name == META_RECORD:
-                held.taken_s = float(json.loads(value)["taken_s"])
+                snapshot.taken_s = float(json.loads(value)["taken_s"])
     except (ValueError, KeyError, TypeError, DecodeError):
         return Failure(f"record {name!r} cannot be read")
-    return Success(held)
+    return Success(snapshot)
 
 
 def load_snapshot(path: str) -> Result[Snapshot, str]:
-    """A snapshot's file, or a signalbox's folder, which is left as it is."""
+    """Load a snapshot file or the data directory of a control-plane node, which is not modified."""
     try:
         if os.path.isdir(path):
             records = DumbStore(path).look()
@@ -123,8 +123,8 @@
         return Failure(f"{path}: {error}")
 
 
-def save_snapshot(folder: str, data: bytes, taken_s: float, most: int) -> str:
-    """Put a snapshot into a folder, whole or not at all; the oldest beyond `most` go.  Returns its path."""
+def save_snapshot(folder: str, data: bytes, taken_s: float, max_kept: int) -> str:
+    """Write a snapshot atomically and remove the oldest beyond `max_kept`.  Returns its path."""
     os.makedirs(folder, exist_ok=True)
     stem = time.strftime("%Y%m%dT%H%M%SZ", time.gmtime(taken_s))
     paths = (os.path.join(folder, f"{stem}-{number:04d}.snapshot") for number in range(10_000))
@@ -140,31 +140,33 @@
     finally:
         os.close(descriptor)
     kept = sorted(name for name in os.listdir(folder) if _FILE_NAME.fullmatch(name))
-    for name in kept[: max(0, len(kept) - max(1, most))]:
+    for name in kept[: max(0, len(kept) - max(1, max_kept))]:
         os.remove(os.path.join(folder, name))
     return path
 
 
 def restored_records(sources: Iterable[Snapshot], holders: list[str]) -> dict[str, bytes]:
-    """The records of every disk of a fleet that begins anew with what the sources hold, the newest of each.
+    """The records for each disk of a new fleet: the newest state that the sources hold together.
 
-    holders: the signalboxes' link addresses, one a seat. All get the same: no majority can lack any of it.
-    Epochs and incarnations begin above all that lost disks may have known, so that a machine which comes
-    back from before finds that its seat has passed on.
+    holders: the link addresses of the control-plane nodes, one per voter. All disks get the same records, so
+    that no majority lacks any of them. Epochs and incarnations start above any that lost disks may have held;
+    a machine that returns from the old fleet then finds that its place as a voter was taken over.
     """
-    held = Snapshot()
+    snapshot = Snapshot()
     for source in sources:
-        held.merge(source)
-    top = max((*held.promised.values(), *(item.epoch for item in held.item_store.items.values()), 0))
-    epoch = ((top >> 8) + RESTORE_HEADROOM) << 8
-    incarnation = max((n for _, _, n in held.seats), default=0) + RESTORE_HEADROOM
+        snapshot.merge(source)
+    highest_epoch = max(
+        (*snapshot.promised.values(), *(item.epoch for item in snapshot.item_store.items.values()), 0)
+    )
+    epoch = ((highest_epoch >> 8) + RESTORE_HEADROOM) << 8
+    incarnation = max((n for _, _, n in snapshot.seats), default=0) + RESTORE_HEADROOM
     records = {}
-    for key, item in held.item_store.items.items():
-        fresh = Item()
-        fresh.CopyFrom(item)
-        fresh.epoch = epoch
-        records[ITEM_RECORD + key] = fresh.SerializeToString()
-    for section in range(max((*held.promised, SECTIONS - 1)) + 1):
+    for key, item in snapshot.item_store.items.items():
+        renewed = Item()
+        renewed.CopyFrom(item)
+        renewed.epoch = epoch
+        records[ITEM_RECORD + key] = renewed.SerializeToString()
+    for section in range(max((*snapshot.promised, SECTIONS - 1)) + 1):
         records[f"{PROMISED_RECORD}{section}"] = str(epoch).encode()
     rows = [[index, holder, incarnation] for index, holder in enumerate(holders)]
     records[SEATS_RECORD] = json.dumps({"seats": rows, "full": True}).encode()
--- a/leadrudder/bootstrap/__init__.py
+++ b/leadrudder/bootstrap/__init__.py
@@ -1,1 +1,1 @@
-"""What a process of the mesh is told at its start: its settings file, read and checked."""
+"""Startup of the mesh processes: settings file, command line and log buffer."""
--- a/leadrudder/bootstrap/settings.py
+++ b/leadrudder/bootstrap/settings.py
@@ -1,6 +1,7 @@
-"""The settings file of a station or a signalbox (TOML), checked by marshmallow.
+"""The settings file (TOML) of a proxy or a control-plane node, validated by marshmallow.
 
-Fields that are not known are skipped, as later ones may be added; a wrong one ends the program with one line.
+Unknown fields are ignored, since later releases may add some. An invalid field ends the program with one
+line.
 """
 
 from __future__ import annotations
@@ -16,29 +17,29 @@
 from returns.result import Failure, Result, Success
 
 FILE_VARIABLE = "LEADRUDDER_NODE_FILE"
-_TIME = re.compile(r"([0-9]+(?:\.[0-9]+)?)(ms|s)")
+_DURATION = re.compile(r"([0-9]+(?:\.[0-9]+)?)(ms|s)")
 
 
 def parse_duration_ms(text: object) -> float | None:
-    """A time as the pages write it, `1500ms` or `2.5s`, in milliseconds; None for anything else."""
-    found = _TIME.fullmatch(text) if isinstance(text, str) else None
-    if found is None:
+    """The milliseconds of a duration such as `1500ms` or `2.5s`; None for any other text."""
+    match = _DURATION.fullmatch(text) if isinstance(text, str) else None
+    if match is None:
         return None
-    return float(found[1]) * (1000.0 if found[2] == "s" else 1.0)
+    return float(match[1]) * (1000.0 if match[2] == "s" else 1.0)
 
 
 class DurationField(fields.Field[float]):
-    """A time in text, in milliseconds after reading."""
+    """A duration in text form, loaded as milliseconds."""
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **kwargs: Any) -> float:
-        read = parse_duration_ms(value)
-        if read is None:
+        duration_ms = parse_duration_ms(value)
+        if duration_ms is None:
             raise ValidationError("not a time such as 1500ms or 2.5s")
-        return read
+        return duration_ms
 
 
 class AddressField(fields.Field[tuple[str, int]]):
-    """IP:PORT."""
+    """An address of the form IP:PORT."""
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **kwargs: Any) -> tuple[str, int]:
         host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
@@ -47,7 +48,7 @@
         return host, int(port)
 
 
-class _Addresses(Schema):
+class _AddressesSchema(Schema):
     class Meta:
         unknown = EXCLUDE
 
@@ -57,7 +58,7 @@
     control = AddressField(data_key="controlPort", load_default=None)
 
 
-class _Limits(Schema):
+class _LimitsSchema(Schema):
     class Meta:
         unknown = EXCLUDE
 
@@ -65,14 +66,14 @@
     open_files = fields.Integer(data_key="openFiles", load_default=1024)
 
 
-class _Withstand(Schema):
+class _WithstandSchema(Schema):
     class Meta:
         unknown = EXCLUDE
 
     machines = fields.Integer(data_key="machineLosses", load_default=0)
 
 
-class _File(Schema):
+class _SettingsSchema(Schema):
     class Meta:
         unknown = EXCLUDE
 
@@ -88,14 +89,14 @@
     app = AddressField(data_key="appAddress", load_default=None)
     service = fields.String(load_default="")
     zones = fields.Dict(keys=fields.String(), values=fields.String(), load_default=dict)
-    addresses = fields.Nested(_Addresses, load_default=dict)
-    limits = fields.Nested(_Limits, load_default=dict)
-    withstand = fields.Nested(_Withstand, load_default=dict)
+    addresses = fields.Nested(_AddressesSchema, load_default=dict)
+    limits = fields.Nested(_LimitsSchema, load_default=dict)
+    withstand = fields.Nested(_WithstandSchema, load_default=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class RuleBounds:
-    """The rules' figures in force: milliseconds, and plain numbers as they stand."""
+    """The bounds in effect: durations in milliseconds, other values as plain numbers."""
 
     drain: float = 2500.0
     grace: float = 6000.0
@@ -110,7 +111,7 @@
     cold_extra: float = 5.0
 
 
-_BOUNDS = {
+_BOUND_FIELDS = {
     "drain": "drain",
     "grace": "grace",
     "apply": "apply",
@@ -127,12 +128,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """A process's settings, read and checked."""
+    """The validated settings of a process."""
 
     name: str
     zone: str
     ip: str
-    ports: tuple[int, int]  # the first and the last that are free for talk between our processes
+    ports: tuple[int, int]  # first and last port for links between the mesh processes
     seeds: tuple[tuple[str, int], ...]
     first_run: bool
     data_directory: str
@@ -146,29 +147,29 @@
     control: tuple[str, int] | None
     memory_limit_mb: float
     open_files: int
-    tolerated_machine_losses: int  # machines with a disk that may go at once
+    tolerated_machine_losses: int  # machines with a disk that may be lost at the same time
 
     @property
     def control_link_port(self) -> int:
-        """Where signalboxes listen for links: the same on all machines."""
+        """The port on which control-plane nodes accept links, the same on all machines."""
         return self.ports[0]
 
     @property
     def proxy_link_port(self) -> int:
-        """Where stations listen for links."""
+        """The port on which proxies accept links."""
         return min(self.ports[0] + 1, self.ports[1])
 
     @property
     def seed_link_addresses(self) -> tuple[str, ...]:
-        """The link addresses of the seeds."""
+        """The link addresses of the seed nodes."""
         return tuple(f"{host}:{self.control_link_port}" for host, _ in self.seeds)
 
 
-def _bounds(texts: list[str]) -> Result[RuleBounds, str]:
+def _parse_bounds(texts: list[str]) -> Result[RuleBounds, str]:
     values: dict[str, float] = {}
     for text in texts:
         name, _, raw = text.partition("=")
-        field = _BOUNDS.get(name.strip())
+        field = _BOUND_FIELDS.get(name.strip())
         if field is None:
             continue
         value = parse_duration_ms(raw.strip())
@@ -187,9 +188,9 @@
 
 
 def parse_settings(raw: Mapping[str, Any]) -> Result[Settings, str]:
-    """Settings from a parsed file; the error is one line that names the field."""
+    """The settings of a parsed file; the error is one line that names the field."""
     try:
-        file = cast(dict[str, Any], _File().load(raw))
+        file = cast(dict[str, Any], _SettingsSchema().load(raw))
     except ValidationError as error:
         return Failure(_first_error(error.messages))
     if len(file["ports"]) != 2 or not 0 < file["ports"][0] <= file["ports"][1] < 65536:
@@ -197,7 +198,7 @@
     empty_addresses = {"inbound": None, "outbound": None, "readiness": None, "control": None}
     addresses = {**empty_addresses, **file["addresses"]}
     limits = {"ram_mb": 256.0, "open_files": 1024, **file["limits"]}
-    return _bounds(file["bounds"]).map(
+    return _parse_bounds(file["bounds"]).map(
         lambda bounds: Settings(
             name=file["name"],
             zone=file["zone"],
@@ -219,7 +220,7 @@
 
 
 def load_settings(environment: Mapping[str, str] = os.environ) -> Result[Settings, str]:
-    """The settings from the file that the environment names."""
+    """The settings of the file that the environment variable names."""
     path = environment.get(FILE_VARIABLE)
     if not path:
         return Failure(f"{FILE_VARIABLE} is not set: it must hold the path of the settings file")
--- a/leadrudder/bootstrap/start.py
+++ b/leadrudder/bootstrap/start.py
@@ -1,6 +1,4 @@
-"""What both programs do at their start: command line, logs, settings, loop, and one line for what cannot be
-used.
-"""
+"""Startup shared by both programs: command line, logging, settings and event loop."""
 
 from __future__ import annotations
 
@@ -23,16 +21,17 @@
     unusable: tuple[type[Exception], ...] = (OSError,),
     arguments: list[str] | None = None,
 ) -> int:
-    """Exit code 0 after SIGTERM, 2 with one line on standard error for settings, addresses or a disk.
+    """Run a program; the exit code is 0 after SIGTERM and 2 for unusable settings, addresses or disks.
 
-    unusable: errors of serve that mean the latter.
+    The latter are reported by one line on standard error.  unusable: the exceptions by which serve reports
+    them.
     """
     description = f"leadrudder's {about}. {FILE_VARIABLE} holds the path of its settings file."
     parser = argparse.ArgumentParser(prog=f"python -m {program}", description=description)
     parser.add_argument(
-        "--possession", action="store_true", help="maintenance windows are on: in all processes"
+        "--possession", action="store_true", help="enable maintenance windows; the same in all processes"
     )
-    told = parser.parse_args(arguments)
+    options = parser.parse_args(arguments)
     flags.FLAGS.mark_as_parsed()
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO)
@@ -41,7 +40,7 @@
         print(f"leadrudder: {settings.failure()}", file=sys.stderr)
         return 2
     try:
-        uvloop.run(serve(settings.unwrap(), told))
+        uvloop.run(serve(settings.unwrap(), options))
     except unusable as error:
         print(f"leadrudder: {error}", file=sys.stderr)
         return 2
--- a/leadrudder/configuration/__init__.py
+++ b/leadrudder/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration: its items, how a call is checked, and which route a request takes.  No I/O."""
+"""The configuration: items, validation of change requests, and the routing table. No I/O."""
--- a/leadrudder/configuration/item_store.py
+++ b/leadrudder/configuration/item_store.py
@@ -1,7 +1,7 @@
-"""What a process knows of the control state: items whose versions only ever rise.
+"""The items of the control state that a process knows; the version of an item only increases.
 
-Every question is answered from an index that merging keeps up to date, so that a change costs what it
-changes, however much else is known.
+Merging keeps indexes up to date, so that the cost of a change depends on its size and not on the size of
+the store.
 """
 
 from __future__ import annotations
@@ -20,96 +20,98 @@
 
 
 def newer(new: Item, old: Item | None) -> bool:
-    """Whether an item replaces another: by its version, and for one version by its owner's epoch."""
+    """Whether an item replaces another: by version, then by the epoch of its owner."""
     return old is None or (new.version, new.epoch) > (old.version, old.epoch)
 
 
 def hash64(text: str) -> int:
-    """64 bits that tell texts apart, also when those of several are added up bit by bit.
+    """A 64-bit hash that stays distinctive when the hashes of several texts are combined by XOR.
 
-    A CRC does not, as it is linear: two items with each other's versions had the digest of the two as they
-    should be.
+    A CRC is linear and therefore does not: two items that had swapped their versions gave the same combined
+    digest as the correct pair.
     """
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
 def digest(items: Iterable[Item]) -> int:
-    """Order does not count; equal sets have equal digests, others in all likelihood not."""
+    """A digest of a set of items, independent of their order; different sets almost never share one."""
     total = 0
     for item in items:
         total ^= hash64(f"{item.key}|{item.version}|{item.epoch}")
     return total
 
 
-KEY_RANGES = 64  # of keys, each with a digest of its own
+KEY_RANGES = 64  # anti-entropy compares one digest per range
 
 
 def range_of(key: str) -> int:
-    """The range that a key falls into: the same in every process and release."""
+    """The index of the range that a key falls into. It must be the same in every process and release."""
     return (zlib.crc32(key.encode()) >> 8) % KEY_RANGES
 
 
 def kind_of(key: str) -> str:
-    """The prefix that tells what kind of item a key is of, such as `routes/`; the key itself without one."""
+    """The prefix of a key that names the kind of item, such as `routes/`; the whole key if it has none."""
     kind, slash, _ = key.partition("/")
     return kind + slash
 
 
 @dataclass(slots=True)
 class ItemStore:
-    """Items by key; take() merges, so late and doubled news change nothing."""
+    """Items by key. merge() is idempotent, so late and duplicate updates change nothing."""
 
     items: dict[str, Item] = field(default_factory=dict)
     digest: int = 0
-    range_digests: list[int] = field(default_factory=lambda: [0] * KEY_RANGES)  # the same by range of keys
+    range_digests: list[int] = field(default_factory=lambda: [0] * KEY_RANGES)  # one digest per key range
     _keys_by_range: dict[int, dict[str, None]] = field(default_factory=dict)
-    _standing_by_kind: dict[str, SortedDict[str, Item]] = field(default_factory=dict)
+    _live_by_kind: dict[str, SortedDict[str, Item]] = field(default_factory=dict)
 
-    def merge(self, news: Iterable[Item]) -> list[Item]:
-        """Merge; returns what was new."""
-        taken = []
-        for item in news:
+    def merge(self, updates: Iterable[Item]) -> list[Item]:
+        """Take over the items that are newer than the stored ones; returns these."""
+        merged = []
+        for item in updates:
             old = self.items.get(item.key)
             if newer(item, old):
                 self._replace(item, old)
-                taken.append(item)
-        return taken
+                merged.append(item)
+        return merged
 
     def _replace(self, item: Item, old: Item | None) -> None:
         change = digest([item]) ^ (digest([old]) if old is not None else 0)
-        at = range_of(item.key)
+        index = range_of(item.key)
         self.digest ^= change
-        self.range_digests[at] ^= change
+        self.range_digests[index] ^= change
         self.items[item.key] = item
-        self._keys_by_range.setdefault(at, {})[item.key] = None
+        self._keys_by_range.setdefault(index, {})[item.key] = None
         kind = kind_of(item.key)
-        standing = self._standing_by_kind.get(kind)
-        if standing is None:
-            standing = self._standing_by_kind[kind] = SortedDict()
+        live = self._live_by_kind.get(kind)
+        if live is None:
+            live = self._live_by_kind[kind] = SortedDict()
         if item.dropped:
-            standing.pop(item.key[len(kind) :], None)
+            live.pop(item.key[len(kind) :], None)
         else:
-            standing[item.key[len(kind) :]] = item
+            live[item.key[len(kind) :]] = item
 
     def live_items(self, kind: str) -> Mapping[str, Item]:
-        """Items of one kind that were not dropped, by name and in the order of names; a live view."""
-        standing: Mapping[str, Item] = self._standing_by_kind.get(kind, _NONE_STANDING)
-        return standing
+        """Items of one kind that are not deleted, sorted by name; a view that follows later merges."""
+        live: Mapping[str, Item] = self._live_by_kind.get(kind, _NO_ITEMS)
+        return live
 
     def items_in_ranges(self, ranges: Iterable[int]) -> list[Item]:
-        """All items, dropped ones included, whose keys fall into these ranges."""
-        return [self.items[key] for at in ranges for key in self._keys_by_range.get(at, ())]
+        """All items whose keys fall into these ranges, deleted ones included."""
+        return [self.items[key] for index in ranges for key in self._keys_by_range.get(index, ())]
 
     def items_in_differing_ranges(self, digests: Iterable[int]) -> list[Item]:
-        """Items of the ranges whose digests differ from these, which another process has told."""
-        differ = [
-            at for at, theirs in enumerate(digests) if at < KEY_RANGES and theirs != self.range_digests[at]
+        """Items of the ranges whose digests differ from those that another process has sent."""
+        differing = [
+            index
+            for index, theirs in enumerate(digests)
+            if index < KEY_RANGES and theirs != self.range_digests[index]
         ]
-        return self.items_in_ranges(differ)
+        return self.items_in_ranges(differing)
 
     def as_configuration(self) -> dict[str, Any]:
-        """All items that stand, as the first call lays them out."""
-        out: dict[str, Any] = {
+        """All items that are not deleted, in the layout of a configuration document."""
+        configuration: dict[str, Any] = {
             "routes": {name: json.loads(item.value) for name, item in self.live_items(ROUTE_PREFIX).items()},
             "services": {
                 name: json.loads(item.value) for name, item in self.live_items(SERVICE_PREFIX).items()
@@ -117,14 +119,14 @@
         }
         limits = self.items.get(LIMITS_KEY)
         if limits is not None and not limits.dropped:
-            out["limits"] = json.loads(limits.value)
-        return out
+            configuration["limits"] = json.loads(limits.value)
+        return configuration
 
     def evacuated_zones(self) -> frozenset[str]:
-        """Zones whose servers are to get nothing."""
+        """Zones whose servers are to get no requests."""
         return frozenset(
             name for name, item in self.live_items(EVACUATION_PREFIX).items() if item.value == b"1"
         )
 
 
-_NONE_STANDING: Mapping[str, Item] = {}
+_NO_ITEMS: Mapping[str, Item] = {}
--- a/leadrudder/configuration/items.py
+++ b/leadrudder/configuration/items.py
@@ -1,4 +1,4 @@
-"""Items of the configuration as they are sent, read and checked by marshmallow, and the keys they go by."""
+"""The items of the configuration: their keys, and how they are parsed and checked (with marshmallow)."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 _VERSION = re.compile(r"[0-9a-fA-F]{1,16}")
 
 ROUTE_PREFIX, SERVICE_PREFIX, LIMITS_KEY, EVACUATION_PREFIX = "routes/", "services/", "limits", "evacuations/"
-VOTER_COUNT_KEY = "core"  # how many seats the control state is to have
-CONTRACT_PREFIX = "contracts/"  # with tenants: when their machines may be taken out
-WINDOW_PREFIX = "windows/"  # of maintenance
-USAGE_PREFIX = "used/"  # slots of a service that were in use, by the hour of the week
+VOTER_COUNT_KEY = "core"  # the wanted number of voters of the control state
+CONTRACT_PREFIX = "contracts/"  # maintenance contracts, one per tenant
+WINDOW_PREFIX = "windows/"  # maintenance windows
+USAGE_PREFIX = "used/"  # the busiest slot usage of a service, by hour of the week
 SEQUENTIAL_PREFIXES = (
     EVACUATION_PREFIX,
     VOTER_COUNT_KEY,
     WINDOW_PREFIX,
     USAGE_PREFIX,
-)  # items that count on from the one before: they have no version of the operator's
+)  # the server assigns the version of these items: each write takes the next number
 MAX_VOTERS = 15
 
 
 class VersionField(fields.Field[int]):
-    """Hexadecimal digits."""
+    """A version of an item, written in hexadecimal digits."""
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **kwargs: Any) -> int:
         if not isinstance(value, str) or not _VERSION.fullmatch(value):
@@ -99,16 +99,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Which requests go where: of a host, by the longest prefix."""
+    """A route: the requests of one host whose path begins with a prefix."""
 
     name: str
     host: str
     path_prefix: str
-    at_most_once: bool  # may run at most once
+    at_most_once: bool  # requests are unsafe: never run one twice
     timeout_ms: float
     target_ms: float
     priority: int
-    service_shares: tuple[tuple[str, float], ...]  # services and their shares
+    service_shares: tuple[tuple[str, float], ...]  # service names with their weights
     max_attempts: int
     version: int
 
@@ -125,9 +125,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a client may send, and how long it may take."""
+    """Limits on the requests and connections of clients."""
 
-    max_header_bytes: int = 16384  # bytes
+    max_header_bytes: int = 16384
     max_body_bytes: int = 67108864
     header_timeout_ms: float = 3000.0
     idle_timeout_ms: float = 15000.0
@@ -135,28 +135,28 @@
 
 
 def read_route(name: str, raw: Any) -> Route:
-    """ValidationError where it cannot be read."""
-    read = cast(dict[str, Any], _ROUTE_SCHEMA.load(raw))
+    """Raises ValidationError for an invalid route."""
+    loaded = cast(dict[str, Any], _ROUTE_SCHEMA.load(raw))
     shares: tuple[tuple[str, float], ...]
-    if read["service_shares"] is not None:
-        shares = tuple((s["service"], s["share"]) for s in read["service_shares"])
-    elif read["service"] is not None:
-        shares = ((read["service"], 1.0),)
+    if loaded["service_shares"] is not None:
+        shares = tuple((entry["service"], entry["share"]) for entry in loaded["service_shares"])
+    elif loaded["service"] is not None:
+        shares = ((loaded["service"], 1.0),)
     else:
         raise ValidationError({"service": ["names no service"]})
     if not math.fsum(share for _, share in shares) > 0:
         raise ValidationError({"splitTo": ["the shares add up to 0"]})
     return Route(
         name=name,
-        host=read["host"].lower(),
-        path_prefix=read["path_prefix"],
-        at_most_once=read["kind"] != "safe",
-        timeout_ms=read["timeout_ms"],
-        target_ms=read["target_ms"] or read["timeout_ms"],
-        priority=read["priority"],
+        host=loaded["host"].lower(),
+        path_prefix=loaded["path_prefix"],
+        at_most_once=loaded["kind"] != "safe",
+        timeout_ms=loaded["timeout_ms"],
+        target_ms=loaded["target_ms"] or loaded["timeout_ms"],
+        priority=loaded["priority"],
         service_shares=shares,
-        max_attempts=read["tries"],
-        version=read["version"],
+        max_attempts=loaded["tries"],
+        version=loaded["version"],
     )
 
 
@@ -169,17 +169,17 @@
 
 
 def read_voter_count(item: Item | None) -> int:
-    """How many seats an item asks for; 0 where there is none, or none that can be read."""
+    """The number of voters that an item asks for; 0 if there is no item or it is invalid."""
     if item is None or item.dropped or not item.value.isdigit():
         return 0
     return min(MAX_VOTERS, int(item.value))
 
 
 def read_version(raw: Any) -> int:
-    """ValidationError where it is none."""
+    """Raises ValidationError for text that is not a version."""
     return int(VersionField().deserialize(raw))
 
 
 def encode_item(raw: Mapping[str, Any]) -> bytes:
-    """An item as it is kept: its fields in a fixed order, so that equal items have equal bytes."""
+    """The stored form of an item. Keys are sorted, so that equal items have equal bytes."""
     return json.dumps(raw, sort_keys=True, separators=(",", ":")).encode()
--- a/leadrudder/configuration/routing_table.py
+++ b/leadrudder/configuration/routing_table.py
@@ -1,7 +1,7 @@
-"""The routes in force, found by host and longest prefix.
+"""The routing table: finds the route of a request by its host and the longest matching path prefix.
 
-The table is kept by change: applying an item reads that item and no other. The number of items that were read
-is counted, so that a test can hold it against the number of items that changed.
+The table is updated incrementally: applying an item parses that item and no other. It counts the parsed
+items, so that a test can compare the count with the number of changed items.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 
 @dataclass(slots=True)
 class TableChanges:
-    """What applying items has changed, by name."""
+    """The names of the routes and services that applied items have changed."""
 
     routes: set[str] = field(default_factory=set)
     services: set[str] = field(default_factory=set)
-    called_services: bool = False  # the set of services that any route calls is another
+    called_services: bool = False  # the set of services named by routes has changed
 
 
 @dataclass(slots=True)
 class _HostRoutes:
     """The routes of one host.
 
-    by_prefix: names of the routes at each prefix, in order; the first one gets the requests.
-    open_prefixes: how many prefixes end within a path segment.
+    by_prefix: sorted names of the routes at each prefix; the first one gets the requests.
+    open_prefixes: the number of prefixes that do not end at a path segment.
     """
 
     by_prefix: dict[str, list[str]] = field(default_factory=dict)
@@ -55,10 +55,10 @@
             self.open_prefixes -= not route.path_prefix.endswith("/")
 
     def longest_prefix(self, path: str) -> str | None:
-        """The longest prefix that begins a path."""
+        """The longest prefix that matches a path."""
         if self.open_prefixes:
-            fitting = [prefix for prefix in self.by_prefix if path.startswith(prefix)]
-            return max(fitting, key=len) if fitting else None
+            matching = [prefix for prefix in self.by_prefix if path.startswith(prefix)]
+            return max(matching, key=len) if matching else None
         end = path.rfind("/")
         while end >= 0:
             if path[: end + 1] in self.by_prefix:
@@ -68,22 +68,22 @@
 
 
 class RoutingTable:
-    """Routes, services and limits in force.  items_read: how many items were read since the start."""
+    """The routes, services and limits in effect.  items_read: the number of items parsed since the start."""
 
-    def __init__(self, book: ItemStore | None = None) -> None:
+    def __init__(self, item_store: ItemStore | None = None) -> None:
         self.routes: dict[str, Route] = {}
         self.services: dict[str, Service] = {}
         self.limits = Limits()
         self.items_read = 0
         self._hosts: dict[str, _HostRoutes] = {}
-        self._routes_calling: Counter[str] = Counter()  # how many routes call each service
-        if book is not None:
-            self.apply(book.live_items(ROUTE_PREFIX).values())
-            self.apply(book.live_items(SERVICE_PREFIX).values())
-            self.apply(book.live_items(LIMITS_KEY).values())
+        self._routes_calling: Counter[str] = Counter()  # the number of routes that name each service
+        if item_store is not None:
+            self.apply(item_store.live_items(ROUTE_PREFIX).values())
+            self.apply(item_store.live_items(SERVICE_PREFIX).values())
+            self.apply(item_store.live_items(LIMITS_KEY).values())
 
     def apply(self, changed_items: Iterable[Item]) -> TableChanges:
-        """Take in items that are newer than what they replace; those of other kinds are passed over."""
+        """Apply items that are newer than those they replace; items of other kinds are ignored."""
         changed = TableChanges()
         for item in changed_items:
             kind = kind_of(item.key)
@@ -96,13 +96,13 @@
         return changed
 
     def called_services(self) -> frozenset[str]:
-        """The services that any route calls."""
+        """The services that at least one route names."""
         return frozenset(self._routes_calling)
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route whose prefix begins the path and is longest; None if there is none.
+        """The route with the longest prefix that matches the path; None if there is none.
 
-        host: as the request has it; a port is left out.  path: without the query.
+        host: as in the request; a port is ignored.  path: without the query.
         """
         name, _, port = host.rpartition(":")
         routes = self._hosts.get((name if name and port.isdecimal() else host).lower())
@@ -122,9 +122,9 @@
             self._hosts.setdefault(new.host, _HostRoutes()).add(new)
         if old is not None:
             self._remove_calls(old, changed)
-            self._remove_place(old)
+            self._remove_from_host(old)
 
-    def _remove_place(self, route: Route) -> None:
+    def _remove_from_host(self, route: Route) -> None:
         host = self._hosts[route.host]
         host.remove(route)
         if not host.by_prefix:
@@ -151,7 +151,7 @@
         else:
             self.services[name] = new
 
-    # An item that cannot be read was taken by a newer release: it is not ours to carry out.
+    # An item that cannot be parsed was accepted by a newer release; this release ignores it.
 
     def _read_route(self, name: str, item: Item) -> Route | None:
         if item.dropped:
--- a/leadrudder/configuration/validation.py
+++ b/leadrudder/configuration/validation.py
@@ -1,7 +1,7 @@
-"""Whether a call that changes the configuration is taken: the one library for signalbox and `mesh check`.
+"""Validation of change requests to the configuration, shared by the operator API and `mesh check`.
 
-A call is checked whole before anything of it is taken. Each finding has a code, the place, and what it
-means.
+A request is checked as a whole before any of it is applied. Each finding has a code, the location and an
+explanation.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """What is wrong: a code to search for, where it is, and what it would do."""
+    """A problem: a code to search for, the location, and its effect."""
 
     code: str
     where: str
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One item of a call.  value None: it is dropped."""
+    """The change of one item.  value: None if the item is removed."""
 
     key: str
     version: int
@@ -41,11 +41,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeRequest:
-    """A call that can be read whole; names: the services that its routes name."""
+    """A parsed request to change the configuration."""
 
     changes: tuple[Change, ...]
-    services: frozenset[str]  # that it adds or replaces
-    services_by_route: dict[str, frozenset[str]]  # by route: the services that it needs
+    services: frozenset[str]  # added or replaced
+    services_by_route: dict[str, frozenset[str]]  # the services that each route names
 
 
 def _read_object(raw: Any, where: str, findings: list[Finding]) -> dict[str, Any]:
@@ -84,7 +84,7 @@
 
 
 def parse(body: bytes) -> Result[ChangeRequest, list[Finding]]:
-    """Read a call's body whole; the findings tell all that keeps it from being taken on its own."""
+    """Parse the body of a request; on failure, all findings that the body alone gives."""
     try:
         raw = json.loads(body, object_pairs_hook=_reject_duplicate_fields, parse_constant=_reject_constant)
     except (ValueError, RecursionError) as error:
@@ -92,7 +92,7 @@
     findings: list[Finding] = []
     changes: list[Change] = []
     services: set[str] = set()
-    named: dict[str, frozenset[str]] = {}
+    services_by_route: dict[str, frozenset[str]] = {}
     if not isinstance(raw, dict) or not raw.keys() & {"addOrReplace", "remove"}:
         return Failure([Finding("cut_short", "the body", "holds neither addOrReplace nor remove")])
     adding = _read_object(raw.get("addOrReplace"), "addOrReplace", findings)
@@ -102,7 +102,7 @@
         except ValidationError as error:
             findings += _findings_of(error, f"routes.{name}")
             continue
-        named[name] = frozenset(service for service, _ in route.service_shares)
+        services_by_route[name] = frozenset(service for service, _ in route.service_shares)
         changes.append(Change(ROUTE_PREFIX + name, route.version, items.encode_item(item)))
     for name, item in _read_object(adding.get("services"), "addOrReplace.services", findings).items():
         try:
@@ -121,11 +121,11 @@
     _read_removals(_read_object(raw.get("remove"), "remove", findings), changes, findings)
     if findings:
         return Failure(findings)
-    return Success(ChangeRequest(_highest_versions(changes), frozenset(services), named))
+    return Success(ChangeRequest(_highest_versions(changes), frozenset(services), services_by_route))
 
 
 def _highest_versions(changes: list[Change]) -> tuple[Change, ...]:
-    """One call may drop an item and set it: the highest version holds, and of one version what is set."""
+    """A request may remove and set the same item: the highest version wins; at equal versions, the set."""
     best: dict[str, Change] = {}
     for change in changes:
         known = best.get(change.key)
@@ -154,21 +154,21 @@
     raise ValueError(f"{text} is no number")
 
 
-def unknown_services(call: ChangeRequest, standing: Collection[str]) -> list[Finding]:
-    """What is wrong with a call beside the services that stand: a route must name services that there are."""
-    there = set(standing) | call.services
+def unknown_services(request: ChangeRequest, existing: Collection[str]) -> list[Finding]:
+    """Findings for routes that name a service which neither exists nor comes with the request."""
+    known = set(existing) | request.services
     return [
         Finding("unknown_service", f"routes.{name}", f"goes to {service}, which is no service")
-        for name, services in sorted(call.services_by_route.items())
-        for service in sorted(services - there)
+        for name, services in sorted(request.services_by_route.items())
+        for service in sorted(services - known)
     ]
 
 
-def warnings(call: ChangeRequest) -> list[Finding]:
-    """What would be taken, and most likely is not meant."""
+def warnings(request: ChangeRequest) -> list[Finding]:
+    """Findings for what is valid but most likely a mistake."""
     routes = [
         items.read_route(change.key[len(ROUTE_PREFIX) :], json.loads(change.value))
-        for change in call.changes
+        for change in request.changes
         if change.key.startswith(ROUTE_PREFIX) and change.value is not None
     ]
     found = []
@@ -188,7 +188,7 @@
             )
         if not route.path_prefix.endswith("/"):
             found.append(Finding("open_prefix", where, "pathStart ends within a segment"))
-    reached = {service for services in call.services_by_route.values() for service in services}
-    for service in sorted(call.services - reached):
+    routed = {service for services in request.services_by_route.values() for service in services}
+    for service in sorted(request.services - routed):
         found.append(Finding("unreached", f"services.{service}", "no route of this call goes there"))
     return found
--- a/leadrudder/maintenance/__init__.py
+++ b/leadrudder/maintenance/__init__.py
@@ -1,5 +1,5 @@
-"""Maintenance windows: machines taken out of a tenant's traffic inside the hours its contract approves.
+"""Maintenance windows: machines are taken out of tenants' traffic in the hours that their contracts approve.
 
-On railways a possession is track that is handed over for works until a stated time. No I/O: hours,
-contracts, windows, the planner and the keeper take inputs and return what is to be.
+No I/O: hours, contracts, windows, the planner and the controller are given their inputs and return results.
+The flag `--possession` is named after the railway term for track handed over for works until a stated time.
 """
--- a/leadrudder/maintenance/contract.py
+++ b/leadrudder/maintenance/contract.py
@@ -1,5 +1,6 @@
-"""Contracts: which hours of a tenant are approved for works, and how much must stay. Checked whole, as the
-configuration is.
+"""Contracts: the hours that a tenant approves for maintenance, and the capacity that must stay in service.
+
+Like the configuration, a request is validated as a whole before any of it is applied.
 """
 
 from __future__ import annotations
@@ -28,30 +29,30 @@
 
 
 class DurationSecondsField(fields.Field[float]):
-    """A length of time in text, also of hours and minutes; in seconds after reading."""
+    """A duration in text form, also in hours and minutes; loaded as seconds."""
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **kwargs: Any) -> float:
-        read = parse_duration_ms(value)
-        if read is not None:
-            return read / 1000.0
-        found = _HOURS_OR_MINUTES.fullmatch(value) if isinstance(value, str) else None
-        if found is None:
+        duration_ms = parse_duration_ms(value)
+        if duration_ms is not None:
+            return duration_ms / 1000.0
+        match = _HOURS_OR_MINUTES.fullmatch(value) if isinstance(value, str) else None
+        if match is None:
             raise ValidationError("not a time such as 24h, 20m, 90s or 1500ms")
-        return float(found[1]) * (3600.0 if found[2] == "h" else 60.0)
+        return float(match[1]) * (3600.0 if match[2] == "h" else 60.0)
 
 
 class TimeOfDayField(fields.Field[int]):
-    """HH:MM, 24:00 at most; in minutes after reading."""
+    """A time of day as HH:MM, up to 24:00; loaded as minutes since midnight."""
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **kwargs: Any) -> int:
-        found = _TIME_OF_DAY.fullmatch(value) if isinstance(value, str) else None
-        if found is None or (found[1] == "24" and found[2] != "00"):
+        match = _TIME_OF_DAY.fullmatch(value) if isinstance(value, str) else None
+        if match is None or (match[1] == "24" and match[2] != "00"):
             raise ValidationError("not an hour such as 22:30 or 24:00")
-        return 60 * int(found[1]) + int(found[2])
+        return 60 * int(match[1]) + int(match[2])
 
 
 class DateField(fields.Field[date]):
-    """YYYY-MM-DD."""
+    """A date as YYYY-MM-DD."""
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **kwargs: Any) -> date:
         try:
@@ -94,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Contract:
-    """A tenant's.  stays: the share of a service's slots that must go on serving it."""
+    """The contract of a tenant.  min_capacity_left: the share of a service's slots that must stay."""
 
     name: str
     hosts: frozenset[str]
@@ -106,7 +107,7 @@
     version: int
 
     def covers(self, route: Route) -> bool:
-        """Whether a route is this tenant's."""
+        """Whether a route belongs to this tenant."""
         return route.name in self.routes or route.host in self.hosts
 
 
@@ -121,56 +122,56 @@
 
 
 def read_contract(name: str, raw: Any) -> Contract:
-    """ValidationError where it cannot be read, or could mean two things."""
-    told = cast(dict[str, Any], _CONTRACT_SCHEMA.load(raw))
+    """Raises ValidationError for an invalid or ambiguous contract."""
+    loaded = cast(dict[str, Any], _CONTRACT_SCHEMA.load(raw))
     try:
-        zone = ZoneInfo(told["zone"])
-    except (OSError, ValueError, KeyError):  # not found is a KeyError
-        raise ValidationError({"timeZone": [f"no such time zone: {told['zone']!r}"]}) from None
-    approved = [_read_rule(r, f"approved.{i}") for i, r in enumerate(told["approved"])]
-    special = [_read_rule(r, f"special.{i}") for i, r in enumerate(told["special"])]
-    busy = [_read_rule(r, f"busy.{i}") for i, r in enumerate(told["busy"])]
+        zone = ZoneInfo(loaded["zone"])
+    except (OSError, ValueError, KeyError):  # ZoneInfoNotFoundError is a KeyError
+        raise ValidationError({"timeZone": [f"no such time zone: {loaded['zone']!r}"]}) from None
+    approved = [_read_rule(r, f"approved.{i}") for i, r in enumerate(loaded["approved"])]
+    special = [_read_rule(r, f"special.{i}") for i, r in enumerate(loaded["special"])]
+    busy = [_read_rule(r, f"busy.{i}") for i, r in enumerate(loaded["busy"])]
     for i, rule in enumerate(special):
         if rule.on is None:
             raise ValidationError({f"special.{i}": ["is of a date, not of days"]})
-        if rule.on in told["never"]:
+        if rule.on in loaded["never"]:
             raise ValidationError({f"special.{i}": [f"{rule.on} is never approved, too"]})
-    if not told["hosts"] and not told["routes"]:
+    if not loaded["hosts"] and not loaded["routes"]:
         raise ValidationError({"hosts": ["names neither hosts nor routes: it would be nobody's"]})
     return Contract(
         name,
-        frozenset(host.lower() for host in told["hosts"]),
-        frozenset(told["routes"]),
-        ApprovedHours(zone, tuple(approved + special), tuple(busy), frozenset(told["never"])),
-        told["notice_s"],
-        told["max_machines_out"],
-        told["min_capacity_left"],
-        told["version"],
+        frozenset(host.lower() for host in loaded["hosts"]),
+        frozenset(loaded["routes"]),
+        ApprovedHours(zone, tuple(approved + special), tuple(busy), frozenset(loaded["never"])),
+        loaded["notice_s"],
+        loaded["max_machines_out"],
+        loaded["min_capacity_left"],
+        loaded["version"],
     )
 
 
 def parse(body: bytes) -> Result[tuple[Change, ...], list[Finding]]:
-    """A call of PATCH /contracts, read whole; the findings tell all that keeps it from being taken."""
+    """Parse the body of PATCH /contracts; on failure, all findings."""
     try:
         raw = json.loads(body)
     except (ValueError, RecursionError) as error:
         return Failure([Finding("cut_short", "the body", f"cannot be read whole: {error}")])
     adding = raw.get("addOrReplace", {}) if isinstance(raw, dict) else None
-    told = adding.get("contracts", {}) if isinstance(adding, dict) else None
+    added = adding.get("contracts", {}) if isinstance(adding, dict) else None
     removing = raw.get("remove", {}) if isinstance(raw, dict) else None
-    dropped = removing.get("contracts", []) if isinstance(removing, dict) else None
-    if not isinstance(told, dict) or not isinstance(dropped, list) or not (told or dropped):
+    removed = removing.get("contracts", []) if isinstance(removing, dict) else None
+    if not isinstance(added, dict) or not isinstance(removed, list) or not (added or removed):
         return Failure([Finding("cut_short", "the body", "holds no contracts to add, replace or remove")])
     findings: list[Finding] = []
     changes: list[Change] = []
-    for name, item in told.items():
+    for name, item in added.items():
         try:
             changes.append(
                 Change(CONTRACT_PREFIX + name, read_contract(name, item).version, items.encode_item(item))
             )
         except ValidationError as error:
             findings += _findings_of(error, f"contracts.{name}")
-    for entry in dropped:
+    for entry in removed:
         try:
             changes.append(
                 Change(CONTRACT_PREFIX + entry["name"], items.read_version(entry["version"]), None)
@@ -193,19 +194,19 @@
     return str(texts)
 
 
-def read_contracts(found: Iterable[tuple[str, Item]]) -> dict[str, Contract]:
-    """The contracts among items, by name; what cannot be read is kept by a later release, and left out."""
-    out = {}
-    for name, item in found:
+def read_contracts(contract_items: Iterable[tuple[str, Item]]) -> dict[str, Contract]:
+    """Parse the contract items, by name; those that only a later release can parse are left out."""
+    contracts = {}
+    for name, item in contract_items:
         try:
-            out[name] = read_contract(name, json.loads(item.value))
+            contracts[name] = read_contract(name, json.loads(item.value))
         except (ValueError, ValidationError):
             continue
-    return out
+    return contracts
 
 
 def warnings(contract: Contract, now: float) -> list[Finding]:
-    """What would be taken, and most likely is not meant."""
+    """Findings for what is valid but most likely a mistake."""
     where = f"contracts.{contract.name}"
     if not contract.hours.approved:
         return [Finding("never", where, "has no approved hours: its machines are never taken out")]
--- a/leadrudder/maintenance/hours.py
+++ b/leadrudder/maintenance/hours.py
@@ -1,8 +1,9 @@
-"""Hours of a contract in its own time zone, as spans of universal time. Times are seconds since 1970.
+"""The approved hours of a contract: rules in local time, evaluated to intervals of UTC.
 
-A moment is approved by what the clock on the tenant's wall shows then: an hour that comes twice is approved
-both times, one that does not come is not, and a span that crosses a change of the clocks is as long as it
-then is. Days that are never approved and busy times win over all else.
+A moment is approved according to the local time at that moment. At changes of daylight saving time an hour
+that occurs twice is approved both times, an hour that is skipped is not, and an interval across the change
+has its actual length. Excluded days and busy hours take precedence over approved hours. Times are seconds
+since 1970.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Interval:
-    """From begin on, and until before end."""
+    """A half-open interval: from begin, up to but not including end."""
 
     begin: float
     end: float
@@ -29,18 +30,18 @@
 
 
 def merge_intervals(spans: Iterable[Interval]) -> list[Interval]:
-    """The same moments as few spans in order."""
-    out: list[Interval] = []
+    """The union of the intervals, sorted and without overlaps."""
+    merged: list[Interval] = []
     for span in sorted(span for span in spans if span.end > span.begin):
-        if out and span.begin <= out[-1].end:
-            out[-1] = Interval(out[-1].begin, max(out[-1].end, span.end))
+        if merged and span.begin <= merged[-1].end:
+            merged[-1] = Interval(merged[-1].begin, max(merged[-1].end, span.end))
         else:
-            out.append(span)
-    return out
+            merged.append(span)
+    return merged
 
 
 def intersect(one: Iterable[Interval], other: Iterable[Interval]) -> list[Interval]:
-    """Moments in both; each is merged and in order."""
+    """The intersection of two sorted lists of disjoint intervals."""
     first, second, out = list(one), list(other), []
     i = j = 0
     while i < len(first) and j < len(second):
@@ -55,31 +56,33 @@
 
 
 def subtract(one: Iterable[Interval], other: Iterable[Interval]) -> list[Interval]:
-    """Moments of the first that are in none of the second; both are merged and in order."""
+    """The first list without the second; both are sorted and disjoint."""
     out = []
-    taken = list(other)
+    excluded = list(other)
     for span in one:
         begin = span.begin
-        for off in taken:
-            if off.end <= begin or off.begin >= span.end:
+        for gap in excluded:
+            if gap.end <= begin or gap.begin >= span.end:
                 continue
-            if off.begin > begin:
-                out.append(Interval(begin, off.begin))
-            begin = off.end
+            if gap.begin > begin:
+                out.append(Interval(begin, gap.begin))
+            begin = gap.end
         if begin < span.end:
             out.append(Interval(begin, span.end))
     return out
 
 
 def shrink(spans: Iterable[Interval], by: float) -> list[Interval]:
-    """Both edges of each moved inwards: clocks may be apart by so much."""
+    """Move both ends of each interval inwards, to allow for clock skew."""
     return [Interval(s.begin + by, s.end - by) for s in spans if s.end - s.begin > 2 * by]
 
 
 @dataclass(frozen=True, slots=True)
 class HoursRule:
-    """Some hours of some days: minutes since midnight; an end that is not after the beginning is on the next
-    day.  days: of the week, 0 is Monday; on: a single date instead.
+    """Hours of certain days, in minutes since midnight.
+
+    An end that is not after the beginning is on the next day.  days: weekdays, 0 is Monday; on: a single date
+    instead.
     """
 
     begin: int
@@ -88,7 +91,7 @@
     on: date | None = None
 
     def seconds_on(self, day: date) -> tuple[float, float] | None:
-        """The hours that begin on a day, in seconds since its midnight; None: it has none."""
+        """Begin and end of the hours that start on a day, in seconds since its midnight; None: no hours."""
         if day != self.on and (self.on is not None or day.weekday() not in self.days):
             return None
         end = self.end if self.end > self.begin else self.end + 24 * 60
@@ -97,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ApprovedHours:
-    """When a tenant's machines may be taken out of its traffic."""
+    """The hours in which machines may be taken out of a tenant's traffic."""
 
     zone: ZoneInfo
     approved: tuple[HoursRule, ...]
@@ -105,25 +108,25 @@
     never: frozenset[date] = frozenset()
 
     def intervals_between(self, begin: float, end: float) -> list[Interval]:
-        """The approved spans of a time, exact to the second of a change of the clocks."""
-        out: list[Interval] = []
+        """The approved intervals within a time range, exact to the second at changes of the UTC offset."""
+        intervals: list[Interval] = []
         for segment, offset in _constant_offset_segments(self.zone, begin, end):
             local = Interval(segment.begin + offset, segment.end + offset)
-            wanted = intersect(merge_intervals(self._local_intervals(self.approved, local)), [local])
-            wanted = subtract(wanted, merge_intervals(self._local_intervals(self.busy, local)))
-            wanted = subtract(wanted, merge_intervals(_whole_day(day) for day in self.never))
-            out += [Interval(s.begin - offset, s.end - offset) for s in wanted]
-        return merge_intervals(out)
+            allowed = intersect(merge_intervals(self._local_intervals(self.approved, local)), [local])
+            allowed = subtract(allowed, merge_intervals(self._local_intervals(self.busy, local)))
+            allowed = subtract(allowed, merge_intervals(_whole_day(day) for day in self.never))
+            intervals += [Interval(s.begin - offset, s.end - offset) for s in allowed]
+        return merge_intervals(intervals)
 
     def _local_intervals(self, rules: tuple[HoursRule, ...], local: Interval) -> Iterator[Interval]:
-        """What rules give on the wall's clock, told as if it were universal time."""
+        """The intervals of the rules in local time, as seconds since 1970 local time."""
         day = _EPOCH + timedelta(days=int(local.begin // DAY_S) - 1)
         last = _EPOCH + timedelta(days=int(local.end // DAY_S))
         while day <= last:
             midnight = _whole_day(day).begin
             for rule in rules:
-                if (found := rule.seconds_on(day)) is not None:
-                    yield Interval(midnight + found[0], midnight + found[1])
+                if (hours := rule.seconds_on(day)) is not None:
+                    yield Interval(midnight + hours[0], midnight + hours[1])
             day += timedelta(days=1)
 
 
@@ -139,15 +142,14 @@
 
 
 def _constant_offset_segments(zone: ZoneInfo, begin: float, end: float) -> Iterator[tuple[Interval, float]]:
-    """Parts of a time in which the zone's clocks are not changed, each with their distance from universal
-    time."""
+    """The parts of a time range that have a constant UTC offset, each with its offset."""
     at, offset = begin, _utc_offset_s(zone, begin)
     probe = begin
     while probe < end:
         probe = min(end, probe + HOUR_S)
         if _utc_offset_s(zone, probe) == offset:
             continue
-        low, high = probe - HOUR_S, probe  # the change lies between: found to the second, as rules have them
+        low, high = probe - HOUR_S, probe  # bisect for the change, which falls on a whole second
         while high - low > 0.5:
             middle = (low + high) / 2.0
             low, high = (middle, high) if _utc_offset_s(zone, middle) == offset else (low, middle)
--- a/leadrudder/maintenance/ledger.py
+++ b/leadrudder/maintenance/ledger.py
@@ -1,11 +1,11 @@
-"""The ledger of bookings: what became of unsafe requests, counted at both ends, by service.
-
-Where a request began it is told what its client was told; at the gate beside a server, what that server ran.
-Both count it in the epoch in which it began, which travels with it, so that counts taken at different
-moments can be held against each other: an epoch is closed when whatever began in it is over, and counts are
-told through a closed one. What was told as served and that no server ran is lost; what ran more often than
-anybody was told or is in doubt of ran twice. Look-ups are counted by how long they took. Bounded: a handful
-of numbers a service and open epoch, and the latest ids in doubt.
+"""The ledger: counts the outcomes of unsafe requests at both ends, by service.
+
+The proxy at which a request starts counts the answer given to the client; the proxy beside the server counts
+what the server ran. Both use the epoch in which the request started, which is sent along with it, so that
+counts taken at different times can be compared. An epoch is closed when every request that started in it has
+ended, and counts are reported up to a closed epoch. A request answered as served that no server ran is lost;
+requests that ran more often than was answered or is in doubt ran twice. Safe requests are counted by latency.
+Memory is bounded: a few numbers per service and open epoch, and the latest ids in doubt.
 """
 
 from __future__ import annotations
@@ -19,17 +19,16 @@
 from leadrudder.protocol.outcome import Ran, Reply, Verdict
 
 EPOCH_S = 8.0
-CLOSE_AFTER_EPOCHS = (
-    3  # epochs after which one is closed: routes that hold requests for longer are counted late
-)
-REPORTED_EPOCHS_KEPT = 6  # closed epochs whose counts are remembered of each station
+CLOSE_AFTER_EPOCHS = 3  # routes that hold requests for longer are counted late
+REPORTED_EPOCHS_KEPT = 6  # closed epochs kept per proxy
 MAX_SERVICES = 256
-MAX_IN_DOUBT_IDS = 16  # ids that are told
-LATENCY_BUCKETS = 40  # of look-ups' times, each 1.3 times as long as the one before, from 2 ms on
+MAX_IN_DOUBT_IDS = 16
+LATENCY_BUCKETS = 40  # the upper bounds start at 2 ms and grow by a factor of 1.3
 _FIRST_BUCKET_MS, _LOG_BUCKET_RATIO = 2.0, math.log(1.3)
 
 
-Counts = dict[str, list[int]]  # by service: asked, landed, failed, refused, doubt, ran, then look-ups
+# By service: asked, landed, failed, refused, doubt, ran, then the latency buckets of safe requests.
+Counts = dict[str, list[int]]
 
 
 def bucket_index(ms: float) -> int:
@@ -39,7 +38,7 @@
 
 
 def bucket_upper_bound_ms(index: int) -> float:
-    """The longest time of a bucket, ms."""
+    """The upper bound of a latency bucket, in milliseconds."""
     return _FIRST_BUCKET_MS * math.exp(_LOG_BUCKET_RATIO * index)
 
 
@@ -49,20 +48,20 @@
 
 @dataclass(slots=True)
 class Ledger:
-    """One station's.  closed: counts through the epoch `through`; open: those after it, by epoch."""
+    """The ledger of one proxy.  closed: counts up to the epoch `through`; open: later counts, by epoch."""
 
     through: int = 0
     closed: dict[str, Tally] = field(default_factory=dict)
     open: dict[int, dict[str, Tally]] = field(default_factory=dict)
 
     def close_epochs(self, wall: float) -> bool:
-        """Close what is over; True if anything was."""
+        """Close the epochs that are over; True if there was one."""
         through = epoch_of(wall) - CLOSE_AFTER_EPOCHS
         if through <= self.through:
             return False
         for epoch in sorted(e for e in self.open if e <= through):
-            done = self.open.pop(epoch)
-            self.closed = sum_tallies([*self.closed.values(), *done.values()])
+            tallies = self.open.pop(epoch)
+            self.closed = sum_tallies([*self.closed.values(), *tallies.values()])
         self.through = through
         return True
 
@@ -76,54 +75,60 @@
         return tally
 
     def record_answer(
-        self, service: str, epoch: int, once: bool, name: str, what: Reply | Verdict, ms: float
+        self,
+        service: str,
+        epoch: int,
+        at_most_once: bool,
+        request_id: str,
+        outcome: Reply | Verdict,
+        ms: float,
     ) -> None:
-        """A request that began here in an epoch has its answer."""
+        """Record the outcome of a request that started at this proxy."""
         tally = self._tally(service, epoch)
-        if not once:
-            if isinstance(what, Reply) and 200 <= what.status < 300:
+        if not at_most_once:
+            if isinstance(outcome, Reply) and 200 <= outcome.status < 300:
                 tally.lookups[bucket_index(ms)] += 1
             return
         tally.asked += 1
-        if isinstance(what, Reply):
-            if 200 <= what.status < 300:
+        if isinstance(outcome, Reply):
+            if 200 <= outcome.status < 300:
                 tally.landed += 1
             else:
                 tally.failed += 1
-        elif what.ran is Ran.NEVER:
+        elif outcome.ran is Ran.NEVER:
             tally.refused += 1
         else:
             tally.doubt += 1
-            tally.doubts.append(name)
+            tally.doubts.append(request_id)
             del tally.doubts[:-MAX_IN_DOUBT_IDS]
 
     def record_execution(self, service: str, epoch: int) -> None:
-        """The server beside us has run an unsafe request of an epoch, and said so."""
+        """Record that the local server confirmed to have run an unsafe request."""
         self._tally(service, epoch).ran += 1
 
 
 @dataclass(slots=True)
 class FleetTotals:
-    """What all stations told, remembered for the latest epochs of each."""
+    """The reports of all proxies, kept for the latest epochs of each."""
 
     reports_by_node: dict[str, dict[int, list[Tally]]] = field(default_factory=dict)
 
-    def add_report(self, station: str, through: int, tallies: Iterable[Tally]) -> None:
+    def add_report(self, node: str, through: int, tallies: Iterable[Tally]) -> None:
         if not through:
             return
-        epochs = self.reports_by_node.setdefault(station, {})
+        epochs = self.reports_by_node.setdefault(node, {})
         if through not in epochs:
             epochs[through] = list(tallies)
             for old in sorted(epochs)[:-REPORTED_EPOCHS_KEPT]:
                 del epochs[old]
 
-    def retain_nodes(self, stations: set[str]) -> None:
-        """Others are gone: what they told cannot be held against anything any more."""
-        for name in [name for name in self.reports_by_node if name not in stations]:
+    def retain_nodes(self, nodes: set[str]) -> None:
+        """Forget all other nodes: reports of nodes that are gone can no longer be compared."""
+        for name in [name for name in self.reports_by_node if name not in nodes]:
             del self.reports_by_node[name]
 
     def latest_counts(self) -> tuple[int, Counts]:
-        """Counts through the latest epoch that all have told; epoch 0: there is none."""
+        """The latest epoch that all nodes have reported, and the counts up to it; epoch 0: there is none."""
         common = (
             set.intersection(*(set(epochs) for epochs in self.reports_by_node.values()))
             if self.reports_by_node
@@ -138,21 +143,21 @@
 
 
 def sum_tallies(tallies: Iterable[Tally]) -> dict[str, Tally]:
-    """Those of several stations, by service."""
+    """The sum of several nodes' tallies, by service."""
     total: dict[str, Tally] = {}
     for tally in tallies:
-        known = total.setdefault(tally.service, Tally(service=tally.service, lookups=[0] * LATENCY_BUCKETS))
+        sums = total.setdefault(tally.service, Tally(service=tally.service, lookups=[0] * LATENCY_BUCKETS))
         for name in ("asked", "landed", "failed", "refused", "doubt", "ran"):
-            setattr(known, name, getattr(known, name) + getattr(tally, name))
+            setattr(sums, name, getattr(sums, name) + getattr(tally, name))
         for i, count in enumerate(tally.lookups[:LATENCY_BUCKETS]):
-            known.lookups[i] += count
-        known.doubts.extend(tally.doubts)
-        del known.doubts[:-MAX_IN_DOUBT_IDS]
+            sums.lookups[i] += count
+        sums.doubts.extend(tally.doubts)
+        del sums.doubts[:-MAX_IN_DOUBT_IDS]
     return total
 
 
 def counts_by_service(total: dict[str, Tally]) -> Counts:
-    """As they are kept with a window."""
+    """The form in which counts are stored with a window."""
     return {
         service: [t.asked, t.landed, t.failed, t.refused, t.doubt, t.ran, *t.lookups]
         for service, t in sorted(total.items())
@@ -160,7 +165,7 @@
 
 
 def difference(before: Counts, after: Counts) -> Counts:
-    """What was counted between the two."""
+    """The counts from one moment to a later one."""
     return {
         service: [max(0, b - a) for a, b in zip(before.get(service, [0] * len(end)), end, strict=True)]
         for service, end in after.items()
@@ -168,14 +173,15 @@
 
 
 def report(before: Counts, after: Counts, ordinary: Counts) -> dict[str, dict[str, Any]]:
-    """By service, what became of bookings between two counts, and look-ups' times beside those of ordinary
-    hours, ms.  Counts of stations that were started anew meanwhile begin at 0: what falls is left out.
+    """By service, the outcomes of unsafe requests between two counts, and the latencies of safe ones in
+    milliseconds, compared with those of ordinary hours.  Nodes that restart count from 0 again, so a count
+    that decreases is treated as unchanged.
     """
-    told: dict[str, dict[str, Any]] = {}
+    result: dict[str, dict[str, Any]] = {}
     for service, numbers in difference(before, after).items():
-        asked, landed, failed, refused, doubt, ran, *took = numbers
-        usual = ordinary.get(service, [0] * len(numbers))[6:]
-        told[service] = {
+        asked, landed, failed, refused, doubt, ran, *latencies = numbers
+        ordinary_latencies = ordinary.get(service, [0] * len(numbers))[6:]
+        result[service] = {
             "asked": asked,
             "landed": landed,
             "failed": failed,
@@ -183,23 +189,23 @@
             "in_doubt": doubt,
             "lost": max(0, landed + failed - ran),
             "twice": max(0, ran - landed - failed - doubt),
-            "lookups": sum(took),
-            "lookup_p50_ms": quantile(took, 0.5),
-            "lookup_p99_ms": quantile(took, 0.99),
-            "ordinary_p50_ms": quantile(usual, 0.5),
-            "ordinary_p99_ms": quantile(usual, 0.99),
-            "took": took,  # look-ups by bucket
-            "ordinary_took": usual,
+            "lookups": sum(latencies),
+            "lookup_p50_ms": quantile(latencies, 0.5),
+            "lookup_p99_ms": quantile(latencies, 0.99),
+            "ordinary_p50_ms": quantile(ordinary_latencies, 0.5),
+            "ordinary_p99_ms": quantile(ordinary_latencies, 0.99),
+            "took": latencies,  # safe requests by latency bucket
+            "ordinary_took": ordinary_latencies,
         }
-    return told
+    return result
 
 
-def quantile(took: list[int], part: float) -> float | None:
-    """The longest time of the bucket that holds it; None where nothing was counted."""
-    left = part * sum(took)
+def quantile(latencies: list[int], fraction: float) -> float | None:
+    """The upper bound of the bucket that holds a quantile; None if nothing was counted."""
+    left = fraction * sum(latencies)
     if not left:
         return None
-    for index, count in enumerate(took):
+    for index, count in enumerate(latencies):
         left -= count
         if left <= 0:
             return round(bucket_upper_bound_ms(index), 1)
--- a/leadrudder/maintenance/window.py
+++ b/leadrudder/maintenance/window.py
@@ -1,9 +1,9 @@
-"""A window: machines that are out of some tenants' traffic for a time, and how far each has come.
+"""Maintenance windows: machines that are out of some tenants' traffic for a time, and their progress.
 
-A window is one item of the control state; each step of it is the next count of that item, so a step that two
-would take is taken once. What stations need of it is the loan: a machine is lent out of the traffic of these
-tenants until a stated time, and given back by itself then, whoever can be reached. Times are seconds since
-1970; spans are seconds.
+A window is one item of the control state. Each step is the next version of that item, so that a step which
+two processes attempt is taken once. Proxies need only the drains of a window: a machine gets no traffic of
+certain tenants until a stated time and then returns by itself, even if the control plane is unreachable.
+Times are seconds since 1970, durations are in seconds.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 from leadrudder.maintenance.ledger import Counts
 from leadrudder.protocol.mesh_pb2 import Item
 
-MAX_CLOCK_SKEW_S = 2.0  # that machines' clocks are apart at most; both edges of all hours are narrowed by it
+MAX_CLOCK_SKEW_S = 2.0  # between any two machines; approved hours are shortened by it at both ends
 
 
 class Stage(StrEnum):
-    """How far a machine of a window has come."""
+    """The stage of a machine in a window."""
 
     WAITING = "waiting"
-    DRAINING = "draining"  # new requests of the tenants go elsewhere, what is under way ends
-    OUT = "out"  # nothing of theirs can be under way: the works may begin
-    RETURNING = "returning"  # given back; the vectors find it again
+    DRAINING = "draining"  # new requests of the tenants go elsewhere, those in flight end
+    OUT = "out"  # no request of the tenants can be in flight: works may begin
+    RETURNING = "returning"  # the machine gets traffic again, which evens out
     BACK = "back"
-    SKIPPED = "skipped"  # it was never taken
+    SKIPPED = "skipped"  # the machine was never taken out
 
 
 AWAY_STAGES = (Stage.DRAINING, Stage.OUT)
@@ -38,15 +38,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One machine.  leave, back: when its loan is to begin and end; since: when the stage began.
+    """The step of one machine.  leave, back: begin and end of its drain; since: when the stage began.
 
-    latest: when it must be back at the latest, if it is taken later than planned; whole: slots of its service
-    when it was planned.
+    latest: when the machine must be back if it is taken out later than planned; whole: the slots of its
+    service when the window was planned. The field names appear in answers of the operator API.
     """
 
     machine: str
     tenants: tuple[str, ...]
-    routes: tuple[str, ...]  # theirs, when it was planned
+    routes: tuple[str, ...]  # of the tenants, when the window was planned
     leave: float
     back: float
     latest: float
@@ -58,9 +58,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """drain_s: after which nothing of the tenants' is under way; return_s: for traffic to be even again.
+    """A window.  drain_s: after it no request of the tenants is in flight; return_s: for traffic to even out.
 
-    works_s: how long each machine is out; 0: as long as can be; at_once: machines that are away at a time.
+    works_s: time out per machine; 0: as long as possible; at_once: the most machines that are away together.
     """
 
     name: str
@@ -71,13 +71,15 @@
     steps: tuple[Step, ...]
     works_s: float = 0.0
     at_once: int = 1
-    stop_reason: str = ""  # why it was told to stop; empty: it was not
-    counts_at_plan: Counts = field(default_factory=dict)  # of the ledger, when it was planned
-    counts_at_start: Counts | None = None  # when the first machine was lent
-    counts_at_end: Counts | None = None  # when the last was back, and all of that time was told
+    stop_reason: str = ""  # why it was stopped; empty: it was not
+    counts_at_plan: Counts = field(default_factory=dict)  # of the ledger, when the window was planned
+    counts_at_start: Counts | None = None  # when the first machine was taken out
+    counts_at_end: Counts | None = (
+        None  # when the last machine was back and all counts of that time were reported
+    )
 
     def state(self) -> str:
-        """Its state as operators are told it."""
+        """The state that is reported to operators."""
         stages = {step.stage for step in self.steps}
         if stages <= set(FINAL_STAGES):
             if self.stop_reason:
@@ -95,7 +97,7 @@
         return next((step for step in self.steps if step.machine == machine), None)
 
     def with_stage(self, machine: str, stage: Stage, now: float, why: str = "") -> Window:
-        """The window with one machine at another stage."""
+        """The window with one machine moved to another stage."""
         steps = tuple(
             replace(s, stage=stage, since=now, why=why or s.why) if s.machine == machine else s
             for s in self.steps
@@ -103,7 +105,7 @@
         return replace(self, steps=steps)
 
     def with_drain_started(self, machine: str, now: float) -> Window:
-        """The window with one machine lent from now on, for as long as its works take."""
+        """The window with one machine draining from now on, until its works are over."""
         step = self.step_of(machine)
         assert step is not None
         back = min(step.latest, now + self.drain_s + self.works_s) if self.works_s else step.latest
@@ -113,8 +115,8 @@
         )
 
     def encode(self) -> bytes:
-        """As it is kept."""
-        told = {
+        """The stored form of the window."""
+        record = {
             "begin": self.begin,
             "end": self.end,
             "drain": self.drain_s,
@@ -141,12 +143,12 @@
                 for s in self.steps
             ],
         }
-        return json.dumps(told, sort_keys=True, separators=(",", ":")).encode()
+        return json.dumps(record, sort_keys=True, separators=(",", ":")).encode()
 
 
 def decode_window(name: str, value: bytes) -> Window:
-    """ValueError or KeyError where it is none."""
-    told: dict[str, Any] = json.loads(value)
+    """Decode a stored window; raises ValueError or KeyError for other data."""
+    record: dict[str, Any] = json.loads(value)
     steps = tuple(
         Step(
             s["machine"],
@@ -160,49 +162,49 @@
             float(s["since"]),
             str(s["why"]),
         )
-        for s in told["steps"]
+        for s in record["steps"]
     )
     return Window(
         name,
-        float(told["begin"]),
-        float(told["end"]),
-        float(told["drain"]),
-        float(told["return"]),
+        float(record["begin"]),
+        float(record["end"]),
+        float(record["drain"]),
+        float(record["return"]),
         steps,
-        float(told["works"]),
-        int(told["at_once"]),
-        str(told["stopped"]),
-        dict(told["planned"]),
-        told["begun"],
-        told["ended"],
+        float(record["works"]),
+        int(record["at_once"]),
+        str(record["stopped"]),
+        dict(record["planned"]),
+        record["begun"],
+        record["ended"],
     )
 
 
-def read_windows(found: Iterable[tuple[str, Item]]) -> dict[str, Window]:
-    """The windows among items, by name; what cannot be read is left out."""
-    out = {}
-    for name, item in found:
+def read_windows(window_items: Iterable[tuple[str, Item]]) -> dict[str, Window]:
+    """Decode the window items, by name; undecodable ones are left out."""
+    windows = {}
+    for name, item in window_items:
         try:
-            out[name] = decode_window(name, item.value)
+            windows[name] = decode_window(name, item.value)
         except (ValueError, KeyError, TypeError):
             continue
-    return out
+    return windows
 
 
 TenantTraffic = tuple[frozenset[str], frozenset[str]]  # a tenant's hosts and routes
 
 
-def read_tenant_traffic(found: Iterable[tuple[str, Item]]) -> dict[str, TenantTraffic]:
-    """Hosts and routes of the contracts among items: all that a station needs of them."""
-    out = {}
-    for name, item in found:
+def read_tenant_traffic(contract_items: Iterable[tuple[str, Item]]) -> dict[str, TenantTraffic]:
+    """The hosts and routes of each contract: the only part of contracts that proxies need."""
+    traffic = {}
+    for name, item in contract_items:
         try:
-            told = json.loads(item.value)
-            hosts = frozenset(str(host).lower() for host in told.get("hosts", ()))
-            out[name] = (hosts, frozenset(map(str, told.get("routes", ()))))
+            contract = json.loads(item.value)
+            hosts = frozenset(str(host).lower() for host in contract.get("hosts", ()))
+            traffic[name] = (hosts, frozenset(map(str, contract.get("routes", ()))))
         except (ValueError, TypeError, AttributeError):
             continue
-    return out
+    return traffic
 
 
 __all__ = [
@@ -220,7 +222,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """A machine is out of the traffic of these routes, and of all others to these hosts, until then."""
+    """A machine gets no requests of these routes, nor of any route to these hosts, until a stated time."""
 
     until: float
     routes: frozenset[str]
@@ -229,44 +231,44 @@
 
 @dataclass(slots=True)
 class DrainSchedule:
-    """What a station makes of the windows: which machines are lent out of whose traffic, until when.
+    """The drains that a proxy derives from the windows, by machine.
 
-    Whose a route is follows from the contracts as they stand, beside the routes that there were when the
-    window was planned: one that is added or moved while a machine is out finds it out.
+    The routes of a tenant are those known when the window was planned and those of its current contract, so
+    that a drain also covers routes that are added or moved while a machine is out.
     """
 
     by_machine: dict[str, list[Drain]] = field(default_factory=dict)
 
     @classmethod
     def from_windows(
-        cls, windows: Mapping[str, Window], owns: Mapping[str, TenantTraffic] | None = None
+        cls, windows: Mapping[str, Window], traffic: Mapping[str, TenantTraffic] | None = None
     ) -> DrainSchedule:
-        loans = cls()
+        schedule = cls()
         for window in windows.values():
             for step in window.steps:
                 if step.stage not in AWAY_STAGES or window.stop_reason:
                     continue
-                held = [owns[name] for name in step.tenants if owns is not None and name in owns]
-                routes = frozenset(step.routes).union(*(routes for _, routes in held))
-                hosts = frozenset[str]().union(*(hosts for hosts, _ in held))
-                loans.by_machine.setdefault(step.machine, []).append(Drain(step.back, routes, hosts))
-        return loans
+                current = [traffic[name] for name in step.tenants if traffic is not None and name in traffic]
+                routes = frozenset(step.routes).union(*(routes for _, routes in current))
+                hosts = frozenset[str]().union(*(hosts for hosts, _ in current))
+                schedule.by_machine.setdefault(step.machine, []).append(Drain(step.back, routes, hosts))
+        return schedule
 
     def active_drains(self, machine: str, route: str, host: str, now: float) -> list[Drain]:
-        """The loans by which a machine gets nothing of a route just now, by this process's clock."""
+        """The drains that keep requests of a route from a machine now, by the clock of this process."""
         return [
-            loan
-            for loan in self.by_machine.get(machine, ())
-            if now < loan.until and (route in loan.routes or host in loan.hosts)
+            drain
+            for drain in self.by_machine.get(machine, ())
+            if now < drain.until and (route in drain.routes or host in drain.hosts)
         ]
 
     def is_drained(self, machine: str, route: str, host: str, now: float) -> bool:
         return bool(self.active_drains(machine, route, host, now))
 
     def end_times(self) -> set[float]:
-        """When loans end by themselves."""
-        return {loan.until for loans in self.by_machine.values() for loan in loans}
+        """The times at which drains expire."""
+        return {drain.until for drains in self.by_machine.values() for drain in drains}
 
     def next_end(self, now: float) -> float | None:
-        """When the next loan ends by itself; None: none does."""
+        """When the next drain expires; None: there is none."""
         return min((end for end in self.end_times() if end > now), default=None)
