--- a/tests/mesh/test_backup.py
+++ b/tests/mesh/test_backup.py
@@ -1,4 +1,4 @@
-"""Snapshots: what they hold, that spoilt ones are told, and fleets begun anew from them."""
+"""Snapshots: content, detection of corruption, retention, and restoring a fleet from them."""
 
 from __future__ import annotations
 
@@ -31,33 +31,33 @@
     return Item(key=key, version=version, value=b"" if dropped else value, epoch=epoch, dropped=dropped)
 
 
-def held(*items: Item, taken_s: float = 5.0) -> Snapshot:
+def packed_and_unpacked(*items: Item, taken_s: float = 5.0) -> Snapshot:
     snapshot: Snapshot = unpack(pack(items, SEATS, {0: 768}, taken_s)).unwrap()
     return snapshot
 
 
-def old_sealed(records: Mapping[str, bytes]) -> bytes:
-    """As release 0.1 of the mesh wrote batches."""
+def sealed_by_release_0_1(records: Mapping[str, bytes]) -> bytes:
+    """A batch in the format of release 0.1."""
     body = json.dumps({"format": 1, "records": {k: v.hex() for k, v in records.items()}}).encode()
     return struct.pack(">I", zlib.crc32(body)) + body
 
 
 class Snapshots(unittest.TestCase):
-    def test_what_is_packed_is_unpacked(self) -> None:
-        found = held(item("routes/a", 3), item("routes/b", 2, dropped=True))
+    def test_a_snapshot_survives_a_round_trip(self) -> None:
+        found = packed_and_unpacked(item("routes/a", 3), item("routes/b", 2, dropped=True))
         self.assertEqual(found.item_store.items["routes/b"], item("routes/b", 2, dropped=True))
         self.assertEqual((found.seats, found.promised, found.taken_s), (SEATS, {0: 768}, 5.0))
 
-    def test_any_byte_cut_or_changed_is_told(self) -> None:
+    def test_any_truncation_or_bit_flip_is_detected(self) -> None:
         data = pack([item("routes/a", 3, b"value"), item("limits", 1)], SEATS, {0: 768}, 5.0)
         for at in range(len(data)):
             self.assertIsInstance(unpack(data[:at]), Failure, f"cut at {at}")
             for bit in range(8):
-                spoilt = bytearray(data)
-                spoilt[at] ^= 1 << bit
-                self.assertIsInstance(unpack(bytes(spoilt)), Failure, f"bit {bit} of byte {at}")
+                corrupt = bytearray(data)
+                corrupt[at] ^= 1 << bit
+                self.assertIsInstance(unpack(bytes(corrupt)), Failure, f"bit {bit} of byte {at}")
 
-    def test_records_that_contradict_each_other_are_told_by_name(self) -> None:
+    def test_inconsistent_records_are_reported_by_name(self) -> None:
         for name, value in (
             ("item/routes/a", item("routes/b", 1).SerializeToString()),
             ("item/routes/a", b"\xff\xff"),
@@ -69,7 +69,7 @@
             assert isinstance(found, Failure)
             self.assertIn(name, found.failure())
 
-    def test_a_bounded_number_is_kept_the_newest(self) -> None:
+    def test_only_the_newest_snapshots_are_kept(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             for taken_s in (10.0, 20.0, 20.0, 30.0):
                 last = save_snapshot(folder, pack([], SEATS, {}, taken_s), taken_s, 2)
@@ -78,7 +78,7 @@
             self.assertEqual(left[-1], os.path.basename(last))
             self.assertIsInstance(load_snapshot(last), Success)
 
-    def test_the_tool_says_what_is_wrong_in_one_line(self) -> None:
+    def test_the_command_reports_an_error_in_one_line(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "x.snapshot")
             with open(path, "wb") as file:
@@ -97,27 +97,27 @@
                     self.assertEqual(out.getvalue().count("\n"), 1, out.getvalue())
 
 
-class Restored(unittest.TestCase):
-    def test_neither_the_dropped_nor_the_older_come_back(self) -> None:
-        before = held(item("routes/a", 3), item("routes/b", 7, b"new"), item("limits", 1))
-        after = held(item("routes/a", 4, dropped=True), item("routes/b", 6, b"old"))
+class Restore(unittest.TestCase):
+    def test_neither_deleted_nor_older_items_come_back(self) -> None:
+        before = packed_and_unpacked(item("routes/a", 3), item("routes/b", 7, b"new"), item("limits", 1))
+        after = packed_and_unpacked(item("routes/a", 4, dropped=True), item("routes/b", 6, b"old"))
         for sources in ([before, after], [after, before]):
             records = restored_records(sources, [holder for _, holder, _ in SEATS])
-            book = ItemStore()
-            book.merge(Item.FromString(v) for k, v in records.items() if k.startswith("item/"))
-            self.assertTrue(book.items["routes/a"].dropped)
-            self.assertEqual(book.items["routes/b"].value, b"new")
-            self.assertIn("limits", book.items)
+            item_store = ItemStore()
+            item_store.merge(Item.FromString(v) for k, v in records.items() if k.startswith("item/"))
+            self.assertTrue(item_store.items["routes/a"].dropped)
+            self.assertEqual(item_store.items["routes/b"].value, b"new")
+            self.assertIn("limits", item_store.items)
 
-    def test_a_fleet_begins_anew_and_an_old_machine_counts_for_nothing(self) -> None:
+    def test_a_machine_of_the_old_fleet_has_no_vote_in_a_restored_one(self) -> None:
         world = World(3)
         old = world.machines["10.2.0.1:1"]
         for machine in world.machines.values():
             machine.first_run = False
-        records = restored_records([held(item("routes/a", 3, b"kept"))], list(world.machines))
+        records = restored_records([packed_and_unpacked(item("routes/a", 3, b"kept"))], list(world.machines))
         for machine in world.machines.values():
             machine.disk = dict(records)
-        # One disk is from before the loss: its seat has passed on, and what it had is of an older epoch.
+        # One disk is from before the loss: another voter has its place, and its items are of an older epoch.
         old.disk = {
             "item/routes/a": item("routes/a", 3, b"lost").SerializeToString(),
             "seats": json.dumps({"seats": SEATS, "full": True}).encode(),
@@ -129,26 +129,28 @@
         world.play(7.0)
         self.assertEqual([a.code for a in answers], [Code.DONE] * 3)
         self.assertEqual({i.value for a in answers for i in a.items}, {b"kept"})
-        self.assertTrue(old.process is not None and old.process.seats.full, "it has a seat again by a claim")
+        self.assertTrue(
+            old.process is not None and old.process.seats.full, "it must be a voter again after a claim"
+        )
 
-    def test_the_tool_makes_a_disk_for_each_machine(self) -> None:
+    def test_the_command_writes_a_disk_for_each_machine(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = save_snapshot(folder, pack([item("routes/a", 3)], SEATS, {}, 9.0), 9.0, 8)
             into = os.path.join(folder, "new")
             arguments = ["restore", path, "--holders", "10.0.0.1:5,10.0.0.2:5,10.0.0.3:5", "--into", into]
             with redirect_stdout(io.StringIO()), redirect_stderr(io.StringIO()):
                 self.assertEqual(main(arguments), 0)
-                self.assertEqual(main(arguments), 2, "folders that are not empty are left alone")
+                self.assertEqual(main(arguments), 2, "directories that are not empty must be left alone")
             disks = [DumbStore(os.path.join(into, name)).open() for name in sorted(os.listdir(into))]
             self.assertEqual(len(disks), 3)
             self.assertEqual(disks[0], disks[2])
             self.assertTrue(json.loads(disks[0]["seats"])["full"])
 
 
-class Formats(unittest.TestCase):
-    def test_an_older_disk_is_read_and_written_anew(self) -> None:
+class DiskFormats(unittest.TestCase):
+    def test_a_disk_of_an_older_format_is_read_and_rewritten(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            with mock.patch.object(store_module, "sealed", old_sealed):
+            with mock.patch.object(store_module, "sealed", sealed_by_release_0_1):
                 store = DumbStore(folder)
                 store.open()
                 store.commit({"a": b"1"})
@@ -156,11 +158,12 @@
                 store.close()
             self.assertEqual(DumbStore(folder).open(), {"a": b"1", "b": b"\xff\0"})
             with mock.patch(
-                "leadrudder.storage.store.json.loads", side_effect=AssertionError("nothing old is left")
+                "leadrudder.storage.store.json.loads",
+                side_effect=AssertionError("nothing in the old format must be left"),
             ):
                 self.assertEqual(DumbStore(folder).open(), {"a": b"1", "b": b"\xff\0"})
 
-    def test_a_later_format_is_told_and_not_taken_for_an_empty_disk(self) -> None:
+    def test_a_later_format_is_reported_and_not_treated_as_an_empty_disk(self) -> None:
         body = Batch(format=3, records={"a": b"1"}).SerializeToString()
         data = struct.pack(">I", zlib.crc32(body)) + body
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/mesh/test_maintenance.py
+++ b/tests/mesh/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Maintenance windows: hours, contracts, plans, and the keeper that carries them out."""
+"""Maintenance windows: hours, contracts, plans, and the controller that carries them out."""
 
 from __future__ import annotations
 
@@ -36,24 +36,24 @@
     return datetime.fromisoformat(text).timestamp()
 
 
-def brute(hours: ApprovedHours, moment: float) -> bool:
-    """Whether a moment is approved, by what the wall's clock shows then."""
-    wall = datetime.fromtimestamp(moment, hours.zone)
-    minute = 60 * wall.hour + wall.minute
+def is_approved(hours: ApprovedHours, moment: float) -> bool:
+    """Whether a moment is approved, evaluated directly from its local time."""
+    local = datetime.fromtimestamp(moment, hours.zone)
+    minute = 60 * local.hour + local.minute
 
     def inside(rules: tuple[HoursRule, ...]) -> bool:
         for rule in rules:
-            for day, shift in ((wall.date(), 0), (wall.date() - timedelta(days=1), 1440)):
+            for day, shift in ((local.date(), 0), (local.date() - timedelta(days=1), 1440)):
                 of_day = day == rule.on if rule.on is not None else day.weekday() in rule.days
                 end = rule.end if rule.end > rule.begin else rule.end + 1440
                 if of_day and rule.begin <= minute + shift < end:
                     return True
         return False
 
-    return inside(hours.approved) and not inside(hours.busy) and wall.date() not in hours.never
+    return inside(hours.approved) and not inside(hours.busy) and local.date() not in hours.never
 
 
-def drawn(rng: Random, zone: str) -> ApprovedHours:
+def random_hours(rng: Random, zone: str) -> ApprovedHours:
     def rule() -> HoursRule:
         begin = 15 * rng.randrange(96)
         end = (begin + 15 * rng.randrange(1, 96)) % 1440
@@ -69,11 +69,11 @@
     )
 
 
-class TheHours(unittest.TestCase):
-    def test_every_minute_of_a_year_is_what_the_walls_clock_says(self) -> None:
+class ApprovedHoursOfContracts(unittest.TestCase):
+    def test_the_hours_of_a_year_agree_with_local_time(self) -> None:
         rng = Random(7)
         for zone in ("Europe/Helsinki", "Australia/Lord_Howe"):
-            hours = drawn(rng, zone)
+            hours = random_hours(rng, zone)
             begin = at("2026-01-01T00:00:00+00:00")
             spans = hours.intervals_between(begin, begin + 365 * 86400.0)
             i = 0
@@ -82,23 +82,23 @@
                 while i < len(spans) and spans[i].end <= moment:
                     i += 1
                 found = i < len(spans) and spans[i].begin <= moment
-                if found != brute(hours, moment):
+                if found != is_approved(hours, moment):
                     self.fail(f"{zone}: {datetime.fromtimestamp(moment, UTC)}: {found}")
 
-    def test_minutes_around_changes_of_the_clocks_over_years(self) -> None:
+    def test_hours_around_daylight_saving_changes_over_years(self) -> None:
         rng = Random(11)
         for year in range(2024, 2031):
             for zone, day in (("Europe/Helsinki", 25), ("America/New_York", 7), ("Australia/Lord_Howe", 4)):
                 for month in (3, 4, 10, 11):
-                    hours = drawn(rng, zone)
+                    hours = random_hours(rng, zone)
                     begin = datetime(year, month, day, tzinfo=UTC).timestamp()
                     spans = hours.intervals_between(begin, begin + 7 * 86400.0)
                     for minute in range(0, 7 * 1440, 7):
                         moment = begin + 60.0 * minute
                         found = any(s.begin <= moment < s.end for s in spans)
-                        self.assertEqual(found, brute(hours, moment), (zone, moment))
+                        self.assertEqual(found, is_approved(hours, moment), (zone, moment))
 
-    def test_the_hour_that_comes_twice_and_the_one_that_does_not(self) -> None:
+    def test_repeated_and_skipped_hours(self) -> None:
         one_to_four = ApprovedHours(ZoneInfo("Europe/Helsinki"), (HoursRule(60, 240, EVERY_DAY),))
         long = one_to_four.intervals_between(at("2026-10-24T20:00:00+00:00"), at("2026-10-25T12:00:00+00:00"))
         short = one_to_four.intervals_between(
@@ -108,7 +108,7 @@
         self.assertEqual([s.end - s.begin for s in short], [2 * 3600.0])
 
 
-GOOD: dict[str, Any] = {
+VALID_CONTRACT: dict[str, Any] = {
     "hosts": ["kampaamo.example"],
     "timeZone": "Europe/Helsinki",
     "approved": [{"days": ["mon", "tue", "wed", "thu", "fri"], "from": "22:00", "to": "05:00"}],
@@ -122,14 +122,14 @@
 }
 
 
-class TheContracts(unittest.TestCase):
-    def test_what_is_good_is_read(self) -> None:
-        read = contract.read_contract("kampaamo", GOOD)
+class Contracts(unittest.TestCase):
+    def test_a_valid_contract_is_parsed(self) -> None:
+        read = contract.read_contract("kampaamo", VALID_CONTRACT)
         self.assertEqual((read.notice_s, read.max_machines_out, read.min_capacity_left), (86400.0, 1, 0.6))
         self.assertEqual(len(read.hours.approved), 2)
         self.assertEqual(contract.warnings(read, at("2026-12-01T00:00:00+00:00")), [])
 
-    def test_what_could_mean_two_things_is_refused_with_its_place(self) -> None:
+    def test_invalid_and_ambiguous_contracts_are_rejected_with_the_location(self) -> None:
         for change, word in (
             ({"timeZone": "Europe/Hämeenlinna"}, "time zone"),
             ({"approved": [{"from": "22:00", "to": "05:00"}]}, "either days or a date"),
@@ -145,23 +145,23 @@
             ({"notice": "soon"}, "24h"),
         ):
             with self.subTest(change):
-                body = {"addOrReplace": {"contracts": {"kampaamo": {**GOOD, **change}}}}
+                body = {"addOrReplace": {"contracts": {"kampaamo": {**VALID_CONTRACT, **change}}}}
                 found = contract.parse(json.dumps(body).encode())
                 assert isinstance(found, Failure)
                 self.assertIn(word, str(found.failure()[0]))
                 self.assertTrue(found.failure()[0].where.startswith("contracts.kampaamo."))
 
-    def test_nothing_of_a_call_is_half_taken(self) -> None:
-        bad = {**GOOD, "timeZone": ""}
-        body = {"addOrReplace": {"contracts": {"a": GOOD, "b": bad}}}
+    def test_a_request_is_accepted_as_a_whole_or_not_at_all(self) -> None:
+        invalid = {**VALID_CONTRACT, "timeZone": ""}
+        body = {"addOrReplace": {"contracts": {"a": VALID_CONTRACT, "b": invalid}}}
         self.assertIsInstance(contract.parse(json.dumps(body).encode()), Failure)
-        whole = contract.parse(json.dumps({"addOrReplace": {"contracts": {"a": GOOD}}}).encode())
-        assert isinstance(whole, Success)
+        accepted = contract.parse(json.dumps({"addOrReplace": {"contracts": {"a": VALID_CONTRACT}}}).encode())
+        assert isinstance(accepted, Success)
         for data in (b"", b"[]", b"{}", b'{"addOrReplace": {"contracts": []}}', b"\xff", b"[" * 5000):
             self.assertIsInstance(contract.parse(data), Failure)
 
-    def test_without_hours_it_is_never_and_says_so(self) -> None:
-        read = contract.read_contract("kampaamo", {**GOOD, "approved": [], "special": []})
+    def test_a_contract_without_approved_hours_gives_a_warning(self) -> None:
+        read = contract.read_contract("kampaamo", {**VALID_CONTRACT, "approved": [], "special": []})
         self.assertEqual([f.code for f in contract.warnings(read, 0.0)], ["never"])
         self.assertEqual(read.hours.intervals_between(0.0, 1e7), [])
 
@@ -171,13 +171,13 @@
 
 
 def tenant(name: str, hours: ApprovedHours = NIGHT, **terms: Any) -> Contract:
-    given = {"notice_s": 0.0, "max_machines_out": 1, "min_capacity_left": 0.5, **terms}
-    return Contract(name, frozenset({f"{name}.example"}), frozenset(), hours, **given, version=1)
+    defaults = {"notice_s": 0.0, "max_machines_out": 1, "min_capacity_left": 0.5, **terms}
+    return Contract(name, frozenset({f"{name}.example"}), frozenset(), hours, **defaults, version=1)
 
 
-def situation(**changes: Any) -> FleetState:
+def fleet_state(**changes: Any) -> FleetState:
     machines = {f"m{i}": Machine(f"m{i}", f"z{i % 3}", "kal" if i < 4 else "var", 9) for i in range(8)}
-    given: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "contracts": {name: tenant(name) for name in ("kampaamo", "hieroja", "korjaamo")},
         "routes": {
             "kampaamo": route("kampaamo", "kal"),
@@ -186,7 +186,7 @@
         },
         "machines": machines,
     }
-    return FleetState(**{**given, **changes})
+    return FleetState(**{**defaults, **changes})
 
 
 NOON, EVENING, MORNING = (
@@ -196,16 +196,16 @@
 )
 
 
-class ThePlanner(unittest.TestCase):
-    def plan(self, order: WindowRequest, now: float = NOON, **changes: Any) -> Window | list[str]:
-        made = planner.plan(order, now, situation(**changes))
+class Planner(unittest.TestCase):
+    def plan(self, request: WindowRequest, now: float = NOON, **changes: Any) -> Window | list[str]:
+        made = planner.plan(request, now, fleet_state(**changes))
         return made if isinstance(made, Window) else [f.code for f in made]
 
-    def order(self, *machines: str, **changes: Any) -> WindowRequest:
+    def request(self, *machines: str, **changes: Any) -> WindowRequest:
         return replace(WindowRequest("w", NOON, MORNING + 7200.0, machines, works_s=600.0), **changes)
 
-    def test_a_machine_is_lent_inside_the_hours_with_room_at_both_edges(self) -> None:
-        made = self.plan(self.order("m0"))
+    def test_a_machine_is_out_within_the_hours_less_the_clock_skew(self) -> None:
+        made = self.plan(self.request("m0"))
         assert isinstance(made, Window)
         (step,) = made.steps
         self.assertEqual(step.leave, EVENING + MAX_CLOCK_SKEW_S)
@@ -213,135 +213,147 @@
         self.assertEqual(step.back, step.leave + made.drain_s + 600.0)
         self.assertLessEqual(step.back + made.return_s, MORNING - MAX_CLOCK_SKEW_S)
 
-    def test_one_after_the_other_and_not_beyond_what_contracts_allow(self) -> None:
-        made = self.plan(self.order("m0", "m1", at_once=2))
+    def test_machines_are_out_one_after_the_other_unless_contracts_allow_more(self) -> None:
+        made = self.plan(self.request("m0", "m1", at_once=2))
         assert isinstance(made, Window)
         first, second = made.steps
         self.assertGreaterEqual(second.leave, first.back + made.return_s)
         more = {name: tenant(name, max_machines_out=2) for name in ("kampaamo", "hieroja", "korjaamo")}
-        made = self.plan(self.order("m0", "m1", at_once=2), contracts=more)
+        made = self.plan(self.request("m0", "m1", at_once=2), contracts=more)
         assert isinstance(made, Window)
         self.assertEqual(made.steps[0].leave, made.steps[1].leave)
 
-    def test_outside_the_hours_it_says_when_it_is_possible(self) -> None:
-        refused = planner.plan(self.order("m0", end=EVENING - 3600.0), NOON, situation())
+    def test_outside_the_hours_the_next_possible_time_is_named(self) -> None:
+        refused = planner.plan(self.request("m0", end=EVENING - 3600.0), NOON, fleet_state())
         assert isinstance(refused, list)
         self.assertEqual(refused[0].code, "outside_hours")
         self.assertIn("2026-12-02 22:00", refused[0].text)
 
-    def test_hours_that_do_not_meet_are_never(self) -> None:
+    def test_tenants_without_common_hours_are_reported(self) -> None:
         day = ApprovedHours(ZoneInfo("Europe/Helsinki"), (HoursRule(8 * 60, 16 * 60, EVERY_DAY),))
         contracts = {"kampaamo": tenant("kampaamo"), "hieroja": tenant("hieroja", day)}
         contracts["korjaamo"] = tenant("korjaamo")
-        refused = planner.plan(self.order("m0"), NOON, situation(contracts=contracts))
+        refused = planner.plan(self.request("m0"), NOON, fleet_state(contracts=contracts))
         assert isinstance(refused, list)
         self.assertIn("hieroja and kampaamo do not meet", refused[0].text)
-        one = self.plan(self.order("m0", tenants=frozenset({"kampaamo"})), contracts=contracts)
-        self.assertIsInstance(one, Window)  # one tenant leaves, the other stays
+        one = self.plan(self.request("m0", tenants=frozenset({"kampaamo"})), contracts=contracts)
+        self.assertIsInstance(one, Window)  # only one tenant's traffic leaves the machine
 
-    def test_each_reason_has_its_code(self) -> None:
+    def test_each_reason_has_its_finding_code(self) -> None:
         alone = {"m0": Machine("m0", "z", "kal", 9)}
-        third = {k: m for k, m in situation().machines.items() if k in ("m0", "m1")}
-        running = self.plan(self.order("m0"))
+        two_machines = {k: m for k, m in fleet_state().machines.items() if k in ("m0", "m1")}
+        running = self.plan(self.request("m0"))
         assert isinstance(running, Window)
-        for order, changes, code in (
-            (self.order("m0", begin=MORNING), {}, "outside_hours"),
-            (self.order("m0", end=NOON - 1.0), {}, "backwards"),
-            (self.order("m0", begin=NOON - 90.0, end=NOON - 1.0), {}, "past"),
-            (self.order(), {}, "machines"),
-            (self.order("m0", "m0"), {}, "machines"),
-            (self.order("m9"), {}, "unknown_machine"),
-            (self.order("m0", tenants=frozenset({"x"})), {}, "unknown_tenant"),
-            (self.order("m0", tenants=frozenset({"korjaamo"})), {}, "no_tenant"),
-            (self.order("m0"), {"contracts": {"kampaamo": tenant("kampaamo")}}, "no_contract"),
-            (self.order("m0"), {"machines": alone}, "not_possible"),
-            (self.order("m0"), {"machines": third, "contracts": self.stays(0.6)}, "not_possible"),
-            (self.order("m0", name="v"), {"windows": {"w": running}}, "taken"),
-            (self.order("m1"), {"windows": {"w": running}}, "running"),
-            (self.order("m0", works_s=8 * 3600.0), {}, "never"),
-            (self.order("m0"), {"used": {"kal": dict.fromkeys(range(168), 25.0)}}, "not_possible"),
-            (self.order("m0"), {"contracts": self.notice(30 * 86400.0)}, "not_possible"),
+        for request, changes, code in (
+            (self.request("m0", begin=MORNING), {}, "outside_hours"),
+            (self.request("m0", end=NOON - 1.0), {}, "backwards"),
+            (self.request("m0", begin=NOON - 90.0, end=NOON - 1.0), {}, "past"),
+            (self.request(), {}, "machines"),
+            (self.request("m0", "m0"), {}, "machines"),
+            (self.request("m9"), {}, "unknown_machine"),
+            (self.request("m0", tenants=frozenset({"x"})), {}, "unknown_tenant"),
+            (self.request("m0", tenants=frozenset({"korjaamo"})), {}, "no_tenant"),
+            (self.request("m0"), {"contracts": {"kampaamo": tenant("kampaamo")}}, "no_contract"),
+            (self.request("m0"), {"machines": alone}, "not_possible"),
+            (
+                self.request("m0"),
+                {"machines": two_machines, "contracts": self.contracts_with_capacity_left(0.6)},
+                "not_possible",
+            ),
+            (self.request("m0", name="v"), {"windows": {"w": running}}, "taken"),
+            (self.request("m1"), {"windows": {"w": running}}, "running"),
+            (self.request("m0", works_s=8 * 3600.0), {}, "never"),
+            (self.request("m0"), {"used": {"kal": dict.fromkeys(range(168), 25.0)}}, "not_possible"),
+            (self.request("m0"), {"contracts": self.contracts_with_notice(30 * 86400.0)}, "not_possible"),
         ):
-            with self.subTest(code, order=order):
-                made = self.plan(order, **changes)
+            with self.subTest(code, request=request):
+                made = self.plan(request, **changes)
                 assert isinstance(made, list)
                 self.assertIn(code, made)
 
-    def stays(self, part: float) -> dict[str, Contract]:
-        return {name: tenant(name, min_capacity_left=part) for name in ("kampaamo", "hieroja", "korjaamo")}
+    def contracts_with_capacity_left(self, share: float) -> dict[str, Contract]:
+        return {name: tenant(name, min_capacity_left=share) for name in ("kampaamo", "hieroja", "korjaamo")}
 
-    def notice(self, span: float) -> dict[str, Contract]:
-        return {name: tenant(name, notice_s=span) for name in ("kampaamo", "hieroja", "korjaamo")}
+    def contracts_with_notice(self, notice_s: float) -> dict[str, Contract]:
+        return {name: tenant(name, notice_s=notice_s) for name in ("kampaamo", "hieroja", "korjaamo")}
 
     def test_hours_of_the_week(self) -> None:
         self.assertEqual(hour_of_week(at("2026-11-30T00:00:00+00:00")), 0)  # a Monday
         self.assertEqual(hour_of_week(at("2026-12-06T23:59:00+00:00")), 167)
 
 
-def planned(**changes: Any) -> Window:
-    made = planner.plan(WindowRequest("w", NOON, MORNING, ("m0",), works_s=600.0), NOON, situation(**changes))
+def planned_window(**changes: Any) -> Window:
+    made = planner.plan(
+        WindowRequest("w", NOON, MORNING, ("m0",), works_s=600.0), NOON, fleet_state(**changes)
+    )
     assert isinstance(made, Window)
     return made
 
 
-def look(
-    keeper: MaintenanceController, wall: float, steady: float, held: bool, at_hand: FleetState
+def tick_once(
+    controller: MaintenanceController, wall: float, monotonic: float, holds_lease: bool, state: FleetState
 ) -> list[Window]:
-    """One look, while another signalbox's clock shows the same."""
-    return keeper.tick(wall, steady, held, at_hand, [wall])
-
-
-class TheKeeper(unittest.TestCase):
-    def play(self, given: Window, begin: float, span: float, **changes: Any) -> list[tuple[float, Window]]:
-        """A keeper that holds the duty, looking once a second; each step stands at once."""
-        keeper, now, seen = MaintenanceController(), begin - CLOCK_OBSERVATION_S - 1.0, []
-        while now < begin + span:
-            at_hand = situation(**{"windows": {"w": given}, **changes})
-            for given in look(keeper, now, now, True, at_hand):
-                keeper.step_answered("w")
+    """One tick, while the clock of another control-plane node shows the same time."""
+    return controller.tick(wall, monotonic, holds_lease, state, [wall])
+
+
+class Controller(unittest.TestCase):
+    def play(
+        self, given: Window, begin: float, duration_s: float, **changes: Any
+    ) -> list[tuple[float, Window]]:
+        """Run a controller that holds the lease, once a second; each step is stored at once."""
+        controller, now, seen = MaintenanceController(), begin - CLOCK_OBSERVATION_S - 1.0, []
+        while now < begin + duration_s:
+            state = fleet_state(**{"windows": {"w": given}, **changes})
+            for given in tick_once(controller, now, now, True, state):
+                controller.step_answered("w")
                 seen.append((now, given))
             now += 1.0
         return seen
 
-    def test_a_window_goes_through_its_stages_inside_its_hours(self) -> None:
-        seen = self.play(planned(), EVENING - 60.0, 3600.0)
+    def test_a_window_passes_its_stages_within_its_hours(self) -> None:
+        seen = self.play(planned_window(), EVENING - 60.0, 3600.0)
         self.assertEqual(
             [w.steps[0].stage for _, w in seen], [Stage.DRAINING, Stage.OUT, Stage.RETURNING, Stage.BACK]
         )
         self.assertGreaterEqual(seen[0][0], EVENING + MAX_CLOCK_SKEW_S)
         self.assertEqual(seen[-1][1].state(), "done")
 
-    def test_who_wakes_after_the_hours_changes_nothing_and_says_so(self) -> None:
-        seen = self.play(planned(), MORNING - 1.0, 600.0)
+    def test_a_window_whose_hours_have_passed_expires(self) -> None:
+        seen = self.play(planned_window(), MORNING - 1.0, 600.0)
         self.assertEqual([w.steps[0].stage for _, w in seen], [Stage.SKIPPED])
         self.assertIn("time had passed", seen[0][1].steps[0].why)
         self.assertEqual(seen[0][1].state(), "expired")
 
-    def test_without_the_duty_or_with_a_clock_that_jumped_no_step_is_taken(self) -> None:
-        at_hand, keeper = situation(windows={"w": planned()}), MaintenanceController()
+    def test_no_step_is_taken_without_the_lease_or_after_a_clock_jump(self) -> None:
+        state, controller = fleet_state(windows={"w": planned_window()}), MaintenanceController()
         for i in range(30):
-            self.assertEqual(look(keeper, EVENING + 60.0 + i, float(i), False, at_hand), [])
-        self.assertEqual(len(look(keeper, EVENING + 90.0, 30.0, True, at_hand)), 1)
-        keeper.step_answered("w")
+            self.assertEqual(tick_once(controller, EVENING + 60.0 + i, float(i), False, state), [])
+        self.assertEqual(len(tick_once(controller, EVENING + 90.0, 30.0, True, state)), 1)
+        controller.step_answered("w")
         self.assertEqual(
-            look(keeper, EVENING + 100.0, 31.0, True, at_hand),
+            tick_once(controller, EVENING + 100.0, 31.0, True, state),
             [],
-            "it jumped by nine seconds",
+            "the clock jumped by nine seconds",
         )
-        self.assertEqual(look(keeper, EVENING + 101.0, 32.0, True, at_hand), [])
+        self.assertEqual(tick_once(controller, EVENING + 101.0, 32.0, True, state), [])
         for i in range(10):
-            look(keeper, EVENING + 102.0 + i, 33.0 + i, False, at_hand)
-        self.assertEqual(len(look(keeper, EVENING + 112.0, 43.0, True, at_hand)), 1)
-        keeper.step_answered("w")
-        self.assertEqual(look(keeper, EVENING + 132.0, 63.0, True, at_hand), [], "it slept for 20 s")
-
-    def test_what_is_out_is_given_back_when_it_may_not_be_any_more(self) -> None:
-        whole = planned()
-        lent = whole.with_stage("m0", Stage.DRAINING, EVENING + 10.0).with_stage(
+            tick_once(controller, EVENING + 102.0 + i, 33.0 + i, False, state)
+        self.assertEqual(len(tick_once(controller, EVENING + 112.0, 43.0, True, state)), 1)
+        controller.step_answered("w")
+        self.assertEqual(
+            tick_once(controller, EVENING + 132.0, 63.0, True, state),
+            [],
+            "the process was suspended for 20 s",
+        )
+
+    def test_a_machine_returns_when_it_may_no_longer_be_out(self) -> None:
+        waiting = planned_window()
+        away_window = waiting.with_stage("m0", Stage.DRAINING, EVENING + 10.0).with_stage(
             "m0", Stage.OUT, EVENING + 20.0
         )
-        contracts = {**situation().contracts, "kampaamo": tenant("kampaamo", replace(NIGHT, approved=()))}
-        zone = {k: m for k, m in situation().machines.items() if m.zone != "z1"}
+        contracts = {**fleet_state().contracts, "kampaamo": tenant("kampaamo", replace(NIGHT, approved=()))}
+        zone = {k: m for k, m in fleet_state().machines.items() if m.zone != "z1"}
         thinner = {k: m for k, m in zone.items() if k in ("m0", "m3")}
         for changes, word in (
             ({"contracts": contracts}, "approved no more"),
@@ -349,130 +361,130 @@
             ({"machines": thinner}, "would stay"),
         ):
             with self.subTest(word):
-                seen = self.play(lent, EVENING + 30.0, 20.0, **changes)
+                seen = self.play(away_window, EVENING + 30.0, 20.0, **changes)
                 self.assertEqual(seen[0][1].steps[0].stage, Stage.RETURNING)
                 self.assertIn(word, seen[0][1].steps[0].why)
                 self.assertLess(seen[0][0], EVENING + 32.0)
 
-    def test_an_operators_stop_and_the_works_that_end_early(self) -> None:
-        lent = planned().with_stage("m0", Stage.DRAINING, EVENING + 10.0)
-        halted = stop_window(lent, "an operator stopped it")
+    def test_a_stop_by_an_operator_and_works_that_end_early(self) -> None:
+        away_window = planned_window().with_stage("m0", Stage.DRAINING, EVENING + 10.0)
+        halted = stop_window(away_window, "an operator stopped it")
         self.assertFalse(
             DrainSchedule.from_windows({"w": halted}).is_drained(
                 "m0", "kampaamo", "kampaamo.example", EVENING + 11.0
             )
         )
         self.assertEqual(self.play(halted, EVENING + 12.0, 30.0)[-1][1].state(), "stopped")
-        early = finish_early(lent, "m0", EVENING + 12.0)
+        early = finish_early(away_window, "m0", EVENING + 12.0)
         assert early is not None
         self.assertEqual(early.steps[0].stage, Stage.RETURNING)
-        self.assertIsNone(finish_early(planned(), "m0", EVENING))
-
-    def test_a_loan_ends_by_the_stations_own_clock(self) -> None:
-        lent = planned().with_stage("m0", Stage.OUT, EVENING)
-        loans = DrainSchedule.from_windows({"w": lent})
-        back = lent.steps[0].back
-        self.assertTrue(loans.is_drained("m0", "kampaamo", "kampaamo.example", back - 0.1))
-        self.assertFalse(loans.is_drained("m0", "kampaamo", "kampaamo.example", back))
-        self.assertFalse(loans.is_drained("m0", "korjaamo", "korjaamo.example", back - 0.1))
-        self.assertEqual(loans.next_end(EVENING), back)
-        self.assertEqual(window.decode_window("w", lent.encode()), lent)
-
-    def test_a_route_that_is_added_while_a_machine_is_out_finds_it_out(self) -> None:
-        lent = planned().with_stage("m0", Stage.OUT, EVENING)
-        moment = lent.steps[0].back - 1.0
+        self.assertIsNone(finish_early(planned_window(), "m0", EVENING))
+
+    def test_a_drain_expires_by_the_clock_of_the_proxy(self) -> None:
+        away_window = planned_window().with_stage("m0", Stage.OUT, EVENING)
+        drains = DrainSchedule.from_windows({"w": away_window})
+        back = away_window.steps[0].back
+        self.assertTrue(drains.is_drained("m0", "kampaamo", "kampaamo.example", back - 0.1))
+        self.assertFalse(drains.is_drained("m0", "kampaamo", "kampaamo.example", back))
+        self.assertFalse(drains.is_drained("m0", "korjaamo", "korjaamo.example", back - 0.1))
+        self.assertEqual(drains.next_end(EVENING), back)
+        self.assertEqual(window.decode_window("w", away_window.encode()), away_window)
+
+    def test_a_route_added_while_a_machine_is_out_avoids_it(self) -> None:
+        away_window = planned_window().with_stage("m0", Stage.OUT, EVENING)
+        moment = away_window.steps[0].back - 1.0
         terms = json.dumps({"hosts": ["Kampaamo.example"], "routes": ["more"]}).encode()
-        owns = window.read_tenant_traffic([("kampaamo", Item(value=terms)), ("spoilt", Item(value=b"["))])
-        loans = DrainSchedule.from_windows({"w": lent}, owns)
-        self.assertTrue(loans.is_drained("m0", "new", "kampaamo.example", moment))
-        self.assertTrue(loans.is_drained("m0", "more", "elsewhere.example", moment))
-        self.assertFalse(loans.is_drained("m0", "new", "elsewhere.example", moment))
-        self.assertFalse(loans.is_drained("m1", "new", "kampaamo.example", moment))
-
-    def test_a_station_whose_clock_is_put_back_ends_a_loan_in_its_time(self) -> None:
-        lent = planned().with_stage("m0", Stage.OUT, EVENING)
-        back = lent.steps[0].back
-        book, clock = ItemStore(), {"wall": back - 10.0, "steady": 100.0}
-        book.merge([Item(key="windows/w", version=1, value=lent.encode())])
+        traffic = window.read_tenant_traffic([("kampaamo", Item(value=terms)), ("spoilt", Item(value=b"["))])
+        drains = DrainSchedule.from_windows({"w": away_window}, traffic)
+        self.assertTrue(drains.is_drained("m0", "new", "kampaamo.example", moment))
+        self.assertTrue(drains.is_drained("m0", "more", "elsewhere.example", moment))
+        self.assertFalse(drains.is_drained("m0", "new", "elsewhere.example", moment))
+        self.assertFalse(drains.is_drained("m1", "new", "kampaamo.example", moment))
+
+    def test_a_drain_expires_in_time_though_the_wall_clock_is_set_back(self) -> None:
+        away_window = planned_window().with_stage("m0", Stage.OUT, EVENING)
+        back = away_window.steps[0].back
+        item_store, clock = ItemStore(), {"wall": back - 10.0, "steady": 100.0}
+        item_store.merge([Item(key="windows/w", version=1, value=away_window.encode())])
         held = Lent(lambda: clock["wall"], lambda: clock["steady"], lambda after, do: None, lambda: None)
-        held.take(book)
+        held.take(item_store)
         self.assertTrue(held.lent("m0", route("kampaamo", "kal")))
         clock.update(wall=back - 3600.0, steady=109.0)
-        held.take(book)  # other news come, and the window is looked at again
+        held.take(item_store)  # another update arrives, and the window is read again
         self.assertTrue(held.lent("m0", route("kampaamo", "kal")))
         clock.update(wall=back - 3599.0, steady=110.5)
         self.assertFalse(held.lent("m0", route("kampaamo", "kal")))
 
-    def test_two_windows_that_together_take_too_much(self) -> None:
-        """Both were possible when they were planned; then a contract grew stricter."""
+    def test_two_windows_that_together_exceed_a_contract(self) -> None:
+        """Both were possible when they were planned; then a contract became stricter."""
         contracts = {name: tenant(name, max_machines_out=2) for name in ("kampaamo", "hieroja", "korjaamo")}
-        orders = [
+        requests = [
             WindowRequest(name, NOON, MORNING, (m,), works_s=600.0) for name, m in (("v", "m0"), ("w", "m1"))
         ]
-        first = planner.plan(orders[0], NOON, situation(contracts=contracts))
+        first = planner.plan(requests[0], NOON, fleet_state(contracts=contracts))
         assert isinstance(first, Window)
-        second = planner.plan(orders[1], NOON, situation(contracts=contracts, windows={"v": first}))
+        second = planner.plan(requests[1], NOON, fleet_state(contracts=contracts, windows={"v": first}))
         assert isinstance(second, Window)
         out = first.with_stage("m0", Stage.OUT, EVENING + 10.0)
         both = {"v": out, "w": second}
-        for terms, stages in ((contracts, [("w", Stage.DRAINING)]), (situation().contracts, [])):
-            keeper = MaintenanceController()
+        for terms, stages in ((contracts, [("w", Stage.DRAINING)]), (fleet_state().contracts, [])):
+            controller = MaintenanceController()
             steps: list[Window] = []
             for i in range(8):
-                at_hand = situation(contracts=terms, windows=both)
-                steps = look(keeper, EVENING + 20.0 + i, float(i), True, at_hand) or steps
+                state = fleet_state(contracts=terms, windows=both)
+                steps = tick_once(controller, EVENING + 20.0 + i, float(i), True, state) or steps
             self.assertEqual([(w.name, step.stage) for w in steps for step in w.steps], stages)
 
-    def test_a_window_of_seconds_is_refused_with_what_it_needs(self) -> None:
+    def test_a_window_that_is_too_short_is_rejected_with_the_needed_length(self) -> None:
         made = planner.plan(
-            WindowRequest("w", EVENING, EVENING + 5.0, ("m0",), works_s=1.0), NOON, situation()
+            WindowRequest("w", EVENING, EVENING + 5.0, ("m0",), works_s=1.0), NOON, fleet_state()
         )
         assert isinstance(made, list)
         self.assertEqual(made[0].code, "outside_hours")
         self.assertIn("needs 14 s", made[0].text)
 
     def test_a_machine_that_dies_while_it_is_out_ends_its_window(self) -> None:
-        lent = planned().with_stage("m0", Stage.OUT, EVENING + 10.0)
-        without = {k: m for k, m in situation().machines.items() if k != "m0"}
-        seen = self.play(lent, EVENING + 20.0, 900.0, machines=without)
+        away_window = planned_window().with_stage("m0", Stage.OUT, EVENING + 10.0)
+        without = {k: m for k, m in fleet_state().machines.items() if k != "m0"}
+        seen = self.play(away_window, EVENING + 20.0, 900.0, machines=without)
         self.assertEqual([w.steps[0].stage for _, w in seen], [Stage.RETURNING, Stage.BACK])
-        waiting = self.play(planned(), EVENING + 20.0, 30.0, machines=without)
-        self.assertEqual(waiting, [], "one that is gone is not taken")
+        waiting = self.play(planned_window(), EVENING + 20.0, 30.0, machines=without)
+        self.assertEqual(waiting, [], "a machine that is gone must not be taken out")
 
-    def test_holders_lost_and_clocks_apart_take_each_step_once_and_inside_the_hours(self) -> None:
+    def test_steps_are_taken_once_and_within_the_hours_despite_lost_holders_and_clock_skew(self) -> None:
         for seed in range(120):
-            self.small_world(Random(seed))
+            self.run_small_fleet(Random(seed))
 
-    def small_world(self, rng: Random) -> None:
-        """Three processes by clocks apart as far as they may; one at a time has the duty, late by a lease."""
-        order = WindowRequest("w", NOON, MORNING, ("m0", "m1"), works_s=rng.choice((5.0, 60.0, 900.0)))
-        given = planner.plan(order, NOON, situation())
+    def run_small_fleet(self, rng: Random) -> None:
+        """Three processes within the allowed clock skew; one at a time holds the lease, with some overlap."""
+        request = WindowRequest("w", NOON, MORNING, ("m0", "m1"), works_s=rng.choice((5.0, 60.0, 900.0)))
+        given = planner.plan(request, NOON, fleet_state())
         assert isinstance(given, Window)
-        clocks = [rng.uniform(-0.5, 0.5) * MAX_CLOCK_SKEW_S for _ in range(3)]
-        keepers = [MaintenanceController() for _ in range(3)]
+        clock_offsets = [rng.uniform(-0.5, 0.5) * MAX_CLOCK_SKEW_S for _ in range(3)]
+        controllers = [MaintenanceController() for _ in range(3)]
         holder, begin = 0, rng.choice((EVENING - 20.0, MORNING - 120.0, EVENING + 3600.0))
         begin += rng.uniform(0.0, 60.0)
-        flying: list[tuple[float, int, Window]] = []
+        in_flight: list[tuple[float, int, Window]] = []
         count, stages = 1, []
         for tick in range(900):
             now = begin + tick
             if rng.random() < 0.02:
                 holder = rng.randrange(3)
-                keepers[holder] = MaintenanceController()
-            shown = [now + off for off in clocks]
-            for i, keeper in enumerate(keepers):
-                # The last holder may think for a moment longer that it has the duty: a step is out by then.
+                controllers[holder] = MaintenanceController()
+            shown = [now + off for off in clock_offsets]
+            for i, controller in enumerate(controllers):
+                # The previous holder may still believe that it has the lease while its step is in flight.
                 held = i == holder or rng.random() < 0.01
-                at_hand = situation(windows={"w": given})
-                for step in keeper.tick(shown[i], float(tick), held, at_hand, shown):
-                    flying.append((tick + rng.uniform(0.0, 1.5), count + 1, step))
-            for due, number, step in [f for f in flying if f[0] <= tick]:
-                flying.remove((due, number, step))
-                if number == count + 1:  # else another had taken this count
+                state = fleet_state(windows={"w": given})
+                for step in controller.tick(shown[i], float(tick), held, state, shown):
+                    in_flight.append((tick + rng.uniform(0.0, 1.5), count + 1, step))
+            for due, number, step in [f for f in in_flight if f[0] <= tick]:
+                in_flight.remove((due, number, step))
+                if number == count + 1:  # else another process has written this version
                     given, count = step, number
                     stages.append([s.stage for s in step.steps])
-            for keeper in keepers:
-                keeper.step_answered("w")
+            for controller in controllers:
+                controller.step_answered("w")
             for each in given.steps:
                 if each.stage in AWAY_STAGES and now < each.back:
                     wall = Interval(now - MAX_CLOCK_SKEW_S / 2, now + MAX_CLOCK_SKEW_S / 2)
