--- a/leadrudder/configuration/items.py
+++ b/leadrudder/configuration/items.py
@@ -22,12 +22,8 @@
 CONTRACT_PREFIX = "contracts/"  # maintenance contracts, one per tenant
 WINDOW_PREFIX = "windows/"  # maintenance windows
 USAGE_PREFIX = "used/"  # the busiest slot usage of a service, by hour of the week
-SEQUENTIAL_PREFIXES = (
-    EVACUATION_PREFIX,
-    VOTER_COUNT_KEY,
-    WINDOW_PREFIX,
-    USAGE_PREFIX,
-)  # the server assigns the version of these items: each write takes the next number
+# Operators give no versions for these items: each write takes the version after the known one.
+SEQUENTIAL_PREFIXES = (EVACUATION_PREFIX, VOTER_COUNT_KEY, WINDOW_PREFIX, USAGE_PREFIX)
 MAX_VOTERS = 15
 
 
--- a/leadrudder/maintenance/hours.py
+++ b/leadrudder/maintenance/hours.py
@@ -29,52 +29,52 @@
         return self.begin <= other.begin and other.end <= self.end
 
 
-def merge_intervals(spans: Iterable[Interval]) -> list[Interval]:
+def merge_intervals(intervals: Iterable[Interval]) -> list[Interval]:
     """The union of the intervals, sorted and without overlaps."""
     merged: list[Interval] = []
-    for span in sorted(span for span in spans if span.end > span.begin):
-        if merged and span.begin <= merged[-1].end:
-            merged[-1] = Interval(merged[-1].begin, max(merged[-1].end, span.end))
+    for interval in sorted(interval for interval in intervals if interval.end > interval.begin):
+        if merged and interval.begin <= merged[-1].end:
+            merged[-1] = Interval(merged[-1].begin, max(merged[-1].end, interval.end))
         else:
-            merged.append(span)
+            merged.append(interval)
     return merged
 
 
 def intersect(one: Iterable[Interval], other: Iterable[Interval]) -> list[Interval]:
     """The intersection of two sorted lists of disjoint intervals."""
-    first, second, out = list(one), list(other), []
+    first, second, common = list(one), list(other), []
     i = j = 0
     while i < len(first) and j < len(second):
         begin, end = max(first[i].begin, second[j].begin), min(first[i].end, second[j].end)
         if begin < end:
-            out.append(Interval(begin, end))
+            common.append(Interval(begin, end))
         if first[i].end < second[j].end:
             i += 1
         else:
             j += 1
-    return out
+    return common
 
 
 def subtract(one: Iterable[Interval], other: Iterable[Interval]) -> list[Interval]:
     """The first list without the second; both are sorted and disjoint."""
     out = []
     excluded = list(other)
-    for span in one:
-        begin = span.begin
+    for interval in one:
+        begin = interval.begin
         for gap in excluded:
-            if gap.end <= begin or gap.begin >= span.end:
+            if gap.end <= begin or gap.begin >= interval.end:
                 continue
             if gap.begin > begin:
                 out.append(Interval(begin, gap.begin))
             begin = gap.end
-        if begin < span.end:
-            out.append(Interval(begin, span.end))
+        if begin < interval.end:
+            out.append(Interval(begin, interval.end))
     return out
 
 
-def shrink(spans: Iterable[Interval], by: float) -> list[Interval]:
+def shrink(intervals: Iterable[Interval], by: float) -> list[Interval]:
     """Move both ends of each interval inwards, to allow for clock skew."""
-    return [Interval(s.begin + by, s.end - by) for s in spans if s.end - s.begin > 2 * by]
+    return [Interval(s.begin + by, s.end - by) for s in intervals if s.end - s.begin > 2 * by]
 
 
 @dataclass(frozen=True, slots=True)
--- a/leadrudder/maintenance/window.py
+++ b/leadrudder/maintenance/window.py
@@ -74,9 +74,7 @@
     stop_reason: str = ""  # why it was stopped; empty: it was not
     counts_at_plan: Counts = field(default_factory=dict)  # of the ledger, when the window was planned
     counts_at_start: Counts | None = None  # when the first machine was taken out
-    counts_at_end: Counts | None = (
-        None  # when the last machine was back and all counts of that time were reported
-    )
+    counts_at_end: Counts | None = None  # when the last machine was back and all nodes had reported
 
     def state(self) -> str:
         """The state that is reported to operators."""
