--- a/leadrudder/configuration/routing_table.py
+++ b/leadrudder/configuration/routing_table.py
@@ -1,7 +1,7 @@
-"""The routes in force, found by host and longest prefix.
+"""The routing table: finds the route of a request by its host and the longest matching path prefix.
 
-The table is kept by change: applying an item reads that item and no other. The number of items that were read
-is counted, so that a test can hold it against the number of items that changed.
+The table is updated incrementally: applying an item parses that item and no other. It counts the parsed
+items, so that a test can compare the count with the number of changed items.
 """
 
 from __future__ import annotations
@@ -15,50 +15,50 @@
 from marshmallow import ValidationError
 
 from leadrudder.configuration import items
-from leadrudder.configuration.item_store import Book, kind_of
-from leadrudder.configuration.items import LIMITS, ROUTE, SERVICE, Limits, Route, Service
+from leadrudder.configuration.item_store import ItemStore, kind_of
+from leadrudder.configuration.items import LIMITS_KEY, ROUTE_PREFIX, SERVICE_PREFIX, Limits, Route, Service
 from leadrudder.protocol.mesh_pb2 import Item
 
 
 @dataclass(slots=True)
-class Changed:
-    """What applying items has changed, by name."""
+class TableChanges:
+    """The names of the routes and services that applied items have changed."""
 
     routes: set[str] = field(default_factory=set)
     services: set[str] = field(default_factory=set)
-    called_services: bool = False  # the set of services that any route calls is another
+    called_services: bool = False  # the set of services named by routes has changed
 
 
 @dataclass(slots=True)
-class _Host:
+class _HostRoutes:
     """The routes of one host.
 
-    by_prefix: names of the routes at each prefix, in order; the first one gets the requests.
-    open_prefixes: how many prefixes end within a path segment.
+    by_prefix: sorted names of the routes at each prefix; the first one gets the requests.
+    open_prefixes: the number of prefixes that do not end at a path segment.
     """
 
     by_prefix: dict[str, list[str]] = field(default_factory=dict)
     open_prefixes: int = 0
 
     def add(self, route: Route) -> None:
-        names = self.by_prefix.get(route.path_start)
+        names = self.by_prefix.get(route.path_prefix)
         if names is None:
-            names = self.by_prefix[route.path_start] = []
-            self.open_prefixes += not route.path_start.endswith("/")
+            names = self.by_prefix[route.path_prefix] = []
+            self.open_prefixes += not route.path_prefix.endswith("/")
         insort(names, route.name)
 
     def remove(self, route: Route) -> None:
-        names = self.by_prefix[route.path_start]
+        names = self.by_prefix[route.path_prefix]
         names.remove(route.name)
         if not names:
-            del self.by_prefix[route.path_start]
-            self.open_prefixes -= not route.path_start.endswith("/")
+            del self.by_prefix[route.path_prefix]
+            self.open_prefixes -= not route.path_prefix.endswith("/")
 
-    def longest(self, path: str) -> str | None:
-        """The longest prefix that begins a path."""
+    def longest_prefix(self, path: str) -> str | None:
+        """The longest prefix that matches a path."""
         if self.open_prefixes:
-            fitting = [prefix for prefix in self.by_prefix if path.startswith(prefix)]
-            return max(fitting, key=len) if fitting else None
+            matching = [prefix for prefix in self.by_prefix if path.startswith(prefix)]
+            return max(matching, key=len) if matching else None
         end = path.rfind("/")
         while end >= 0:
             if path[: end + 1] in self.by_prefix:
@@ -68,82 +68,82 @@
 
 
 class RoutingTable:
-    """Routes, services and limits in force.  items_read: how many items were read since the start."""
+    """The routes, services and limits in effect.  items_read: the number of items parsed since the start."""
 
-    def __init__(self, book: Book | None = None) -> None:
+    def __init__(self, item_store: ItemStore | None = None) -> None:
         self.routes: dict[str, Route] = {}
         self.services: dict[str, Service] = {}
         self.limits = Limits()
         self.items_read = 0
-        self._hosts: dict[str, _Host] = {}
-        self._routes_calling: Counter[str] = Counter()  # how many routes call each service
-        if book is not None:
-            self.apply(book.standing(ROUTE).values())
-            self.apply(book.standing(SERVICE).values())
-            self.apply(book.standing(LIMITS).values())
-
-    def apply(self, changed_items: Iterable[Item]) -> Changed:
-        """Take in items that are newer than what they replace; those of other kinds are passed over."""
-        changed = Changed()
+        self._hosts: dict[str, _HostRoutes] = {}
+        self._routes_calling: Counter[str] = Counter()  # the number of routes that name each service
+        if item_store is not None:
+            self.apply(item_store.live_items(ROUTE_PREFIX).values())
+            self.apply(item_store.live_items(SERVICE_PREFIX).values())
+            self.apply(item_store.live_items(LIMITS_KEY).values())
+
+    def apply(self, changed_items: Iterable[Item]) -> TableChanges:
+        """Apply items that are newer than those they replace; items of other kinds are ignored."""
+        changed = TableChanges()
         for item in changed_items:
             kind = kind_of(item.key)
-            if kind == ROUTE:
+            if kind == ROUTE_PREFIX:
                 self._set_route(item, changed)
-            elif kind == SERVICE:
+            elif kind == SERVICE_PREFIX:
                 self._set_service(item, changed)
-            elif kind == LIMITS:
+            elif kind == LIMITS_KEY:
                 self.limits = self._read_limits(item)
         return changed
 
     def called_services(self) -> frozenset[str]:
-        """The services that any route calls."""
+        """The services that at least one route names."""
         return frozenset(self._routes_calling)
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route whose prefix begins the path and is longest; None if there is none.
+        """The route with the longest prefix that matches the path; None if there is none.
 
-        host: as the request has it; a port is left out.  path: without the query.
+        host: as in the request; a port is ignored.  path: without the query.
         """
         name, _, port = host.rpartition(":")
         routes = self._hosts.get((name if name and port.isdecimal() else host).lower())
         if routes is None:
             return None
-        prefix = routes.longest(path)
+        prefix = routes.longest_prefix(path)
         return None if prefix is None else self.routes[routes.by_prefix[prefix][0]]
 
-    def _set_route(self, item: Item, changed: Changed) -> None:
-        name = item.key[len(ROUTE) :]
+    def _set_route(self, item: Item, changed: TableChanges) -> None:
+        name = item.key[len(ROUTE_PREFIX) :]
         changed.routes.add(name)
         old = self.routes.pop(name, None)
         new = self._read_route(name, item)
         if new is not None:
             self.routes[name] = new
             self._add_calls(new, changed)
-            self._hosts.setdefault(new.host, _Host()).add(new)
+            self._hosts.setdefault(new.host, _HostRoutes()).add(new)
         if old is not None:
             self._remove_calls(old, changed)
-            self._remove_place(old)
+            self._remove_from_host(old)
 
-    def _remove_place(self, route: Route) -> None:
+    def _remove_from_host(self, route: Route) -> None:
         host = self._hosts[route.host]
         host.remove(route)
         if not host.by_prefix:
             del self._hosts[route.host]
 
-    def _add_calls(self, route: Route, changed: Changed) -> None:
-        for service, _ in route.split:
+    def _add_calls(self, route: Route, changed: TableChanges) -> None:
+        for service, _ in route.service_shares:
             changed.called_services |= service not in self._routes_calling
             self._routes_calling[service] += 1
 
-    def _remove_calls(self, route: Route, changed: Changed) -> None:
-        for service, _ in route.split:
+    def _remove_calls(self, route: Route, changed: TableChanges) -> None:
+        for service, _ in route.service_shares:
             self._routes_calling[service] -= 1
             if not self._routes_calling[service]:
                 del self._routes_calling[service]
                 changed.called_services = True
 
-    def _set_service(self, item: Item, changed: Changed) -> None:
-        name = item.key[len(SERVICE) :]
+    def _set_service(self, item: Item, changed: TableChanges) -> None:
+        name = item.key[len(SERVICE_PREFIX) :]
         changed.services.add(name)
         new = self._read_service(name, item)
         if new is None:
@@ -151,7 +151,7 @@
         else:
             self.services[name] = new
 
-    # An item that cannot be read was taken by a newer release: it is not ours to carry out.
+    # An item that cannot be parsed was accepted by a newer release; this release ignores it.
 
     def _read_route(self, name: str, item: Item) -> Route | None:
         if item.dropped:
--- a/leadrudder/consensus/ownership.py
+++ b/leadrudder/consensus/ownership.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from leadrudder.configuration.item_store import newer
-from leadrudder.configuration.items import ORDERS
+from leadrudder.configuration.items import SEQUENTIAL_PREFIXES
 from leadrudder.consensus.outputs import ResultCode
 from leadrudder.consensus.quorum import Quorum
 from leadrudder.protocol import mesh_pb2 as wire
@@ -430,7 +430,7 @@
             committed = machine.committed.items.get(item.key)
             is_committed = committed is not None and committed.version >= old.version
             other = (item.value, item.dropped) != (old.value, old.dropped)
-            if other and (item.version == old.version or item.key.startswith(ORDERS)):
+            if other and (item.version == old.version or item.key.startswith(SEQUENTIAL_PREFIXES)):
                 # For an order, any later version conflicts: its counter has advanced.
                 if not is_committed:
                     return ResultCode.BUSY, [], []
--- a/leadrudder/consensus/requests.py
+++ b/leadrudder/consensus/requests.py
@@ -8,7 +8,7 @@
 from enum import IntEnum, auto
 from typing import TYPE_CHECKING
 
-from leadrudder.configuration.item_store import Book
+from leadrudder.configuration.item_store import ItemStore
 from leadrudder.consensus.outputs import ResultCode
 from leadrudder.consensus.quorum import Quorum
 from leadrudder.protocol import mesh_pb2 as wire
@@ -246,9 +246,9 @@
         pending.quorum.add(peer, response.mark)
         if not pending.quorum.reached(machine.voter_table.slots):
             return
-        newest = Book()
+        newest = ItemStore()
         for items in pending.replies.values():
-            newest.take(items)
+            newest.merge(items)
         uncommitted_keys = [key for key, item in newest.items.items() if not self._is_committed(item)]
         if not uncommitted_keys:
             self._finish_read(pending, ResultCode.DONE, newest.items.values())
--- a/leadrudder/consensus/state_machine.py
+++ b/leadrudder/consensus/state_machine.py
@@ -13,8 +13,8 @@
 from random import Random
 from typing import Any
 
-from leadrudder.configuration.item_store import Book, newer
-from leadrudder.configuration.items import CORE, read_core
+from leadrudder.configuration.item_store import ItemStore, newer
+from leadrudder.configuration.items import VOTER_COUNT_KEY, read_voter_count
 from leadrudder.consensus.anti_entropy import AntiEntropy
 from leadrudder.consensus.lease import DUTIES, Leases
 from leadrudder.consensus.outputs import (
@@ -71,8 +71,8 @@
         self.peers: dict[str, Peer] = {}
         self.voter_table = VoterTable(address)
         self.promised: dict[int, int] = {}
-        self.accepted = Book()  # items that this node has accepted as a voter
-        self.committed = Book()  # items known to be on disk at a majority
+        self.accepted = ItemStore()  # items that this node has accepted as a voter
+        self.committed = ItemStore()  # items known to be on disk at a majority
         # Keys whose accepted item is newer than the committed one.
         self.uncommitted: dict[str, None] = {}
         self.keys_by_section: dict[int, dict[str, None]] = {}  # keys of accepted items
@@ -175,7 +175,7 @@
     @property
     def desired_voters(self) -> int:
         """The committed number of voters; 0: never set by an operator, the bootstrap voters stay."""
-        return read_core(self.committed.items.get(CORE))
+        return read_voter_count(self.committed.items.get(VOTER_COUNT_KEY))
 
     def send(self, to: str, frame: Frame) -> None:
         if to == self.address:
@@ -227,7 +227,7 @@
         return {ITEM_RECORD + item.key: item.SerializeToString() for item in merged}
 
     def _merge_accepted(self, items: Iterable[Item]) -> list[Item]:
-        merged = self.accepted.take(items)
+        merged = self.accepted.merge(items)
         for item in merged:
             self.keys_by_section.setdefault(self.section_of(item.key), {})[item.key] = None
             if newer(item, self.committed.items.get(item.key)):
@@ -273,7 +273,7 @@
 
     def mark_committed(self, items: Iterable[Item], tell: bool = True) -> None:
         """Record that items are on disk at a majority; tell: forward them to the peers."""
-        merged = self.committed.take(items)
+        merged = self.committed.merge(items)
         if not merged:
             return
         for item in merged:
--- a/leadrudder/control_plane/maintenance.py
+++ b/leadrudder/control_plane/maintenance.py
@@ -15,17 +15,17 @@
 from marshmallow import EXCLUDE, Schema, ValidationError, fields, validate
 from returns.result import Failure
 
-from leadrudder.bootstrap.log_buffer import Ring
-from leadrudder.configuration.item_store import Book
-from leadrudder.configuration.items import CONTRACT, USED
+from leadrudder.bootstrap.log_buffer import LogBuffer
+from leadrudder.configuration.item_store import ItemStore
+from leadrudder.configuration.items import CONTRACT_PREFIX, USAGE_PREFIX
 from leadrudder.configuration.routing_table import RoutingTable
 from leadrudder.configuration.validation import Finding
 from leadrudder.consensus.outputs import Answer, ResultCode
 from leadrudder.maintenance import contract, controller, ledger, planner, window
-from leadrudder.maintenance.contract import Span
-from leadrudder.maintenance.controller import Keeper
-from leadrudder.maintenance.planner import Machine, Order, Situation, hour_of_week
-from leadrudder.maintenance.window import LENT, WINDOW, Window
+from leadrudder.maintenance.contract import DurationSecondsField
+from leadrudder.maintenance.controller import MaintenanceController
+from leadrudder.maintenance.planner import FleetState, Machine, WindowRequest, hour_of_week
+from leadrudder.maintenance.window import AWAY_STAGES, WINDOW_PREFIX, Window
 from leadrudder.protocol.mesh_pb2 import Item, Node
 from leadrudder.transport.http import ApiRequest, ApiResponse
 
@@ -63,8 +63,8 @@
     end = _TimestampField(data_key="to", required=True)
     machines = fields.List(fields.String(), required=True)
     at_once = fields.Integer(data_key="atOnce", load_default=1, validate=validate.Range(min=1))
-    works_s = Span(data_key="works", load_default=0.0)
-    return_s = Span(data_key="return", load_default=10.0)
+    works_s = DurationSecondsField(data_key="works", load_default=0.0)
+    return_s = DurationSecondsField(data_key="return", load_default=10.0)
     tenants = fields.List(fields.String(), load_default=list)
 
 
@@ -76,10 +76,10 @@
 
     def __init__(
         self,
-        committed_items: Callable[[], Book],
+        committed_items: Callable[[], ItemStore],
         list_members: Callable[[], Iterable[Node]],
         commit: Commit,
-        ring: Ring,
+        ring: LogBuffer,
         wall: Callable[[], float],
         monotonic: Callable[[], float],
     ) -> None:
@@ -90,17 +90,17 @@
             ring,
         )
         self._wall, self._monotonic = wall, monotonic
-        self._keeper = Keeper()
+        self._keeper = MaintenanceController()
         self._tasks: set[asyncio.Task[None]] = set()
         self._peak_slots: dict[str, dict[int, float]] = {}  # slots in use by service and hour, since start
         self._hour = -1
-        self._totals = ledger.Totals()
+        self._totals = ledger.FleetTotals()
         # Wall clocks of the connected peers, less the monotonic clock of this process.
         self.peer_clock_offsets_s: dict[str, float] = {}
 
     # ------------------------------------------------------------ current state
 
-    def situation(self) -> Situation:
+    def situation(self) -> FleetState:
         book = self._committed_items()
         routing = RoutingTable(book)
         machines = {}
@@ -110,13 +110,13 @@
                     node.name, server.zone, server.service, server.capacity, not server.draining
                 )
         used: dict[str, dict[int, float]] = {}
-        for service, item in book.standing(USED).items():
+        for service, item in book.live_items(USAGE_PREFIX).items():
             used[service] = {int(hour): float(n) for hour, n in json.loads(item.value).items()}
-        return Situation(
-            contract.standing(book.standing(CONTRACT).items()),
+        return FleetState(
+            contract.read_contracts(book.live_items(CONTRACT_PREFIX).items()),
             routing.routes,
             machines,
-            window.standing(book.standing(WINDOW).items()),
+            window.read_windows(book.live_items(WINDOW_PREFIX).items()),
             used,
         )
 
@@ -127,13 +127,15 @@
         wall = self._wall()
         self._record_usage(wall, has_lease)
         situation = (
-            self.situation() if has_lease and self._committed_items().standing(WINDOW) else Situation()
+            self.situation()
+            if has_lease and self._committed_items().live_items(WINDOW_PREFIX)
+            else FleetState()
         )
         now = self._monotonic()
         peer_walls = [offset_s + now for offset_s in self.peer_clock_offsets_s.values()]
         for changed in self._keeper.tick(wall, now, has_lease, situation, peer_walls):
-            if changed.begun is None and any(step.stage in LENT for step in changed.steps):
-                changed = dataclasses.replace(changed, begun=self._totals.latest()[1])
+            if changed.counts_at_start is None and any(step.stage in AWAY_STAGES for step in changed.steps):
+                changed = dataclasses.replace(changed, counts_at_start=self._totals.latest_counts()[1])
             self._spawn(self._commit_step(changed, self._next_version(changed.name)))
         if has_lease:
             for closed in self._newly_closed(situation.windows.values()):
@@ -141,13 +143,13 @@
 
     def _newly_closed(self, windows: Iterable[Window]) -> list[Window]:
         """Finished windows for whose whole time every data-plane node has reported its counts."""
-        through, counts = self._totals.latest()
+        through, counts = self._totals.latest_counts()
         return [
-            dataclasses.replace(each, ended=counts)
+            dataclasses.replace(each, counts_at_end=counts)
             for each in windows
-            if each.over()
-            and each.begun is not None
-            and each.ended is None
+            if each.is_over()
+            and each.counts_at_start is not None
+            and each.counts_at_end is None
             and through >= ledger.epoch_of(max(step.since for step in each.steps))
         ]
 
@@ -165,28 +167,30 @@
                 code = (await self._commit_window(changed, version)).code
         except TimeoutError:
             code = ResultCode.BUSY
-        self._keeper.told(changed.name)
+        self._keeper.step_answered(changed.name)
         if code is ResultCode.DONE:
             stages = ", ".join(f"{s.machine} {s.stage}{': ' + s.why if s.why else ''}" for s in changed.steps)
-            self._ring.note(f"window {changed.name}: {stages}")
+            self._ring.record(f"window {changed.name}: {stages}")
 
     def _next_version(self, name: str) -> int:
         """The version after the one known now: a step derived from an older version gets a conflict."""
-        known = self._committed_items().items.get(WINDOW + name)
+        known = self._committed_items().items.get(WINDOW_PREFIX + name)
         return 1 if known is None else known.version + 1
 
     async def _commit_window(self, changed: Window, version: int) -> Answer:
         """Commits a version of a window; CONFLICT if another node has written that version."""
-        return await self._commit([Item(key=WINDOW + changed.name, version=version, value=changed.packed())])
+        return await self._commit(
+            [Item(key=WINDOW_PREFIX + changed.name, version=version, value=changed.encode())]
+        )
 
     def _record_usage(self, wall: float, has_lease: bool) -> None:
         """Tracks the peak usage of each service by hour; the lease holder saves it when the hour ends."""
         hour = hour_of_week(wall)
         slots_by_service: dict[str, float] = {}
         nodes = list(self._list_members())
-        self._totals.keep({node.name for node in nodes})
+        self._totals.retain_nodes({node.name for node in nodes})
         for node in nodes:
-            self._totals.take(node.name, node.through, node.tallies)
+            self._totals.add_report(node.name, node.through, node.tallies)
             if node.used:
                 slots_by_service[node.service] = slots_by_service.get(node.service, 0.0) + node.used
         for service, slots in slots_by_service.items():
@@ -199,11 +203,13 @@
         self._hour = hour
 
     def _save_usage(self, service: str, hour: int, slots: float) -> None:
-        known = self._committed_items().items.get(USED + service)
+        known = self._committed_items().items.get(USAGE_PREFIX + service)
         usage = json.loads(known.value) if known is not None and not known.dropped else {}
         usage[str(hour)] = slots
         version = 1 if known is None else known.version + 1
-        item = Item(key=USED + service, version=version, value=json.dumps(usage, sort_keys=True).encode())
+        item = Item(
+            key=USAGE_PREFIX + service, version=version, value=json.dumps(usage, sort_keys=True).encode()
+        )
         self._spawn(self._commit_item(item))
 
     async def _commit_item(self, item: Item) -> None:
@@ -215,7 +221,7 @@
         """Returns None for requests that are not about maintenance."""
         match call.method, call.segments:
             case "GET", ("contracts",):
-                found = self._committed_items().standing(CONTRACT)
+                found = self._committed_items().live_items(CONTRACT_PREFIX)
                 return _json({"contracts": {name: json.loads(i.value) for name, i in found.items()}})
             case "PATCH", ("contracts",):
                 return await self._patch_contracts(call.body)
@@ -233,11 +239,11 @@
                 return await self._request_window(name, call.body, keep=False)
             case "DELETE", ("maintenance", name):
                 return await self._alter_window(
-                    name, lambda w: controller.stopped(w, "an operator stopped it")
+                    name, lambda w: controller.stop_window(w, "an operator stopped it")
                 )
             case "POST", ("maintenance", name, "done", machine):
                 return await self._alter_window(
-                    name, lambda w: controller.done_early(w, machine, self._wall())
+                    name, lambda w: controller.finish_early(w, machine, self._wall())
                 )
             case _, ("contracts" | "maintenance", *_):
                 return ApiResponse(405)
@@ -245,11 +251,11 @@
 
     def _report(self, each: Window) -> dict[str, Any]:
         """Results of bookings in the window, so far or final.  ordinary: those between planning and start."""
-        if each.begun is None:
+        if each.counts_at_start is None:
             return {}
-        usual = ledger.difference(each.planned, each.begun)
-        end = each.ended if each.ended is not None else self._totals.latest()[1]
-        return ledger.report(each.begun, end, usual)
+        usual = ledger.difference(each.counts_at_plan, each.counts_at_start)
+        end = each.counts_at_end if each.counts_at_end is not None else self._totals.latest_counts()[1]
+        return ledger.report(each.counts_at_start, end, usual)
 
     async def _patch_contracts(self, body: bytes) -> ApiResponse:
         parsed = contract.parse(body)
@@ -263,7 +269,9 @@
         if answer.code is not ResultCode.DONE:
             return _commit_failed(answer.code)
         now = self._wall()
-        contracts = contract.standing((i.key[len(CONTRACT) :], i) for i in items if not i.dropped)
+        contracts = contract.read_contracts(
+            (i.key[len(CONTRACT_PREFIX) :], i) for i in items if not i.dropped
+        )
         return _json(
             {"warnings": [str(f) for each in contracts.values() for f in contract.warnings(each, now)]}
         )
@@ -276,12 +284,12 @@
         except (ValueError, RecursionError) as error:
             return _rejected(400, [Finding("cut_short", "the body", f"cannot be read whole: {error}")])
         order["machines"], order["tenants"] = tuple(order["machines"]), frozenset(order["tenants"])
-        planned = planner.plan(Order(name, **order), self._wall(), self.situation())
+        planned = planner.plan(WindowRequest(name, **order), self._wall(), self.situation())
         if isinstance(planned, list):
             return _rejected(409, planned)
         if not keep:
             return _json(describe_window(planned))
-        planned = dataclasses.replace(planned, planned=self._totals.latest()[1])
+        planned = dataclasses.replace(planned, counts_at_plan=self._totals.latest_counts()[1])
         answer = await self._commit_window(planned, self._next_version(name))
         if answer.code is not ResultCode.DONE:
             return _commit_failed(answer.code)
@@ -289,8 +297,8 @@
         return _json(describe_window(planned))
 
     async def _drop_old_windows(self) -> None:
-        for name in controller.finished(dict(self.situation().windows), MAX_FINISHED_WINDOWS):
-            known = self._committed_items().items[WINDOW + name]
+        for name in controller.surplus_finished(dict(self.situation().windows), MAX_FINISHED_WINDOWS):
+            known = self._committed_items().items[WINDOW_PREFIX + name]
             await self._commit([Item(key=known.key, version=known.version + 1, dropped=True)])
 
     async def _alter_window(self, name: str, alter: Callable[[Window], Window | None]) -> ApiResponse:
@@ -299,7 +307,7 @@
             known = self.situation().windows.get(name)
             if known is None:
                 return ApiResponse(404)
-            altered = None if known.over() else alter(known)
+            altered = None if known.is_over() else alter(known)
             if altered is None:
                 return ApiResponse(409, f"it is {known.state()}\n".encode())
             answer = await self._commit_window(altered, self._next_version(name))
@@ -320,7 +328,7 @@
         "to": each.end,
         "drain_s": each.drain_s,
         "return_s": each.return_s,
-        "stopped": each.stopped,
+        "stopped": each.stop_reason,
         "machines": steps,
     }
 
--- a/leadrudder/control_plane/operator_api.py
+++ b/leadrudder/control_plane/operator_api.py
@@ -10,10 +10,10 @@
 
 from returns.result import Failure, Success
 
-from leadrudder.bootstrap.log_buffer import Ring
+from leadrudder.bootstrap.log_buffer import LogBuffer
 from leadrudder.configuration import validation
-from leadrudder.configuration.item_store import Book
-from leadrudder.configuration.items import CORE, EVACUATION, SEATS_MOST, SERVICE
+from leadrudder.configuration.item_store import ItemStore
+from leadrudder.configuration.items import EVACUATION_PREFIX, MAX_VOTERS, SERVICE_PREFIX, VOTER_COUNT_KEY
 from leadrudder.consensus.anti_entropy import ReplicaLag
 from leadrudder.consensus.outputs import Answer, ResultCode
 from leadrudder.protocol.mesh_pb2 import Item
@@ -39,11 +39,11 @@
 
     def __init__(
         self,
-        committed_items: Callable[[], Book],
+        committed_items: Callable[[], ItemStore],
         commit: Commit,
         read_items: ReadItems,
         zones: Iterable[str],
-        ring: Ring,
+        ring: LogBuffer,
         pack_snapshot: PackSnapshot = lambda items: b"",
         list_replica_lag: Callable[[], list[ReplicaLag]] = list,
         describe_voters: Callable[[], dict[str, Any]] = dict,
@@ -101,15 +101,15 @@
             return self._reject(parsed.failure())
         assert isinstance(parsed, Success)
         patch = parsed.unwrap()
-        findings = validation.against(patch, self._committed_items().standing(SERVICE))
+        findings = validation.unknown_services(patch, self._committed_items().live_items(SERVICE_PREFIX))
         if findings:
             # The view of this process may be stale: a majority knows whether the service exists.
             answer = await self._read_items()
             if answer.code is not ResultCode.DONE:
                 return ApiResponse(503, b"no majority answered in time\n", _RETRY_AFTER)
-            book = Book()
-            book.take(answer.items)
-            findings = validation.against(patch, book.standing(SERVICE))
+            book = ItemStore()
+            book.merge(answer.items)
+            findings = validation.unknown_services(patch, book.live_items(SERVICE_PREFIX))
             if findings:
                 return self._reject(findings)
         items = [
@@ -120,21 +120,21 @@
         if answer.code is ResultCode.DONE:
             return ApiResponse(200, b"{}", _JSON_FIELDS)
         if answer.code is ResultCode.CONFLICT:
-            self._ring.note(f"409: {[c.key for c in patch.changes][:3]}")
+            self._ring.record(f"409: {[c.key for c in patch.changes][:3]}")
             return ApiResponse(409, b"an item's version has another value already\n")
         return ApiResponse(503, b"no majority answered in time\n", _RETRY_AFTER)
 
     def _reject(self, findings: list[validation.Finding]) -> ApiResponse:
-        self._ring.note(f"400: {findings[0]}")
+        self._ring.record(f"400: {findings[0]}")
         return ApiResponse(400, "".join(f"{finding}\n" for finding in findings[:20]).encode())
 
     async def _get_config(self) -> ApiResponse:
         answer = await self._read_items()
         if answer.code is not ResultCode.DONE:
             return ApiResponse(503, b"no majority answered in time\n", _RETRY_AFTER)
-        book = Book()
-        book.take(answer.items)
-        return ApiResponse(200, json.dumps(book.laid_out()).encode(), _JSON_FIELDS)
+        book = ItemStore()
+        book.merge(answer.items)
+        return ApiResponse(200, json.dumps(book.as_configuration()).encode(), _JSON_FIELDS)
 
     async def _get_snapshot(self) -> ApiResponse:
         answer = await self._read_items()
@@ -147,16 +147,16 @@
     async def _set_evacuation(self, zone: str, on: bool) -> ApiResponse:
         if self._zones and zone not in self._zones:
             return ApiResponse(404, b"no such zone\n")
-        return await self._commit_next_version(EVACUATION + zone, b"1" if on else b"0")
+        return await self._commit_next_version(EVACUATION_PREFIX + zone, b"1" if on else b"0")
 
     async def _resize_core(self, voters: str) -> ApiResponse:
         """Sets the number of voters: an odd one, as one voter more would tolerate no further loss."""
         wanted = int(voters) if voters.isascii() and voters.isdigit() and len(voters) <= 3 else 0
-        if not self._min_voters <= wanted <= SEATS_MOST or wanted % 2 == 0:
+        if not self._min_voters <= wanted <= MAX_VOTERS or wanted % 2 == 0:
             return ApiResponse(
-                400, f"an odd number from {self._min_voters} to {SEATS_MOST} is wanted\n".encode()
+                400, f"an odd number from {self._min_voters} to {MAX_VOTERS} is wanted\n".encode()
             )
-        return await self._commit_next_version(CORE, b"%d" % wanted)
+        return await self._commit_next_version(VOTER_COUNT_KEY, b"%d" % wanted)
 
     async def _commit_next_version(self, key: str, value: bytes) -> ApiResponse:
         known = self._committed_items().items.get(key)
--- a/leadrudder/control_plane/program.py
+++ b/leadrudder/control_plane/program.py
@@ -12,9 +12,9 @@
 from typing import TYPE_CHECKING
 
 from leadrudder.backup import snapshot
-from leadrudder.bootstrap.log_buffer import Ring
+from leadrudder.bootstrap.log_buffer import LogBuffer
 from leadrudder.bootstrap.settings import Settings
-from leadrudder.configuration.item_store import Book
+from leadrudder.configuration.item_store import ItemStore
 from leadrudder.consensus.lease import DUTIES, MAINTENANCE, MEMBER_EXPIRY
 from leadrudder.consensus.outputs import Answer, Committed, LogLine, Output, Send, Write
 from leadrudder.consensus.state_machine import ControlStateMachine
@@ -63,13 +63,13 @@
         self._maintenance_windows, self._wall, self._writer_factory = maintenance_windows, wall, writer
         self._rng = rng or Random()
         self._maintenance: MaintenanceCoordinator | None = None
-        self.address = f"{settings.ip}:{settings.signal_port}"
-        self.ring = Ring(settings.name)
-        self.invariants = Invariants(self.ring.wrong)
+        self.address = f"{settings.ip}:{settings.control_link_port}"
+        self.ring = LogBuffer(settings.name)
+        self.invariants = Invariants(self.ring.log_warning)
         self._loop_lag = LoopLag(time.monotonic if monotonic is None else monotonic)
         self._loop = asyncio.get_running_loop()
         self._store: Store = store or (
-            DbmStore(settings.data_folder) if settings.data_folder else MemoryStore()
+            DbmStore(settings.data_directory) if settings.data_directory else MemoryStore()
         )
         self._registry = MemberRegistry(self.address)
         self._links: dict[str, list[Link]] = {}  # by peer address, the newest last
@@ -77,7 +77,7 @@
             lambda key: self._committed_items().items.get(key), self._registry.nodes.get, self.invariants
         )
         self._peer_addresses: dict[str, None] = dict.fromkeys(
-            a for a in settings.seed_links if a != self.address
+            a for a in settings.seed_link_addresses if a != self.address
         )
         self._dialing: set[str] = set()
         self._pending_requests: dict[int, asyncio.Future[Answer]] = {}
@@ -91,15 +91,15 @@
         records = await self._open_store()
         corruption = getattr(self._store, "corrupt", "")
         if corruption:
-            self.ring.wrong(f"disk is corrupt and treated as lost: {corruption}")
-        self.ring.say(f"starting with {len(records)} records, first run: {self.settings.first_run}")
-        self._writer = self._writer_factory(self._store, self.ring.wrong)
+            self.ring.log_warning(f"disk is corrupt and treated as lost: {corruption}")
+        self.ring.log_info(f"starting with {len(records)} records, first run: {self.settings.first_run}")
+        self._writer = self._writer_factory(self._store, self.ring.log_warning)
         self.state_machine = ControlStateMachine(
             self.address,
             self.settings.zone,
             first_run=self.settings.first_run and not corruption,
-            seeds=self.settings.seed_links,
-            losses=self.settings.losses,
+            seeds=self.settings.seed_link_addresses,
+            losses=self.settings.tolerated_machine_losses,
             rng=self._rng,
             kept=records,
             duties=(*DUTIES, MAINTENANCE) if self._maintenance_windows else DUTIES,
@@ -124,13 +124,13 @@
             self._pack_snapshot,
             self.state_machine.anti_entropy.replica_lag,
             self.state_machine.describe_voters,
-            2 * self.settings.losses + 1,
+            2 * self.settings.tolerated_machine_losses + 1,
             self._maintenance.dispatch if self._maintenance is not None else None,
             self._metrics().text,
         )
         self._api_server = ApiServer(
             operator_api.dispatch,
-            lambda e: self.ring.wrong(f"unhandled exception in an operator request: {e!r}"),
+            lambda e: self.ring.log_warning(f"unhandled exception in an operator request: {e!r}"),
         )
         host, port = self.address.rsplit(":", 1)
         self._listener = await self._loop.create_server(
@@ -163,7 +163,7 @@
             try:
                 return self._store.open()
             except DiskError as error:
-                self.ring.note(f"disk cannot be read, retrying: {error}")
+                self.ring.record(f"disk cannot be read, retrying: {error}")
                 await asyncio.sleep(DISK_OPEN_RETRY_S)
         return self._store.open()
 
@@ -189,7 +189,7 @@
                 if future is not None and not future.done():
                     future.set_result(output)
             elif isinstance(output, LogLine):
-                self.ring.note(output.text)
+                self.ring.record(output.text)
 
     def _send_to_peer(self, output: Send) -> None:
         if output.to == self.address:
@@ -368,7 +368,7 @@
 
     # ------------------------------------------------------------ operators
 
-    def _committed_items(self) -> Book:
+    def _committed_items(self) -> ItemStore:
         return self.state_machine.committed
 
     def _pack_snapshot(self, items: Iterable[Item]) -> bytes:
@@ -405,7 +405,7 @@
         """Handles SIGTERM: hands over and exits as soon as the remaining voters no longer need this node."""
         if self._resign_by < float("inf"):
             return
-        self.ring.say("received SIGTERM")
+        self.ring.log_info("received SIGTERM")
         now = self._loop.time()
         self._resign_by = now + max(0.0, self.settings.bounds.grace / 1000.0 - EXIT_MARGIN_S - HANDOVER_S)
         self._resign_when_safe(now)
@@ -419,7 +419,7 @@
             return
         if not self.state_machine.may_leave() and now < self._resign_by:
             return
-        self.ring.say("shutting down: handing over owned sections")
+        self.ring.log_info("shutting down: handing over owned sections")
         self._api_server.closing = True
         self._apply_outputs(self.state_machine.resign(now))
         for link in self._feeds.links():
--- a/leadrudder/data_plane/machine_drains.py
+++ b/leadrudder/data_plane/machine_drains.py
@@ -8,10 +8,10 @@
 
 from collections.abc import Callable
 
-from leadrudder.configuration.item_store import Book
-from leadrudder.configuration.items import CONTRACT, Route
+from leadrudder.configuration.item_store import ItemStore
+from leadrudder.configuration.items import CONTRACT_PREFIX, Route
 from leadrudder.maintenance import window
-from leadrudder.maintenance.window import WINDOW, Loans
+from leadrudder.maintenance.window import WINDOW_PREFIX, DrainSchedule
 
 
 class MachineDrains:
@@ -34,20 +34,22 @@
             on_drain_ended,
         )
         self._ends_at: dict[float, float] = {}  # on the monotonic clock, by end on the wall clock
-        self._drains = Loans()
+        self._drains = DrainSchedule()
         self._next_end_at = float("inf")
 
     def any(self) -> bool:
         return bool(self._drains.by_machine)
 
-    def update(self, book: Book) -> None:
+    def update(self, book: ItemStore) -> None:
         """Update the drains from the configuration."""
-        windows = window.standing(book.standing(WINDOW).items())
-        self._drains = Loans.of(windows, window.owns(book.standing(CONTRACT).items()))
+        windows = window.read_windows(book.live_items(WINDOW_PREFIX).items())
+        self._drains = DrainSchedule.from_windows(
+            windows, window.read_tenant_traffic(book.live_items(CONTRACT_PREFIX).items())
+        )
         # The drain must end on time even if the wall clock is set back meanwhile.
         offset = self._monotonic() - self._wall()
         previous, self._ends_at = self._ends_at, {}
-        for until in self._drains.ends():
+        for until in self._drains.end_times():
             self._ends_at[until] = min(until + offset, previous.get(until, float("inf")))
         self._schedule_next_end()
 
@@ -56,7 +58,7 @@
         monotonic = self._monotonic()
         return any(
             monotonic < self._ends_at.get(drain.until, 0.0)
-            for drain in self._drains.of_machine(machine, route.name, route.host, now)
+            for drain in self._drains.active_drains(machine, route.name, route.host, now)
         )
 
     def _schedule_next_end(self) -> None:
--- a/leadrudder/data_plane/mesh_state.py
+++ b/leadrudder/data_plane/mesh_state.py
@@ -12,8 +12,8 @@
 from random import Random
 
 from leadrudder.bootstrap.settings import Settings
-from leadrudder.configuration.item_store import Book, kind_of
-from leadrudder.configuration.items import CONTRACT, EVACUATION, WINDOW, Route
+from leadrudder.configuration.item_store import ItemStore, kind_of
+from leadrudder.configuration.items import CONTRACT_PREFIX, EVACUATION_PREFIX, WINDOW_PREFIX, Route
 from leadrudder.configuration.routing_table import RoutingTable
 from leadrudder.data_plane.admission_control import AdmissionController
 from leadrudder.data_plane.candidates import Candidates, Distance
@@ -54,7 +54,7 @@
         monotonic: Callable[[], float],
         machine_drains_enabled: bool,
     ) -> None:
-        self.book = Book()
+        self.book = ItemStore()
         self.routing = RoutingTable()
         self.members = MemberRegistry("")
         self.endpoints = EndpointTable()
@@ -118,7 +118,7 @@
 
     def _apply_items(self, items: Iterable[Item]) -> None:
         """Put routes in force at once; dependent changes are applied with the next pass."""
-        accepted = self.book.take(items)
+        accepted = self.book.merge(items)
         if not accepted:
             return
         read_before = self.routing.items_read
@@ -135,8 +135,8 @@
         pending.services |= changed.services
         pending.sources |= changed.called_services
         kinds = {kind_of(item.key) for item in accepted}
-        pending.evacuations |= EVACUATION in kinds
-        if self._machine_drains_enabled and kinds & {WINDOW, CONTRACT}:
+        pending.evacuations |= EVACUATION_PREFIX in kinds
+        if self._machine_drains_enabled and kinds & {WINDOW_PREFIX, CONTRACT_PREFIX}:
             self.machine_drains.update(self.book)
             pending.machine_drains = True
 
@@ -193,7 +193,7 @@
 
     def _evacuate(self) -> set[str]:
         """Returns the services that may have servers in zones whose evacuation began or ended."""
-        evacuated = self.book.evacuated()
+        evacuated = self.book.evacuated_zones()
         if evacuated == self._evacuated:
             return set()
         self._evacuated = evacuated
@@ -226,7 +226,7 @@
             return
         service = self.routing.services.get(life.service)
         if service is not None:
-            self._admission.cold_per_s = service.cold_per_s
+            self._admission.cold_per_s = service.cold_start_requests_per_s
 
     # ------------------------------------------------------------ candidate servers
 
--- a/leadrudder/data_plane/program.py
+++ b/leadrudder/data_plane/program.py
@@ -14,8 +14,8 @@
 
 from returns.result import Success
 
-from leadrudder.bootstrap.log_buffer import Ring
-from leadrudder.bootstrap.settings import Settings, load
+from leadrudder.bootstrap.log_buffer import LogBuffer
+from leadrudder.bootstrap.settings import Settings, load_settings
 from leadrudder.configuration.items import Route
 from leadrudder.data_plane.admission_control import AdmissionController, ServerInstance
 from leadrudder.data_plane.inbound import InboundProxy, Withdraw, no_withdrawal
@@ -68,11 +68,11 @@
         """maintenance_windows: whether they are enabled.  The simulation passes the other arguments."""
         self.settings = settings
         self._maintenance_windows, self._wall = maintenance_windows, wall
-        self.log_buffer = Ring(settings.name)
-        self.invariants = Invariants(self.log_buffer.wrong)
+        self.log_buffer = LogBuffer(settings.name)
+        self.invariants = Invariants(self.log_buffer.log_warning)
         self._loop = asyncio.get_running_loop()
         self._rng = rng or Random()
-        self._address = f"{settings.ip}:{settings.station_port}"
+        self._address = f"{settings.ip}:{settings.proxy_link_port}"
         self._incarnation = int(wall() * 1e6)
         self._report_number = 0
         self._lag = LoopLag(platform.monotonic)
@@ -85,7 +85,7 @@
             on_applied=lambda: self._inbound.process_queue(),
             subscribe=lambda services: self._session.subscribe(services),
             session_established=lambda: self._session.established() and self._terminated_at is None,
-            note=self.log_buffer.note,
+            note=self.log_buffer.record,
             rng=self._rng,
             wall=wall,
             monotonic=platform.monotonic,
@@ -99,7 +99,7 @@
         self._refusals_logged_at = 0.0
         self._calls_shed = 0  # calls to the local server, refused because this process was overloaded
         self._local_server = LocalServer(
-            settings.app or (settings.ip, 0), max_connections=100, platform=platform
+            settings.application_address or (settings.ip, 0), max_connections=100, platform=platform
         )
         self._ledger = Ledger()
         self._accounting = RequestAccounting(
@@ -109,14 +109,16 @@
             now=self._loop.time,
             wall=wall,
             lag_s=self._lag.seconds,
-            log=self.log_buffer.note,
+            log=self.log_buffer.record,
         )
         self._inbound = InboundProxy(
             self.admission,
             self._local_server,
-            self.log_buffer.note,
+            self.log_buffer.record,
             self._is_drained_here,
-            (lambda epoch: self._ledger.ran(settings.service, epoch)) if maintenance_windows else None,
+            (lambda epoch: self._ledger.record_execution(settings.service, epoch))
+            if maintenance_windows
+            else None,
         )
         self._peak_slots_used = 0  # highest number of slots of the local server in use since the last report
         self._peer_links = PeerLinks()
@@ -126,25 +128,25 @@
             self._begin_request,
             lambda: self.state.routing.limits,
             lambda: self._outbound.open_requests < MAX_OPEN_REQUESTS,
-            BODY_MEMORY_FRACTION * settings.ram_mb * 1e6,
+            BODY_MEMORY_FRACTION * settings.memory_limit_mb * 1e6,
             self._lag.seconds,
         )
         server_api = ServerApi(self._on_heartbeat, self._on_deregistered, self.ready, self._metrics().text)
         self._api_server = ApiServer(
-            server_api.dispatch, lambda error: self.log_buffer.wrong(f"unhandled API error: {error!r}")
+            server_api.dispatch, lambda error: self.log_buffer.log_warning(f"unhandled API error: {error!r}")
         )
         self._session = Session(
-            settings.seed_links,
+            settings.seed_link_addresses,
             self._next_report,
             self._on_news,
             self.state.discovery.on_session_ended,
             self._rng,
-            self.log_buffer.note,
+            self.log_buffer.record,
         )
 
     async def start(self) -> None:
         settings = self.settings
-        self.log_buffer.say("starting")
+        self.log_buffer.log_info("starting")
         host, port = self._address.rsplit(":", 1)
         self._listener = await self._loop.create_server(
             lambda: Link(self, silence_timeout_s=30.0), host, int(port), family=socket.AF_INET, backlog=1024
@@ -187,9 +189,9 @@
     # ------------------------------------------------------------ requests of local clients
 
     def _begin_request(self, route: Route, request: ClientRequest) -> Callable[[], None]:
-        service = route.split[0][0]
-        if len(route.split) > 1:
-            names, shares = zip(*route.split, strict=True)
+        service = route.service_shares[0][0]
+        if len(route.service_shares) > 1:
+            names, shares = zip(*route.service_shares, strict=True)
             service = self._rng.choices(names, shares)[0]
         self._accounting.track(route, service, request)
         return self.state.upstreams.load_balancer_for(route, service).submit(request)
@@ -213,7 +215,7 @@
             body=request.body,
             attempt_id=request.attempt_id,
             left_ms=1000.0 * (request.deadline - now),
-            once=route.once,
+            once=route.at_most_once,
             may_wait=may_wait,
             priority=max(0, route.priority),
             aim_ms=route.target_ms - request.waited_ms - 1000.0 * (now - request.started_at),
@@ -360,8 +362,10 @@
             return  # a connection attempt begun now would outlive the event loop
         self._loop.call_later(TICK_INTERVAL_S, self._tick)
         now = self._loop.time()
-        if self.admission.expire_instance(now, MAX_MISSED_HEARTBEATS * self.settings.beat_ms / 1000.0):
-            self.log_buffer.note("the local server has sent no heartbeat and counts as crashed")
+        if self.admission.expire_instance(
+            now, MAX_MISSED_HEARTBEATS * self.settings.heartbeat_interval_ms / 1000.0
+        ):
+            self.log_buffer.record("the local server has sent no heartbeat and counts as crashed")
             self._local_server.clear_instance()
             self._publish_change()
         self._peer_links.close_idle()
@@ -370,7 +374,7 @@
             self._report_usage()
         if self._refusals and now - self._refusals_logged_at >= REFUSAL_LOG_INTERVAL_S:
             self._refusals_logged_at = now
-            self.log_buffer.note(
+            self.log_buffer.record(
                 "calls without a response: "
                 + ", ".join(f"{why} {n}" for why, n in self._refusals.most_common(8))
             )
@@ -381,23 +385,23 @@
     def _report_usage(self) -> None:
         """Report slots in use and request outcomes each epoch; maintenance windows are planned by these."""
         self._peak_slots_used = max(self._peak_slots_used, self.admission.running_calls)
-        if self._ledger.close(self._wall()):
+        if self._ledger.close_epochs(self._wall()):
             self._session.report(self._next_report())
             self._peak_slots_used = 0
 
     def _reload(self) -> None:
         """Handle SIGHUP: reload the settings file."""
-        read = load()
+        read = load_settings()
         if isinstance(read, Success):
-            self._session.seeds = read.unwrap().seed_links
+            self._session.seeds = read.unwrap().seed_link_addresses
         else:
-            self.log_buffer.wrong(f"reload failed, keeping the previous settings: {read.failure()}")
+            self.log_buffer.log_warning(f"reload failed, keeping the previous settings: {read.failure()}")
 
     def terminate(self) -> None:
         """Handle SIGTERM: finish open requests, refuse new ones that would not end in time, then stop."""
         if self._terminated_at is not None:
             return
-        self.log_buffer.say(
+        self.log_buffer.log_info(
             f"stopping: {self._outbound.open_requests} open requests, "
             f"{self.admission.running_calls} running calls"
         )
--- a/leadrudder/data_plane/request_accounting.py
+++ b/leadrudder/data_plane/request_accounting.py
@@ -81,6 +81,6 @@
         took_ms: float,
     ) -> None:
         request_id = client_request.attempt_id.decode("latin-1")
-        ledger.answered(service, client_request.epoch, route.once, request_id, result, took_ms)
-        if route.once and isinstance(result, RequestFailure) and result.ran is not Executed.NEVER:
+        ledger.record_answer(service, client_request.epoch, route.at_most_once, request_id, result, took_ms)
+        if route.at_most_once and isinstance(result, RequestFailure) and result.ran is not Executed.NEVER:
             self._log(f"in doubt: {request_id} of {route.name}: {result.why}")
--- a/leadrudder/data_plane/server_api.py
+++ b/leadrudder/data_plane/server_api.py
@@ -9,7 +9,7 @@
 
 from marshmallow import EXCLUDE, Schema, ValidationError, fields
 
-from leadrudder.bootstrap.settings import Duration
+from leadrudder.bootstrap.settings import DurationField
 from leadrudder.transport.http import PLAIN_TEXT, ApiRequest, ApiResponse
 
 MAX_HEARTBEAT_BYTES = 4096
@@ -32,7 +32,7 @@
 
     state = fields.String(load_default="ready")
     count = fields.Integer(data_key="callCount", load_default=0)
-    cold_ms = Duration(data_key="coldLeft", load_default=0.0)
+    cold_ms = DurationField(data_key="coldLeft", load_default=0.0)
 
 
 class _HeartbeatSchema(Schema):
--- a/leadrudder/data_plane/upstreams.py
+++ b/leadrudder/data_plane/upstreams.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 from random import Random
 
-from leadrudder.bootstrap.settings import Bounds
+from leadrudder.bootstrap.settings import RuleBounds
 from leadrudder.configuration.items import Route
 from leadrudder.data_plane.candidates import Candidates
 from leadrudder.data_plane.load_balancer import LoadBalancer, SendAttempt
@@ -19,7 +19,7 @@
 
     def __init__(
         self,
-        bounds: Bounds,
+        bounds: RuleBounds,
         candidates: Callable[[str, Route], Candidates],
         send_attempt: SendAttempt,
         log: Callable[[str], None],
@@ -107,9 +107,13 @@
 
         A removed load balancer still completes its open requests: each holds a reference to it.
         """
-        called_services = {service for service, _ in route.split} if route is not None else set()
+        called_services = {service for service, _ in route.service_shares} if route is not None else set()
         for service, load_balancer in list(self._by_route.get(route_name, {}).items()):
-            if route is None or service not in called_services or load_balancer.route.once != route.once:
+            if (
+                route is None
+                or service not in called_services
+                or load_balancer.route.at_most_once != route.at_most_once
+            ):
                 self._remove((route_name, service))
             else:
                 load_balancer.route = route
--- a/leadrudder/maintenance/hours.py
+++ b/leadrudder/maintenance/hours.py
@@ -1,8 +1,9 @@
-"""Hours of a contract in its own time zone, as spans of universal time. Times are seconds since 1970.
+"""The approved hours of a contract: rules in local time, evaluated to intervals of UTC.
 
-A moment is approved by what the clock on the tenant's wall shows then: an hour that comes twice is approved
-both times, one that does not come is not, and a span that crosses a change of the clocks is as long as it
-then is. Days that are never approved and busy times win over all else.
+A moment is approved according to the local time at that moment. At changes of daylight saving time an hour
+that occurs twice is approved both times, an hour that is skipped is not, and an interval across the change
+has its actual length. Excluded days and busy hours take precedence over approved hours. Times are seconds
+since 1970.
 """
 
 from __future__ import annotations
@@ -18,68 +19,70 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Span:
-    """From begin on, and until before end."""
+class Interval:
+    """A half-open interval: from begin, up to but not including end."""
 
     begin: float
     end: float
 
-    def holds(self, other: Span) -> bool:
+    def contains(self, other: Interval) -> bool:
         return self.begin <= other.begin and other.end <= self.end
 
 
-def merged(spans: Iterable[Span]) -> list[Span]:
-    """The same moments as few spans in order."""
-    out: list[Span] = []
-    for span in sorted(span for span in spans if span.end > span.begin):
-        if out and span.begin <= out[-1].end:
-            out[-1] = Span(out[-1].begin, max(out[-1].end, span.end))
+def merge_intervals(intervals: Iterable[Interval]) -> list[Interval]:
+    """The union of the intervals, sorted and without overlaps."""
+    merged: list[Interval] = []
+    for interval in sorted(interval for interval in intervals if interval.end > interval.begin):
+        if merged and interval.begin <= merged[-1].end:
+            merged[-1] = Interval(merged[-1].begin, max(merged[-1].end, interval.end))
         else:
-            out.append(span)
-    return out
+            merged.append(interval)
+    return merged
 
 
-def common(one: Iterable[Span], other: Iterable[Span]) -> list[Span]:
-    """Moments in both; each is merged and in order."""
-    first, second, out = list(one), list(other), []
+def intersect(one: Iterable[Interval], other: Iterable[Interval]) -> list[Interval]:
+    """The intersection of two sorted lists of disjoint intervals."""
+    first, second, common = list(one), list(other), []
     i = j = 0
     while i < len(first) and j < len(second):
         begin, end = max(first[i].begin, second[j].begin), min(first[i].end, second[j].end)
         if begin < end:
-            out.append(Span(begin, end))
+            common.append(Interval(begin, end))
         if first[i].end < second[j].end:
             i += 1
         else:
             j += 1
-    return out
+    return common
 
 
-def without(one: Iterable[Span], other: Iterable[Span]) -> list[Span]:
-    """Moments of the first that are in none of the second; both are merged and in order."""
+def subtract(one: Iterable[Interval], other: Iterable[Interval]) -> list[Interval]:
+    """The first list without the second; both are sorted and disjoint."""
     out = []
-    taken = list(other)
-    for span in one:
-        begin = span.begin
-        for off in taken:
-            if off.end <= begin or off.begin >= span.end:
+    excluded = list(other)
+    for interval in one:
+        begin = interval.begin
+        for gap in excluded:
+            if gap.end <= begin or gap.begin >= interval.end:
                 continue
-            if off.begin > begin:
-                out.append(Span(begin, off.begin))
-            begin = off.end
-        if begin < span.end:
-            out.append(Span(begin, span.end))
+            if gap.begin > begin:
+                out.append(Interval(begin, gap.begin))
+            begin = gap.end
+        if begin < interval.end:
+            out.append(Interval(begin, interval.end))
     return out
 
 
-def narrowed(spans: Iterable[Span], by: float) -> list[Span]:
-    """Both edges of each moved inwards: clocks may be apart by so much."""
-    return [Span(s.begin + by, s.end - by) for s in spans if s.end - s.begin > 2 * by]
+def shrink(intervals: Iterable[Interval], by: float) -> list[Interval]:
+    """Move both ends of each interval inwards, to allow for clock skew."""
+    return [Interval(s.begin + by, s.end - by) for s in intervals if s.end - s.begin > 2 * by]
 
 
 @dataclass(frozen=True, slots=True)
-class Rule:
-    """Some hours of some days: minutes since midnight; an end that is not after the beginning is on the next
-    day.  days: of the week, 0 is Monday; on: a single date instead.
+class HoursRule:
+    """Hours of certain days, in minutes since midnight.
+
+    An end that is not after the beginning is on the next day.  days: weekdays, 0 is Monday; on: a single date
+    instead.
     """
 
     begin: int
@@ -87,8 +90,8 @@
     days: frozenset[int] = frozenset()
     on: date | None = None
 
-    def of(self, day: date) -> tuple[float, float] | None:
-        """The hours that begin on a day, in seconds since its midnight; None: it has none."""
+    def seconds_on(self, day: date) -> tuple[float, float] | None:
+        """Begin and end of the hours that start on a day, in seconds since its midnight; None: no hours."""
         if day != self.on and (self.on is not None or day.weekday() not in self.days):
             return None
         end = self.end if self.end > self.begin else self.end + 24 * 60
@@ -96,64 +99,63 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Hours:
-    """When a tenant's machines may be taken out of its traffic."""
+class ApprovedHours:
+    """The hours in which machines may be taken out of a tenant's traffic."""
 
     zone: ZoneInfo
-    approved: tuple[Rule, ...]
-    busy: tuple[Rule, ...] = ()
+    approved: tuple[HoursRule, ...]
+    busy: tuple[HoursRule, ...] = ()
     never: frozenset[date] = frozenset()
 
-    def between(self, begin: float, end: float) -> list[Span]:
-        """The approved spans of a time, exact to the second of a change of the clocks."""
-        out: list[Span] = []
-        for segment, offset in _segments(self.zone, begin, end):
-            local = Span(segment.begin + offset, segment.end + offset)
-            wanted = common(merged(self._spans(self.approved, local)), [local])
-            wanted = without(wanted, merged(self._spans(self.busy, local)))
-            wanted = without(wanted, merged(_whole(day) for day in self.never))
-            out += [Span(s.begin - offset, s.end - offset) for s in wanted]
-        return merged(out)
-
-    def _spans(self, rules: tuple[Rule, ...], local: Span) -> Iterator[Span]:
-        """What rules give on the wall's clock, told as if it were universal time."""
+    def intervals_between(self, begin: float, end: float) -> list[Interval]:
+        """The approved intervals within a time range, exact to the second at changes of the UTC offset."""
+        intervals: list[Interval] = []
+        for segment, offset in _constant_offset_segments(self.zone, begin, end):
+            local = Interval(segment.begin + offset, segment.end + offset)
+            allowed = intersect(merge_intervals(self._local_intervals(self.approved, local)), [local])
+            allowed = subtract(allowed, merge_intervals(self._local_intervals(self.busy, local)))
+            allowed = subtract(allowed, merge_intervals(_whole_day(day) for day in self.never))
+            intervals += [Interval(s.begin - offset, s.end - offset) for s in allowed]
+        return merge_intervals(intervals)
+
+    def _local_intervals(self, rules: tuple[HoursRule, ...], local: Interval) -> Iterator[Interval]:
+        """The intervals of the rules in local time, as seconds since 1970 local time."""
         day = _EPOCH + timedelta(days=int(local.begin // DAY_S) - 1)
         last = _EPOCH + timedelta(days=int(local.end // DAY_S))
         while day <= last:
-            midnight = _whole(day).begin
+            midnight = _whole_day(day).begin
             for rule in rules:
-                if (found := rule.of(day)) is not None:
-                    yield Span(midnight + found[0], midnight + found[1])
+                if (hours := rule.seconds_on(day)) is not None:
+                    yield Interval(midnight + hours[0], midnight + hours[1])
             day += timedelta(days=1)
 
 
-def _whole(day: date) -> Span:
+def _whole_day(day: date) -> Interval:
     begin = (day - _EPOCH).days * DAY_S
-    return Span(begin, begin + DAY_S)
+    return Interval(begin, begin + DAY_S)
 
 
-def _offset(zone: ZoneInfo, at: float) -> float:
+def _utc_offset_s(zone: ZoneInfo, at: float) -> float:
     shift = datetime.fromtimestamp(at, UTC).astimezone(zone).utcoffset()
     assert shift is not None
     return shift.total_seconds()
 
 
-def _segments(zone: ZoneInfo, begin: float, end: float) -> Iterator[tuple[Span, float]]:
-    """Parts of a time in which the zone's clocks are not changed, each with their distance from universal
-    time."""
-    at, offset = begin, _offset(zone, begin)
+def _constant_offset_segments(zone: ZoneInfo, begin: float, end: float) -> Iterator[tuple[Interval, float]]:
+    """The parts of a time range that have a constant UTC offset, each with its offset."""
+    at, offset = begin, _utc_offset_s(zone, begin)
     probe = begin
     while probe < end:
         probe = min(end, probe + HOUR_S)
-        if _offset(zone, probe) == offset:
+        if _utc_offset_s(zone, probe) == offset:
             continue
-        low, high = probe - HOUR_S, probe  # the change lies between: found to the second, as rules have them
+        low, high = probe - HOUR_S, probe  # bisect for the change, which falls on a whole second
         while high - low > 0.5:
             middle = (low + high) / 2.0
-            low, high = (middle, high) if _offset(zone, middle) == offset else (low, middle)
+            low, high = (middle, high) if _utc_offset_s(zone, middle) == offset else (low, middle)
         change = float(round(high))
         if change > at:
-            yield Span(at, change), offset
-        at, offset = change, _offset(zone, probe)
+            yield Interval(at, change), offset
+        at, offset = change, _utc_offset_s(zone, probe)
     if at < end:
-        yield Span(at, end), offset
+        yield Interval(at, end), offset
--- a/leadrudder/mesh/demo.py
+++ b/leadrudder/mesh/demo.py
@@ -20,7 +20,7 @@
 
 from leadrudder.backup import snapshot
 from leadrudder.emulation.standins import call, request
-from leadrudder.maintenance.contract import DAYS
+from leadrudder.maintenance.contract import WEEKDAYS
 from leadrudder.mesh import snapshots
 from leadrudder.transport.http import BufferedHttpMessage, HttpReader, render_response
 
@@ -211,7 +211,7 @@
     """Deletes the disks of all control-plane nodes and restores their state from a snapshot."""
     control_addresses = [(ip, fleet.base_port) for ip in fleet.control_plane_ips]
     downloaded = await _call_until("snapshot", _render_request("GET", "/snapshot"), control_addresses)
-    path = snapshot.keep(str(folder / "kept"), downloaded.body, time.time(), 1)
+    path = snapshot.save_snapshot(str(folder / "kept"), downloaded.body, time.time(), 1)
     codes = await _terminate([fleet.processes[ip] for ip in fleet.control_plane_ips])
     for disk in folder.glob("disk-*"):
         shutil.rmtree(disk)
@@ -234,7 +234,7 @@
     """Takes the first machine out of the tenant's traffic for a while, under continuous requests."""
     control_addresses = [(ip, fleet.base_port) for ip in fleet.control_plane_ips]
     contract = {"hosts": ["demo.example"], "timeZone": "Europe/Helsinki", "capacityLeft": 0.5, "version": "1"}
-    contract["approved"] = [{"days": list(DAYS), "from": "00:00", "to": "24:00"}]
+    contract["approved"] = [{"days": list(WEEKDAYS), "from": "00:00", "to": "24:00"}]
     body = json.dumps({"addOrReplace": {"contracts": {"kampaamo": contract}}}).encode()
     await _call_until("contract taken", _render_request("PATCH", "/contracts", body), control_addresses)
     order = {"from": time.time(), "to": time.time() + 60.0, "machines": ["station-3"], "works": "2s"}
--- a/leadrudder/mesh/snapshots.py
+++ b/leadrudder/mesh/snapshots.py
@@ -50,7 +50,7 @@
     if isinstance(unpacked, Failure):
         return _print_error(f"{node}: {unpacked.failure()}")
     try:
-        path = snapshot.keep(folder, data, unpacked.unwrap().taken_s, max_kept)
+        path = snapshot.save_snapshot(folder, data, unpacked.unwrap().taken_s, max_kept)
     except OSError as error:
         return _print_error(f"{folder}: {error.strerror}")
     print(f"{path}: {unpacked.unwrap().summary()}")
@@ -99,7 +99,7 @@
     """Prints the contents of snapshots.  0: all are valid; 1: some are not."""
     invalid = 0
     for path in paths:
-        loaded = snapshot.load(path)
+        loaded = snapshot.load_snapshot(path)
         if isinstance(loaded, Success):
             print(f"{path}: {loaded.unwrap().summary()}")
         else:
@@ -117,12 +117,12 @@
             return _print_error(f"--holders: not IP:PORT: {holder!r}")
     contents: list[Snapshot] = []
     for path in sources:
-        loaded = snapshot.load(path)
+        loaded = snapshot.load_snapshot(path)
         if isinstance(loaded, Failure):
             return _print_error(loaded.failure())
         contents.append(loaded.unwrap())
         print(f"from {path}: {contents[-1].summary()}")
-    records = snapshot.restored(contents, list(holders))
+    records = snapshot.restored_records(contents, list(holders))
     for holder in holders:
         folder = os.path.join(into, holder.replace(":", "-"))
         try:
--- a/leadrudder/mesh/windows.py
+++ b/leadrudder/mesh/windows.py
@@ -11,7 +11,7 @@
 
 from returns.result import Failure, Result
 
-from leadrudder.maintenance.ledger import longest
+from leadrudder.maintenance.ledger import bucket_upper_bound_ms
 from leadrudder.mesh.snapshots import call_api
 
 WATCH_PERIOD_S = 2.0
@@ -139,7 +139,8 @@
         for i, n in enumerate(counts)
     ]
     labels = [
-        f'<text x="{12 * i}" y="134" font-size="9">{longest(i):.0f}</text>' for i in range(0, len(took), 4)
+        f'<text x="{12 * i}" y="134" font-size="9">{bucket_upper_bound_ms(i):.0f}</text>'
+        for i in range(0, len(took), 4)
     ]
     width = 12 * len(took) + 30
     return f'<svg width="{width}" height="140">{"".join(bars)}{"".join(labels)}</svg><p>ms'
--- a/tests/mesh/test_control.py
+++ b/tests/mesh/test_control.py
@@ -14,10 +14,10 @@
 
 from returns.result import Failure, Success
 
-from leadrudder.bootstrap.log_buffer import LINES, Ring
-from leadrudder.bootstrap.settings import read
-from leadrudder.bootstrap.start import start
-from leadrudder.configuration.item_store import Book
+from leadrudder.bootstrap.log_buffer import CAPACITY_LINES, LogBuffer
+from leadrudder.bootstrap.settings import parse_settings
+from leadrudder.bootstrap.start import run_program
+from leadrudder.configuration.item_store import ItemStore
 from leadrudder.consensus.outputs import Answer, ResultCode
 from leadrudder.control_plane.operator_api import OperatorApi
 from leadrudder.data_plane.server_api import Heartbeat, ServerApi
@@ -43,11 +43,13 @@
 
 class SettingsTest(unittest.TestCase):
     def test_unknown_fields_are_ignored(self) -> None:
-        settings = read(FILE)
+        settings = parse_settings(FILE)
         assert isinstance(settings, Success)
         found = settings.unwrap()
-        self.assertEqual((found.bounds.drain, found.bounds.retry_ratio, found.losses), (2500.0, 0.2, 2))
-        self.assertEqual(found.seed_links, ("10.1.0.12:7620",))
+        self.assertEqual(
+            (found.bounds.drain, found.bounds.retry_ratio, found.tolerated_machine_losses), (2500.0, 0.2, 2)
+        )
+        self.assertEqual(found.seed_link_addresses, ("10.1.0.12:7620",))
 
     def test_invalid_field_is_named_in_one_line(self) -> None:
         for change, name in (
@@ -59,7 +61,7 @@
             ({"addresses": {"controlPort": 5}}, "controlPort"),
         ):
             with self.subTest(name):
-                failed = read({**FILE, **change})
+                failed = parse_settings({**FILE, **change})
                 assert isinstance(failed, Failure)
                 self.assertIn(name, failed.failure())
                 self.assertNotIn("\n", failed.failure())
@@ -81,7 +83,7 @@
                 stderr = io.StringIO()
                 environment = {"LEADRUDDER_NODE_FILE": path}
                 with self.subTest(word), mock.patch.dict("os.environ", environment), redirect_stderr(stderr):
-                    self.assertEqual(start("p", "plane", serve, arguments=[]), 2)
+                    self.assertEqual(run_program("p", "plane", serve, arguments=[]), 2)
                     self.assertIn(word, stderr.getvalue())
                     self.assertEqual(stderr.getvalue().count("\n"), 1)
 
@@ -135,7 +137,7 @@
 
 class ApiTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.book = Book()
+        self.book = ItemStore()
         self.changes: list[list[Item]] = []
         self.answers: list[Answer] = []
 
@@ -147,7 +149,7 @@
         return Answer(0, ResultCode.DONE, tuple(self.book.items.values()))
 
     def call(self, method: str, *segments: str, body: bytes = b"") -> ApiResponse:
-        api = OperatorApi(lambda: self.book, self._change, self._read, ("z",), Ring("r"))
+        api = OperatorApi(lambda: self.book, self._change, self._read, ("z",), LogBuffer("r"))
         return run(api.dispatch(ApiRequest(method, segments, body)))
 
     def test_unknown_paths_methods_and_bodies_are_rejected(self) -> None:
@@ -176,7 +178,7 @@
         self.assertEqual([(i.version, i.value) for (i,) in self.changes], [(1, b"1"), (5, b"1")])
 
     def test_config_reads_back_as_it_was_written(self) -> None:
-        self.book.take(
+        self.book.merge(
             [
                 Item(key="routes/r", version=2, value=b'{"host":"h"}'),
                 Item(key="routes/gone", version=3, dropped=True),
@@ -209,11 +211,11 @@
         self.assertEqual(run(api.dispatch(ApiRequest("GET", ("ready",), b""))).status, 503)
 
     def test_log_buffer_is_bounded(self) -> None:
-        ring = Ring("r", now=lambda: 0.0)
-        for i in range(LINES + 50):
-            ring.note(str(i))
-        self.assertEqual(len(ring.lines()), LINES)
-        self.assertIn(str(LINES + 49), ring.lines()[-1])
+        ring = LogBuffer("r", now=lambda: 0.0)
+        for i in range(CAPACITY_LINES + 50):
+            ring.record(str(i))
+        self.assertEqual(len(ring.lines()), CAPACITY_LINES)
+        self.assertIn(str(CAPACITY_LINES + 49), ring.lines()[-1])
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_outbound.py
+++ b/tests/mesh/test_outbound.py
@@ -139,7 +139,7 @@
     def test_a_connection_with_an_open_request_is_never_closed(self) -> None:
         self.client.data_received(request(attempt="x1"))
         limits = Limits()
-        for waited_ms in (limits.head_wait_ms, limits.idle_ms, 10 * limits.idle_ms):
+        for waited_ms in (limits.header_timeout_ms, limits.idle_timeout_ms, 10 * limits.idle_timeout_ms):
             self.client.check_timeouts(100.0 + waited_ms / 1000.0 + 1.0, limits)
             self.assertFalse(self.transport.ended)
         self.outbound.closing = True
