--- a/bench/control.py
+++ b/bench/control.py
@@ -23,10 +23,10 @@
 from leadrudder.consensus.state_machine import Interlocking
 from leadrudder.control_simulation.scenario import FAULTS, RESIZING, Course
 from leadrudder.control_simulation.world import Broken, Machine, World
-from leadrudder.model_checker.scenarios import SCENES, WALKED
-from leadrudder.model_checker.search import Found, Search
-from leadrudder.model_checker.state import ALL
-from leadrudder.model_checker.state import Broken as SmallBroken
+from leadrudder.model_checker.scenarios import RANDOM_WALK_SCENARIOS, SCENARIOS
+from leadrudder.model_checker.search import Search, SearchResult
+from leadrudder.model_checker.state import UNBOUNDED_DELAYS
+from leadrudder.model_checker.state import InvariantViolation as ModelViolation
 from leadrudder.protocol.mesh_pb2 import Item
 from tests.mesh.planted_faults import COURSES, PLANTS, SHOWN_BY, SHOWN_IN, UNSHOWN
 
@@ -39,13 +39,13 @@
 # ---------------------------------------------------------------- searches
 
 
-def small(name: str, seconds: float) -> list[Found]:
+def small(name: str, seconds: float) -> list[SearchResult]:
     """One scene in breadth, or the walks of one."""
-    search = Search(SCENES[name], states=10**9, seconds=seconds)
-    if name in WALKED:
-        walks: list[Found] = []
+    search = Search(SCENARIOS[name], max_states=10**9, max_seconds=seconds)
+    if name in RANDOM_WALK_SCENARIOS:
+        walks: list[SearchResult] = []
         while len(walks) < WALKS and sum(walk.seconds for walk in walks) < seconds:
-            walks.append(search.walk(len(walks)))
+            walks.append(search.random_walk(len(walks)))
         return walks
     return [search.run()]
 
@@ -74,29 +74,29 @@
     """Where it is known to be found first; else every scene for so many seconds, and some walks."""
     if name in COURSES:
         known, course = COURSES[name]
-        free = replace(SCENES[known], left=SCENES[known].left._replace(delays=ALL))
-        if Search(free).breaks(course):
+        free = replace(SCENARIOS[known], budget=SCENARIOS[known].budget._replace(delays=UNBOUNDED_DELAYS))
+        if Search(free).find_violation(course):
             return f"a course of {known}, {len(course)} moves"
     if name in SHOWN_IN:
         known, states = SHOWN_IN[name]
-        found = Search(SCENES[known], states=states).run()
-        if found.rule:
-            return f"{known}, {found.states} states, {len(found.course)} moves"
-    for scene in SCENES:
-        if scene not in WALKED:
+        found = Search(SCENARIOS[known], max_states=states).run()
+        if found.violation:
+            return f"{known}, {found.states} states, {len(found.trace)} moves"
+    for scene in SCENARIOS:
+        if scene not in RANDOM_WALK_SCENARIOS:
             try:
-                found = Search(SCENES[scene], states=10**9, seconds=seconds).run()
-            except SmallBroken as error:  # in the calm before the first trouble
+                found = Search(SCENARIOS[scene], max_states=10**9, max_seconds=seconds).run()
+            except ModelViolation as error:  # in the calm before the first trouble
                 return f"{scene}, at once: {error}"
-            if found.rule:
-                return f"{scene}, {found.states} states, {len(found.course)} moves"
-    for scene in WALKED:
-        search = Search(SCENES[scene])
+            if found.violation:
+                return f"{scene}, {found.states} states, {len(found.trace)} moves"
+    for scene in RANDOM_WALK_SCENARIOS:
+        search = Search(SCENARIOS[scene])
         for seed in range(PLANT_WALKS):
             try:
-                if search.walk(seed, calm_each=2, shrink=False).rule:
+                if search.random_walk(seed, recovery_check_every=2, shrink=False).violation:
                     return f"walk {seed} of {scene}"
-            except SmallBroken as error:  # in the calm before the first trouble
+            except ModelViolation as error:  # in the calm before the first trouble
                 return f"{scene}, at once: {error}"
     return ""
 
@@ -243,18 +243,18 @@
     parser.add_argument("--jobs", type=int, default=8)
     told = parser.parse_args(arguments)
     with ProcessPoolExecutor(told.jobs) as pool:
-        searches = {name: pool.submit(small, name, told.seconds) for name in SCENES}
+        searches = {name: pool.submit(small, name, told.seconds) for name in SCENARIOS}
         courses = [pool.submit(large, m, range(seeds), stations) for m, seeds, stations in LARGE]
         plants = [pool.submit(planted, name, told.plant_seconds) for name in PLANTS]
         states, spent, breaks = 0, 0.0, 0
         for name, search in searches.items():
             for found in search.result():
                 states, spent = states + found.states, spent + found.seconds
-                breaks += bool(found.rule)
-                if found.rule:
-                    print(f"{name}: {found.rule}", *found.story, sep="\n")
+                breaks += bool(found.violation)
+                if found.violation:
+                    print(f"{name}: {found.violation}", *found.trace_lines, sep="\n")
             all_of_it = search.result()
-            whole = "whole" if all_of_it[0].whole else "bounded"
+            whole = "whole" if all_of_it[0].complete else "bounded"
             print(
                 f"{name}: {sum(f.states for f in all_of_it)} states, "
                 f"{max(f.depth for f in all_of_it)} moves deep, {whole}"
--- a/leadrudder/mesh/__main__.py
+++ b/leadrudder/mesh/__main__.py
@@ -16,9 +16,9 @@
 from leadrudder.control_simulation.world import Broken
 from leadrudder.maintenance import contract
 from leadrudder.mesh import snapshots, windows
-from leadrudder.model_checker.maintenance import Windows
-from leadrudder.model_checker.scenarios import SCENES, WALKED
-from leadrudder.model_checker.search import Found, Search
+from leadrudder.model_checker.maintenance import WindowModel
+from leadrudder.model_checker.scenarios import RANDOM_WALK_SCENARIOS, SCENARIOS
+from leadrudder.model_checker.search import Search, SearchResult
 
 WINDOWS = "windows"  # a small world of its own: who carries a maintenance window out
 
@@ -109,29 +109,31 @@
     broken = 0
     for name in names:
         if name == WINDOWS:
-            window = Windows().run(states)
-            broken += bool(window.rule)
-            if window.rule:
-                print(f"{name}: {window.rule}", *window.story, sep="\n")
-            bound = "every state within its bounds" if window.whole else "broken off by --states"
-            print(f"{name}: {window.states} states, {bound}; in calm {', '.join(sorted(window.over))}")
+            window = WindowModel().run(states)
+            broken += bool(window.violation)
+            if window.violation:
+                print(f"{name}: {window.violation}", *window.trace_lines, sep="\n")
+            bound = "every state within its bounds" if window.complete else "broken off by --states"
+            print(f"{name}: {window.states} states, {bound}; in calm {', '.join(sorted(window.end_states))}")
             continue
-        search = Search(SCENES[name], states=states, seconds=seconds)
-        found = [search.walk(seed) for seed in walks] if name in WALKED else [search.run()]
+        search = Search(SCENARIOS[name], max_states=states, max_seconds=seconds)
+        found = (
+            [search.random_walk(seed) for seed in walks] if name in RANDOM_WALK_SCENARIOS else [search.run()]
+        )
         for each in found:
-            broken += bool(each.rule)
-            if each.rule:
-                print(f"{name}: {each.rule}", *each.story, sep="\n")
+            broken += bool(each.violation)
+            if each.violation:
+                print(f"{name}: {each.violation}", *each.trace_lines, sep="\n")
         print(_proved(name, found))
     print(f"scenes={len(names)} broken={broken}")
     return 1 if broken else 0
 
 
-def _proved(name: str, found: Sequence[Found]) -> str:
-    states, calms = sum(f.states for f in found), sum(f.calms for f in found)
-    if name in WALKED:
+def _proved(name: str, found: Sequence[SearchResult]) -> str:
+    states, calms = sum(f.states for f in found), sum(f.recovery_checks for f in found)
+    if name in RANDOM_WALK_SCENARIOS:
         return f"{name}: {len(found)} walks, {states} states, calm played out from {calms}"
-    bound = "every state within its bounds" if found[0].whole else "broken off by --states or --seconds"
+    bound = "every state within its bounds" if found[0].complete else "broken off by --states or --seconds"
     return f"{name}: {states} states, {found[0].depth} moves deep, {bound}; calm played out from {calms}"
 
 
@@ -207,7 +209,7 @@
     rehearsing.add_argument("--kinds", default=",".join(FAULTS), help="of faults, by commas")
     proving = commands.add_parser("prove", help="go through small worlds of the control state in every order")
     proving.add_argument(
-        "scene", nargs="*", choices=[*SCENES, WINDOWS, []], help="; ".join([*SCENES, WINDOWS])
+        "scene", nargs="*", choices=[*SCENARIOS, WINDOWS, []], help="; ".join([*SCENARIOS, WINDOWS])
     )
     proving.add_argument("--states", type=int, default=20_000, help="at most, of each scene")
     proving.add_argument("--seconds", type=float, default=60.0, help="at most, for each scene")
@@ -246,7 +248,7 @@
         ]
         return _rehearse(courses, told.shrink)
     if told.command == "prove":
-        return _prove(told.scene or [*SCENES, WINDOWS], told.states, told.seconds, told.walks)
+        return _prove(told.scene or [*SCENARIOS, WINDOWS], told.states, told.seconds, told.walks)
     if told.command == "snapshot":
         return snapshots.take(told.node, told.folder, told.keep)
     if told.command == "verify":
--- a/leadrudder/model_checker/invariants.py
+++ b/leadrudder/model_checker/invariants.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from leadrudder.model_checker.machine_states import CLOSED, DiskView, Fact, Locals
-from leadrudder.model_checker.state import SYNC, Broken, Scene, State
+from leadrudder.model_checker.state import SYNC, InvariantViolation, Scene, State
 
 
 def told(facts: frozenset[Fact]) -> str:
@@ -36,7 +36,7 @@
         known = {(section, epoch): i for section, epoch, i in state.owners}
         for section, epoch, i in owners:
             if known.setdefault((section, epoch), i) != i:
-                raise Broken(f"section {section} has two owners at epoch {epoch}")
+                raise InvariantViolation(f"section {section} has two owners at epoch {epoch}")
         return state._replace(owners=state.owners | owners)
 
     def _duties(self, state: State) -> None:
@@ -46,7 +46,7 @@
                 continue
             for duty, until in self.locals.view(box.local).leases:
                 if self.now(state, i) < until and held.setdefault(duty, i) != i:
-                    raise Broken(
+                    raise InvariantViolation(
                         f"the duty {duty} has two holders: {self._name(held[duty])}, {self._name(i)}"
                     )
 
@@ -54,14 +54,16 @@
         versions = {key: version for key, version, *_ in after}
         for key, version, *_ in before:
             if versions.get(key, 0) < version:
-                raise Broken(f"{key} goes back from version {version} in one life of {self._name(i)}")
+                raise InvariantViolation(
+                    f"{key} goes back from version {version} in one life of {self._name(i)}"
+                )
 
     def _stands(self, state: State, items: tuple[Fact, ...]) -> State:
         stood = state.stood | frozenset(items)
         if len(stood) != len({(key, version) for key, version, *_ in stood}):
-            raise Broken(f"one version stands with two values: {told(stood)}")
+            raise InvariantViolation(f"one version stands with two values: {told(stood)}")
         if wrong := stood & state.refused:
-            raise Broken(f"refused, and stands all the same: {told(wrong)}")
+            raise InvariantViolation(f"refused, and stands all the same: {told(wrong)}")
         return state._replace(stood=stood)
 
     def _kept(self, state: State) -> None:
@@ -76,7 +78,7 @@
                 _, found, gone, held = view.items.get(key, ("", 0, False, b""))
                 lack += found < version or (found == version and (gone, held) != (dropped, value))
             if lack >= majority:
-                raise Broken(
+                raise InvariantViolation(
                     f"{key} version {version} was acknowledged, and {lack} of {len(full)} full disks lack it"
                 )
 
@@ -126,4 +128,4 @@
         for key, version, dropped, value in owed:
             _, got, gone, held = found.get(key, ("", 0, False, b""))
             if got < version or (got == version and (gone, held) != (dropped, value)):
-                raise Broken(f"a read gives {key} version {got}, older than version {version}")
+                raise InvariantViolation(f"a read gives {key} version {got}, older than version {version}")
--- a/leadrudder/model_checker/maintenance.py
+++ b/leadrudder/model_checker/maintenance.py
@@ -31,7 +31,7 @@
     2 * STEP_S + CLOCKS_APART_S
 )  # after a contract was withdrawn, and a keeper that is there looked
 
-Move = tuple[str | int, ...]
+Action = tuple[str | int, ...]
 NEXT = {
     Stage.WAITING: {Stage.DRAINING, Stage.SKIPPED},
     Stage.DRAINING: {Stage.OUT, Stage.RETURNING},
@@ -54,30 +54,32 @@
 class State(NamedTuple):
     now: float
     window: bytes
-    number: int
+    version: int
     minds: tuple[Mind, ...]
-    flying: tuple[tuple[int, int, bytes], ...] = ()  # who decided on it, its count, the window as it would be
+    in_flight: tuple[
+        tuple[int, int, bytes], ...
+    ] = ()  # who decided on it, its count, the window as it would be
     jumps: int = 1
     withdrawn: float = -1.0  # when the contract was; -1: it stands
 
 
-class Broken(AssertionError):  # noqa: N818 - it says what is the matter with a rule
+class InvariantViolation(AssertionError):  # noqa: N818 - it says what is the matter with a rule
     """A rule does not hold."""
 
 
 @dataclass(slots=True)
-class Found:
+class SearchResult:
     """What the search came to.  rule: what broke; empty: nothing did."""
 
     states: int = 0
-    whole: bool = False
-    rule: str = ""
-    story: list[str] = field(default_factory=list)
-    over: set[str] = field(default_factory=set)  # states in which windows ended
+    complete: bool = False
+    violation: str = ""
+    trace_lines: list[str] = field(default_factory=list)
+    end_states: set[str] = field(default_factory=set)  # states in which windows ended
 
 
 @dataclass(slots=True)
-class Windows:
+class WindowModel:
     """The search.  machines: that the window takes one after the other."""
 
     machines: int = 2
@@ -96,7 +98,7 @@
         contracts = {} if state.withdrawn >= 0.0 else {"t": self._contract}
         return Situation(contracts, self._routes, self._machines, {"w": window})
 
-    def root(self) -> State:
+    def initial_state(self) -> State:
         names = tuple(f"m{i}" for i in range(self.machines))
         order = Order("w", BEGIN - 10.0, BEGIN + 120.0, names, works_s=WORKS_S, return_s=RETURN_S)
         at = Situation({"t": self._contract}, self._routes, self._machines, {})
@@ -108,11 +110,11 @@
 
     # ------------------------------------------------------------ moves
 
-    def moves(self, state: State) -> Iterator[Move]:
+    def moves(self, state: State) -> Iterator[Action]:
         for i in range(len(state.minds)):
-            if not any(who == i for who, _, _ in state.flying):
+            if not any(who == i for who, _, _ in state.in_flight):
                 yield "looks", i
-        for k in range(len(state.flying)):
+        for k in range(len(state.in_flight)):
             yield "lands", k
             yield "lost", k
         if state.jumps:
@@ -123,7 +125,7 @@
         if state.now < STEP_S * STEPS:
             yield ("passes",)
 
-    def after(self, state: State, move: Move) -> State:
+    def apply(self, state: State, move: Action) -> State:
         kind, *where = move
         at = int(where[0]) if where else 0
         if kind == "passes":
@@ -131,10 +133,12 @@
         elif kind == "looks":
             state = self._looks(state, at)
         elif kind == "lands":
-            state = self._lands(state, at)
+            state = self._commit_step(state, at)
         elif kind == "lost":
-            who, _, _ = state.flying[at]
-            state = self._told(state._replace(flying=state.flying[:at] + state.flying[at + 1 :]), who)
+            who, _, _ = state.in_flight[at]
+            state = self._told(
+                state._replace(in_flight=state.in_flight[:at] + state.in_flight[at + 1 :]), who
+            )
         elif kind == "jumps":
             mind = state.minds[at]
             minds = (*state.minds[:at], mind._replace(off=mind.off + 30.0), *state.minds[at + 1 :])
@@ -164,18 +168,18 @@
         steps = keeper.tick(wall, state.now, True, self._situation(state, window), others)
         state = self._minded(state, i, keeper)
         for step in steps:
-            state = state._replace(flying=(*state.flying, (i, state.number + 1, step.packed())))
+            state = state._replace(in_flight=(*state.in_flight, (i, state.version + 1, step.packed())))
         return state
 
-    def _lands(self, state: State, k: int) -> State:
-        who, count, packed = state.flying[k]
-        state = state._replace(flying=state.flying[:k] + state.flying[k + 1 :])
-        if count == state.number + 1:
+    def _commit_step(self, state: State, k: int) -> State:
+        who, count, packed = state.in_flight[k]
+        state = state._replace(in_flight=state.in_flight[:k] + state.in_flight[k + 1 :])
+        if count == state.version + 1:
             before, after = unpacked("w", state.window), unpacked("w", packed)
             changed = [(a, b) for a, b in zip(before.steps, after.steps, strict=True) if a.stage != b.stage]
             if len(changed) != 1 or changed[0][1].stage not in NEXT[changed[0][0].stage]:
-                raise Broken(f"not a step: {changed}")
-            state = state._replace(window=packed, number=count)
+                raise InvariantViolation(f"not a step: {changed}")
+            state = state._replace(window=packed, version=count)
         return self._told(state, who)
 
     def _told(self, state: State, who: int) -> State:
@@ -196,31 +200,31 @@
                 if loans.lent(step.machine, "r", "t.example", wall) and not (
                     approved.begin <= state.now < approved.end
                 ):
-                    raise Broken(f"{step.machine} is lent outside its hours")
+                    raise InvariantViolation(f"{step.machine} is lent outside its hours")
         if len(lent) > window.at_once:
-            raise Broken(f"{len(lent)} machines are lent at once")
+            raise InvariantViolation(f"{len(lent)} machines are lent at once")
 
     def calm(self, state: State) -> State:
         """All that is on its way lands, and keepers look once a second: everything is over in its time."""
-        while state.flying:
-            state = self._lands(state, 0)
+        while state.in_flight:
+            state = self._commit_step(state, 0)
         while state.now < 60.0 * MINUTES + 2 * RETURN_S + 20.0:
             for i in range(len(state.minds)):
                 state = self._looks(state, i)
-                while state.flying:
-                    state = self._lands(state, 0)
+                while state.in_flight:
+                    state = self._commit_step(state, 0)
                 self._check(state)
             state = state._replace(now=state.now + 1.0)
         window = unpacked("w", state.window)
         if not all(step.stage in OVER for step in window.steps):
-            raise Broken(f"in calm it is {window.state()} after its hours")
+            raise InvariantViolation(f"in calm it is {window.state()} after its hours")
         return state
 
-    def run(self, states: int, calm_each: int = 499) -> Found:
+    def run(self, states: int, calm_each: int = 499) -> SearchResult:
         """In breadth, so that what breaks breaks by the shortest course."""
-        found = Found()
-        root = self.root()
-        before: dict[State, tuple[State, Move]] = {}
+        found = SearchResult()
+        root = self.initial_state()
+        before: dict[State, tuple[State, Action]] = {}
         level, known = [root], {root}
         while level:
             follow: list[State] = []
@@ -228,24 +232,24 @@
                 found.states += 1
                 try:
                     if found.states % calm_each == 0:
-                        found.over.add(unpacked("w", self.calm(state).window).state())
+                        found.end_states.add(unpacked("w", self.calm(state).window).state())
                     for move in self.moves(state):
-                        after = self.after(state, move)
+                        after = self.apply(state, move)
                         if after not in known:
                             known.add(after)
                             before[after] = state, move
                             follow.append(after)
-                except Broken as broken:
-                    found.rule = str(broken)
-                    found.story = self._story(state, before)
+                except InvariantViolation as broken:
+                    found.violation = str(broken)
+                    found.trace_lines = self._story(state, before)
                     return found
                 if found.states >= states:
                     return found
             level = follow
-        found.whole = True
+        found.complete = True
         return found
 
-    def _story(self, state: State, before: dict[State, tuple[State, Move]]) -> list[str]:
+    def _story(self, state: State, before: dict[State, tuple[State, Action]]) -> list[str]:
         lines = []
         while state in before:
             state, move = before[state]
--- a/leadrudder/model_checker/scenarios.py
+++ b/leadrudder/model_checker/scenarios.py
@@ -4,7 +4,7 @@
 
 from leadrudder.configuration.items import CORE
 from leadrudder.model_checker.machine_states import Fact
-from leadrudder.model_checker.state import REST, Call, Left, Move, Scene
+from leadrudder.model_checker.state import REST, Action, Call, Left, Scene
 
 ONE, TWO = "routes/r4", "routes/r1"  # in sections 0 and 1 of two
 
@@ -17,10 +17,10 @@
 CORE_TO_5, CORE_BACK = Call(change(CORE, 2, b"5"), tries=4), Call(change(CORE, 3, b"3"), tries=4)
 RIVALS = (Call(change(ONE, 2, b"<a>")), Call(change(ONE, 2, b"<b>")))
 
-_AWAY: Move = ("hold", "arrives", 0, 1)  # what A sends does not reach B
-_DEAF: tuple[Move, ...] = (_AWAY, ("hold", "arrives", 2, 1), ("hold", "late", 2, 1))  # nor what C sends
+_AWAY: Action = ("hold", "arrives", 0, 1)  # what A sends does not reach B
+_DEAF: tuple[Action, ...] = (_AWAY, ("hold", "arrives", 2, 1), ("hold", "late", 2, 1))  # nor what C sends
 
-SCENES = {
+SCENARIOS = {
     scene.name: scene
     for scene in (
         Scene(
@@ -29,7 +29,7 @@
             Left(steps=2, powers=1, delays=1),
             RIVALS,
             first=(("call", 0, 0), ("call", 1, 1)),
-            calm_each=997,
+            recovery_check_every=997,
         ),
         Scene(
             "asked",
@@ -37,7 +37,7 @@
             Left(steps=1, powers=1, delays=0),
             RIVALS,
             swapped=(b"<a>", b"<b>"),
-            calm_each=997,
+            recovery_check_every=997,
         ),
         Scene(
             "wiped",
@@ -45,7 +45,7 @@
             Left(steps=2, wipes=1, powers=1, delays=0),
             (Call(change(ONE, 2, b"<a>")),),
             first=(("call", 0, 0), *_DEAF, REST, ("pass",)),
-            calm_each=997,
+            recovery_check_every=997,
         ),
         Scene(
             "replaced",
@@ -54,7 +54,7 @@
             (Call(change(ONE, 2, b"<a>")),),
             first=(("call", 0, 0), *_DEAF, REST, ("pass",)),
             spare=1,
-            calm_each=997,
+            recovery_check_every=997,
         ),
         Scene(
             "cuts",
@@ -62,7 +62,7 @@
             Left(steps=3, breaks=2, delays=0),
             (Call(change(ONE, 2, b"<a>")), Call(change(ONE, 3, dropped=True))),
             first=(("call", 0, 0),),
-            calm_each=997,
+            recovery_check_every=997,
         ),
         Scene(
             "reads",
@@ -71,7 +71,7 @@
             (Call(change(ONE, 2, b"<a>")), Call()),
             first=(("call", 0, 0), _AWAY),
             step=1,
-            calm_each=997,
+            recovery_check_every=997,
         ),
         Scene(
             "two-keys",
@@ -82,7 +82,7 @@
                 Call(change(TWO, 2, b"<b>")),
             ),
             first=(("call", 0, 0),),
-            calm_each=997,
+            recovery_check_every=997,
         ),
         Scene(
             "duty",
@@ -90,7 +90,7 @@
             Left(steps=6, kills=1, delays=0),
             rates=(1.0, 1.2, 1.2),
             first=(("break", 0, 1), ("hold", "link", 0, 1), ("hold", "arrives", 0, 2)),
-            calm_each=997,
+            recovery_check_every=997,
         ),
         Scene(
             "again",
@@ -98,7 +98,7 @@
             Left(steps=2, kills=1, delays=0),
             (Call(change(ONE, 2, b"<a>"), tries=2), Call(change(ONE, 2, b"<b>"))),
             first=(("call", 0, 0), _AWAY),
-            calm_each=997,
+            recovery_check_every=997,
         ),
         Scene(
             "handed",
@@ -106,14 +106,14 @@
             Left(steps=3, resigns=1, powers=1, delays=0),
             (Call(change(ONE, 2, b"<a>"), tries=2),),
             first=(("call", 0, 2),),
-            calm_each=997,
+            recovery_check_every=997,
         ),
         Scene(
             "planned",
             "a fourth machine waits, one resigns and it takes the seat, while who holds a duty is cut off",
             Left(steps=6, resigns=1, holds=3, delays=0),
             machines=4,
-            calm_each=997,
+            recovery_check_every=997,
         ),
         Scene(
             "grown",
@@ -122,7 +122,7 @@
             (CORE_TO_4, Call(change(ONE, 2, b"<a>"), tries=2)),
             first=(("call", 0, 0), REST, ("join",)),
             spare=1,
-            calm_each=997,
+            recovery_check_every=997,
         ),
         Scene(
             "closed",
@@ -132,7 +132,7 @@
             first=(("call", 1, 0), ("hold", "arrives", 0, 1), ("hold", "arrives", 0, 3), ("call", 0, 2)),
             machines=5,
             losses=2,
-            calm_each=997,
+            recovery_check_every=997,
         ),
         Scene(
             "resized",
@@ -181,4 +181,4 @@
         ),
     )
 }
-WALKED = ("five", "three", "resized")
+RANDOM_WALK_SCENARIOS = ("five", "three", "resized")
--- a/leadrudder/model_checker/state.py
+++ b/leadrudder/model_checker/state.py
@@ -12,13 +12,13 @@
 SYNC = 40  # a machine that is back counts as lost for so long
 CALM_STEP = 3  # the same in calm
 FREE = ("arrives", "late", "synced", "start", "notice", "link")  # moves that come by themselves
-REST: Move = ("rest",)
-ALL = 1_000_000  # delays: every order
+REST: Action = ("rest",)
+UNBOUNDED_DELAYS = 1_000_000  # delays: every order
 
-Move = tuple[str | int, ...]  # what happens next: its kind, then machines or calls by number
+Action = tuple[str | int, ...]  # what happens next: its kind, then machines or calls by number
 
 
-class Broken(AssertionError):  # noqa: N818 - it says what is the matter with a rule
+class InvariantViolation(AssertionError):  # noqa: N818 - it says what is the matter with a rule
     """A rule does not hold."""
 
 
@@ -72,7 +72,7 @@
     resigns: int = 0
     joins: int = 0  # of an empty machine
     holds: int = 0  # of a link's direction or a disk, for as long as one likes
-    delays: int = ALL  # of what is next in turn, behind one that is ready too
+    delays: int = UNBOUNDED_DELAYS  # of what is next in turn, behind one that is ready too
 
 
 class State(NamedTuple):
@@ -80,13 +80,13 @@
     boxes: tuple[Box, ...]
     wires: tuple[Wire, ...]
     asked: tuple[Asked, ...]
-    left: Left
+    budget: Left
     acknowledged: frozenset[Fact] = frozenset()
     stood: frozenset[Fact] = frozenset()
     refused: frozenset[Fact] = frozenset()
     owners: frozenset[tuple[int, int, int]] = frozenset()  # section, epoch, machine
     turn: int = 0  # the source that is served next
-    held: frozenset[Move] = frozenset()  # sources that give nothing
+    held: frozenset[Action] = frozenset()  # sources that give nothing
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,7 +107,7 @@
 
     name: str
     says: str
-    left: Left
+    budget: Left
     calls: tuple[Call, ...] = ()
     machines: int = 3
     spare: int = 0
@@ -115,8 +115,10 @@
     losses: int = 1
     rates: tuple[float, ...] = ()
     step: int = STEP
-    first: tuple[Move, ...] = ()  # what has happened when the search begins; REST: all that is ready arrives
+    first: tuple[
+        Action, ...
+    ] = ()  # what has happened when the search begins; REST: all that is ready arrives
     settled: int = 60  # tenths of a second before the first trouble
     swapped: tuple[bytes, bytes] | None = None  # values that may change places: states alike are folded
     counted: bool = False  # time passes only while no more are lost than is borne
-    calm_each: int = 0  # every how many states calm is played out, to see that all is found again
+    recovery_check_every: int = 0  # every how many states calm is played out, to see that all is found again
--- a/leadrudder/model_checker/trace.py
+++ b/leadrudder/model_checker/trace.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from leadrudder.model_checker.invariants import Rules, told
-from leadrudder.model_checker.state import Move, State
+from leadrudder.model_checker.state import Action, State
 from leadrudder.protocol.mesh_pb2 import Frame
 
 
@@ -13,7 +13,7 @@
 class Story(Rules):
     """Tells what happens."""
 
-    def tell(self, state: State, move: Move) -> str:
+    def tell(self, state: State, move: Action) -> str:
         """What a move is, in words; state: before it."""
         kind, *where = move
         names = (
--- a/leadrudder/model_checker/world.py
+++ b/leadrudder/model_checker/world.py
@@ -28,16 +28,16 @@
     ToWrite,
 )
 from leadrudder.model_checker.state import (
-    ALL,
     CALM_STEP,
     FREE,
     READS,
     REST,
+    UNBOUNDED_DELAYS,
+    Action,
     Asked,
     Box,
-    Broken,
+    InvariantViolation,
     Left,
-    Move,
     State,
     Wire,
 )
@@ -83,7 +83,7 @@
 
     # ------------------------------------------------------------ beginnings
 
-    def root(self) -> State:
+    def initial_state(self) -> State:
         """The scene after a calm start: seats founded, sections owned, version 1 of every key standing."""
         scene = self.scene
         boxes = tuple(Box(gone=i >= scene.machines) for i in range(len(self.addresses)))
@@ -104,10 +104,10 @@
             state = state._replace(acknowledged=frozenset(first.values()))
         state = self.calm(state, max(0, scene.settled - 40))
         many = len(scene.first)
-        state = state._replace(left=Left(holds=many, steps=many, breaks=many, joins=many))
+        state = state._replace(budget=Left(holds=many, steps=many, breaks=many, joins=many))
         for move in scene.first:
-            state = self._rest(state) if move == REST else self.after(state, move)
-        return state._replace(left=scene.left, turn=0)
+            state = self._rest(state) if move == REST else self.apply(state, move)
+        return state._replace(budget=scene.budget, turn=0)
 
     def calm(self, state: State, tenths: int) -> State:
         """All that stopped starts, links are made, nothing is lost, and time passes by tenths."""
@@ -124,14 +124,14 @@
             work = self.work(state)
             if not work:
                 return state
-            state = self.after(state, work[0])
-        raise Broken("frames go round and round")
+            state = self.apply(state, work[0])
+        raise InvariantViolation("frames go round and round")
 
     # ------------------------------------------------------------ what may follow
 
-    def work(self, state: State) -> list[Move]:
+    def work(self, state: State) -> list[Action]:
         """What is ready to happen by itself, that whose turn it is first."""
-        found: list[tuple[int, Move]] = []
+        found: list[tuple[int, Action]] = []
         boxes, at = state.boxes, 0
         for i, box in enumerate(boxes):
             if box.queue:
@@ -159,11 +159,11 @@
                 if boxes[low].local and boxes[high].local:
                     found.append((at + 6, ("link", low, high)))
             at += 7
-        if state.turn and state.left.delays < ALL:
+        if state.turn and state.budget.delays < UNBOUNDED_DELAYS:
             found = [f for f in found if f[0] >= state.turn] + [f for f in found if f[0] < state.turn]
         return [move for _, move in found if move not in state.held]
 
-    def _place(self, move: Move) -> int:
+    def _place(self, move: Action) -> int:
         """The place of a source in the turn."""
         if move[0] in ("synced", "start"):
             return 2 * int(move[1]) + (move[0] == "start")
@@ -171,37 +171,37 @@
         of = {"arrives": a > b, "late": 2 + (a > b), "notice": 4 + (a > b), "link": 6}[str(move[0])]
         return 2 * len(self.addresses) + 7 * self._pair(a, b) + of
 
-    def moves(self, state: State) -> Iterator[Move]:
-        boxes, left = state.boxes, state.left
+    def enabled_actions(self, state: State) -> Iterator[Action]:
+        boxes, budget = state.boxes, state.budget
         work = self.work(state)
-        yield from work[: left.delays + 1]
-        if left.doubles:
-            for move in work[: left.delays + 1]:
+        yield from work[: budget.delays + 1]
+        if budget.doubles:
+            for move in work[: budget.delays + 1]:
                 if move[0] in ("arrives", "late"):
                     yield "doubled", *move[1:], int(move[0] == "late")
-        if left.holds:
-            for move in work[: left.delays + 1]:
+        if budget.holds:
+            for move in work[: budget.delays + 1]:
                 yield "hold", *move
         for move in state.held:
             yield "release", *move
         for p, (low, high) in enumerate(self.pairs):
-            if left.breaks and state.wires[p].up and boxes[low].local and boxes[high].local:
+            if budget.breaks and state.wires[p].up and boxes[low].local and boxes[high].local:
                 yield "break", low, high
         for i, box in enumerate(boxes):
             if not box.local:
                 continue
-            if left.kills:
+            if budget.kills:
                 yield "kill", i
-            if left.powers:
+            if budget.powers:
                 for kept in range(len(box.queue) + 1):
                     yield "power", i, kept
-            if left.wipes and self._may_lose(state, i):
+            if budget.wipes and self._may_lose(state, i):
                 yield "wipe", i
-            if left.resigns:
+            if budget.resigns:
                 yield "resign", i
-            if left.replaced and i < self.scene.machines and self._may_lose(state, i):
+            if budget.replaced and i < self.scene.machines and self._may_lose(state, i):
                 yield "replace", i
-        if left.joins and self._spare(state) >= 0:
+        if budget.joins and self._spare(state) >= 0:
             yield ("join",)
         for c, asked in enumerate(state.asked):
             if asked.tries and asked.at >= 0:
@@ -210,57 +210,57 @@
                 for i, box in enumerate(boxes):
                     if box.local:
                         yield "call", c, i
-        if left.steps and (not work or left.delays) and self._borne(state):
+        if budget.steps and (not work or budget.delays) and self._borne(state):
             yield ("pass",)
 
-    def after(self, state: State, move: Move) -> State:
+    def apply(self, state: State, move: Action) -> State:
         """The state that follows; Broken where it breaks a rule."""
         kind, *where = move
         a = int(where[0]) if where and kind not in ("hold", "release") else 0
         b = int(where[1]) if len(where) > 1 and kind not in ("hold", "release") else 0
-        left = state.left
+        budget = state.budget
         if kind in FREE:
-            if left.delays < ALL:
+            if budget.delays < UNBOUNDED_DELAYS:
                 waits = self.work(state).index(move)
-                left = left._replace(delays=left.delays - waits)
-                state = state._replace(left=left, turn=self._place(move) + 1)
+                budget = budget._replace(delays=budget.delays - waits)
+                state = state._replace(budget=budget, turn=self._place(move) + 1)
             return self._free(state, kind, a, b)
         if kind == "doubled":
-            state = state._replace(left=left._replace(doubles=left.doubles - 1))
+            state = state._replace(budget=budget._replace(doubles=budget.doubles - 1))
             return self._arrive(state, a, b, late=bool(where[2]), keep=True)
         if kind == "hold":
             held = state.held | {tuple(where)}
-            return state._replace(left=left._replace(holds=left.holds - 1), held=held)
+            return state._replace(budget=budget._replace(holds=budget.holds - 1), held=held)
         if kind == "release":
             return state._replace(held=state.held - {tuple(where)})
         if kind == "pass":
-            if left.delays < ALL and self.work(state):
-                left = left._replace(delays=left.delays - 1)
-            return self._pass(state._replace(left=left._replace(steps=left.steps - 1)), self.scene.step)
+            if budget.delays < UNBOUNDED_DELAYS and self.work(state):
+                budget = budget._replace(delays=budget.delays - 1)
+            return self._pass(state._replace(budget=budget._replace(steps=budget.steps - 1)), self.scene.step)
         if kind == "call":
             return self._call(state, a, b)
         if kind == "leave":
             asked = state.asked[a]._replace(at=-1)
             return state._replace(asked=(*state.asked[:a], asked, *state.asked[a + 1 :]))
         if kind == "break":
-            state = state._replace(left=left._replace(breaks=left.breaks - 1))
+            state = state._replace(budget=budget._replace(breaks=budget.breaks - 1))
             wire = state.wires[self._pair(a, b)]
             return self._wired(state, a, b, wire._replace(up=False, ahead=(), back=()))
         if kind == "kill":
-            return self._die(state._replace(left=left._replace(kills=left.kills - 1)), a, 0)
+            return self._die(state._replace(budget=budget._replace(kills=budget.kills - 1)), a, 0)
         if kind == "power":
-            return self._die(state._replace(left=left._replace(powers=left.powers - 1)), a, b)
+            return self._die(state._replace(budget=budget._replace(powers=budget.powers - 1)), a, b)
         if kind == "wipe":
-            state = self._die(state._replace(left=left._replace(wipes=left.wipes - 1)), a, 0)
+            state = self._die(state._replace(budget=budget._replace(wipes=budget.wipes - 1)), a, 0)
             state = self._boxed(state, a, state.boxes[a]._replace(disk=0, first_run=False))
             self._kept(state)
             return state
         if kind == "replace":
-            return self._replace(state._replace(left=left._replace(replaced=left.replaced - 1)), a)
+            return self._replace(state._replace(budget=budget._replace(replaced=budget.replaced - 1)), a)
         if kind == "join":
-            return self._join(state._replace(left=left._replace(joins=left.joins - 1)))
+            return self._join(state._replace(budget=budget._replace(joins=budget.joins - 1)))
         assert kind == "resign", move
-        state = state._replace(left=left._replace(resigns=left.resigns - 1))
+        state = state._replace(budget=budget._replace(resigns=budget.resigns - 1))
         return self._feed(state, a, ("resign",))
 
     # ------------------------------------------------------------ single steps
@@ -456,7 +456,7 @@
     def found_again(self, state: State) -> None:
         """In calm every section has one owner, all are told of it, and calls and reads are answered."""
         state = state._replace(
-            left=Left(), held=frozenset(), asked=tuple(a._replace(tries=0, at=-1) for a in state.asked)
+            budget=Left(), held=frozenset(), asked=tuple(a._replace(tries=0, at=-1) for a in state.asked)
         )
         state = self.calm(state, 80)
         running = [i for i, box in enumerate(state.boxes) if box.local]
@@ -464,10 +464,10 @@
         for section in range(self.scene.sections):
             owners = [i for i, view in zip(running, views, strict=True) if section in dict(view.ready)]
             if len(owners) != 1:
-                raise Broken(f"in calm section {section} has {len(owners)} owners")
+                raise InvariantViolation(f"in calm section {section} has {len(owners)} owners")
         for i, view in zip(running, views, strict=True):
             if not view.whole:
-                raise Broken(f"in calm {self._name(i)} was not told what stands in every section")
+                raise InvariantViolation(f"in calm {self._name(i)} was not told what stands in every section")
         for i in running:
             probe = state
             for _ in range(READS):
@@ -479,4 +479,4 @@
                 if probe.asked[-1].done:
                     break
             else:
-                raise Broken(f"in calm {READS} reads at {self._name(i)} have no answer")
+                raise InvariantViolation(f"in calm {READS} reads at {self._name(i)} have no answer")
--- a/tests/mesh/planted_faults.py
+++ b/tests/mesh/planted_faults.py
@@ -21,7 +21,7 @@
 from leadrudder.consensus.state_machine import Interlocking
 from leadrudder.consensus.voters import Seats
 from leadrudder.control_simulation.scenario import FAULTS, RESIZING, Course
-from leadrudder.model_checker.state import Move
+from leadrudder.model_checker.state import Action
 from leadrudder.protocol import mesh_pb2 as wire
 from leadrudder.protocol.mesh_pb2 import Frame, Item, Seat
 
@@ -494,7 +494,7 @@
 )
 
 # Courses that broke a rule before what the plant takes out was there, cut to what it took.
-COURSES: dict[str, tuple[str, list[Move]]] = {
+COURSES: dict[str, tuple[str, list[Action]]] = {
     # A new link before the end of the old one was noticed: what was said on the old one was lost, and the
     # process behind it never heard who owns what, so it refused every station.
     "new_link_not_told": (
