--- a/leadrudder/model_checker/__init__.py
+++ b/leadrudder/model_checker/__init__.py
@@ -1,6 +1,6 @@
-"""The proving ground: small worlds of the very interlockings that run, gone through in every order.
+"""Model checker: explores small configurations of the production state machine exhaustively.
 
-A global state is a handful of small numbers: each machine's state is kept once, and what an input makes of
-it is worked out once, so that a step of a world is mostly a look into a table. The design note is
+A global state is a tuple of small numbers: each machine state is stored once and each of its transitions is
+computed once, so that a step of the model is mostly a table lookup. The design note is
 docs/design/control-state.md.
 """
--- a/leadrudder/model_checker/machine_states.py
+++ b/leadrudder/model_checker/machine_states.py
@@ -1,7 +1,8 @@
-"""States of single machines, each kept once, and what an input makes of them, worked out once.
+"""States of single machines, each stored once, and their transitions, each computed once.
 
-A machine's state is numbered by what it holds; orders of tables and sets that no rule rests on are folded.
-The step of a machine is a function of its state and its input: time and chance are inputs like any others.
+Equal machine states share one id; the iteration order of dicts and sets, which no invariant depends on, is
+ignored in the comparison. A machine's step is a function of its state and its input, which includes the time;
+random draws are deterministic.
 """
 
 from __future__ import annotations
@@ -24,14 +25,14 @@
 from leadrudder.protocol import mesh_pb2
 from leadrudder.protocol.mesh_pb2 import Frame, Item
 
-Input = tuple[Any, ...]  # its kind, what it holds, and the machine's time last
-Fact = tuple[str, int, bool, bytes]  # of an item: key, version, dropped, value
-SeatRow = tuple[int, str, int]  # index, holder (none while it is being closed), incarnation
-CLOSED = "-"  # in the place of a holder, once it is
+MachineInput = tuple[Any, ...]  # kind, arguments, and the machine's own time last
+ItemTuple = tuple[str, int, bool, bytes]  # key, version, dropped, value
+VoterRow = tuple[int, str, int]  # slot index, holder (empty while the slot is being closed), incarnation
+CLOSED_SLOT = "-"  # the holder of a slot that has been closed
 
 
-class Still(Random):
-    """Chance without chance: the middle of every span, the first of every choice, numbers that count up."""
+class DeterministicRandom(Random):
+    """Draws the middle of every range and the first of every choice; random bits count up."""
 
     def __init__(self, start: int) -> None:
         super().__init__(0)
@@ -48,59 +49,61 @@
         return seq[0]
 
     def __reduce__(self) -> tuple[Any, ...]:
-        return Still, (self.count,)
+        return DeterministicRandom, (self.count,)
 
 
-def fact(item: Item) -> Fact:
+def item_tuple(item: Item) -> ItemTuple:
     return item.key, item.version, item.dropped, item.value
 
 
 @dataclass(frozen=True, slots=True)
-class ToSend:
+class EncodedSend:
     to: str
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class ToWrite:
+class EncodedWrite:
     records: tuple[tuple[str, bytes], ...]
-    then: tuple[ToSend, ...]
+    then: tuple[EncodedSend, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Stood:
-    items: tuple[Fact, ...]
+class EncodedCommit:
+    items: tuple[ItemTuple, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class EncodedAnswer:
     number: int
     code: int
-    items: tuple[Fact, ...]
+    items: tuple[ItemTuple, ...]
 
 
-Effect = ToSend | ToWrite | Stood | Answered
+Effect = EncodedSend | EncodedWrite | EncodedCommit | EncodedAnswer
 
 
 @dataclass(frozen=True, slots=True)
-class View:
-    """What a running machine shows, for the rules."""
-
-    ready: frozenset[tuple[int, int]]  # sections owned, and their epochs
-    leases: tuple[tuple[str, float], ...]  # duties held, and until when by its own clock
-    seats: tuple[SeatRow, ...]
-    full: bool
-    standing: frozenset[Fact]
-    whole: bool  # it has been told by every section's owner
+class MachineView:
+    """The part of a running machine's state that the invariants read."""
+
+    owned_sections: frozenset[tuple[int, int]]  # section, epoch
+    leases: tuple[tuple[str, float], ...]  # duty, expiry by the machine's own clock
+    voters: tuple[VoterRow, ...]
+    full: bool  # it holds every item that its voter slot requires
+    committed: frozenset[ItemTuple]
+    knows_all_sections: bool  # it has heard from the owner of every section
     resigned: bool
-    story: str
+    summary: str
 
 
 @dataclass(frozen=True, slots=True)
 class DiskView:
+    """The part of a disk's contents that the invariants read."""
+
     full: bool
-    seats: tuple[SeatRow, ...]
-    items: Mapping[str, Fact]
+    voters: tuple[VoterRow, ...]
+    items: Mapping[str, ItemTuple]
 
 
 class _Pickler(pickle.Pickler):
@@ -114,187 +117,195 @@
     return cast(Message, getattr(mesh_pb2, name).FromString(data))
 
 
-def _frozen(obj: Any) -> Any:
-    """What counts of an object, as one hashable value."""
+def _canonical(obj: Any) -> Any:
+    """The relevant state of an object as one hashable value."""
     if obj is None or isinstance(obj, bool | int | float | str | bytes):
         return obj
     if isinstance(obj, Message):
         return type(obj).__name__, obj.SerializeToString(deterministic=True)
     if isinstance(obj, dict):
-        return frozenset((key, _frozen(value)) for key, value in obj.items())
+        return frozenset((key, _canonical(value)) for key, value in obj.items())
     if isinstance(obj, set | frozenset):
         return frozenset(obj)
     if isinstance(obj, list | tuple):
-        return tuple(map(_frozen, obj))
-    if isinstance(obj, Still):
+        return tuple(map(_canonical, obj))
+    if isinstance(obj, DeterministicRandom):
         return obj.count
     if isinstance(obj, Book):
-        return _frozen(obj.items)  # its digests follow from them
+        return _canonical(obj.items)  # the digests follow from the items
     names = getattr(obj, "__slots__", None) or sorted(vars(obj))
-    return tuple((n, _frozen(getattr(obj, n))) for n in names if n not in ("_machine", "machine", "turn"))
+    return tuple((n, _canonical(getattr(obj, n))) for n in names if n not in ("_machine", "machine", "turn"))
 
 
-def encoded(outputs: list[Output]) -> tuple[Effect, ...]:
-    """Outputs as they go between machines: in bytes, so that nothing is shared."""
+def encode_outputs(outputs: list[Output]) -> tuple[Effect, ...]:
+    """The outputs with messages serialized, so that machines share no objects."""
 
-    def sent(send: Send) -> ToSend:
-        return ToSend(send.to, send.frame.SerializeToString(deterministic=True))
+    def encode_send(send: Send) -> EncodedSend:
+        return EncodedSend(send.to, send.frame.SerializeToString(deterministic=True))
 
     effects: list[Effect] = []
     for output in outputs:
         if isinstance(output, Send):
-            effects.append(sent(output))
+            effects.append(encode_send(output))
         elif isinstance(output, Write):
-            effects.append(ToWrite(tuple(sorted(output.records.items())), tuple(map(sent, output.then))))
+            effects.append(
+                EncodedWrite(tuple(sorted(output.records.items())), tuple(map(encode_send, output.then)))
+            )
         elif isinstance(output, Stands):
-            effects.append(Stood(tuple(map(fact, output.items))))
+            effects.append(EncodedCommit(tuple(map(item_tuple, output.items))))
         elif isinstance(output, Answer):
-            effects.append(Answered(output.number, int(output.code), tuple(map(fact, output.items))))
+            effects.append(
+                EncodedAnswer(output.number, int(output.code), tuple(map(item_tuple, output.items)))
+            )
     return tuple(effects)
 
 
-Maker = Callable[[str, int, bool, dict[str, bytes]], Interlocking]  # address, life, first run, disk
+MachineFactory = Callable[[str, int, bool, dict[str, bytes]], Interlocking]  # address, life, first run, disk
 
 
-class Locals:
-    """The states met so far.  make: a process that starts."""
+class MachineStates:
+    """The machine states and disk contents seen so far, by id.  make_machine: creates a starting process."""
 
-    def __init__(self, make: Maker) -> None:
-        self._make = make
-        self._numbers: dict[Any, int] = {}
-        self._by_blob: dict[bytes, int] = {}  # the same, told by their bytes: equal states may have several
-        self._blobs: list[bytes] = [b""]  # 0: no process
-        self._views: list[View | None] = [None]
-        self._steps: dict[tuple[int, Input], tuple[int, tuple[Effect, ...]]] = {}
+    def __init__(self, make_machine: MachineFactory) -> None:
+        self._make_machine = make_machine
+        self._ids: dict[Any, int] = {}
+        self._ids_by_blob: dict[bytes, int] = {}  # equal states may have several pickles
+        self._blobs: list[bytes] = [b""]  # id 0: no process
+        self._views: list[MachineView | None] = [None]
+        self._steps: dict[tuple[int, MachineInput], tuple[int, tuple[Effect, ...]]] = {}
         self._starts: dict[tuple[str, int, bool, int], int] = {}
-        self._disk_numbers: dict[frozenset[tuple[str, bytes]], int] = {frozenset(): 0}
+        self._disk_ids: dict[frozenset[tuple[str, bytes]], int] = {frozenset(): 0}
         self.disks: list[dict[str, bytes]] = [{}]
-        self._swaps: dict[int, int] = {}
-        self._disk_swaps: dict[int, int] = {}
+        self._swapped_ids: dict[int, int] = {}
+        self._swapped_disk_ids: dict[int, int] = {}
         self._disk_views: dict[int, DiskView] = {}
 
     def __len__(self) -> int:
         return len(self._blobs)
 
     @property
-    def steps(self) -> int:
-        """How many steps of machines were worked out."""
+    def step_count(self) -> int:
+        """The number of machine steps that were computed."""
         return len(self._steps)
 
-    def start(self, address: str, life: int, first_run: bool, disk: int) -> int:
-        known = self._starts.get((address, life, first_run, disk))
-        if known is None:
-            known = self._number(self._make(address, life, first_run, dict(self.disks[disk])))
-            self._starts[address, life, first_run, disk] = known
-        return known
-
-    def step(self, local: int, given: Input) -> tuple[int, tuple[Effect, ...]]:
-        """The state that follows, and what is to be sent, written and answered."""
-        known = self._steps.get((local, given))
-        if known is None:
-            machine = pickle.loads(self._blobs[local])
-            outputs = _feed(machine, given)
-            known = self._number(machine), encoded(outputs)
-            self._steps[local, given] = known
-        return known
-
-    def view(self, local: int) -> View:
-        view = self._views[local]
+    def start(self, address: str, start_count: int, first_run: bool, disk_id: int) -> int:
+        state_id = self._starts.get((address, start_count, first_run, disk_id))
+        if state_id is None:
+            state_id = self._intern(
+                self._make_machine(address, start_count, first_run, dict(self.disks[disk_id]))
+            )
+            self._starts[address, start_count, first_run, disk_id] = state_id
+        return state_id
+
+    def step(self, state_id: int, machine_input: MachineInput) -> tuple[int, tuple[Effect, ...]]:
+        """The successor state and what the machine sends, writes and answers."""
+        successor = self._steps.get((state_id, machine_input))
+        if successor is None:
+            machine = pickle.loads(self._blobs[state_id])
+            outputs = _apply_input(machine, machine_input)
+            successor = self._intern(machine), encode_outputs(outputs)
+            self._steps[state_id, machine_input] = successor
+        return successor
+
+    def view(self, state_id: int) -> MachineView:
+        view = self._views[state_id]
         if view is None:
-            view = self._views[local] = _view(pickle.loads(self._blobs[local]))
+            view = self._views[state_id] = _machine_view(pickle.loads(self._blobs[state_id]))
         return view
 
-    def swapped(self, local: int, swap: Callable[[bytes], bytes]) -> int:
-        """The same state with other bytes in its values; swap must be one function throughout."""
-        known = self._swaps.get(local)
-        if known is None:
-            known = 0 if not local else self._number(pickle.loads(swap(self._blobs[local])))
-            self._swaps[local] = known
-        return known
-
-    def swapped_disk(self, disk: int, swap: Callable[[bytes], bytes]) -> int:
-        known = self._disk_swaps.get(disk)
-        if known is None:
-            known = self.written(0, tuple((name, swap(value)) for name, value in self.disks[disk].items()))
-            self._disk_swaps[disk] = known
-        return known
-
-    def written(self, disk: int, records: tuple[tuple[str, bytes], ...]) -> int:
-        """The disk with these records on it."""
-        held = {**self.disks[disk], **dict(records)}
-        number = self._disk_numbers.setdefault(frozenset(held.items()), len(self.disks))
-        if number == len(self.disks):
-            self.disks.append(held)
-        return number
-
-    def disk_view(self, disk: int) -> DiskView:
-        view = self._disk_views.get(disk)
+    def swap_values(self, state_id: int, swap: Callable[[bytes], bytes]) -> int:
+        """The same state with swapped values; cached, so swap must always be the same function."""
+        swapped_id = self._swapped_ids.get(state_id)
+        if swapped_id is None:
+            swapped_id = 0 if not state_id else self._intern(pickle.loads(swap(self._blobs[state_id])))
+            self._swapped_ids[state_id] = swapped_id
+        return swapped_id
+
+    def swap_disk_values(self, disk_id: int, swap: Callable[[bytes], bytes]) -> int:
+        swapped_id = self._swapped_disk_ids.get(disk_id)
+        if swapped_id is None:
+            swapped_id = self.write_disk(
+                0, tuple((name, swap(value)) for name, value in self.disks[disk_id].items())
+            )
+            self._swapped_disk_ids[disk_id] = swapped_id
+        return swapped_id
+
+    def write_disk(self, disk_id: int, records: tuple[tuple[str, bytes], ...]) -> int:
+        """The id of the disk contents after these records were written."""
+        records_on_disk = {**self.disks[disk_id], **dict(records)}
+        written_id = self._disk_ids.setdefault(frozenset(records_on_disk.items()), len(self.disks))
+        if written_id == len(self.disks):
+            self.disks.append(records_on_disk)
+        return written_id
+
+    def disk_view(self, disk_id: int) -> DiskView:
+        view = self._disk_views.get(disk_id)
         if view is None:
             items = {}
-            seats = Seats("")
+            voters = Seats("")
             full = False
-            for name, value in self.disks[disk].items():
+            for name, value in self.disks[disk_id].items():
                 if name.startswith(ITEM_RECORD):
                     item = Item.FromString(value)
-                    items[item.key] = fact(item)
+                    items[item.key] = item_tuple(item)
                 elif name == SEATS_RECORD:
-                    seats.restore(value)
+                    voters.restore(value)
                     full = bool(json.loads(value)["full"])
                 else:
                     assert name.startswith(PROMISED_RECORD)
-            view = self._disk_views[disk] = DiskView(full, _rows(seats), items)
+            view = self._disk_views[disk_id] = DiskView(full, _voter_rows(voters), items)
         return view
 
-    def _number(self, machine: Interlocking) -> int:
+    def _intern(self, machine: Interlocking) -> int:
         machine.turn.out, machine.turn.inbox = [], []
-        into = io.BytesIO()
-        _Pickler(into, 5).dump(machine)
-        blob = into.getvalue()
-        known = self._by_blob.get(blob)
-        if known is None:
-            known = self._numbers.setdefault(_frozen(machine), len(self._blobs))
-            if known == len(self._blobs):
+        buffer = io.BytesIO()
+        _Pickler(buffer, 5).dump(machine)
+        blob = buffer.getvalue()
+        state_id = self._ids_by_blob.get(blob)
+        if state_id is None:
+            state_id = self._ids.setdefault(_canonical(machine), len(self._blobs))
+            if state_id == len(self._blobs):
                 self._blobs.append(blob)
                 self._views.append(None)
-            self._by_blob[blob] = known
-        return known
+            self._ids_by_blob[blob] = state_id
+        return state_id
 
 
-def _feed(machine: Interlocking, given: Input) -> list[Output]:
-    kind, now = given[0], given[-1]
+def _apply_input(machine: Interlocking, machine_input: MachineInput) -> list[Output]:
+    kind, now = machine_input[0], machine_input[-1]
     if kind == "frame":
-        return machine.frame(given[1], Frame.FromString(given[2]), now)
+        return machine.frame(machine_input[1], Frame.FromString(machine_input[2]), now)
     if kind == "tick":
         return machine.tick(now)
     if kind == "up":
-        return machine.up(given[1], now)
+        return machine.up(machine_input[1], now)
     if kind == "down":
-        return machine.down(given[1], now)
+        return machine.down(machine_input[1], now)
     if kind == "change":
-        return machine.change(given[1], [Item.FromString(data) for data in given[2]], now)
+        return machine.change(machine_input[1], [Item.FromString(data) for data in machine_input[2]], now)
     if kind == "read":
-        return machine.read(given[1], now)
+        return machine.read(machine_input[1], now)
     assert kind == "resign", kind
     return machine.resign(now)
 
 
-def _rows(seats: Seats) -> tuple[SeatRow, ...]:
+def _voter_rows(voters: Seats) -> tuple[VoterRow, ...]:
     return tuple(
-        (i, CLOSED if seat.settled else seat.holder, seat.incarnation)
-        for i, seat in sorted(seats.table.items())
+        (i, CLOSED_SLOT if seat.settled else seat.holder, seat.incarnation)
+        for i, seat in sorted(voters.table.items())
     )
 
 
-def _view(machine: Interlocking) -> View:
+def _machine_view(machine: Interlocking) -> MachineView:
     owned = {section: state.epoch for section, state in machine.owner.sections.items() if state.ready}
     mine = machine.seats.mine()
-    return View(
-        ready=frozenset(owned.items()),
+    return MachineView(
+        owned_sections=frozenset(owned.items()),
         leases=tuple((duty, machine.leases.until(duty)) for duty in DUTIES if machine.leases.until(duty)),
-        seats=_rows(machine.seats),
+        voters=_voter_rows(machine.seats),
         full=machine.seats.full,
-        standing=frozenset(map(fact, machine.standing.items.values())),
-        whole=machine.owner.complete(),
+        committed=frozenset(map(item_tuple, machine.standing.items.values())),
+        knows_all_sections=machine.owner.complete(),
         resigned=machine.resigned,
-        story=f"seat {mine}{'' if machine.seats.full else ' (empty)'}, owns {owned or 'nothing'}",
+        summary=f"seat {mine}{'' if machine.seats.full else ' (empty)'}, owns {owned or 'nothing'}",
     )
--- a/leadrudder/model_checker/scenarios.py
+++ b/leadrudder/model_checker/scenarios.py
@@ -1,183 +1,225 @@
-"""The scenes: small worlds that together hold every trouble which the control state must stand."""
+"""The scenarios, which together contain every fault that the control state must tolerate."""
 
 from __future__ import annotations
 
 from leadrudder.configuration.items import CORE
-from leadrudder.model_checker.machine_states import Fact
-from leadrudder.model_checker.state import REST, Action, Call, Left, Scene
+from leadrudder.model_checker.machine_states import ItemTuple
+from leadrudder.model_checker.state import QUIESCE, Action, Call, FaultBudget, Scenario
 
-ONE, TWO = "routes/r4", "routes/r1"  # in sections 0 and 1 of two
+KEY_IN_SECTION_0, KEY_IN_SECTION_1 = "routes/r4", "routes/r1"  # of two sections
 
 
-def change(key: str, version: int, value: bytes = b"", *, dropped: bool = False) -> tuple[Fact, ...]:
+def item_change(
+    key: str, version: int, value: bytes = b"", *, dropped: bool = False
+) -> tuple[ItemTuple, ...]:
     return ((key, version, dropped, value),)
 
 
-CORE_TO_4, CORE_TO_3 = Call(change(CORE, 2, b"4")), Call(change(CORE, 2, b"3"))
-CORE_TO_5, CORE_BACK = Call(change(CORE, 2, b"5"), tries=4), Call(change(CORE, 3, b"3"), tries=4)
-RIVALS = (Call(change(ONE, 2, b"<a>")), Call(change(ONE, 2, b"<b>")))
+CORE_TO_4, CORE_TO_3 = Call(item_change(CORE, 2, b"4")), Call(item_change(CORE, 2, b"3"))
+CORE_TO_5, CORE_BACK_TO_3 = (
+    Call(item_change(CORE, 2, b"5"), attempts=4),
+    Call(item_change(CORE, 3, b"3"), attempts=4),
+)
+RIVAL_CALLS = (Call(item_change(KEY_IN_SECTION_0, 2, b"<a>")), Call(item_change(KEY_IN_SECTION_0, 2, b"<b>")))
 
-_AWAY: Action = ("hold", "arrives", 0, 1)  # what A sends does not reach B
-_DEAF: tuple[Action, ...] = (_AWAY, ("hold", "arrives", 2, 1), ("hold", "late", 2, 1))  # nor what C sends
+_A_TO_B_HELD: Action = ("hold", "arrives", 0, 1)  # frames from A do not reach B
+# Frames from A and C do not reach B.
+_ALL_TO_B_HELD: tuple[Action, ...] = (_A_TO_B_HELD, ("hold", "arrives", 2, 1), ("hold", "late", 2, 1))
 
 SCENARIOS = {
-    scene.name: scene
-    for scene in (
-        Scene(
+    scenario.name: scenario
+    for scenario in (
+        Scenario(
             "rivals",
-            "two operators give one version two values, and a machine loses power",
-            Left(steps=2, powers=1, delays=1),
-            RIVALS,
-            first=(("call", 0, 0), ("call", 1, 1)),
+            "two operators propose different values for one version; one host loses power",
+            FaultBudget(time_steps=2, power_losses=1, delays=1),
+            RIVAL_CALLS,
+            prefix=(("call", 0, 0), ("call", 1, 1)),
             recovery_check_every=997,
         ),
-        Scene(
+        Scenario(
             "asked",
-            "the same from the beginning: each operator asks any machine at any time, and values are folded",
-            Left(steps=1, powers=1, delays=0),
-            RIVALS,
-            swapped=(b"<a>", b"<b>"),
+            "as rivals, but each operator calls any host at any time; symmetric values are merged",
+            FaultBudget(time_steps=1, power_losses=1, delays=0),
+            RIVAL_CALLS,
+            symmetric_values=(b"<a>", b"<b>"),
             recovery_check_every=997,
         ),
-        Scene(
+        Scenario(
             "wiped",
-            "a change that one machine does not hear of is acknowledged, and a machine loses its disk",
-            Left(steps=2, wipes=1, powers=1, delays=0),
-            (Call(change(ONE, 2, b"<a>")),),
-            first=(("call", 0, 0), *_DEAF, REST, ("pass",)),
+            "a change is acknowledged while one host receives nothing; a host loses its disk",
+            FaultBudget(time_steps=2, disk_wipes=1, power_losses=1, delays=0),
+            (Call(item_change(KEY_IN_SECTION_0, 2, b"<a>")),),
+            prefix=(("call", 0, 0), *_ALL_TO_B_HELD, QUIESCE, ("pass",)),
             recovery_check_every=997,
         ),
-        Scene(
+        Scenario(
             "replaced",
-            "the same, a machine is gone for good, and an empty one comes at another address",
-            Left(steps=8, replaced=1, delays=0),
-            (Call(change(ONE, 2, b"<a>")),),
-            first=(("call", 0, 0), *_DEAF, REST, ("pass",)),
-            spare=1,
+            "as wiped, but a host is lost for good and an empty one joins at another address",
+            FaultBudget(time_steps=8, replacements=1, delays=0),
+            (Call(item_change(KEY_IN_SECTION_0, 2, b"<a>")),),
+            prefix=(("call", 0, 0), *_ALL_TO_B_HELD, QUIESCE, ("pass",)),
+            spares=1,
             recovery_check_every=997,
         ),
-        Scene(
+        Scenario(
             "cuts",
-            "links break twice while a change and the drop that follows it are on their way",
-            Left(steps=3, breaks=2, delays=0),
-            (Call(change(ONE, 2, b"<a>")), Call(change(ONE, 3, dropped=True))),
-            first=(("call", 0, 0),),
+            "links break twice while a change and the deletion after it are in progress",
+            FaultBudget(time_steps=3, link_breaks=2, delays=0),
+            (
+                Call(item_change(KEY_IN_SECTION_0, 2, b"<a>")),
+                Call(item_change(KEY_IN_SECTION_0, 3, dropped=True)),
+            ),
+            prefix=(("call", 0, 0),),
             recovery_check_every=997,
         ),
-        Scene(
+        Scenario(
             "reads",
-            "a read elsewhere while a change that one machine does not hear of is under way, and one dies",
-            Left(steps=8, kills=1, delays=0),
-            (Call(change(ONE, 2, b"<a>")), Call()),
-            first=(("call", 0, 0), _AWAY),
-            step=1,
+            "a read at any host during a change that one host does not receive; a process dies",
+            FaultBudget(time_steps=8, kills=1, delays=0),
+            (Call(item_change(KEY_IN_SECTION_0, 2, b"<a>")), Call()),
+            prefix=(("call", 0, 0), _A_TO_B_HELD),
+            step_tenths=1,
             recovery_check_every=997,
         ),
-        Scene(
+        Scenario(
             "two-keys",
-            "one call over two sections, another on one of them, and a frame that comes twice",
-            Left(steps=2, doubles=1, kills=1, delays=0),
+            "one call spans two sections, another uses one of them; a frame is duplicated",
+            FaultBudget(time_steps=2, duplicates=1, kills=1, delays=0),
             (
-                Call((*change(ONE, 2, b"<a>"), *change(TWO, 2, b"<a>"))),
-                Call(change(TWO, 2, b"<b>")),
+                Call((*item_change(KEY_IN_SECTION_0, 2, b"<a>"), *item_change(KEY_IN_SECTION_1, 2, b"<a>"))),
+                Call(item_change(KEY_IN_SECTION_1, 2, b"<b>")),
             ),
-            first=(("call", 0, 0),),
+            prefix=(("call", 0, 0),),
             recovery_check_every=997,
         ),
-        Scene(
+        Scenario(
             "duty",
-            "who holds a duty is cut off, and a machine dies, by clocks that run apart as far as they may",
-            Left(steps=6, kills=1, delays=0),
-            rates=(1.0, 1.2, 1.2),
-            first=(("break", 0, 1), ("hold", "link", 0, 1), ("hold", "arrives", 0, 2)),
+            "a lease holder is cut off and a process dies, with the largest allowed clock drift",
+            FaultBudget(time_steps=6, kills=1, delays=0),
+            clock_rates=(1.0, 1.2, 1.2),
+            prefix=(("break", 0, 1), ("hold", "link", 0, 1), ("hold", "arrives", 0, 2)),
             recovery_check_every=997,
         ),
-        Scene(
+        Scenario(
             "again",
-            "an operator waits no longer and asks another machine, a rival asks too, and an owner dies",
-            Left(steps=2, kills=1, delays=0),
-            (Call(change(ONE, 2, b"<a>"), tries=2), Call(change(ONE, 2, b"<b>"))),
-            first=(("call", 0, 0), _AWAY),
+            "an operator retries at another host while a rival calls; an owner dies",
+            FaultBudget(time_steps=2, kills=1, delays=0),
+            (
+                Call(item_change(KEY_IN_SECTION_0, 2, b"<a>"), attempts=2),
+                Call(item_change(KEY_IN_SECTION_0, 2, b"<b>")),
+            ),
+            prefix=(("call", 0, 0), _A_TO_B_HELD),
             recovery_check_every=997,
         ),
-        Scene(
+        Scenario(
             "handed",
-            "an owner resigns while a change is on its way to it, and another loses power",
-            Left(steps=3, resigns=1, powers=1, delays=0),
-            (Call(change(ONE, 2, b"<a>"), tries=2),),
-            first=(("call", 0, 2),),
+            "an owner resigns while a change is on its way to it; another host loses power",
+            FaultBudget(time_steps=3, resignations=1, power_losses=1, delays=0),
+            (Call(item_change(KEY_IN_SECTION_0, 2, b"<a>"), attempts=2),),
+            prefix=(("call", 0, 2),),
             recovery_check_every=997,
         ),
-        Scene(
+        Scenario(
             "planned",
-            "a fourth machine waits, one resigns and it takes the seat, while who holds a duty is cut off",
-            Left(steps=6, resigns=1, holds=3, delays=0),
+            "a fourth host takes the voter slot of one that resigns while a lease holder is cut off",
+            FaultBudget(time_steps=6, resignations=1, holds=3, delays=0),
             machines=4,
             recovery_check_every=997,
         ),
-        Scene(
+        Scenario(
             "grown",
-            "a fourth machine gets a seat that is new while a change is made, and a machine loses power",
-            Left(steps=8, powers=1, delays=0),
-            (CORE_TO_4, Call(change(ONE, 2, b"<a>"), tries=2)),
-            first=(("call", 0, 0), REST, ("join",)),
-            spare=1,
+            "a fourth host gets an additional voter slot during a change; a host loses power",
+            FaultBudget(time_steps=8, power_losses=1, delays=0),
+            (CORE_TO_4, Call(item_change(KEY_IN_SECTION_0, 2, b"<a>"), attempts=2)),
+            prefix=(("call", 0, 0), QUIESCE, ("join",)),
+            spares=1,
             recovery_check_every=997,
         ),
-        Scene(
+        Scenario(
             "closed",
-            "of five seats two are closed while a change is made that two do not hear of; one loses power",
-            Left(steps=8, powers=1, delays=0),
-            (CORE_TO_3, Call(change(ONE, 2, b"<a>"), tries=2)),
-            first=(("call", 1, 0), ("hold", "arrives", 0, 1), ("hold", "arrives", 0, 3), ("call", 0, 2)),
+            "two of five voter slots are closed during a change that two hosts miss; one loses power",
+            FaultBudget(time_steps=8, power_losses=1, delays=0),
+            (CORE_TO_3, Call(item_change(KEY_IN_SECTION_0, 2, b"<a>"), attempts=2)),
+            prefix=(("call", 1, 0), ("hold", "arrives", 0, 1), ("hold", "arrives", 0, 3), ("call", 0, 2)),
             machines=5,
-            losses=2,
+            tolerated_losses=2,
             recovery_check_every=997,
         ),
-        Scene(
+        Scenario(
             "resized",
-            "a core of three grows to five and shrinks again under every trouble: for walks",
-            Left(steps=60, powers=3, wipes=1, breaks=4, doubles=1, kills=3, replaced=1, joins=2, holds=4),
+            "three voters grow to five and shrink again under all faults; for random walks",
+            FaultBudget(
+                time_steps=60,
+                power_losses=3,
+                disk_wipes=1,
+                link_breaks=4,
+                duplicates=1,
+                kills=3,
+                replacements=1,
+                joins=2,
+                holds=4,
+            ),
             (
                 CORE_TO_5,
-                CORE_BACK,
-                Call(change(ONE, 2, b"<a>"), tries=4),
-                Call(change(ONE, 2, b"<b>"), tries=4),
-                Call(change(TWO, 2, b"<a>"), tries=4),
-                Call(tries=3),
+                CORE_BACK_TO_3,
+                Call(item_change(KEY_IN_SECTION_0, 2, b"<a>"), attempts=4),
+                Call(item_change(KEY_IN_SECTION_0, 2, b"<b>"), attempts=4),
+                Call(item_change(KEY_IN_SECTION_1, 2, b"<a>"), attempts=4),
+                Call(attempts=3),
             ),
-            spare=3,
-            counted=True,
+            spares=3,
+            limit_losses=True,
         ),
-        Scene(
+        Scenario(
             "five",
-            "five machines, two of which may go: for walks",
-            Left(steps=40, powers=3, wipes=2, breaks=6, doubles=2, kills=3, replaced=1, resigns=1, holds=6),
+            "five hosts, two of which may be lost; for random walks",
+            FaultBudget(
+                time_steps=40,
+                power_losses=3,
+                disk_wipes=2,
+                link_breaks=6,
+                duplicates=2,
+                kills=3,
+                replacements=1,
+                resignations=1,
+                holds=6,
+            ),
             (
-                Call(change(ONE, 2, b"<a>"), tries=4),
-                Call(change(ONE, 2, b"<b>"), tries=4),
-                Call(change(ONE, 3, b"<a>"), tries=4),
-                Call(change(TWO, 2, b"<a>"), tries=4),
-                Call(tries=3),
+                Call(item_change(KEY_IN_SECTION_0, 2, b"<a>"), attempts=4),
+                Call(item_change(KEY_IN_SECTION_0, 2, b"<b>"), attempts=4),
+                Call(item_change(KEY_IN_SECTION_0, 3, b"<a>"), attempts=4),
+                Call(item_change(KEY_IN_SECTION_1, 2, b"<a>"), attempts=4),
+                Call(attempts=3),
             ),
             machines=5,
-            spare=1,
-            losses=2,
-            counted=True,
+            spares=1,
+            tolerated_losses=2,
+            limit_losses=True,
         ),
-        Scene(
+        Scenario(
             "three",
-            "three machines, one of which may go: for walks",
-            Left(steps=40, powers=3, wipes=1, breaks=6, doubles=2, kills=3, replaced=1, resigns=1, holds=6),
+            "three hosts, one of which may be lost; for random walks",
+            FaultBudget(
+                time_steps=40,
+                power_losses=3,
+                disk_wipes=1,
+                link_breaks=6,
+                duplicates=2,
+                kills=3,
+                replacements=1,
+                resignations=1,
+                holds=6,
+            ),
             (
-                Call(change(ONE, 2, b"<a>"), tries=4),
-                Call(change(ONE, 2, b"<b>"), tries=4),
-                Call(change(ONE, 3, dropped=True), tries=4),
-                Call(change(TWO, 2, b"<a>"), tries=4),
-                Call(tries=3),
+                Call(item_change(KEY_IN_SECTION_0, 2, b"<a>"), attempts=4),
+                Call(item_change(KEY_IN_SECTION_0, 2, b"<b>"), attempts=4),
+                Call(item_change(KEY_IN_SECTION_0, 3, dropped=True), attempts=4),
+                Call(item_change(KEY_IN_SECTION_1, 2, b"<a>"), attempts=4),
+                Call(attempts=3),
             ),
-            spare=1,
-            counted=True,
+            spares=1,
+            limit_losses=True,
         ),
     )
 }
--- a/leadrudder/model_checker/state.py
+++ b/leadrudder/model_checker/state.py
@@ -1,124 +1,130 @@
-"""What a small world is made of, as values: machines, links, calls, scenes.  Times are tenths of a second."""
+"""Value types of the model: hosts, links, calls, states and scenarios.  Times are tenths of a second."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from leadrudder.model_checker.machine_states import Fact, ToWrite
+from leadrudder.model_checker.machine_states import EncodedWrite, ItemTuple
 
-STEP = 5  # tenths of a second that pass at once, where the scene says nothing else
-READS = 3  # of an operator's in calm, one of which must be answered
-SYNC = 40  # a machine that is back counts as lost for so long
-CALM_STEP = 3  # the same in calm
-FREE = ("arrives", "late", "synced", "start", "notice", "link")  # moves that come by themselves
-REST: Action = ("rest",)
-UNBOUNDED_DELAYS = 1_000_000  # delays: every order
+STEP_TENTHS = 5  # default duration of one time step
+READ_ATTEMPTS = 3  # without faults one of these consecutive reads must be answered
+RECOVERY_TENTHS = 40  # a restarted host counts as lost for this long
+FAULT_FREE_STEP_TENTHS = 3  # duration of one time step without faults
+# Kinds of actions that the system takes by itself: a frame of the current connection is delivered, one of an
+# earlier connection is, a write completes, a process starts, a host notices that a link went down, a link
+# connects. All other kinds are faults, operator calls and the passage of time.
+INTERNAL_KINDS = ("arrives", "late", "synced", "start", "notice", "link")
+QUIESCE: Action = ("rest",)  # in a prefix: apply internal actions until none is enabled
+UNBOUNDED_DELAYS = 1_000_000  # every order of internal actions is explored
 
-Action = tuple[str | int, ...]  # what happens next: its kind, then machines or calls by number
+Action = tuple[str | int, ...]  # kind, then the indexes of hosts or calls
 
 
-class InvariantViolation(AssertionError):  # noqa: N818 - it says what is the matter with a rule
-    """A rule does not hold."""
+class InvariantViolation(AssertionError):  # noqa: N818 - named by what it reports
+    """An invariant does not hold."""
 
 
-class Box(NamedTuple):
-    """A machine: its process (0: none), its disk, and what waits to be written."""
+class Host(NamedTuple):
+    """A machine: its process (0: none) and disk, by their ids in MachineStates, and its pending writes."""
 
-    local: int = 0
+    process: int = 0
     disk: int = 0
-    queue: tuple[ToWrite, ...] = ()
-    life: int = 0
+    write_queue: tuple[EncodedWrite, ...] = ()
+    start_count: int = 0
     first_run: bool = True
-    gone: bool = False
-    calls: int = 0  # that operators have sent here
-    since: int = 0  # when its process started
+    removed: bool = False
+    call_count: int = 0  # calls that operators have sent to this host
+    started_tenths: int = 0  # when the current process started
 
 
-class Wire(NamedTuple):
-    """Between two machines, the lower number first: frames on their way up and down the numbers."""
+class Link(NamedTuple):
+    """The link of two hosts, with the frames in transit from the lower index to the higher and back."""
 
     up: bool = False
-    ahead: tuple[bytes, ...] = ()
-    back: tuple[bytes, ...] = ()
-    left_ahead: tuple[bytes, ...] = ()  # of a link before, whose sender is gone
-    left_back: tuple[bytes, ...] = ()
-    low_thinks: bool = False  # that a link stands
-    high_thinks: bool = False
+    forward: tuple[bytes, ...] = ()
+    backward: tuple[bytes, ...] = ()
+    stale_forward: tuple[bytes, ...] = ()  # of an earlier connection, whose sender has died
+    stale_backward: tuple[bytes, ...] = ()
+    low_sees_link: bool = False  # the lower host considers the link up
+    high_sees_link: bool = False
 
 
-class Asked(NamedTuple):
-    """A call, and what became of it: tries left, where it is open, whether it has a clear answer, what a read
-    owes."""
+class CallState(NamedTuple):
+    """The progress of a call.
 
-    items: tuple[Fact, ...]
-    tries: int
-    at: int = -1
+    host_index: where it is pending, -1: nowhere; answered: with a definite result; required: the acknowledged
+    items that a read has to return.
+    """
+
+    items: tuple[ItemTuple, ...]
+    attempts_left: int
+    host_index: int = -1
     number: int = 0
-    done: bool = False
-    owed: frozenset[Fact] = frozenset()
+    answered: bool = False
+    required: frozenset[ItemTuple] = frozenset()
 
 
-class Left(NamedTuple):
-    """How often each kind of trouble may still come."""
+class FaultBudget(NamedTuple):
+    """How often each kind of fault, and of time step, may still occur."""
 
-    steps: int = 0  # of time
+    time_steps: int = 0
     kills: int = 0
-    powers: int = 0  # kills after which a part of what was not synced is there
-    wipes: int = 0
-    breaks: int = 0  # of a link, with all that is on it
-    doubles: int = 0  # of a frame
-    replaced: int = 0
-    resigns: int = 0
-    joins: int = 0  # of an empty machine
-    holds: int = 0  # of a link's direction or a disk, for as long as one likes
-    delays: int = UNBOUNDED_DELAYS  # of what is next in turn, behind one that is ready too
+    power_losses: int = 0  # kills after which a prefix of the unsynced writes is on disk
+    disk_wipes: int = 0
+    link_breaks: int = 0  # with all frames in transit
+    duplicates: int = 0  # of a frame in transit
+    replacements: int = 0
+    resignations: int = 0
+    joins: int = 0  # of an empty host
+    holds: int = 0  # of one source of internal actions (such as a link direction or a disk), until released
+    delays: int = UNBOUNDED_DELAYS  # of the next source in round-robin order, behind another enabled one
 
 
 class State(NamedTuple):
-    clock: int
-    boxes: tuple[Box, ...]
-    wires: tuple[Wire, ...]
-    asked: tuple[Asked, ...]
-    budget: Left
-    acknowledged: frozenset[Fact] = frozenset()
-    stood: frozenset[Fact] = frozenset()
-    refused: frozenset[Fact] = frozenset()
-    owners: frozenset[tuple[int, int, int]] = frozenset()  # section, epoch, machine
-    turn: int = 0  # the source that is served next
-    held: frozenset[Action] = frozenset()  # sources that give nothing
+    """A global state."""
+
+    clock_tenths: int
+    hosts: tuple[Host, ...]
+    links: tuple[Link, ...]
+    calls: tuple[CallState, ...]
+    budget: FaultBudget
+    acknowledged: frozenset[ItemTuple] = frozenset()
+    committed: frozenset[ItemTuple] = frozenset()
+    refused: frozenset[ItemTuple] = frozenset()
+    owners: frozenset[tuple[int, int, int]] = frozenset()  # section, epoch, host index
+    next_source: int = 0  # round-robin position of the next internal action
+    held: frozenset[Action] = frozenset()  # internal actions that are held back
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """An operator's change, or a read where there are no items; tries: how often it may be sent."""
+    """An operator's change, or a read if there are no items.  attempts: how often it may be sent."""
 
-    items: tuple[Fact, ...] = ()
-    tries: int = 1
+    items: tuple[ItemTuple, ...] = ()
+    attempts: int = 1
 
 
 @dataclass(slots=True)
-class Scene:
-    """What a small world is made of.
+class Scenario:
+    """The configuration and the bounds of one search.
 
-    machines: that start; spare: addresses of those that may replace one; rates: of their clocks; losses:
-    disks that may go at once.
+    machines: hosts at the start; spares: further addresses for replacements; tolerated_losses: disks that may
+    be lost at the same time; clock_rates: of the hosts, default 1.
     """
 
     name: str
-    says: str
-    budget: Left
+    description: str
+    budget: FaultBudget
     calls: tuple[Call, ...] = ()
     machines: int = 3
-    spare: int = 0
+    spares: int = 0
     sections: int = 2
-    losses: int = 1
-    rates: tuple[float, ...] = ()
-    step: int = STEP
-    first: tuple[
-        Action, ...
-    ] = ()  # what has happened when the search begins; REST: all that is ready arrives
-    settled: int = 60  # tenths of a second before the first trouble
-    swapped: tuple[bytes, bytes] | None = None  # values that may change places: states alike are folded
-    counted: bool = False  # time passes only while no more are lost than is borne
-    recovery_check_every: int = 0  # every how many states calm is played out, to see that all is found again
+    tolerated_losses: int = 1
+    clock_rates: tuple[float, ...] = ()
+    step_tenths: int = STEP_TENTHS
+    prefix: tuple[Action, ...] = ()  # actions before the search begins
+    warm_up_tenths: int = 60  # before the first fault
+    symmetric_values: tuple[bytes, bytes] | None = None  # states that differ by swapping them count as one
+    limit_losses: bool = False  # time passes only while the losses are tolerated
+    recovery_check_every: int = 0  # states between checks of fault-free recovery; 0: none
--- a/leadrudder/model_checker/symmetry.py
+++ b/leadrudder/model_checker/symmetry.py
@@ -1,57 +1,60 @@
-"""States that are alike but for which of two rivals' values stands where: one is the other, swapped."""
+"""Symmetry reduction: states that differ only by swapping the values of two rival calls are equivalent."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from leadrudder.model_checker.machine_states import Fact, Locals, ToSend, ToWrite
+from leadrudder.model_checker.machine_states import EncodedSend, EncodedWrite, ItemTuple, MachineStates
 from leadrudder.model_checker.state import State
 
 
-def swapped(locals_: Locals, state: State, swap: Callable[[bytes], bytes]) -> State:
-    """The state with the bytes of values swapped throughout."""
+def swap_values(machine_states: MachineStates, state: State, swap: Callable[[bytes], bytes]) -> State:
+    """The state with `swap` applied to all bytes that may contain a value."""
 
-    def facts(of: frozenset[Fact]) -> frozenset[Fact]:
-        return frozenset((key, version, dropped, swap(value)) for key, version, dropped, value in of)
+    def swap_items(items: frozenset[ItemTuple]) -> frozenset[ItemTuple]:
+        return frozenset((key, version, dropped, swap(value)) for key, version, dropped, value in items)
 
-    def batch(write: ToWrite) -> ToWrite:
+    def swap_write(write: EncodedWrite) -> EncodedWrite:
         records = tuple((name, swap(value)) for name, value in write.records)
-        return ToWrite(records, tuple(ToSend(send.to, swap(send.data)) for send in write.then))
+        return EncodedWrite(records, tuple(EncodedSend(send.to, swap(send.data)) for send in write.then))
 
-    boxes = tuple(
-        box._replace(
-            local=locals_.swapped(box.local, swap),
-            disk=locals_.swapped_disk(box.disk, swap),
-            queue=tuple(map(batch, box.queue)),
+    hosts = tuple(
+        host._replace(
+            process=machine_states.swap_values(host.process, swap),
+            disk=machine_states.swap_disk_values(host.disk, swap),
+            write_queue=tuple(map(swap_write, host.write_queue)),
         )
-        for box in state.boxes
+        for host in state.hosts
     )
-    wires = tuple(
-        wire._replace(
-            ahead=tuple(map(swap, wire.ahead)),
-            back=tuple(map(swap, wire.back)),
-            left_ahead=tuple(map(swap, wire.left_ahead)),
-            left_back=tuple(map(swap, wire.left_back)),
+    links = tuple(
+        link._replace(
+            forward=tuple(map(swap, link.forward)),
+            backward=tuple(map(swap, link.backward)),
+            stale_forward=tuple(map(swap, link.stale_forward)),
+            stale_backward=tuple(map(swap, link.stale_backward)),
         )
-        for wire in state.wires
+        for link in state.links
     )
-    # Two calls that differ by the values alone are each other's.
-    asked = tuple(
+    # Swapping also exchanges two calls that differ only in their values.
+    calls = tuple(
         sorted(
             (
-                a._replace(
-                    items=tuple((k, v, d, swap(value)) for k, v, d, value in a.items), owed=facts(a.owed)
+                call._replace(
+                    items=tuple(
+                        (key, version, dropped, swap(value)) for key, version, dropped, value in call.items
+                    ),
+                    required=swap_items(call.required),
                 )
-                for a in state.asked
+                for call in state.calls
             ),
-            key=lambda a: [a.items != b.items for b in state.asked],
+            key=lambda call: [call.items != other.items for other in state.calls],
         )
     )
     return state._replace(
-        boxes=boxes,
-        wires=wires,
-        asked=asked,
-        acknowledged=facts(state.acknowledged),
-        stood=facts(state.stood),
-        refused=facts(state.refused),
+        hosts=hosts,
+        links=links,
+        calls=calls,
+        acknowledged=swap_items(state.acknowledged),
+        committed=swap_items(state.committed),
+        refused=swap_items(state.refused),
     )
--- a/leadrudder/model_checker/trace.py
+++ b/leadrudder/model_checker/trace.py
@@ -1,51 +1,53 @@
-"""Moves of a small world in words, for a course that breaks a rule."""
+"""Descriptions of actions, for a trace that leads to a violation."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from leadrudder.model_checker.invariants import Rules, told
+from leadrudder.model_checker.invariants import Invariants, format_items
 from leadrudder.model_checker.state import Action, State
 from leadrudder.protocol.mesh_pb2 import Frame
 
 
 @dataclass(slots=True)
-class Story(Rules):
-    """Tells what happens."""
+class ActionDescriber(Invariants):
+    """Describes actions in words."""
 
-    def tell(self, state: State, move: Action) -> str:
-        """What a move is, in words; state: before it."""
-        kind, *where = move
+    def describe(self, state: State, action: Action) -> str:
+        """The action in words.  state: before it."""
+        kind, *arguments = action
         names = (
-            [] if kind in ("call", "leave", "hold", "release") else [self._name(int(w)) for w in where[:2]]
+            []
+            if kind in ("call", "leave", "hold", "release")
+            else [self._host_name(int(argument)) for argument in arguments[:2]]
         )
         if kind in ("arrives", "late", "doubled"):
-            a, b = int(where[0]), int(where[1])
-            wire = state.wires[self._pair(a, b)]
-            late = kind == "late" or (kind == "doubled" and bool(where[2]))
-            queue = getattr(wire, ("left_" if late else "") + ("ahead" if a < b else "back"))
-            frame = Frame.FromString(queue[0])
+            a, b = int(arguments[0]), int(arguments[1])
+            link = state.links[self._link_index(a, b)]
+            late = kind == "late" or (kind == "doubled" and bool(arguments[2]))
+            frames = getattr(link, ("stale_" if late else "") + ("forward" if a < b else "backward"))
+            frame = Frame.FromString(frames[0])
             what = frame.WhichOneof("body") or ""
-            return f"{names[0]} -> {names[1]}: {what} {_line(getattr(frame, what))} ({kind})"
+            return f"{names[0]} -> {names[1]}: {what} {_one_line(getattr(frame, what))} ({kind})"
         if kind == "pass":
-            return f"{0.1 * self.scene.step} s pass"
+            return f"{0.1 * self.scenario.step_tenths} s pass"
         if kind == "call":
-            items = state.asked[int(where[0])].items
-            what = told(frozenset(items)) if items else "a read"
-            return f"an operator asks {self._name(int(where[1]))}: {what}"
+            items = state.calls[int(arguments[0])].items
+            what = format_items(frozenset(items)) if items else "a read"
+            return f"an operator asks {self._host_name(int(arguments[1]))}: {what}"
         if kind == "leave":
-            return f"the operator of call {where[0]} waits no longer"
+            return f"the operator of call {arguments[0]} gives up waiting"
         if kind in ("hold", "release"):
-            return f"{kind} {' '.join(map(str, where))}"
+            return f"{kind} {' '.join(map(str, arguments))}"
         if kind == "power":
-            return f"{names[0]} loses power; {where[1]} of what it was writing is there"
+            return f"{names[0]} loses power; {arguments[1]} of its pending writes are on disk"
         if kind in ("start", "synced"):
-            return f"{names[0]} {'starts' if kind == 'start' else 'has synced'}"
+            return f"{names[0]} {'starts' if kind == 'start' else 'completes a write'}"
         return f"{kind} {' '.join(names)}"
 
-    def _pair(self, a: int, b: int) -> int:
-        return self.pairs.index((a, b) if a < b else (b, a))
+    def _link_index(self, a: int, b: int) -> int:
+        return self.host_pairs.index((a, b) if a < b else (b, a))
 
 
-def _line(message: object) -> str:
+def _one_line(message: object) -> str:
     return " ".join(str(message).split())[:110]
--- a/tests/mesh/test_model_checker.py
+++ b/tests/mesh/test_model_checker.py
@@ -58,8 +58,12 @@
         whole = WindowModel._commit_step
 
         def commit_step(self: WindowModel, state: State, k: int) -> State:
-            who, _, packed = state.in_flight[k]
-            in_flight = (*state.in_flight[:k], (who, state.version + 1, packed), *state.in_flight[k + 1 :])
+            process, _, encoded = state.in_flight[k]
+            in_flight = (
+                *state.in_flight[:k],
+                (process, state.version + 1, encoded),
+                *state.in_flight[k + 1 :],
+            )
             return whole(self, state._replace(in_flight=in_flight), k)
 
         with mock.patch.object(WindowModel, "_commit_step", commit_step):
