--- a/bench/control.py
+++ b/bench/control.py
@@ -28,7 +28,13 @@
 from leadrudder.model_checker.state import UNBOUNDED_DELAYS
 from leadrudder.model_checker.state import InvariantViolation as ModelViolation
 from leadrudder.protocol.mesh_pb2 import Item
-from tests.mesh.planted_faults import COURSES, PLANTS, SHOWN_BY, SHOWN_IN, UNSHOWN
+from tests.mesh.planted_faults import (
+    FOUND_BY_SCENARIO,
+    FOUND_BY_SIMULATION,
+    NOT_FOUND,
+    PLANTED_FAULTS,
+    VIOLATING_TRACES,
+)
 
 WALKS, PLANT_WALKS = 12, 2
 LARGE = ((3, 200, 0), (5, 80, 0), (9, 12, 300))  # machines, seeds, stations
@@ -64,7 +70,7 @@
 
 def planted(name: str, seconds: float) -> tuple[str, str, str]:
     """A planted fault's name, and where small and large worlds find it; empty: they do not."""
-    with PLANTS[name]():
+    with PLANTED_FAULTS[name]():
         by_small = _planted_small(name, seconds)
         # What breaks a play before its first trouble has frames go round for minutes in a large one.
         return name, by_small, "" if "at once" in by_small else _planted_large(name)
@@ -72,13 +78,13 @@
 
 def _planted_small(name: str, seconds: float) -> str:
     """Where it is known to be found first; else every scene for so many seconds, and some walks."""
-    if name in COURSES:
-        known, course = COURSES[name]
+    if name in VIOLATING_TRACES:
+        known, course = VIOLATING_TRACES[name]
         free = replace(SCENARIOS[known], budget=SCENARIOS[known].budget._replace(delays=UNBOUNDED_DELAYS))
         if Search(free).find_violation(course):
             return f"a course of {known}, {len(course)} moves"
-    if name in SHOWN_IN:
-        known, states = SHOWN_IN[name]
+    if name in FOUND_BY_SCENARIO:
+        known, states = FOUND_BY_SCENARIO[name]
         found = Search(SCENARIOS[known], max_states=states).run()
         if found.violation:
             return f"{known}, {found.states} states, {len(found.trace)} moves"
@@ -102,11 +108,11 @@
 
 
 def _planted_large(name: str) -> str:
-    if name in SHOWN_BY:
+    if name in FOUND_BY_SIMULATION:
         try:
-            SHOWN_BY[name].play()
+            FOUND_BY_SIMULATION[name].play()
         except Broken:
-            course = SHOWN_BY[name]
+            course = FOUND_BY_SIMULATION[name]
             return f"{course.machines} machines, seed {course.seed}, {course.faults} faults"
     for machines, seeds in PLANT_SEEDS:
         for seed in range(seeds):
@@ -245,7 +251,7 @@
     with ProcessPoolExecutor(told.jobs) as pool:
         searches = {name: pool.submit(small, name, told.seconds) for name in SCENARIOS}
         courses = [pool.submit(large, m, range(seeds), stations) for m, seeds, stations in LARGE]
-        plants = [pool.submit(planted, name, told.plant_seconds) for name in PLANTS]
+        plants = [pool.submit(planted, name, told.plant_seconds) for name in PLANTED_FAULTS]
         states, spent, breaks = 0, 0.0, 0
         for name, search in searches.items():
             for found in search.result():
@@ -265,7 +271,7 @@
         hit = 0
         for plant in plants:
             name, by_small, by_large = plant.result()
-            hit += bool(by_small or by_large) and name not in UNSHOWN
+            hit += bool(by_small or by_large) and name not in NOT_FOUND
             print(f"{name} | {by_small or '-'} | {by_large or '-'}")
     acks = {(m, n): acknowledgements(m, n) for m in (3, 5, 9) for n in (100, 10_000)}
     for (machines, items), times in acks.items():
@@ -279,7 +285,8 @@
     seeds = sum(number for _, number, _ in LARGE)
     print(
         f"small_states={states} small_s={spent:.0f} large_seeds={seeds} breaks={breaks} "
-        f"planted_found={hit}/{len(PLANTS) - len(UNSHOWN)} ack_p50_ms={statistics.median(every):.0f} "
+        f"planted_found={hit}/{len(PLANTED_FAULTS) - len(NOT_FOUND)} "
+        f"ack_p50_ms={statistics.median(every):.0f} "
         f"ack_p99_ms={_at(every, 0.99):.0f} "
         f"failover_p99_ms={1000 * _at([s for spans in overs.values() for s in spans], 0.99):.0f} "
         f"repair_mb_s={repaired():.1f} moved_keys_3_to_5={part:.2f}"
--- a/bench/incidents.py
+++ b/bench/incidents.py
@@ -27,7 +27,7 @@
 from leadrudder.control_simulation.scenario import FAULTS, STANDSTILL, Course
 from leadrudder.control_simulation.world import Broken
 from leadrudder.emulation.fleet import Bookings
-from tests.mesh.planted_faults import PLANTS, UNSHOWN
+from tests.mesh.planted_faults import NOT_FOUND, PLANTED_FAULTS
 from tests.mesh.test_emulation import PLAN
 
 SECOND_LOSS_STEP_S = 0.05
@@ -113,12 +113,13 @@
         caught, bad_catch = told("many changes", [catch_up.result()])
     found: CatchUp | None = caught[0] if caught else None
     broken += bad_losses + bad_courses + bad_calls + bad_catch
-    guards = len(PLANTS) - len(UNSHOWN)
+    guards = len(PLANTED_FAULTS) - len(NOT_FOUND)
     line = (
         f"cut20_ack_ms={1000 * max((c.ack_max_s for c in cuts), default=0.0):.0f} "
         f"cut20_apply_ms={1000 * max((c.apply_max_s for c in cuts), default=0.0):.0f} "
         f"losses_in_row={len(losses)}/{len(steps)} courses={len(courses)}/{arguments.course_seeds} "
-        f"call_seeds={len(called)}/{arguments.call_seeds} guards_shown={guards}/{len(PLANTS)} broken={broken}"
+        f"call_seeds={len(called)}/{arguments.call_seeds} "
+        f"guards_shown={guards}/{len(PLANTED_FAULTS)} broken={broken}"
     )
     if found is not None:
         line += (
--- a/leadrudder/model_checker/maintenance.py
+++ b/leadrudder/model_checker/maintenance.py
@@ -225,7 +225,7 @@
             raise InvariantViolation(f"{len(away_steps)} machines are out of service at once")
 
     def run_fault_free(self, state: State) -> State:
-        """Commits all steps in flight and ticks each controller once a second; the window must end in time."""
+        """Commits all steps in flight and ticks each controller once a second; it must end in time."""
         while state.in_flight:
             state = self._commit_step(state, 0)
         while state.now_s < 60.0 * APPROVED_MINUTES + 2 * RETURN_S + 20.0:
--- a/tests/mesh/planted_faults.py
+++ b/tests/mesh/planted_faults.py
@@ -1,6 +1,6 @@
-"""Faults planted in the interlocking: each takes out one guard, and a search must find it.
+"""Faults planted in the consensus state machine: each removes one guard, and a search must detect it.
 
-Which search finds which stands in docs/design/control-state.md, measured by `python -m bench.control`.
+docs/design/control-state.md lists which search detects which fault, as measured by `python -m bench.control`.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 
 
 @contextmanager
-def put(owner: type, name: str, value: Any) -> Iterator[None]:
-    with mock.patch.object(owner, name, value):
+def patch_attribute(cls: type, name: str, value: Any) -> Iterator[None]:
+    with mock.patch.object(cls, name, value):
         yield
 
 
 @contextmanager
-def put_all(owner: type, **values: Any) -> Iterator[None]:
-    with mock.patch.multiple(owner, **values):
+def patch_attributes(cls: type, **values: Any) -> Iterator[None]:
+    with mock.patch.multiple(cls, **values):
         yield
 
 
@@ -43,85 +43,89 @@
 
 
 def promise_without_items() -> Any:
-    """A new owner hears nothing of what stood before."""
-    return put(Owner, "of_section", lambda self, section: [])
+    """Promises to a new owner do not include the accepted items."""
+    return patch_attribute(Owner, "of_section", lambda self, section: [])
 
 
 def one_version_two_values() -> Any:
-    """The owner does not look whether a version has a value already."""
+    """The owner does not check whether a version already has a value."""
 
     def weigh(self: Owner, ask: wire.Ask) -> tuple[Code, list[Item], list[Item]]:
         return Code.DONE, [Item.FromString(item.SerializeToString()) for item in ask.items], []
 
-    return put(Owner, "_weigh", weigh)
+    return patch_attribute(Owner, "_weigh", weigh)
 
 
 def lower_is_done_at_once() -> Any:
-    """What a higher version has overtaken is acknowledged while that is on its way."""
+    """A change superseded by a higher version is acknowledged before that version is committed."""
 
     def weigh(self: Owner, ask: wire.Ask) -> tuple[Code, list[Item], list[Item]]:
-        code, new, _ = whole(self, ask)
+        code, new, _ = original(self, ask)
         return code, new, []
 
-    whole = Owner._weigh
-    return put(Owner, "_weigh", weigh)
+    original = Owner._weigh
+    return patch_attribute(Owner, "_weigh", weigh)
 
 
 def read_by_one() -> Any:
+    """A read returns the first reply, without a majority."""
+
     def on_reading(self: Requests, peer: str, told: wire.Reading) -> None:
         reading = self._rounds.get(told.number)
         if reading is not None and told.ok:
             self._end_read(reading, Code.DONE, told.items)
 
-    return put(Requests, "on_reading", on_reading)
+    return patch_attribute(Requests, "on_reading", on_reading)
 
 
 def grants_to_all() -> Any:
-    """A granter does not look whether another has the duty."""
+    """A voter grants a lease without checking whether another process holds it."""
 
     def on_lease(self: Leases, peer: str, lease: wire.Lease, started: float) -> None:
         self._given.clear()
-        whole(self, peer, lease, started)
+        original(self, peer, lease, started)
 
-    whole = Leases.on_lease
-    return put(Leases, "on_lease", on_lease)
+    original = Leases.on_lease
+    return patch_attribute(Leases, "on_lease", on_lease)
 
 
-# ---------------------------------------------------------------- copies, disks
+# ---------------------------------------------------------------- replication, disks
 
 
 def acknowledged_before_the_sync() -> Any:
-    """What follows a write is said at once."""
+    """Messages that must wait for a write are sent at once."""
 
     def write(self: Interlocking, records: dict[str, bytes], then: Iterable[Send] = ()) -> None:
-        whole(self, records)
+        original(self, records)
         for send in then:
             self.send(send.to, send.frame)
 
-    whole = Interlocking.write
-    return put(Interlocking, "write", write)
+    original = Interlocking.write
+    return patch_attribute(Interlocking, "write", write)
 
 
 def copy_not_kept() -> Any:
-    """One that is asked for a copy says that it has it, and keeps nothing."""
-    return put(Interlocking, "keep", lambda self, items: {})
+    """A replica acknowledges an item without storing it."""
+    return patch_attribute(Interlocking, "keep", lambda self, items: {})
 
 
 def drop_forgotten() -> Any:
+    """A replica does not store deletions."""
+
     def keep(self: Interlocking, items: Iterable[Item]) -> dict[str, bytes]:
-        return whole(self, [item for item in items if not item.dropped])
+        return original(self, [item for item in items if not item.dropped])
 
-    whole = Interlocking.keep
-    return put(Interlocking, "keep", keep)
+    original = Interlocking.keep
+    return patch_attribute(Interlocking, "keep", keep)
 
 
 def older_overwrites_newer() -> Any:
-    """What comes last is kept, be it old."""
+    """The last received version of an item is stored, even if it is older."""
     return mock.patch("leadrudder.configuration.item_store.newer", lambda new, old: True)
 
 
 def promise_not_written() -> Any:
-    """A promise is kept in memory alone."""
+    """A promise is kept in memory only."""
 
     def write(self: Interlocking, records: dict[str, bytes], then: Iterable[Send] = ()) -> None:
         kept = {
@@ -129,44 +133,44 @@
             for name, value in records.items()
             if not name.startswith(state_machine.PROMISED_RECORD)
         }
-        whole(self, kept, then)
+        original(self, kept, then)
 
-    whole = Interlocking.write
-    return put(Interlocking, "write", write)
+    original = Interlocking.write
+    return patch_attribute(Interlocking, "write", write)
 
 
-# ---------------------------------------------------------------- owners, epochs
+# ---------------------------------------------------------------- section owners, epochs
 
 
-class _Low(dict[int, int]):
-    """Epochs as they were before the latest."""
+class _LoweredEpochs(dict[int, int]):
+    """Epochs one below the latest."""
 
     def get(self, key: int, default: Any = None) -> Any:
         return max(0, super().get(key, default or 0) - 256)
 
 
 def epoch_not_raised() -> Any:
-    """A claim takes the epoch that it knows, its seat in the low bits as ever."""
+    """A claim reuses the epoch it knows instead of raising it; the low bits still hold the voter slot."""
 
     def claim(self: Owner, section: int) -> None:
-        self._machine.promised = _Low(self._machine.promised)
-        whole(self, section)
+        self._machine.promised = _LoweredEpochs(self._machine.promised)
+        original(self, section)
         self._machine.promised = dict(self._machine.promised)
 
-    whole = Owner.claim
-    return put(Owner, "claim", claim)
+    original = Owner.claim
+    return patch_attribute(Owner, "claim", claim)
 
 
 def old_epoch_taken() -> Any:
-    """A copy under an epoch that another promise has overtaken is taken."""
+    """A replica accepts an item under an epoch below the one it promised."""
 
     def on_copy(self: Interlocking, peer: str, copy: wire.Copy) -> None:
         promised = self.promised.pop(copy.section, 0)
-        whole(self, peer, copy)
+        original(self, peer, copy)
         self.promised[copy.section] = max(promised, self.promised.get(copy.section, 0))
 
-    whole = Interlocking._on_copy
-    return put(Interlocking, "_on_copy", on_copy)
+    original = Interlocking._on_copy
+    return patch_attribute(Interlocking, "_on_copy", on_copy)
 
 
 def promised_to_all() -> Any:
@@ -174,112 +178,114 @@
 
     def on_prepare(self: Interlocking, peer: str, prepare: wire.Prepare) -> None:
         self.promised.pop(prepare.section, None)
-        whole(self, peer, prepare)
+        original(self, peer, prepare)
 
-    whole = Interlocking._on_prepare
-    return put(Interlocking, "_on_prepare", on_prepare)
+    original = Interlocking._on_prepare
+    return patch_attribute(Interlocking, "_on_prepare", on_prepare)
 
 
 def found_is_not_copied() -> Any:
-    """A new owner takes what it found for standing, without a copy under its own epoch."""
+    """A new owner treats recovered items as committed without replicating them under its own epoch."""
 
     def copy(self: Owner, section: int, items: list[Item], **given: Any) -> None:
         if given.get("claim"):
             self._machine.stands(items)
             self._ready(section)
         else:
-            whole(self, section, items, **given)
+            original(self, section, items, **given)
 
-    whole = Owner._copy
-    return put(Owner, "_copy", copy)
+    original = Owner._copy
+    return patch_attribute(Owner, "_copy", copy)
 
 
 def old_epoch_kept() -> Any:
-    """What was taken under an earlier owner is copied on under that one's epoch."""
+    """An item accepted from an earlier owner is replicated under that owner's epoch."""
 
     def send_copies(self: Owner, number: int, copying: ownership.Copying, to: Iterable[str]) -> None:
         for item in copying.items:
             held = self._machine.book.items.get(item.key)
             if held is not None and held.version == item.version and held.value == item.value:
                 item.epoch = held.epoch
-        whole(self, number, copying, to)
+        original(self, number, copying, to)
 
-    whole = Owner._send_copies
-    return put(Owner, "_send_copies", send_copies)
+    original = Owner._send_copies
+    return patch_attribute(Owner, "_send_copies", send_copies)
 
 
 def refused_before_it_stands() -> Any:
-    """A version is told as taken by a value that may yet come to nothing."""
+    """A conflict is reported for a value that is not committed yet and may never be."""
 
     def weigh(self: Owner, ask: wire.Ask) -> tuple[Code, list[Item], list[Item]]:
-        code, new, waits = whole(self, ask)
+        code, new, waits = original(self, ask)
         return (Code.CONFLICT if code is Code.BUSY else code), new, waits
 
-    whole = Owner._weigh
-    return put(Owner, "_weigh", weigh)
+    original = Owner._weigh
+    return patch_attribute(Owner, "_weigh", weigh)
 
 
 def stale_owner_believed() -> Any:
-    return put(Owner, "on_owned", lambda self, peer, owned: None)
+    """Lists of owned sections are ignored, so that a former owner is still believed."""
+    return patch_attribute(Owner, "on_owned", lambda self, peer, owned: None)
 
 
 def left_half_done() -> Any:
-    """What repair brings of an earlier owner's is left to lie."""
-    return put(Owner, "_settle_found", lambda self: None)
+    """Uncommitted items of an earlier owner that anti-entropy delivers are not replicated."""
+    return patch_attribute(Owner, "_settle_found", lambda self: None)
 
 
-# ---------------------------------------------------------------- seats
+# ---------------------------------------------------------------- voter slots
 
 
 def wiped_counts_at_once() -> Any:
-    """One whose disk is empty votes as soon as it hears of its seat."""
+    """A voter with an empty disk votes as soon as it learns of its slot."""
 
     def learn(self: Seats, told: Iterable[Seat], teller: str = "") -> bool:
-        new = whole(self, told, teller)
+        new = original(self, told, teller)
         self.full = self.full or self.mine() is not None
         return new
 
-    whole = Seats.learn
-    return put(Seats, "learn", learn)
+    original = Seats.learn
+    return patch_attribute(Seats, "learn", learn)
 
 
 def newcomer_asks_one() -> Any:
-    return put(Seats, "grants_needed", lambda self, index: 1)
+    """A joining process needs the grant of a single voter."""
+    return patch_attribute(Seats, "grants_needed", lambda self, index: 1)
 
 
 def full_before_the_sync() -> Any:
-    """A newcomer counts before what it was given is on its disk."""
+    """A joining process counts as a voter before the transferred items are on its disk."""
 
     def on_grant(self: Seating, peer: str, grant: wire.Grant) -> None:
         claim = self._claim
-        whole(self, peer, grant)
+        original(self, peer, grant)
         if claim is not None and self._claim is None:
             self.seated()
 
-    whole = Seating.on_grant
-    return put(Seating, "on_grant", on_grant)
+    original = Seating.on_grant
+    return patch_attribute(Seating, "on_grant", on_grant)
 
 
 def lost_votes_count() -> Any:
-    """A reply counts whatever became of its sender's seat since."""
-    return put(Quorum, "members", lambda self: set(self.marks))
+    """A reply counts even if its sender has lost its voter slot since."""
+    return patch_attribute(Quorum, "members", lambda self: set(self.marks))
 
 
 def granted_without_items() -> Any:
-    """A newcomer is given the seat, and not what belongs to it."""
+    """A joining process gets the voter slot without the items that belong to it."""
 
     def on_grant(self: Seating, peer: str, grant: wire.Grant) -> None:
         bare = wire.Grant()
         bare.CopyFrom(grant)
         del bare.items[:]
-        whole(self, peer, bare)
+        original(self, peer, bare)
 
-    whole = Seating.on_grant
-    return put(Seating, "on_grant", on_grant)
+    original = Seating.on_grant
+    return patch_attribute(Seating, "on_grant", on_grant)
 
 
-class _Many(set[str]):
-    """Enough of whatever is wanted."""
+class _AlwaysEnough(set[str]):
+    """A set that claims to have enough members for any quorum."""
 
     def __len__(self) -> int:
         return 99
@@ -289,126 +295,127 @@
 
 
 def ousted_by_one_view() -> Any:
-    """A seat is asked for without sounding who else sees its holder lost."""
+    """A voter slot is claimed without asking the others whether they also see its holder as lost."""
 
     def ask_for_one(self: Seating) -> None:
-        self._willing = _Many()
-        whole(self)
+        self._willing = _AlwaysEnough()
+        original(self)
 
-    whole = Seating._ask_for_one
-    return put(Seating, "_ask_for_one", ask_for_one)
+    original = Seating._ask_for_one
+    return patch_attribute(Seating, "_ask_for_one", ask_for_one)
 
 
 def size_not_told() -> Any:
-    """How many replies are needed follows from what the asker knows alone."""
+    """The quorum size follows only from the requester's own view of the voter table."""
 
     def reached(self: Quorum, table: Mapping[int, Seat]) -> bool:
         return len(self.members()) >= quorum.majority(sum(not seat.settled for seat in table.values()))
 
-    return put(Quorum, "reached", reached)
+    return patch_attribute(Quorum, "reached", reached)
 
 
 def closed_without_filling() -> Any:
-    """A seat is settled as closed before those that are left hold what it counted for."""
-    return put(Quorum, "reached", _reached_by_one_fill())
+    """Closing a voter slot completes before the remaining voters hold the items it counted for."""
+    return patch_attribute(Quorum, "reached", _reached_with_one_reply())
 
 
-def _reached_by_one_fill() -> Callable[[Quorum, Mapping[int, Seat]], bool]:
-    whole = Quorum.reached
+def _reached_with_one_reply() -> Callable[[Quorum, Mapping[int, Seat]], bool]:
+    original = Quorum.reached
 
     def reached(self: Quorum, table: Mapping[int, Seat]) -> bool:
         half = any(seat.closed and not seat.settled for seat in table.values())
-        return (half and len(self) > 0) or whole(self, table)
+        return (half and len(self) > 0) or original(self, table)
 
     return reached
 
 
 def two_closed_at_once() -> Any:
-    """Another seat is closed before the last one is settled."""
-    return put(Seats, "half_closed", lambda self: None)
+    """Another voter slot is closed before the previous closure is complete."""
+    return patch_attribute(Seats, "half_closed", lambda self: None)
 
 
 def new_seat_by_one() -> Any:
-    """A seat that is new is granted by one of those that have one."""
+    """An additional voter slot is granted by a single voter."""
 
     def grants_needed(self: Seats, index: int) -> int:
         known = self.table.get(index)
-        return whole(self, index) if known is not None and not known.closed else 1
+        return original(self, index) if known is not None and not known.closed else 1
 
-    whole = Seats.grants_needed
-    return put(Seats, "grants_needed", grants_needed)
+    original = Seats.grants_needed
+    return patch_attribute(Seats, "grants_needed", grants_needed)
 
 
-# ---------------------------------------------------------------- links, duties
+# ---------------------------------------------------------------- links, leases
 
 
 def restart_not_noticed() -> Any:
-    """A process that is back is taken for the one before."""
+    """A restarted process is mistaken for its predecessor."""
 
     def on_greeting(self: Interlocking, peer: str, greeting: wire.Greeting) -> None:
         same = wire.Greeting()
         same.CopyFrom(greeting)
         same.life = 1
-        whole(self, peer, same)
+        original(self, peer, same)
 
-    whole = Interlocking._on_greeting
-    return put(Interlocking, "_on_greeting", on_greeting)
+    original = Interlocking._on_greeting
+    return patch_attribute(Interlocking, "_on_greeting", on_greeting)
 
 
 def new_link_not_told() -> Any:
-    """A link that replaces another is not told anew what stands."""
+    """The committed state is not sent again on a link that replaces an earlier one."""
 
     def up(self: Interlocking, peer: str, now: float) -> list[Output]:
         known = self.peers.get(peer)
         told = known is not None and known.told
-        outputs = whole(self, peer, now)
+        outputs = original(self, peer, now)
         if known is not None:
             known.told = told
         return outputs
 
-    whole = Interlocking.up
-    return put(Interlocking, "up", up)
+    original = Interlocking.up
+    return patch_attribute(Interlocking, "up", up)
 
 
 def lease_kept_too_long() -> Any:
-    """A holder counts from when it was granted, and leaves no room for clocks."""
+    """A holder counts its lease from the grant instead of the request, without a margin for clock drift."""
 
     def on_leased(self: Leases, peer: str, leased: wire.Leased) -> None:
-        whole(self, peer, leased)
+        original(self, peer, leased)
         if leased.duty in self._until:
             self._until[leased.duty] += 1.0
 
-    whole = Leases.on_leased
-    return put(Leases, "on_leased", on_leased)
+    original = Leases.on_leased
+    return patch_attribute(Leases, "on_leased", on_leased)
 
 
 def no_room_for_clocks() -> Any:
+    """Leases have no margin for clock drift."""
     return mock.patch.object(lease, "DRIFT", 0.0)
 
 
 def granted_anew_after_a_restart() -> Any:
-    """A process that has just started grants at once what it may have granted before."""
+    """A restarted process grants leases at once, although it may have granted them before the restart."""
 
     def on_lease(self: Leases, peer: str, asked: wire.Lease, started: float) -> None:
-        whole(self, peer, asked, -1e9)
+        original(self, peer, asked, -1e9)
 
-    whole = Leases.on_lease
-    return put(Leases, "on_lease", on_lease)
+    original = Leases.on_lease
+    return patch_attribute(Leases, "on_lease", on_lease)
 
 
 def nothing_repaired() -> Any:
-    """What others miss is not handed over."""
+    """Anti-entropy does not transfer missing items."""
 
     def send(self: Interlocking, to: str, frame: Frame) -> None:
         if frame.WhichOneof("body") not in ("repair", "standing"):
-            whole(self, to, frame)
+            original(self, to, frame)
 
-    whole = Interlocking.send
-    return put(Interlocking, "send", send)
+    original = Interlocking.send
+    return patch_attribute(Interlocking, "send", send)
 
 
 def reserved_in_no_order() -> Any:
-    """A call over several sections asks all owners at once for its versions."""
+    """A call that spans several sections reserves its versions at all owners at the same time."""
 
     def reserve_all(self: Requests, change: Change) -> None:
         change.phase = Phase.RESERVE
@@ -422,21 +429,21 @@
         if not change.to_reserve:
             self._make_all(change)
 
-    return put_all(Requests, _reserve_all=reserve_all, _on_reserved=reserved)
+    return patch_attributes(Requests, _reserve_all=reserve_all, _on_reserved=reserved)
 
 
 def links_believed() -> Any:
-    """Contact with a majority is what the links seem to be, not what was answered lately."""
+    """Contact with a majority is derived from the link states instead of recent answers."""
 
     def fresh(self: Contact, now: float) -> bool:
         return self._machine.has_majority()
 
-    return put(Contact, "fresh", fresh)
+    return patch_attribute(Contact, "fresh", fresh)
 
 
-PLANTS: dict[str, Callable[[], Any]] = {
-    plant.__name__: plant
-    for plant in (
+PLANTED_FAULTS: dict[str, Callable[[], Any]] = {
+    fault.__name__: fault
+    for fault in (
         one_copy_is_enough,
         acknowledged_before_the_sync,
         copy_not_kept,
@@ -477,9 +484,9 @@
     )
 }
 
-# Guards that no search shows to be needed: something else holds where they are taken out. What was tried, and
-# what else holds, stands in docs/design/control-state.md; they are not counted as planted faults.
-UNSHOWN = (
+# Guards that no search shows to be necessary, because another mechanism protects without them. What was tried
+# and which mechanism protects is listed in docs/design/control-state.md; they don't count as planted faults.
+NOT_FOUND = (
     "old_epoch_kept",
     "refused_before_it_stands",
     "stale_owner_believed",
@@ -493,10 +500,10 @@
     "restart_not_noticed",
 )
 
-# Courses that broke a rule before what the plant takes out was there, cut to what it took.
-COURSES: dict[str, tuple[str, list[Action]]] = {
-    # A new link before the end of the old one was noticed: what was said on the old one was lost, and the
-    # process behind it never heard who owns what, so it refused every station.
+# Minimized traces that violated an invariant before the guard was added that the fault removes.
+VIOLATING_TRACES: dict[str, tuple[str, list[Action]]] = {
+    # A link was replaced before its end was noticed. The frames on the old link were lost, and the process
+    # behind it never learned the owners of the sections, so it refused every proxy.
     "new_link_not_told": (
         "five",
         [
@@ -509,7 +516,7 @@
             ("calm",),
         ],
     ),
-    # A copy that outlived its owner was handed on by repair, and nobody had it stand: reads waited for good.
+    # An item that outlived its owner was spread by anti-entropy but never committed, so reads waited forever.
     "left_half_done": (
         "two-keys",
         [
@@ -529,8 +536,8 @@
     ),
 }
 
-# Scenes that show a fault, and within how many states.
-SHOWN_IN = {
+# Scenarios whose search detects a fault, and within how many states.
+FOUND_BY_SCENARIO = {
     "one_copy_is_enough": ("rivals", 200),
     "acknowledged_before_the_sync": ("rivals", 300),
     "copy_not_kept": ("rivals", 200),
@@ -547,16 +554,16 @@
     "granted_anew_after_a_restart": ("duty", 50_000),
     "found_is_not_copied": ("handed", 120_000),
 }
-# Shown by a course of its own in tests/mesh/test_concurrent_operators.py or test_control_simulation.py.
-DIRECTED = ("reserved_in_no_order", "links_believed", "new_seat_by_one")
-AT_ONCE = ("older_overwrites_newer",)  # frames go round before the first trouble
+# Detected by a test of its own in tests/mesh/test_concurrent_operators.py or test_control_simulation.py.
+FOUND_BY_DIRECTED_TESTS = ("reserved_in_no_order", "links_believed", "new_seat_by_one")
+FOUND_AT_START = ("older_overwrites_newer",)  # frames are exchanged without end before the first fault
 
-# Courses of large worlds that show faults which few seeds do.
-RESIZED = FAULTS + 3 * RESIZING
-SHOWN_BY = {
+# Simulations that detect faults which few seeds detect.
+RESIZING_KINDS = FAULTS + 3 * RESIZING
+FOUND_BY_SIMULATION = {
     "one_version_two_values": Course(4, faults=10),
     "promise_not_written": Course(3, faults=10),
     "promised_to_all": Course(273, faults=10, kinds=FAULTS + 2 * RESIZING),
     "old_epoch_taken": Course(489, 5, faults=14, calls=24),
-    "closed_without_filling": Course(180, 5, faults=8, kinds=RESIZED),
+    "closed_without_filling": Course(180, 5, faults=8, kinds=RESIZING_KINDS),
 }
--- a/tests/mesh/test_concurrent_operators.py
+++ b/tests/mesh/test_concurrent_operators.py
@@ -12,7 +12,7 @@
 from leadrudder.control_simulation.scenario import FAULTS, STANDSTILL, Course
 from leadrudder.control_simulation.world import Broken, Machine, World
 from leadrudder.protocol.mesh_pb2 import Item
-from tests.mesh.planted_faults import PLANTS
+from tests.mesh.planted_faults import PLANTED_FAULTS
 
 # Two operators' calls shared several versions, and each held one that the other waited for, without end.
 ENTANGLED_SEEDS = (7, 20, 183)
@@ -183,7 +183,7 @@
         self.assertEqual(sorted(self._two_calls_that_share_both_versions()), [Code.DONE, Code.CONFLICT])
 
     def test_reserved_in_no_order_each_waits_for_the_other_without_end(self) -> None:
-        with PLANTS["reserved_in_no_order"]():
+        with PLANTED_FAULTS["reserved_in_no_order"]():
             self.assertEqual(self._two_calls_that_share_both_versions(), [])
 
     def test_courses_in_which_that_happened(self) -> None:
@@ -224,7 +224,7 @@
         self._old_state_at_the_thaw()
 
     def test_one_that_believes_its_links_hands_out_what_is_old(self) -> None:
-        with PLANTS["links_believed"](), self.assertRaisesRegex(Broken, "hands out .* older"):
+        with PLANTED_FAULTS["links_believed"](), self.assertRaisesRegex(Broken, "hands out .* older"):
             self._old_state_at_the_thaw()
 
 
--- a/tests/mesh/test_control_simulation.py
+++ b/tests/mesh/test_control_simulation.py
@@ -8,7 +8,7 @@
 from leadrudder.control_simulation.scenario import FAULTS, RESIZING, Course, cut, rule
 from leadrudder.control_simulation.world import Broken, World
 from leadrudder.protocol.mesh_pb2 import Item
-from tests.mesh.planted_faults import PLANTS, RESIZED, SHOWN_BY
+from tests.mesh.planted_faults import FOUND_BY_SIMULATION, PLANTED_FAULTS, RESIZING_KINDS
 
 # Planted faults that one seed shows: seed, machines. All of them: docs/design/control-state.md.
 FOUND = {
@@ -40,14 +40,14 @@
         sizes = set()
         for seed in range(20):
             with self.subTest(seed=seed):
-                world = Course(seed, faults=8, kinds=RESIZED).play()
+                world = Course(seed, faults=8, kinds=RESIZING_KINDS).play()
                 running = [m.process for m in world.machines.values() if m.process is not None]
                 sizes |= {len(process.seats.opened()) for process in running}
         self.assertTrue({3, 5, 7, 9} <= sizes, f"sizes at the end: {sizes}")
 
     def test_a_seat_granted_to_two_by_halves_is_claimed_anew(self) -> None:
         # Two newcomers had two grants of four each, and those who gave them had forgotten when: for good.
-        Course(258, faults=8, kinds=RESIZED).play()
+        Course(258, faults=8, kinds=RESIZING_KINDS).play()
 
     def _one_seat_with_two_holders(self, seed: int) -> bool:
         """Two newcomers ask for a seat more at once; the three that grant hear them in any order."""
@@ -69,18 +69,18 @@
     def test_a_seat_more_is_granted_by_a_majority(self) -> None:
         shown = (90, 110, 113, 315)  # of 0 to 399: both must hold it before either hears of the other
         self.assertFalse(any(map(self._one_seat_with_two_holders, (*range(16), *shown))))
-        with PLANTS["new_seat_by_one"]():
+        with PLANTED_FAULTS["new_seat_by_one"]():
             self.assertTrue(any(map(self._one_seat_with_two_holders, shown)))
 
     def test_two_closings_that_began_at_once_are_both_settled(self) -> None:
-        Course(384, faults=8, kinds=RESIZED).play()
+        Course(384, faults=8, kinds=RESIZING_KINDS).play()
 
     def test_a_closing_that_began_is_ended_though_more_seats_are_wanted_again(self) -> None:
         # Some held the seat for half closed, one for taken over: neither could be had, for good.
         Course(75, faults=10, kinds=FAULTS + 2 * RESIZING, calls=24).play()
 
     def test_what_breaks_is_cut_to_the_least_faults(self) -> None:
-        with PLANTS["copy_not_kept"]():
+        with PLANTED_FAULTS["copy_not_kept"]():
             course = next(c for c in map(Course, range(20)) if cut(c) is not None)
             least = cut(course)
             assert least is not None
@@ -97,10 +97,10 @@
 
     def test_planted_faults_are_found(self) -> None:
         for name, (seed, machines) in FOUND.items():
-            with self.subTest(plant=name), PLANTS[name](), self.assertRaises(Broken):
+            with self.subTest(plant=name), PLANTED_FAULTS[name](), self.assertRaises(Broken):
                 Course(seed, machines, faults=10).play()
-        for name, course in SHOWN_BY.items():
-            with self.subTest(plant=name), PLANTS[name](), self.assertRaises(Broken):
+        for name, course in FOUND_BY_SIMULATION.items():
+            with self.subTest(plant=name), PLANTED_FAULTS[name](), self.assertRaises(Broken):
                 course.play()
 
 
--- a/tests/mesh/test_linearizability.py
+++ b/tests/mesh/test_linearizability.py
@@ -11,7 +11,7 @@
 from leadrudder.control_simulation.scenario import Course
 from leadrudder.control_simulation.world import Broken, World
 from leadrudder.protocol.mesh_pb2 import Item
-from tests.mesh.planted_faults import PLANTS
+from tests.mesh.planted_faults import PLANTED_FAULTS
 
 CONFIRMED, REFUSED, READ, UNKNOWN = Outcome.CONFIRMED, Outcome.REFUSED, Outcome.READ, Outcome.UNKNOWN
 
@@ -69,7 +69,10 @@
     def test_courses_are_explained_and_a_fault_that_only_their_answers_show_is_found(self) -> None:
         world = Course(3, faults=8, calls=24).play()
         self.assertGreater(len(world.history), 100)
-        with PLANTS["one_version_two_values"](), mock.patch.object(World, "broken", self._only_history):
+        with (
+            PLANTED_FAULTS["one_version_two_values"](),
+            mock.patch.object(World, "broken", self._only_history),
+        ):
             broken = 0
             for seed in range(12):
                 try:
