--- a/leadrudder/model_checker/machine_states.py
+++ b/leadrudder/model_checker/machine_states.py
@@ -160,7 +160,8 @@
     return tuple(effects)
 
 
-MachineFactory = Callable[[str, int, bool, dict[str, bytes]], Interlocking]  # address, life, first run, disk
+# The arguments are the address, the start count, whether it is the first run, and the disk.
+MachineFactory = Callable[[str, int, bool, dict[str, bytes]], Interlocking]
 
 
 class MachineStates:
--- a/tests/mesh/planted_faults.py
+++ b/tests/mesh/planted_faults.py
@@ -39,6 +39,7 @@
 
 
 def one_copy_is_enough() -> Any:
+    """A single voter counts as a majority."""
     return mock.patch("leadrudder.consensus.quorum.majority", lambda seats: 1)
 
 
