--- a/leadrudder/mesh/__main__.py
+++ b/leadrudder/mesh/__main__.py
@@ -16,9 +16,9 @@
 from leadrudder.control_simulation.world import Broken
 from leadrudder.maintenance import contract
 from leadrudder.mesh import snapshots, windows
-from leadrudder.model_checker.maintenance import Windows
-from leadrudder.model_checker.scenarios import SCENES, WALKED
-from leadrudder.model_checker.search import Found, Search
+from leadrudder.model_checker.maintenance import WindowModel
+from leadrudder.model_checker.scenarios import RANDOM_WALK_SCENARIOS, SCENARIOS
+from leadrudder.model_checker.search import Search, SearchResult
 
 WINDOWS_SCENE = "windows"  # a separate model: which node carries a maintenance window out
 
@@ -109,29 +109,33 @@
     failures = 0
     for name in names:
         if name == WINDOWS_SCENE:
-            outcome = Windows().run(states)
-            failures += bool(outcome.rule)
-            if outcome.rule:
-                print(f"{name}: {outcome.rule}", *outcome.story, sep="\n")
-            bound = "every state within its bounds" if outcome.whole else "broken off by --states"
-            print(f"{name}: {outcome.states} states, {bound}; in calm {', '.join(sorted(outcome.over))}")
+            outcome = WindowModel().run(states)
+            failures += bool(outcome.violation)
+            if outcome.violation:
+                print(f"{name}: {outcome.violation}", *outcome.trace_lines, sep="\n")
+            bound = "every state within its bounds" if outcome.complete else "broken off by --states"
+            print(
+                f"{name}: {outcome.states} states, {bound}; in calm {', '.join(sorted(outcome.end_states))}"
+            )
             continue
-        search = Search(SCENES[name], states=states, seconds=seconds)
-        results = [search.walk(seed) for seed in walks] if name in WALKED else [search.run()]
+        search = Search(SCENARIOS[name], max_states=states, max_seconds=seconds)
+        results = (
+            [search.random_walk(seed) for seed in walks] if name in RANDOM_WALK_SCENARIOS else [search.run()]
+        )
         for result in results:
-            failures += bool(result.rule)
-            if result.rule:
-                print(f"{name}: {result.rule}", *result.story, sep="\n")
+            failures += bool(result.violation)
+            if result.violation:
+                print(f"{name}: {result.violation}", *result.trace_lines, sep="\n")
         print(_summarize(name, results))
     print(f"scenes={len(names)} broken={failures}")
     return 1 if failures else 0
 
 
-def _summarize(name: str, results: Sequence[Found]) -> str:
-    states, calms = sum(f.states for f in results), sum(f.calms for f in results)
-    if name in WALKED:
+def _summarize(name: str, results: Sequence[SearchResult]) -> str:
+    states, calms = sum(f.states for f in results), sum(f.recovery_checks for f in results)
+    if name in RANDOM_WALK_SCENARIOS:
         return f"{name}: {len(results)} walks, {states} states, calm played out from {calms}"
-    bound = "every state within its bounds" if results[0].whole else "broken off by --states or --seconds"
+    bound = "every state within its bounds" if results[0].complete else "broken off by --states or --seconds"
     return f"{name}: {states} states, {results[0].depth} moves deep, {bound}; calm played out from {calms}"
 
 
@@ -220,7 +224,10 @@
         "prove", help="explore small models of the control plane in every order of events"
     )
     prove.add_argument(
-        "scene", nargs="*", choices=[*SCENES, WINDOWS_SCENE, []], help="; ".join([*SCENES, WINDOWS_SCENE])
+        "scene",
+        nargs="*",
+        choices=[*SCENARIOS, WINDOWS_SCENE, []],
+        help="; ".join([*SCENARIOS, WINDOWS_SCENE]),
     )
     prove.add_argument("--states", type=int, default=20_000, help="maximum for each scene")
     prove.add_argument("--seconds", type=float, default=60.0, help="maximum for each scene")
@@ -285,7 +292,7 @@
         return _run_courses(courses, options.shrink)
     if options.command == "prove":
         return _run_searches(
-            options.scene or [*SCENES, WINDOWS_SCENE], options.states, options.seconds, options.walks
+            options.scene or [*SCENARIOS, WINDOWS_SCENE], options.states, options.seconds, options.walks
         )
     if options.command == "snapshot":
         return snapshots.save_snapshot(options.node, options.folder, options.keep)
