--- a/bench/control.py
+++ b/bench/control.py
@@ -209,7 +209,13 @@
     kept = {f"item/{item.key}": item.SerializeToString() for item in book}
     a, b = (
         ControlStateMachine(
-            names[i], "z", first_run=False, seeds=names, losses=1, rng=Random(i), kept={**has, "seats": seats}
+            names[i],
+            "z",
+            first_run=False,
+            seeds=names,
+            losses=1,
+            rng=Random(i),
+            records={**has, "seats": seats},
         )
         for i, has in enumerate((kept, {}))
     )
--- a/leadrudder/backup/snapshot.py
+++ b/leadrudder/backup/snapshot.py
@@ -19,7 +19,7 @@
 
 from leadrudder.configuration.item_store import Book
 from leadrudder.consensus.outputs import SECTIONS
-from leadrudder.consensus.state_machine import ITEM_RECORD, PROMISED_RECORD, VOTERS_RECORD
+from leadrudder.consensus.state_machine import ITEM_RECORD_PREFIX, PROMISED_RECORD_PREFIX, VOTERS_RECORD
 from leadrudder.protocol.mesh_pb2 import Item
 from leadrudder.storage.store import CorruptStoreError, DbmStore, DiskError, decode_batch, encode_batch
 
@@ -63,8 +63,10 @@
     taken_s: float,
 ) -> bytes:
     """A snapshot's bytes."""
-    records = {ITEM_RECORD + item.key: item.SerializeToString() for item in items}
-    records |= {f"{PROMISED_RECORD}{section}": str(epoch).encode() for section, epoch in promised.items()}
+    records = {ITEM_RECORD_PREFIX + item.key: item.SerializeToString() for item in items}
+    records |= {
+        f"{PROMISED_RECORD_PREFIX}{section}": str(epoch).encode() for section, epoch in promised.items()
+    }
     records[VOTERS_RECORD] = json.dumps({"seats": list(map(list, seats)), "full": False}).encode()
     records[META] = json.dumps({"taken_s": taken_s}).encode()
     return encode_batch(records)
@@ -89,13 +91,13 @@
     name = ""
     try:
         for name, value in records.items():
-            if name.startswith(ITEM_RECORD):
+            if name.startswith(ITEM_RECORD_PREFIX):
                 item = Item.FromString(value)
-                if ITEM_RECORD + item.key != name:
+                if ITEM_RECORD_PREFIX + item.key != name:
                     return Failure(f"record {name!r} holds another item, {item.key!r}")
                 held.book.take([item])
-            elif name.startswith(PROMISED_RECORD):
-                held.promised[int(name[len(PROMISED_RECORD) :])] = int(value)
+            elif name.startswith(PROMISED_RECORD_PREFIX):
+                held.promised[int(name[len(PROMISED_RECORD_PREFIX) :])] = int(value)
             elif name == VOTERS_RECORD:
                 held.seats = [(int(i), str(h), int(n)) for i, h, n, *_ in json.loads(value)["seats"]]
             elif name == META:
@@ -161,9 +163,9 @@
         fresh = Item()
         fresh.CopyFrom(item)
         fresh.epoch = epoch
-        records[ITEM_RECORD + key] = fresh.SerializeToString()
+        records[ITEM_RECORD_PREFIX + key] = fresh.SerializeToString()
     for section in range(max((*held.promised, SECTIONS - 1)) + 1):
-        records[f"{PROMISED_RECORD}{section}"] = str(epoch).encode()
+        records[f"{PROMISED_RECORD_PREFIX}{section}"] = str(epoch).encode()
     rows = [[index, holder, incarnation] for index, holder in enumerate(holders)]
     records[VOTERS_RECORD] = json.dumps({"seats": rows, "full": True}).encode()
     return records
--- a/leadrudder/consensus/state_machine.py
+++ b/leadrudder/consensus/state_machine.py
@@ -38,8 +38,8 @@
 from leadrudder.protocol import mesh_pb2 as wire
 from leadrudder.protocol.mesh_pb2 import Frame, Item, VoterSlot
 
-PROMISED_RECORD, ITEM_RECORD = "promised/", "item/"
-__all__ = ["ITEM_RECORD", "PROMISED_RECORD", "VOTERS_RECORD", "ControlStateMachine"]
+PROMISED_RECORD_PREFIX, ITEM_RECORD_PREFIX = "promised/", "item/"
+__all__ = ["ITEM_RECORD_PREFIX", "PROMISED_RECORD_PREFIX", "VOTERS_RECORD", "ControlStateMachine"]
 
 
 class ControlStateMachine:
@@ -54,7 +54,7 @@
         seeds: tuple[str, ...],
         losses: int,
         rng: Random,
-        kept: dict[str, bytes],
+        records: dict[str, bytes],
         sections: int = SECTIONS,
         duties: tuple[str, ...] = DUTIES,
     ) -> None:
@@ -85,16 +85,16 @@
         self.leases = Leases(self)
         self.anti_entropy = AntiEntropy(self)
         self.quorum_check = QuorumCheck(self)
-        self._restore(kept)
+        self._restore(records)
 
-    def _restore(self, kept: dict[str, bytes]) -> None:
-        for name, value in kept.items():
-            if name.startswith(ITEM_RECORD):
+    def _restore(self, records: dict[str, bytes]) -> None:
+        for name, value in records.items():
+            if name.startswith(ITEM_RECORD_PREFIX):
                 self._merge_accepted([Item.FromString(value)])
-            elif name.startswith(PROMISED_RECORD):
-                self.promised[int(name[len(PROMISED_RECORD) :])] = int(value)
-        if VOTERS_RECORD in kept:
-            self.voter_table.restore(kept[VOTERS_RECORD])
+            elif name.startswith(PROMISED_RECORD_PREFIX):
+                self.promised[int(name[len(PROMISED_RECORD_PREFIX) :])] = int(value)
+        if VOTERS_RECORD in records:
+            self.voter_table.restore(records[VOTERS_RECORD])
 
     # ------------------------------------------------------------ inputs
 
@@ -224,7 +224,7 @@
         """Merge items into the accepted ones; returns the records to write."""
         merged = self._merge_accepted(items)
         self.anti_entropy.on_accepted(merged)
-        return {ITEM_RECORD + item.key: item.SerializeToString() for item in merged}
+        return {ITEM_RECORD_PREFIX + item.key: item.SerializeToString() for item in merged}
 
     def _merge_accepted(self, items: Iterable[Item]) -> list[Item]:
         merged = self.accepted.take(items)
@@ -245,31 +245,33 @@
             "seats": [
                 {
                     "seat": index,
-                    "holder": seat.holder,
-                    "incarnation": seat.incarnation,
-                    "state": self._slot_state(seat),
-                    "sections": owned.get(seat.holder, []) if seat.holder else [],
+                    "holder": slot.holder,
+                    "incarnation": slot.incarnation,
+                    "state": self._slot_state(slot),
+                    "sections": owned.get(slot.holder, []) if slot.holder else [],
                 }
-                for index, seat in sorted(self.voter_table.slots.items())
+                for index, slot in sorted(self.voter_table.slots.items())
             ],
         }
 
-    def _slot_state(self, seat: VoterSlot) -> str:
-        if seat.closed:
-            return "closed" if seat.settled else "closing"
-        if self.is_voter(seat.holder):
+    def _slot_state(self, slot: VoterSlot) -> str:
+        if slot.closed:
+            return "closed" if slot.settled else "closing"
+        if self.is_voter(slot.holder):
             return "full"
-        peer = self.peers.get(seat.holder)
-        connected = seat.holder == self.address or (peer is not None and peer.up)
+        peer = self.peers.get(slot.holder)
+        connected = slot.holder == self.address or (peer is not None and peer.up)
         return "empty" if connected else "not connected"
 
     def item_records(self) -> dict[str, bytes]:
         """The records of all accepted items."""
-        return {ITEM_RECORD + item.key: item.SerializeToString() for item in self.accepted.items.values()}
+        return {
+            ITEM_RECORD_PREFIX + item.key: item.SerializeToString() for item in self.accepted.items.values()
+        }
 
     def promise_records(self) -> dict[str, bytes]:
         """The records of all promised epochs."""
-        return {f"{PROMISED_RECORD}{s}": str(e).encode() for s, e in self.promised.items()}
+        return {f"{PROMISED_RECORD_PREFIX}{s}": str(e).encode() for s, e in self.promised.items()}
 
     def mark_committed(self, items: Iterable[Item], tell: bool = True) -> None:
         """Record that items are on disk at a majority; tell: forward them to the peers."""
@@ -395,7 +397,9 @@
         promise.ok, promise.promised = True, epoch
         promise.mark.CopyFrom(self.voter_view())
         promise.items.extend(self.ownership.items_of(section))
-        self.write({f"{PROMISED_RECORD}{section}": str(epoch).encode()}, [Send(peer, Frame(promise=promise))])
+        self.write(
+            {f"{PROMISED_RECORD_PREFIX}{section}": str(epoch).encode()}, [Send(peer, Frame(promise=promise))]
+        )
 
     def _on_replicate(self, peer: str, replicate: wire.Replicate) -> None:
         promised = self.promised.get(replicate.section, 0)
@@ -406,7 +410,7 @@
         records = self.accept(replicate.items)
         if replicate.epoch > promised:
             self.promised[replicate.section] = replicate.epoch
-            records[f"{PROMISED_RECORD}{replicate.section}"] = str(replicate.epoch).encode()
+            records[f"{PROMISED_RECORD_PREFIX}{replicate.section}"] = str(replicate.epoch).encode()
         ack.ok = True
         ack.mark.CopyFrom(self.voter_view())
         self.write(records, [Send(peer, Frame(copied=ack))])
--- a/leadrudder/control_plane/program.py
+++ b/leadrudder/control_plane/program.py
@@ -99,7 +99,7 @@
             seeds=self.settings.seed_links,
             losses=self.settings.losses,
             rng=self._rng,
-            kept=kept,
+            records=kept,
             duties=(*DUTIES, MAINTENANCE) if self._possession else DUTIES,
         )
         if self._possession:
--- a/leadrudder/control_simulation/world.py
+++ b/leadrudder/control_simulation/world.py
@@ -157,7 +157,7 @@
             seeds=self.seeds,
             losses=self.losses,
             rng=Random(self.rng.random()),
-            kept=dict(machine.disk),
+            records=dict(machine.disk),
         )
         self.tell(f"{machine.address} starts with {len(machine.disk)} records")
 
--- a/leadrudder/model_checker/machine_states.py
+++ b/leadrudder/model_checker/machine_states.py
@@ -20,8 +20,8 @@
 from leadrudder.consensus.lease import DUTIES
 from leadrudder.consensus.outputs import Answer, Committed, Output, Send, Write
 from leadrudder.consensus.state_machine import (
-    ITEM_RECORD,
-    PROMISED_RECORD,
+    ITEM_RECORD_PREFIX,
+    PROMISED_RECORD_PREFIX,
     VOTERS_RECORD,
     ControlStateMachine,
 )
@@ -239,14 +239,14 @@
             seats = VoterTable("")
             full = False
             for name, value in self.disks[disk].items():
-                if name.startswith(ITEM_RECORD):
+                if name.startswith(ITEM_RECORD_PREFIX):
                     item = Item.FromString(value)
                     items[item.key] = fact(item)
                 elif name == VOTERS_RECORD:
                     seats.restore(value)
                     full = bool(json.loads(value)["full"])
                 else:
-                    assert name.startswith(PROMISED_RECORD)
+                    assert name.startswith(PROMISED_RECORD_PREFIX)
             view = self._disk_views[disk] = DiskView(full, _rows(seats), items)
         return view
 
--- a/leadrudder/model_checker/world.py
+++ b/leadrudder/model_checker/world.py
@@ -73,7 +73,7 @@
                 seeds=seeds,
                 losses=scene.losses,
                 rng=Still(1000 * life),
-                kept=disk,
+                records=disk,
                 sections=scene.sections,
             )
             machine.quorum_check = Unasked(machine)
--- a/tests/mesh/planted_faults.py
+++ b/tests/mesh/planted_faults.py
@@ -127,7 +127,7 @@
         kept = {
             name: value
             for name, value in records.items()
-            if not name.startswith(state_machine.PROMISED_RECORD)
+            if not name.startswith(state_machine.PROMISED_RECORD_PREFIX)
         }
         whole(self, kept, then)
 
--- a/tests/mesh/test_anti_entropy.py
+++ b/tests/mesh/test_anti_entropy.py
@@ -23,7 +23,7 @@
     kept = {f"item/{item.key}": item.SerializeToString() for item in items}
     kept["seats"] = json.dumps(slots).encode()
     return ControlStateMachine(
-        NAMES[i], "zone", first_run=False, seeds=NAMES, losses=1, rng=Random(i), kept=kept
+        NAMES[i], "zone", first_run=False, seeds=NAMES, losses=1, rng=Random(i), records=kept
     )
 
 
