--- a/leadrudder/consensus/quorum_check.py
+++ b/leadrudder/consensus/quorum_check.py
@@ -46,17 +46,19 @@
         """Seconds since the last probe that a majority answered was sent; infinite if there is none."""
         return now - self._confirmed_at
 
-    def fresh(self, now: float) -> bool:
+    def is_fresh(self, now: float) -> bool:
         """Whether new sessions may be served."""
         return self.age(now) <= FRESH_AGE_S
 
-    def lost(self, now: float) -> bool:
+    def is_lost(self, now: float) -> bool:
         """Whether a majority may have made decisions without this node for too long."""
         return self.age(now) > LOST_AGE_S
 
     def tick(self) -> None:
         machine, now = self._machine, self._machine.step.now
-        if not machine.has_majority() or (self.fresh(now) and now - self._last_probe_at < PROBE_INTERVAL_S):
+        if not machine.has_majority() or (
+            self.is_fresh(now) and now - self._last_probe_at < PROBE_INTERVAL_S
+        ):
             return
         self._last_probe_at = now
         self._number += 1
--- a/leadrudder/control_plane/program.py
+++ b/leadrudder/control_plane/program.py
@@ -333,7 +333,7 @@
     def _serves(self, new: bool) -> bool:
         """Whether a station may be told what we know; new: it has no session here yet."""
         contact, now = self.interlocking.quorum_check, self._loop.time()
-        in_contact = contact.fresh(now) if new else not contact.lost(now)
+        in_contact = contact.is_fresh(now) if new else not contact.is_lost(now)
         return in_contact and self.interlocking.ownership.knows_all_sections()
 
     def _leaving(self) -> bool:
@@ -351,7 +351,7 @@
         self._feeds.catch_up()
         if self._possessions is not None:
             self._possessions.tick(self.interlocking.leases.holds(MAINTENANCE, now))
-        if self.interlocking.quorum_check.lost(now):
+        if self.interlocking.quorum_check.is_lost(now):
             self._settled_at = float("inf")
             for link in self._feeds.links():
                 link.cut()
--- a/leadrudder/control_simulation/nodes.py
+++ b/leadrudder/control_simulation/nodes.py
@@ -54,7 +54,7 @@
         home = self._world.machines.get(station.home)
         if home is None or home.process is None or home.frozen or home.life != station.life:
             return False
-        return not home.process.quorum_check.lost(self._world.now)
+        return not home.process.quorum_check.is_lost(self._world.now)
 
     def _hello(self, station: Station, home: Machine) -> None:
         """One that stands still takes it at its thaw, before it sees that its own links are dead."""
@@ -69,7 +69,7 @@
                 or not process.ownership.knows_all_sections()
             ):
                 return
-            if not process.quorum_check.fresh(self._world.now):
+            if not process.quorum_check.is_fresh(self._world.now):
                 return
             self._judge(home, process.committed)
             station.home, station.life = home.address, life
--- a/leadrudder/protocol/outcome.py
+++ b/leadrudder/protocol/outcome.py
@@ -46,8 +46,8 @@
 Outcome = Result[ServerResponse, RequestFailure]
 
 
-def combined_failure(verdicts: list[RequestFailure], why: str) -> RequestFailure:
+def combined_failure(failures: list[RequestFailure], why: str) -> RequestFailure:
     """The combined failure of all attempts of a request: it never ran only if no attempt may have run."""
-    ran = max((v.ran for v in verdicts), default=Executed.NEVER)
-    retry = min((v.retry_ms for v in verdicts if v.retry_ms), default=0.0)
+    ran = max((f.ran for f in failures), default=Executed.NEVER)
+    retry = min((f.retry_ms for f in failures if f.retry_ms), default=0.0)
     return RequestFailure(ran, why, retry)
--- a/tests/mesh/planted_faults.py
+++ b/tests/mesh/planted_faults.py
@@ -433,7 +433,7 @@
     def fresh(self: QuorumCheck, now: float) -> bool:
         return self._machine.has_majority()
 
-    return put(QuorumCheck, "fresh", fresh)
+    return put(QuorumCheck, "is_fresh", fresh)
 
 
 PLANTS: dict[str, Callable[[], Any]] = {
