--- a/leadrudder/control_plane/program.py
+++ b/leadrudder/control_plane/program.py
@@ -101,7 +101,7 @@
             seeds=self.settings.seed_link_addresses,
             losses=self.settings.tolerated_machine_losses,
             rng=self._rng,
-            kept=records,
+            records=records,
             duties=(*DUTIES, MAINTENANCE) if self._maintenance_windows else DUTIES,
         )
         if self._maintenance_windows:
@@ -343,7 +343,7 @@
     def _can_serve(self, new_session: bool) -> bool:
         """Whether the state here is fresh enough to be served.  new_session: there is no session yet."""
         contact, now = self.state_machine.quorum_check, self._loop.time()
-        in_contact = contact.fresh(now) if new_session else not contact.lost(now)
+        in_contact = contact.is_fresh(now) if new_session else not contact.is_lost(now)
         return in_contact and self.state_machine.ownership.knows_all_sections()
 
     def _is_stopping(self) -> bool:
@@ -361,7 +361,7 @@
         self._feeds.flush_pending()
         if self._maintenance is not None:
             self._maintenance.tick(self.state_machine.leases.holds(MAINTENANCE, now))
-        if self.state_machine.quorum_check.lost(now):
+        if self.state_machine.quorum_check.is_lost(now):
             self._members_complete_at = float("inf")
             for link in self._feeds.links():
                 link.abort()
--- a/leadrudder/model_checker/machine_states.py
+++ b/leadrudder/model_checker/machine_states.py
@@ -21,8 +21,8 @@
 from leadrudder.consensus.lease import DUTIES
 from leadrudder.consensus.outputs import Answer, Committed, Output, Send, Write
 from leadrudder.consensus.state_machine import (
-    ITEM_RECORD,
-    PROMISED_RECORD,
+    ITEM_RECORD_PREFIX,
+    PROMISED_RECORD_PREFIX,
     VOTERS_RECORD,
     ControlStateMachine,
 )
@@ -251,14 +251,14 @@
             voters = VoterTable("")
             full = False
             for name, value in self.disks[disk_id].items():
-                if name.startswith(ITEM_RECORD):
+                if name.startswith(ITEM_RECORD_PREFIX):
                     item = Item.FromString(value)
                     items[item.key] = item_tuple(item)
                 elif name == VOTERS_RECORD:
                     voters.restore(value)
                     full = bool(json.loads(value)["full"])
                 else:
-                    assert name.startswith(PROMISED_RECORD)
+                    assert name.startswith(PROMISED_RECORD_PREFIX)
             view = self._disk_views[disk_id] = DiskView(full, _voter_rows(voters), items)
         return view
 
--- a/leadrudder/model_checker/world.py
+++ b/leadrudder/model_checker/world.py
@@ -76,7 +76,7 @@
                 seeds=seed_addresses,
                 losses=scenario.tolerated_losses,
                 rng=DeterministicRandom(1000 * start_count),
-                kept=disk,
+                records=disk,
                 sections=scenario.sections,
             )
             machine.quorum_check = NoQuorumCheck(machine)
--- a/tests/mesh/planted_faults.py
+++ b/tests/mesh/planted_faults.py
@@ -132,7 +132,7 @@
         kept = {
             name: value
             for name, value in records.items()
-            if not name.startswith(state_machine.PROMISED_RECORD)
+            if not name.startswith(state_machine.PROMISED_RECORD_PREFIX)
         }
         original(self, kept, then)
 
@@ -441,7 +441,7 @@
     def fresh(self: QuorumCheck, now: float) -> bool:
         return self._machine.has_majority()
 
-    return patch_attribute(QuorumCheck, "fresh", fresh)
+    return patch_attribute(QuorumCheck, "is_fresh", fresh)
 
 
 PLANTED_FAULTS: dict[str, Callable[[], Any]] = {
