--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -172,25 +172,25 @@
     """Three control machines that hold so many items."""
     tracemalloc.start()
     world = World(1)
-    world.events_most = 10**8
-    world.play(4.0)
+    world.max_events = 10**8
+    world.run_until(4.0)
     first = next(iter(world.machines.values()))
     before = tracemalloc.get_traced_memory()[0]
     value = b"x" * 300
     for at in range(0, count, 2000):
         items = [Item(key=f"routes/r{i}", version=1, value=value) for i in range(at, min(count, at + 2000))]
-        world.call(first, items, lambda answer: None)
-        world.play(world.now + 2.0)
+        world.submit_change(first, items, lambda answer: None)
+        world.run_until(world.now + 2.0)
     memory = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    world.largest_frame = 0
+    world.largest_frame_bytes = 0
     world.read(first, lambda answer: None)
-    world.play(world.now + 0.5)
-    read_bytes = world.largest_frame
+    world.run_until(world.now + 0.5)
+    read_bytes = world.largest_frame_bytes
     began, orders = time.process_time(), 10
     for i in range(orders):
-        world.call(first, [Item(key=f"routes/r{i}", version=2, value=value)], lambda answer: None)
-        world.play(world.now + 0.1)
+        world.submit_change(first, [Item(key=f"routes/r{i}", version=2, value=value)], lambda answer: None)
+        world.run_until(world.now + 0.1)
     order_ms = 1000.0 * (time.process_time() - began) / orders
     return ItemFigures(count, read_bytes, order_ms, memory / count / len(world.machines))
 
--- a/bench/control.py
+++ b/bench/control.py
@@ -21,8 +21,8 @@
 from leadrudder.consensus import anti_entropy
 from leadrudder.consensus.outputs import SECTIONS, Answer, Code, Output, Send, Write, section_of
 from leadrudder.consensus.state_machine import Interlocking
-from leadrudder.control_simulation.scenario import FAULTS, RESIZING, Course
-from leadrudder.control_simulation.world import Broken, Machine, World
+from leadrudder.control_simulation.scenario import FAULT_KINDS, RESIZE_KINDS, Scenario
+from leadrudder.control_simulation.world import InvariantViolation, Machine, World
 from leadrudder.model_checker.scenarios import SCENES, WALKED
 from leadrudder.model_checker.search import Found, Search
 from leadrudder.model_checker.state import ALL
@@ -33,7 +33,7 @@
 WALKS, PLANT_WALKS = 12, 2
 LARGE = ((3, 200, 0), (5, 80, 0), (9, 12, 300))  # machines, seeds, stations
 PLANT_SEEDS = ((3, 60), (5, 20))
-ALL_FAULTS = FAULTS + 2 * RESIZING
+ALL_FAULTS = FAULT_KINDS + 2 * RESIZE_KINDS
 
 
 # ---------------------------------------------------------------- searches
@@ -55,9 +55,11 @@
     broken = []
     for seed in seeds:
         try:
-            kinds = ALL_FAULTS if seed % 2 else FAULTS  # half of them with a core that grows and shrinks
-            Course(seed, machines, faults=10 if machines > 3 else 6, kinds=kinds, stations=stations).play()
-        except Broken as error:
+            kinds = ALL_FAULTS if seed % 2 else FAULT_KINDS  # half of them with a core that grows and shrinks
+            Scenario(
+                seed, machines, fault_count=10 if machines > 3 else 6, fault_kinds=kinds, node_count=stations
+            ).run()
+        except InvariantViolation as error:
             broken.append(f"{machines} machines, seed {seed}: {error}")
     return broken
 
@@ -104,15 +106,17 @@
 def _planted_large(name: str) -> str:
     if name in SHOWN_BY:
         try:
-            SHOWN_BY[name].play()
-        except Broken:
+            SHOWN_BY[name].run()
+        except InvariantViolation:
             course = SHOWN_BY[name]
-            return f"{course.machines} machines, seed {course.seed}, {course.faults} faults"
+            return f"{course.machine_count} machines, seed {course.seed}, {course.fault_count} faults"
     for machines, seeds in PLANT_SEEDS:
         for seed in range(seeds):
             try:
-                Course(seed, machines, faults=10, kinds=ALL_FAULTS if seed % 2 else FAULTS).play()
-            except Broken:
+                Scenario(
+                    seed, machines, fault_count=10, fault_kinds=ALL_FAULTS if seed % 2 else FAULT_KINDS
+                ).run()
+            except InvariantViolation:
                 return f"{machines} machines, seed {seed}"
     return ""
 
@@ -123,10 +127,10 @@
 def acknowledgements(machines: int, items: int, calls: int = 60) -> list[float]:
     """Milliseconds from a change's arrival at any machine to its answer, in calm."""
     world = World(1, machines)
-    world.play(3.0)
+    world.run_until(3.0)
     first = [Item(key=f"routes/r{i}", version=1, value=b"x" * 200) for i in range(items)]
     _call(world, first)
-    world.play(6.0)
+    world.run_until(6.0)
     times = []
     for i in range(calls):
         answers: list[float] = []
@@ -137,8 +141,10 @@
                 answers.append(world.now)
 
         machine = world.rng.choice(list(world.machines.values()))
-        world.call(machine, [Item(key=f"routes/r{i % items}", version=2 + i, value=b"y" * 200)], answered)
-        world.play(world.now + 0.5)
+        world.submit_change(
+            machine, [Item(key=f"routes/r{i % items}", version=2 + i, value=b"y" * 200)], answered
+        )
+        world.run_until(world.now + 0.5)
         times += [1000.0 * (at - began) for at in answers]
     assert len(times) == calls, f"{len(times)} of {calls} changes were acknowledged"
     return times
@@ -146,8 +152,8 @@
 
 def _call(world: World, items: list[Item]) -> None:
     done: list[Answer] = []
-    world.call(next(iter(world.machines.values())), items, done.append)
-    world.play(world.now + 2.0)
+    world.submit_change(next(iter(world.machines.values())), items, done.append)
+    world.run_until(world.now + 2.0)
     assert done and done[0].code is Code.DONE, done
 
 
@@ -156,16 +162,16 @@
     spans = []
     for seed in range(times):
         world = World(seed, machines)
-        world.play(3.0)
+        world.run_until(3.0)
         _call(world, [Item(key=f"routes/r{i}", version=1, value=b"x") for i in range(40)])
-        world.play(6.0 + 0.1 * world.rng.random())
+        world.run_until(6.0 + 0.1 * world.rng.random())
         owned = {s: m for s in range(SECTIONS) for m in world.machines.values() if _owns(m, s)}
         lost = world.rng.choice(list(owned.values()))
         mine = {s for s, m in owned.items() if m is lost}
         world.kill(lost, power=True)
         began = world.now
         while mine and world.now < began + 10.0:
-            world.play(world.now + 0.01)
+            world.run_until(world.now + 0.01)
             mine -= {s for s in mine if any(_owns(m, s) for m in world.machines.values())}
         spans.append(world.now - began)
     return spans
@@ -178,16 +184,16 @@
 def moved(items: int = 10_000) -> tuple[float, float]:
     """The part of the keys with another owner when a core of three has become one of five, and when, in s."""
     world = World(1, 3)
-    world.play(3.0)
+    world.run_until(3.0)
     _call(world, [Item(key=f"routes/r{i}", version=1, value=b"x" * 200) for i in range(items)])
-    world.play(8.0)
+    world.run_until(8.0)
     owners = {s: m.address for s in range(SECTIONS) for m in world.machines.values() if _owns(m, s)}
     for i in range(2):
-        world.join(f"10.{50 + i}.0.1:1")
+        world.add_machine(f"10.{50 + i}.0.1:1")
     began = world.now
     _call(world, [Item(key=CORE, version=1, value=b"5")])
     while world.now < began + 60.0 and not _even(world, 5):
-        world.play(world.now + 0.05)
+        world.run_until(world.now + 0.05)
     changed = {s for s, a in owners.items() if not _owns(world.machines[a], s)}
     keys = [section_of(f"routes/r{i}") in changed for i in range(items)]
     return sum(keys) / items, world.now - began
--- a/bench/incidents.py
+++ b/bench/incidents.py
@@ -15,17 +15,17 @@
 from typing import Any
 
 from leadrudder.control_simulation.incidents import (
-    CatchUp,
-    CutOff,
+    CatchUpResult,
     Fault,
-    Loss,
-    calls,
-    cut_off,
-    many_changes,
-    two_losses,
+    FirstLoss,
+    UnreachableResult,
+    run_many_changes,
+    run_requests,
+    run_two_losses,
+    run_unreachable_machine,
 )
-from leadrudder.control_simulation.scenario import FAULTS, STANDSTILL, Course
-from leadrudder.control_simulation.world import Broken
+from leadrudder.control_simulation.scenario import FAULT_KINDS, FREEZE_KINDS, Scenario
+from leadrudder.control_simulation.world import InvariantViolation
 from leadrudder.emulation.fleet import Bookings
 from tests.mesh.planted_faults import PLANTS, UNSHOWN
 from tests.mesh.test_emulation import PLAN
@@ -46,13 +46,15 @@
 def attempt(play: Callable[..., Any], *arguments: Any) -> Ended:
     try:
         return Ended(play(*arguments))
-    except Broken as broken:
+    except InvariantViolation as broken:
         return Ended(None, str(broken).splitlines()[0])
 
 
 def course(seed: int) -> bool:
     """Two operators and more, under every fault; the course judges double confirmations and refusals."""
-    Course(seed, faults=8, calls=24, kinds=FAULTS + 3 * STANDSTILL, stations=4).play()
+    Scenario(
+        seed, fault_count=8, change_count=24, fault_kinds=FAULT_KINDS + 3 * FREEZE_KINDS, node_count=4
+    ).run()
     return True
 
 
@@ -78,21 +80,25 @@
     parser.add_argument("--jobs", type=int, default=2)
     arguments = parser.parse_args(argv)
     with ProcessPoolExecutor(arguments.jobs) as pool:
-        catch_up = pool.submit(attempt, many_changes, 1, arguments.changes, KEYS_OF_MANY_CHANGES)
-        cuts: list[CutOff] = []
+        catch_up = pool.submit(attempt, run_many_changes, 1, arguments.changes, KEYS_OF_MANY_CHANGES)
+        cuts: list[UnreachableResult] = []
         broken = 0
         for fault in Fault:
             seeds = range(arguments.seeds)
-            whole, bad = told(fault, pool.map(attempt, [cut_off] * len(seeds), seeds, [fault] * len(seeds)))
+            whole, bad = told(
+                fault, pool.map(attempt, [run_unreachable_machine] * len(seeds), seeds, [fault] * len(seeds))
+            )
             broken += bad
             cuts += whole
             if whole:
                 ack, apply = max(c.ack_max_s for c in whole), max(c.apply_max_s for c in whole)
                 orders = sum(c.orders for c in whole)
                 print(f"{fault:45} orders {orders:6} ack {ack:.2f} s  apply {apply:.2f} s", flush=True)
-        steps = [(s % 7, loss, SECOND_LOSS_STEP_S * s) for loss in Loss for s in range(SECOND_LOSS_STEPS)]
+        steps = [
+            (s % 7, loss, SECOND_LOSS_STEP_S * s) for loss in FirstLoss for s in range(SECOND_LOSS_STEPS)
+        ]
         losses, bad_losses = told(
-            "two losses", pool.map(attempt, [two_losses] * len(steps), *zip(*steps, strict=True))
+            "two losses", pool.map(attempt, [run_two_losses] * len(steps), *zip(*steps, strict=True))
         )
         print(
             f"two losses in a row: {len(losses)} of {len(steps)}, {sum(losses)} with both disks", flush=True
@@ -102,7 +108,7 @@
         print(f"courses: {len(courses)} of {len(seeds)}", flush=True)
         seeds = range(arguments.call_seeds)
         plans = [PLAN] * len(seeds)
-        called, bad_calls = told("calls", pool.map(attempt, [calls] * len(seeds), seeds, plans))
+        called, bad_calls = told("calls", pool.map(attempt, [run_requests] * len(seeds), seeds, plans))
         bookings: list[Bookings] = called
         print(
             f"calls: {len(called)} of {len(seeds)} seeds, "
@@ -111,7 +117,7 @@
             flush=True,
         )
         caught, bad_catch = told("many changes", [catch_up.result()])
-    found: CatchUp | None = caught[0] if caught else None
+    found: CatchUpResult | None = caught[0] if caught else None
     broken += bad_losses + bad_courses + bad_calls + bad_catch
     guards = len(PLANTS) - len(UNSHOWN)
     line = (
@@ -124,7 +130,7 @@
         line += (
             f" changes={found.changes} restarted_s={found.restarted_s:.2f} absent_s={found.absent_s:.2f} "
             f"wiped_s={found.wiped_s:.2f} wiped_mb={found.wiped_bytes / 1e6:.2f} "
-            f"largest_frame_mb={found.largest_frame / 1e6:.2f} "
+            f"largest_frame_mb={found.largest_frame_bytes / 1e6:.2f} "
             f"longest_step_ms={1000 * found.longest_step_s:.0f}"
         )
     print(line)
--- a/bench/mesh.py
+++ b/bench/mesh.py
@@ -124,8 +124,8 @@
         super().__init__(seed)
         self.heard: dict[str, float] = {}
 
-    def _stood(self, machine: Machine, item: Item) -> None:
-        super()._stood(machine, item)
+    def check_committed(self, machine: Machine, item: Item) -> None:
+        super().check_committed(machine, item)
         if item.version == 2:
             self.heard.setdefault(machine.address, self.now)
 
@@ -140,17 +140,17 @@
     worst = []
     for seed in range(10):
         world = _Watched(seed)
-        world.play(4.0)
+        world.run_until(4.0)
         first = next(iter(world.machines.values()))
-        world.call(first, [Item(key=item.key, version=1, value=b"old")], lambda answer: None)
-        world.play(6.0)
+        world.submit_change(first, [Item(key=item.key, version=1, value=b"old")], lambda answer: None)
+        world.run_until(6.0)
         acknowledged: list[float] = []
 
         def answered(answer: Answer, at: list[float] = acknowledged, world: World = world) -> None:
             at.append(world.now)
 
-        world.call(first, [item], answered)
-        world.play(8.0)
+        world.submit_change(first, [item], answered)
+        world.run_until(8.0)
         rng = Random(seed)
         last = 0.0
         for address in world.heard:
--- a/leadrudder/control_simulation/incidents.py
+++ b/leadrudder/control_simulation/incidents.py
@@ -13,17 +13,17 @@
 from random import Random
 
 from leadrudder.consensus.outputs import Answer, Code
-from leadrudder.control_simulation.nodes import Stations
-from leadrudder.control_simulation.world import Broken, World
+from leadrudder.control_simulation.nodes import SimulatedNodes
+from leadrudder.control_simulation.world import InvariantViolation, World
 from leadrudder.control_simulation.world import Machine as CoreMachine
 from leadrudder.emulation.fleet import Bookings, Fleet, Machine, Plan
 from leadrudder.protocol.mesh_pb2 import Item
 
 KEYS = tuple(f"routes/r{i}" for i in range(8))
-BEGIN_S = 5.0  # the first order; by then every section has an owner
-PATIENCE_S = 1.0  # an operator goes to another machine after so long without an answer
-PAUSE_S = 0.1  # before it sends again
-CALM_S = 10.0  # after the last fault, in which everything must come right
+FIRST_CHANGE_S = 5.0  # the first order; by then every section has an owner
+ANSWER_TIMEOUT_S = 1.0  # an operator goes to another machine after so long without an answer
+RETRY_DELAY_S = 0.1  # before it sends again
+CALM_DURATION_S = 10.0  # after the last fault, in which everything must come right
 
 
 class Fault(StrEnum):
@@ -42,11 +42,11 @@
     def __init__(self, world: World) -> None:
         self._world = world
         self._versions = dict.fromkeys(KEYS, 0)
-        self.waits: list[float] = []  # from the first sending of an order to its confirmation
+        self.confirmation_times_s: list[float] = []  # from the first sending of an order to its confirmation
         self.refused = 0
-        self.open = 0
+        self.open_changes = 0
 
-    def every(self, gap_s: float, until: float, keys: Iterable[str] = KEYS) -> None:
+    def change_periodically(self, gap_s: float, until: float, keys: Iterable[str] = KEYS) -> None:
         names = tuple(keys)
         count = 0
 
@@ -54,18 +54,18 @@
             nonlocal count
             if self._world.now >= until:
                 return
-            if self.open < 8:
-                self.order(names[count % len(names)])
+            if self.open_changes < 8:
+                self.change(names[count % len(names)])
                 count += 1
-            self._world.after(gap_s, send)
+            self._world.call_later(gap_s, send)
 
         send()
 
-    def order(self, key: str) -> None:
+    def change(self, key: str) -> None:
         self._versions[key] = version = self._versions.get(key, 0) + 1
         world, began = self._world, self._world.now
         item = Item(key=key, version=version, value=b"value %d" % version)
-        self.open += 1
+        self.open_changes += 1
         ended = False
 
         def send(skipped: str) -> None:
@@ -73,7 +73,7 @@
                 return
             there = [m for m in world.machines.values() if m.process is not None and m.address != skipped]
             if not there:
-                world.after(PAUSE_S, lambda: send(""))
+                world.call_later(RETRY_DELAY_S, lambda: send(""))
                 return
             machine = world.rng.choice(there)
             answered = False
@@ -84,21 +84,21 @@
                 if ended:
                     return
                 if answer.code is Code.BUSY:
-                    world.after(PAUSE_S, lambda: send(machine.address))
+                    world.call_later(RETRY_DELAY_S, lambda: send(machine.address))
                     return
                 ended = True
-                self.open -= 1
+                self.open_changes -= 1
                 self.refused += answer.code is Code.CONFLICT
-                self.waits.append(world.now - began)
+                self.confirmation_times_s.append(world.now - began)
 
-            world.call(machine, [item], take)
-            world.after(PATIENCE_S, lambda: None if answered else send(machine.address))
+            world.submit_change(machine, [item], take)
+            world.call_later(ANSWER_TIMEOUT_S, lambda: None if answered else send(machine.address))
 
         send("")
 
 
 @dataclass(frozen=True, slots=True)
-class CutOff:
+class UnreachableResult:
     """What a machine that was out of reach cost."""
 
     orders: int
@@ -106,34 +106,38 @@
     apply_max_s: float  # from a confirmation until the last station had it
 
 
-def cut_off(seed: int, fault: Fault, span_s: float = 20.0, stations: int = 6) -> CutOff:
+def run_unreachable_machine(
+    seed: int, fault: Fault, span_s: float = 20.0, stations: int = 6
+) -> UnreachableResult:
     world = World(seed)
-    told = Stations(world, stations)
-    world.play(BEGIN_S)
+    told = SimulatedNodes(world, stations)
+    world.run_until(FIRST_CHANGE_S)
     operator = Operator(world)
     machine = list(world.machines.values())[seed % len(world.machines)]
     others = [m.address for m in world.machines.values() if m is not machine]
     if fault is Fault.STANDSTILL:
-        world.at(6.0, lambda: world.freeze(machine))
-        world.at(6.0 + span_s, lambda: world.thaw(machine))
+        world.call_at(6.0, lambda: world.freeze(machine))
+        world.call_at(6.0 + span_s, lambda: world.thaw(machine))
     elif fault is Fault.SLOW_DISK:
-        world.at(6.0, lambda: setattr(machine, "slow", 30.0))
-        world.at(6.0 + span_s, lambda: setattr(machine, "slow", 1.0))
+        world.call_at(6.0, lambda: setattr(machine, "sync_slowdown", 30.0))
+        world.call_at(6.0 + span_s, lambda: setattr(machine, "sync_slowdown", 1.0))
     else:
         ends = ([machine.address], others)
         one, other = ends if fault is not Fault.NOTHING_IN else ends[::-1]
-        world.at(6.0, lambda: world.cut(one, other, one_way=fault is not Fault.CUT))
-        world.at(6.0 + span_s, world.heal)
-    operator.every(0.4, 6.0 + span_s)
-    world.play(6.0 + span_s + CALM_S)
-    if operator.open or operator.refused:
-        world.broken(f"{operator.open} orders have no answer in calm, {operator.refused} were refused")
-    world.explained()
-    told.end()
-    return CutOff(len(operator.waits), max(operator.waits), told.latest_s())
-
-
-class Loss(StrEnum):
+        world.call_at(6.0, lambda: world.partition(one, other, one_way=fault is not Fault.CUT))
+        world.call_at(6.0 + span_s, world.heal)
+    operator.change_periodically(0.4, 6.0 + span_s)
+    world.run_until(6.0 + span_s + CALM_DURATION_S)
+    if operator.open_changes or operator.refused:
+        world.fail(f"{operator.open_changes} orders have no answer in calm, {operator.refused} were refused")
+    world.check_linearizable()
+    told.check_all_delivered()
+    return UnreachableResult(
+        len(operator.confirmation_times_s), max(operator.confirmation_times_s), told.max_propagation_s()
+    )
+
+
+class FirstLoss(StrEnum):
     """The first of two losses in a row."""
 
     WIPED = "its disk is lost, and it is back at once"
@@ -141,24 +145,24 @@
     RESTARTED = "killed, and back at once"
 
 
-def two_losses(seed: int, first: Loss, after_s: float) -> bool:
+def run_two_losses(seed: int, first: FirstLoss, after_s: float) -> bool:
     """The second loses power after_s after the first loss; its disk too where the first is whole again.
 
     Returns whether the second lost its disk.
     """
     world = World(seed)
-    world.play(BEGIN_S)
+    world.run_until(FIRST_CHANGE_S)
     operator = Operator(world)
-    operator.every(0.15, 12.0)
+    operator.change_periodically(0.15, 12.0)
     one, two, _ = world.rng.sample(list(world.machines.values()), 3)
     fresh: list[CoreMachine] = [one]
 
     def lose_first() -> None:
-        if first is Loss.REPLACED:
+        if first is FirstLoss.REPLACED:
             fresh[0] = world.replace(one, "10.60.0.1:1")
             return
-        world.kill(one, wipe=first is Loss.WIPED)
-        world.after(0.1, lambda: world.start(one))
+        world.kill(one, wipe=first is FirstLoss.WIPED)
+        world.call_later(0.1, lambda: world.start(one))
 
     wiped: list[bool] = []
 
@@ -166,31 +170,31 @@
         process = fresh[0].process
         wiped.append(process is not None and process.seats.full)
         world.kill(two, power=True, wipe=wiped[0])
-        world.after(1.5, lambda: world.start(two))
-
-    world.at(6.0, lose_first)
-    world.at(6.0 + after_s, lose_second)
-    world.play(14.0 + CALM_S)
-    if operator.open or operator.refused:
-        world.broken(f"{operator.open} orders have no answer in calm, {operator.refused} were refused")
-    world.explained()
-    read_back(world)
+        world.call_later(1.5, lambda: world.start(two))
+
+    world.call_at(6.0, lose_first)
+    world.call_at(6.0 + after_s, lose_second)
+    world.run_until(14.0 + CALM_DURATION_S)
+    if operator.open_changes or operator.refused:
+        world.fail(f"{operator.open_changes} orders have no answer in calm, {operator.refused} were refused")
+    world.check_linearizable()
+    check_reads(world)
     return wiped[0]
 
 
-def read_back(world: World) -> None:
+def check_reads(world: World) -> None:
     """Every machine answers a read in calm; the world holds it against what was acknowledged."""
     answers: list[Code] = []
     running = [m for m in world.machines.values() if m.process is not None]
     for machine in running:
         world.read(machine, lambda answer: answers.append(answer.code))
-    world.play(world.now + 2.0)
+    world.run_until(world.now + 2.0)
     if answers != [Code.DONE] * len(running):
-        world.broken(f"reads in calm end with {answers}")
+        world.fail(f"reads in calm end with {answers}")
 
 
 @dataclass(frozen=True, slots=True)
-class CatchUp:
+class CatchUpResult:
     """What it takes a member to be useful again after many changes.  bytes: sent to it until then."""
 
     changes: int
@@ -198,15 +202,15 @@
     wiped_s: float
     absent_s: float
     wiped_bytes: int
-    largest_frame: int  # bytes, of the whole play
+    largest_frame_bytes: int  # bytes, of the whole play
     longest_step_s: float  # of real processor time, for one input of one machine
 
 
-def many_changes(seed: int, changes: int, keys: int) -> CatchUp:
+def run_many_changes(seed: int, changes: int, keys: int) -> CatchUpResult:
     """A member restarted in the middle, one that comes back empty, and one that was away for a third."""
     world = World(seed)
-    world.events_most = 400 * changes + 400_000
-    world.play(BEGIN_S)
+    world.max_events = 400 * changes + 400_000
+    world.run_until(FIRST_CHANGE_S)
     operator = Operator(world)
     names = [f"routes/r{i}" for i in range(keys)]
     position = 0
@@ -215,10 +219,10 @@
         nonlocal position
         for end in range(position + 8, position + count + 8, 8):
             while position < min(end, position + count, changes):
-                operator.order(names[position % keys])
+                operator.change(names[position % keys])
                 position += 1
-            while operator.open:
-                world.play(world.now + 0.02)
+            while operator.open_changes:
+                world.run_until(world.now + 0.02)
 
     def useful(machine: CoreMachine) -> float:
         """Seconds until it is full and knows all that stands elsewhere."""
@@ -231,8 +235,8 @@
                 known = process.standing.digest
                 if all(known == other.standing.digest for other in others):
                     return world.now - began
-            world.play(world.now + 0.02)
-        world.broken(f"{machine.address} has not caught up after a minute")
+            world.run_until(world.now + 0.02)
+        world.fail(f"{machine.address} has not caught up after a minute")
         return 0.0
 
     one, two, three = world.machines.values()
@@ -246,17 +250,17 @@
     absent_s = useful(two)
     change(changes - position)
     world.kill(three, power=True, wipe=True)
-    before = world.bytes_to[three.address]
+    before = world.bytes_sent_to[three.address]
     world.start(three)
     wiped_s = useful(three)
-    wiped_bytes = world.bytes_to[three.address] - before
-    read_back(world)
-    return CatchUp(
-        changes, restarted_s, wiped_s, absent_s, wiped_bytes, world.largest_frame, world.longest_step_s
+    wiped_bytes = world.bytes_sent_to[three.address] - before
+    check_reads(world)
+    return CatchUpResult(
+        changes, restarted_s, wiped_s, absent_s, wiped_bytes, world.largest_frame_bytes, world.longest_step_s
     )
 
 
-def calls(seed: int, plan: Plan, faults: int = 6) -> Bookings:
+def run_requests(seed: int, plan: Plan, faults: int = 6) -> Bookings:
     """Requests of which some may run once only, while nodes stand still and nodes and servers are killed."""
     fleet = Fleet(seed, plan)
     rng = Random(f"calls/{seed}")
@@ -268,7 +272,7 @@
     fleet.play(end + 4.0)
     told = Bookings.of(fleet)
     if told.twice or told.lost or fleet.faults:
-        raise Broken(f"seed {seed}: {told}, faults {fleet.faults[:2]}")
+        raise InvariantViolation(f"seed {seed}: {told}, faults {fleet.faults[:2]}")
     return told
 
 
--- a/leadrudder/control_simulation/linearizability.py
+++ b/leadrudder/control_simulation/linearizability.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-STATES_MOST = 200_000  # of one key's search
+MAX_STATES = 200_000  # of one key's search
 
 
 class Outcome(Enum):
@@ -43,15 +43,15 @@
     key: str
     outcome: Outcome
     register: Register  # what was ordered, or what was read
-    began: float
-    ended: float
+    start_s: float
+    end_s: float
 
 
-class SearchTooLong(Exception):  # noqa: N818 - says what happened
+class HistoryTooLarge(Exception):  # noqa: N818 - says what happened
     """A key's history has too many orders to be searched: nothing is known of it."""
 
 
-def after(state: Register, operation: Operation) -> Register | None:
+def state_after(state: Register, operation: Operation) -> Register | None:
     """The register after an operation; None if the operation could not have ended so in this state."""
     told = operation.register
     if operation.outcome is Outcome.READ:
@@ -69,7 +69,7 @@
     """Of several unknown tries of one order only the first: it may take place at any moment from then on."""
     kept: list[Operation] = []
     tried: set[Register] = set()
-    for operation in sorted(operations, key=lambda operation: operation.began):
+    for operation in sorted(operations, key=lambda operation: operation.start_s):
         if operation.outcome is Outcome.UNKNOWN:
             if operation.register in tried:
                 continue
@@ -78,7 +78,7 @@
     return kept
 
 
-def linearizable(operations: Iterable[Operation]) -> bool:
+def is_linearizable(operations: Iterable[Operation]) -> bool:
     """Whether one key's operations can be put in an order that one register would have answered so."""
     history = _without_repeats(operations)
     certain = sum(1 << i for i, each in enumerate(history) if each.outcome is not Outcome.UNKNOWN)
@@ -91,8 +91,8 @@
             return True
         for reached in _next(history, taken, state):
             if reached not in seen:
-                if len(seen) >= STATES_MOST:
-                    raise SearchTooLong(f"{history[0].key}: {len(history)} operations")
+                if len(seen) >= MAX_STATES:
+                    raise HistoryTooLarge(f"{history[0].key}: {len(history)} operations")
                 seen.add(reached)
                 waiting.append(reached)
     return False
@@ -105,13 +105,13 @@
     unknown one that would leave it so need not be taken at all.
     """
     left = [i for i in range(len(history)) if not taken >> i & 1]
-    first_end = min((history[i].ended for i in left), default=math.inf)
+    first_end = min((history[i].end_s for i in left), default=math.inf)
     found = []
     for i in left:
         operation = history[i]
-        if operation.began > first_end:
+        if operation.start_s > first_end:
             break  # they are sorted by their beginnings
-        following = after(state, operation)
+        following = state_after(state, operation)
         if following is None or (following == state and operation.outcome is Outcome.UNKNOWN):
             continue
         if following == state:
@@ -120,9 +120,9 @@
     return found
 
 
-def wrong_keys(operations: Iterable[Operation]) -> list[str]:
+def non_linearizable_keys(operations: Iterable[Operation]) -> list[str]:
     """The keys whose histories no register explains."""
     by_key: dict[str, list[Operation]] = {}
     for operation in operations:
         by_key.setdefault(operation.key, []).append(operation)
-    return [key for key, history in sorted(by_key.items()) if not linearizable(history)]
+    return [key for key, history in sorted(by_key.items()) if not is_linearizable(history)]
--- a/leadrudder/mesh/__main__.py
+++ b/leadrudder/mesh/__main__.py
@@ -12,8 +12,8 @@
 
 from leadrudder.configuration import validation
 from leadrudder.configuration.items import CONTRACT
-from leadrudder.control_simulation.scenario import FAULTS, RESIZING, Course, cut
-from leadrudder.control_simulation.world import Broken
+from leadrudder.control_simulation.scenario import FAULT_KINDS, RESIZE_KINDS, Scenario, shrink_scenario
+from leadrudder.control_simulation.world import InvariantViolation
 from leadrudder.maintenance import contract
 from leadrudder.mesh import snapshots, windows
 from leadrudder.model_checker.maintenance import Windows
@@ -89,18 +89,18 @@
     return []
 
 
-def _rehearse(courses: Sequence[Course], shrink: bool) -> int:
+def _rehearse(courses: Sequence[Scenario], shrink: bool) -> int:
     broken = 0
     for course in courses:
         try:
-            course.play()
-        except Broken as error:
+            course.run()
+        except InvariantViolation as error:
             broken += 1
             print(f"seed {course.seed}: {error}")
-            least = cut(course, print) if shrink else None
+            least = shrink_scenario(course, print) if shrink else None
             if least is not None:
                 print(f"seed {course.seed}, cut down: {least[1]}")
-                print("faults:", *(f"  {fault}" for fault in least[0].drawn()), sep="\n")
+                print("faults:", *(f"  {fault}" for fault in least[0].planned_faults()), sep="\n")
     print(f"seeds={len(courses)} broken={broken}")
     return 1 if broken else 0
 
@@ -204,7 +204,7 @@
     rehearsing.add_argument("--stations", type=int, default=0, help="that are told what stands")
     rehearsing.add_argument("--shrink", action="store_true", help="cut what breaks to the least faults")
     rehearsing.add_argument("--resize", action="store_true", help="have the core grow and shrink besides")
-    rehearsing.add_argument("--kinds", default=",".join(FAULTS), help="of faults, by commas")
+    rehearsing.add_argument("--kinds", default=",".join(FAULT_KINDS), help="of faults, by commas")
     proving = commands.add_parser("prove", help="go through small worlds of the control state in every order")
     proving.add_argument(
         "scene", nargs="*", choices=[*SCENES, WINDOWS, []], help="; ".join([*SCENES, WINDOWS])
@@ -236,13 +236,13 @@
     if told.command == "check":
         return _check(told.file)
     if told.command == "rehearse":
-        kinds = tuple(told.kinds.split(",")) + (RESIZING if told.resize else ())
-        unknown = set(kinds) - {*FAULTS, *RESIZING}
+        kinds = tuple(told.kinds.split(",")) + (RESIZE_KINDS if told.resize else ())
+        unknown = set(kinds) - {*FAULT_KINDS, *RESIZE_KINDS}
         if unknown:
             print(f"leadrudder: --kinds: no such fault: {', '.join(sorted(unknown))}", file=sys.stderr)
             return 2
         courses = [
-            Course(seed, told.machines, told.faults, kinds, stations=told.stations) for seed in told.seeds
+            Scenario(seed, told.machines, told.faults, kinds, node_count=told.stations) for seed in told.seeds
         ]
         return _rehearse(courses, told.shrink)
     if told.command == "prove":
--- a/tests/mesh/planted_faults.py
+++ b/tests/mesh/planted_faults.py
@@ -20,7 +20,7 @@
 from leadrudder.consensus.requests import Change, Phase, Requests
 from leadrudder.consensus.state_machine import Interlocking
 from leadrudder.consensus.voters import Seats
-from leadrudder.control_simulation.scenario import FAULTS, RESIZING, Course
+from leadrudder.control_simulation.scenario import FAULT_KINDS, RESIZE_KINDS, Scenario
 from leadrudder.model_checker.state import Move
 from leadrudder.protocol import mesh_pb2 as wire
 from leadrudder.protocol.mesh_pb2 import Frame, Item, Seat
@@ -552,11 +552,11 @@
 AT_ONCE = ("older_overwrites_newer",)  # frames go round before the first trouble
 
 # Courses of large worlds that show faults which few seeds do.
-RESIZED = FAULTS + 3 * RESIZING
+RESIZED = FAULT_KINDS + 3 * RESIZE_KINDS
 SHOWN_BY = {
-    "one_version_two_values": Course(4, faults=10),
-    "promise_not_written": Course(3, faults=10),
-    "promised_to_all": Course(273, faults=10, kinds=FAULTS + 2 * RESIZING),
-    "old_epoch_taken": Course(489, 5, faults=14, calls=24),
-    "closed_without_filling": Course(180, 5, faults=8, kinds=RESIZED),
+    "one_version_two_values": Scenario(4, fault_count=10),
+    "promise_not_written": Scenario(3, fault_count=10),
+    "promised_to_all": Scenario(273, fault_count=10, fault_kinds=FAULT_KINDS + 2 * RESIZE_KINDS),
+    "old_epoch_taken": Scenario(489, 5, fault_count=14, change_count=24),
+    "closed_without_filling": Scenario(180, 5, fault_count=8, fault_kinds=RESIZED),
 }
--- a/tests/mesh/test_backup.py
+++ b/tests/mesh/test_backup.py
@@ -122,11 +122,11 @@
             "item/routes/a": item("routes/a", 3, b"lost").SerializeToString(),
             "seats": json.dumps({"seats": SEATS, "full": True}).encode(),
         }
-        world.play(5.0)
+        world.run_until(5.0)
         answers: list[Answer] = []
         for machine in world.machines.values():
             world.read(machine, answers.append)
-        world.play(7.0)
+        world.run_until(7.0)
         self.assertEqual([a.code for a in answers], [Code.DONE] * 3)
         self.assertEqual({i.value for a in answers for i in a.items}, {b"kept"})
         self.assertTrue(old.process is not None and old.process.seats.full, "it has a seat again by a claim")
--- a/tests/mesh/test_concurrent_operators.py
+++ b/tests/mesh/test_concurrent_operators.py
@@ -8,9 +8,9 @@
 
 from leadrudder.consensus.outputs import Answer, Code
 from leadrudder.consensus.requests import Change, Phase, Requests
-from leadrudder.control_simulation.nodes import Stations
-from leadrudder.control_simulation.scenario import FAULTS, STANDSTILL, Course
-from leadrudder.control_simulation.world import Broken, Machine, World
+from leadrudder.control_simulation.nodes import SimulatedNodes
+from leadrudder.control_simulation.scenario import FAULT_KINDS, FREEZE_KINDS, Scenario
+from leadrudder.control_simulation.world import InvariantViolation, Machine, World
 from leadrudder.protocol.mesh_pb2 import Item
 from tests.mesh.planted_faults import PLANTS
 
@@ -22,7 +22,7 @@
 class Orders(unittest.TestCase):
     def setUp(self) -> None:
         self.world = World(3)
-        self.world.play(4.0)
+        self.world.run_until(4.0)
         first, second = self._keys_of_two_owners()
         self.call = [(first, b"ours"), (second, b"ours")]
         self.rival = [(second, b"theirs")]
@@ -57,13 +57,13 @@
             codes.append(answer.code)
 
         items = [Item(key=key, version=7, value=value) for key, value in call]
-        self.world.call(at, items, answered)
+        self.world.submit_change(at, items, answered)
         return codes
 
     def _until(self, done: Callable[[], bool], most_s: float = 6.0) -> None:
         end = self.world.now + most_s
         while not done() and self.world.now < end:
-            self.world.play(self.world.now + 0.002)
+            self.world.run_until(self.world.now + 0.002)
         self.assertTrue(done())
 
     def _lose_the_second_owner_after_the_first_part(self) -> Machine:
@@ -79,7 +79,7 @@
 
         with mock.patch.object(Requests, "_make_all", lost_on_the_way):
             self._send(asked, self.call)
-            self._until(lambda: (self.call[0][0], 7) in world.values)
+            self._until(lambda: (self.call[0][0], 7) in world.committed_values)
         self.assertIsNotNone(first.process)
         return asked
 
@@ -103,7 +103,7 @@
             codes: list[Code] = []
             while Code.DONE not in codes:
                 sent = len(codes)
-                self.world.call(asked, items, lambda answer, codes=codes: codes.append(answer.code))  # type: ignore[misc]
+                self.world.submit_change(asked, items, lambda answer, codes=codes: codes.append(answer.code))  # type: ignore[misc]
                 self._until(lambda sent=sent, codes=codes: len(codes) > sent)  # type: ignore[misc]
         again = self._send(asked, self.call)
         self._until(lambda: bool(again))
@@ -113,7 +113,7 @@
         def refuse(requests: Requests, change: Change, conflicts: object) -> None:
             requests._end(change, Code.CONFLICT)
 
-        with mock.patch.object(Requests, "_withdraw_all", refuse), self.assertRaises(Broken):
+        with mock.patch.object(Requests, "_withdraw_all", refuse), self.assertRaises(InvariantViolation):
             self.test_a_call_that_was_taken_in_part_is_not_refused()
 
     def test_a_call_no_part_of_which_was_taken_is_refused_each_time(self) -> None:
@@ -124,7 +124,7 @@
             refused = self._send(asked, self.call)
             self._until(lambda refused=refused: bool(refused))  # type: ignore[misc]
             self.assertEqual(refused, [Code.CONFLICT])
-        self.assertNotIn((self.call[0][0], 7), self.world.values)
+        self.assertNotIn((self.call[0][0], 7), self.world.committed_values)
 
     def test_what_stands_already_by_another_call_does_not_keep_one_from_being_refused(self) -> None:
         asked = next(iter(self.world.machines.values()))
@@ -135,8 +135,8 @@
         items = [Item(key=key, version=7, value=value) for key, value in self.call]
         process = asked.process
         assert process is not None
-        self.world.answers[asked.address, 10**6] = lambda answer: refused.append(answer.code)
-        self.world._carry_out(asked, process.change(10**6, items, self.world.now))
+        self.world.answer_callbacks[asked.address, 10**6] = lambda answer: refused.append(answer.code)
+        self.world.apply_outputs(asked, process.change(10**6, items, self.world.now))
         self._until(lambda: bool(refused))
         self.assertEqual(refused, [Code.CONFLICT])
 
@@ -153,10 +153,10 @@
         late = Change(99, {}, world.now + 0.9, Phase.MAKE)
         items = [Item(key=key, version=7, value=value) for key, value in self.call]
         with mock.patch.object(Requests, "_reserve_all", Requests._make_all):
-            world.answers[asked.address, 99] = lambda answer: None
-            world._carry_out(asked, process.change(late.number, items, world.now))
-            world.play(world.now + 3.0)
-        self.assertNotIn((self.call[0][0], 7), world.values)
+            world.answer_callbacks[asked.address, 99] = lambda answer: None
+            world.apply_outputs(asked, process.change(late.number, items, world.now))
+            world.run_until(world.now + 3.0)
+        self.assertNotIn((self.call[0][0], 7), world.committed_values)
 
     def _two_calls_that_share_both_versions(self) -> list[Code]:
         """Each operator asks the owner of one, and sends again while the answer is unclear."""
@@ -168,15 +168,15 @@
 
             def answered(answer: Answer) -> None:
                 if answer.code is Code.BUSY:
-                    self.world.after(0.05, lambda: send(at, value))
+                    self.world.call_later(0.05, lambda: send(at, value))
                 else:
                     ended.append(answer.code)
 
-            self.world.call(at, items, answered)
+            self.world.submit_change(at, items, answered)
 
         for key, value in zip(keys, (b"ours", b"theirs"), strict=True):
             send(self._owner(key), value)
-        self.world.play(self.world.now + 10.0)
+        self.world.run_until(self.world.now + 10.0)
         return ended
 
     def test_of_two_calls_that_share_several_versions_one_is_confirmed_and_one_refused(self) -> None:
@@ -189,7 +189,7 @@
     def test_courses_in_which_that_happened(self) -> None:
         for seed in ENTANGLED_SEEDS:
             with self.subTest(seed=seed):
-                Course(seed, faults=10, calls=24).play()
+                Scenario(seed, fault_count=10, change_count=24).run()
 
 
 class Standstill(unittest.TestCase):
@@ -198,33 +198,41 @@
     def test_nothing_old_is_handed_out_and_every_rule_holds(self) -> None:
         for seed in FROZEN_SEEDS:
             with self.subTest(seed=seed):
-                Course(seed, kinds=FAULTS + 6 * STANDSTILL, faults=8, calls=24, stations=6).play()
+                Scenario(
+                    seed,
+                    fault_kinds=FAULT_KINDS + 6 * FREEZE_KINDS,
+                    fault_count=8,
+                    change_count=24,
+                    node_count=6,
+                ).run()
 
     def _old_state_at_the_thaw(self) -> None:
         """A station calls a machine that stands still; the others confirm a change meanwhile."""
         world = World(2)
-        stations = Stations(world, 1)
-        world.play(4.0)
+        stations = SimulatedNodes(world, 1)
+        world.run_until(4.0)
         frozen, other, _ = world.machines.values()
-        station = stations.stations[0]
+        station = stations.nodes[0]
         world.freeze(frozen)
-        station.home = ""
-        stations._hello(station, frozen)
+        station.machine_address = ""
+        stations.open_session(station, frozen)
         codes: list[Code] = []
-        world.play(6.0)
-        world.call(other, [Item(key="routes/r1", version=1, value=b"new")], lambda a: codes.append(a.code))
-        world.play(24.0)
+        world.run_until(6.0)
+        world.submit_change(
+            other, [Item(key="routes/r1", version=1, value=b"new")], lambda a: codes.append(a.code)
+        )
+        world.run_until(24.0)
         self.assertEqual(codes, [Code.DONE])
-        station.home = ""  # its session with another has ended just now
+        station.machine_address = ""  # its session with another has ended just now
         world.thaw(frozen)
-        world.play(30.0)
-        stations.end()
+        world.run_until(30.0)
+        stations.check_all_delivered()
 
     def test_a_machine_that_wakes_hands_out_nothing_before_a_majority_answered(self) -> None:
         self._old_state_at_the_thaw()
 
     def test_one_that_believes_its_links_hands_out_what_is_old(self) -> None:
-        with PLANTS["links_believed"](), self.assertRaisesRegex(Broken, "hands out .* older"):
+        with PLANTS["links_believed"](), self.assertRaisesRegex(InvariantViolation, "hands out .* older"):
             self._old_state_at_the_thaw()
 
 
--- a/tests/mesh/test_linearizability.py
+++ b/tests/mesh/test_linearizability.py
@@ -7,9 +7,9 @@
 from unittest import mock
 
 from leadrudder.control_simulation import linearizability
-from leadrudder.control_simulation.linearizability import Operation, Outcome, Register, linearizable
-from leadrudder.control_simulation.scenario import Course
-from leadrudder.control_simulation.world import Broken, World
+from leadrudder.control_simulation.linearizability import Operation, Outcome, Register, is_linearizable
+from leadrudder.control_simulation.scenario import Scenario
+from leadrudder.control_simulation.world import InvariantViolation, World
 from leadrudder.protocol.mesh_pb2 import Item
 from tests.mesh.planted_faults import PLANTS
 
@@ -24,9 +24,9 @@
 
 class Histories(unittest.TestCase):
     def test_what_one_register_explains(self) -> None:
-        self.assertTrue(linearizable([]))
+        self.assertTrue(is_linearizable([]))
         self.assertTrue(
-            linearizable(
+            is_linearizable(
                 [
                     operation(CONFIRMED, 1, b"a", 0.0, 4.0),
                     operation(READ, 0, b"", 1.0, 2.0),  # before the order that overlaps it
@@ -40,7 +40,7 @@
             )
         )
         never = [operation(UNKNOWN, 2, b"c", 0.0), operation(READ, 0, b"", 5.0, 6.0)]
-        self.assertTrue(linearizable(never))
+        self.assertTrue(is_linearizable(never))
 
     def test_what_none_explains(self) -> None:
         both = [operation(CONFIRMED, 1, b"a", 0.0, 1.0), operation(CONFIRMED, 1, b"b", 0.0, 1.0)]
@@ -53,28 +53,28 @@
         invented = [operation(READ, 1, b"x", 0.0, 1.0)]
         taken_and_refused = [operation(REFUSED, 1, b"a", 0.0, 1.0), operation(READ, 0, b"", 2.0, 3.0)]
         for wrong in (both, lost, back, invented, taken_and_refused):
-            self.assertFalse(linearizable(wrong))
+            self.assertFalse(is_linearizable(wrong))
 
     def test_many_overlapping_orders_are_searched_and_too_many_are_told(self) -> None:
         orders = [operation(CONFIRMED, i + 1, b"%d" % i, 0.0, 10.0) for i in range(40)]
-        self.assertTrue(linearizable([*orders, operation(READ, 40, b"39", 11.0, 12.0)]))
+        self.assertTrue(is_linearizable([*orders, operation(READ, 40, b"39", 11.0, 12.0)]))
         few = [*orders[:10], operation(READ, 10, b"none", 11.0, 12.0)]
-        self.assertFalse(linearizable(few))
+        self.assertFalse(is_linearizable(few))
         with (
-            mock.patch.object(linearizability, "STATES_MOST", 50),
-            self.assertRaises(linearizability.SearchTooLong),
+            mock.patch.object(linearizability, "MAX_STATES", 50),
+            self.assertRaises(linearizability.HistoryTooLarge),
         ):
-            linearizable(few)
+            is_linearizable(few)
 
     def test_courses_are_explained_and_a_fault_that_only_their_answers_show_is_found(self) -> None:
-        world = Course(3, faults=8, calls=24).play()
+        world = Scenario(3, fault_count=8, change_count=24).run()
         self.assertGreater(len(world.history), 100)
-        with PLANTS["one_version_two_values"](), mock.patch.object(World, "broken", self._only_history):
+        with PLANTS["one_version_two_values"](), mock.patch.object(World, "fail", self._only_history):
             broken = 0
             for seed in range(12):
                 try:
-                    Course(seed, faults=8, calls=24).play()
-                except Broken:
+                    Scenario(seed, fault_count=8, change_count=24).run()
+                except InvariantViolation:
                     broken += 1
         self.assertGreater(broken, 0)
 
@@ -82,19 +82,19 @@
     def _only_history(world: World, text: str) -> None:
         """All hand-written rules are passed over."""
         if "fit no order" in text:
-            raise Broken(text)
+            raise InvariantViolation(text)
 
     def test_the_register_is_the_owners(self) -> None:
         """What the check takes for allowed is what an owner answers to one order after another."""
         world = World(1)
-        world.play(4.0)
+        world.run_until(4.0)
         machine = next(iter(world.machines.values()))
         for version, value in ((2, b"a"), (2, b"a"), (2, b"b"), (1, b"c"), (3, b"d"), (3, b"a")):
-            world.call(machine, [Item(key="k", version=version, value=value)], lambda answer: None)
-            world.play(world.now + 1.0)
+            world.submit_change(machine, [Item(key="k", version=version, value=value)], lambda answer: None)
+            world.run_until(world.now + 1.0)
         told = [each.outcome for each in world.history]
         self.assertEqual(told, [CONFIRMED, CONFIRMED, REFUSED, CONFIRMED, CONFIRMED, REFUSED])
-        world.explained()
+        world.check_linearizable()
 
 
 if __name__ == "__main__":
