--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -24,7 +24,7 @@
 
 from bench.window import route
 from leadrudder.control_simulation.world import World
-from leadrudder.emulation.fleet import Fleet, Plan
+from leadrudder.emulation.fleet import Fleet, FleetPlan
 from leadrudder.protocol.mesh_pb2 import Item
 from leadrudder.simulation.loop import VirtualLoop
 from leadrudder.simulation.network import Untapped, VirtualTransport
@@ -62,11 +62,11 @@
     informed_s: float
 
 
-def plan(nodes: int) -> Plan:
+def plan(nodes: int) -> FleetPlan:
     count = max(1, nodes // NODES_A_SERVICE)
     services = {f"s{i}": nodes // count for i in range(count)}
     routes = {f"r{name}": route(f"{name}.example", name, once=False) for name in services}
-    return Plan(services, (), routes, traffic=(1e6, 1e6))
+    return FleetPlan(services, (), routes, traffic_period_s=(1e6, 1e6))
 
 
 def measure(nodes: int) -> Figures:
@@ -83,11 +83,11 @@
     with mock.patch.object(VirtualLoop, "enter", timed):
         fleet = Fleet(1, plan(nodes))
         fleet.network.tap = tap
-        informed_s = _until(fleet, lambda: all(m.station and m.station.ready() for m in fleet.side))
-        fleet.play(max(SETTLED_S, fleet.now))
+        informed_s = _until(fleet, lambda: all(m.node and m.node.ready() for m in fleet.node_machines))
+        fleet.run_until(max(SETTLED_S, fleet.now))
         spent.clear()
         tap.by_process.clear()
-        fleet.play(fleet.now + WATCHED_S)
+        fleet.run_until(fleet.now + WATCHED_S)
         cpu, sent = dict(spent), dict(tap.by_process)
         apply_s = _apply(fleet)
 
@@ -108,7 +108,7 @@
 
 def _until(fleet: Fleet, done: Callable[[], bool], most_s: float = 60.0) -> float:
     while not done() and fleet.now < most_s:
-        fleet.play(fleet.now + 0.02)
+        fleet.run_until(fleet.now + 0.02)
     return fleet.now
 
 
@@ -119,15 +119,15 @@
 
     async def operate() -> None:
         body = {"addOrReplace": {"routes": {name: {**text, "version": "0000000f"}}}, "remove": {"routes": []}}
-        status, _ = await fleet.ask("PATCH", "/config", body)
+        status, _ = await fleet.call_operator_api("PATCH", "/config", body)
         if status == 200:
             acknowledged.append(fleet.now)
 
-    fleet.operate(operate)
+    fleet.run_operator(operate)
     key = f"routes/{name}"
 
     def everywhere() -> bool:
-        items = [m.station.state.book.items.get(key) for m in fleet.side if m.station is not None]
+        items = [m.node.state.book.items.get(key) for m in fleet.node_machines if m.node is not None]
         return bool(acknowledged) and all(item is not None and item.version == 15 for item in items)
 
     return max(0.0, _until(fleet, everywhere, fleet.now + 20.0) - (acknowledged or [fleet.now])[0])
--- a/bench/incidents.py
+++ b/bench/incidents.py
@@ -26,7 +26,7 @@
 )
 from leadrudder.control_simulation.scenario import FAULT_KINDS, FREEZE_KINDS, Scenario
 from leadrudder.control_simulation.world import InvariantViolation
-from leadrudder.emulation.fleet import Bookings
+from leadrudder.emulation.fleet import BookingOutcomes
 from tests.mesh.planted_faults import PLANTS, UNSHOWN
 from tests.mesh.test_emulation import PLAN
 
@@ -109,7 +109,7 @@
         seeds = range(arguments.call_seeds)
         plans = [PLAN] * len(seeds)
         called, bad_calls = told("calls", pool.map(attempt, [run_requests] * len(seeds), seeds, plans))
-        bookings: list[Bookings] = called
+        bookings: list[BookingOutcomes] = called
         print(
             f"calls: {len(called)} of {len(seeds)} seeds, "
             f"{sum(b.asked for b in bookings)} that may run once, "
--- a/bench/soak/__main__.py
+++ b/bench/soak/__main__.py
@@ -83,7 +83,7 @@
         operators.acks,
         operators.reads,
         len(asked),
-        sum(bool(each.served) for each in asked),
+        sum(bool(each.served_attempt) for each in asked),
         len(kept),
         sum(bool(each.cut_at) for _, each in kept),
         figures.shed,
--- a/bench/soak/checks.py
+++ b/bench/soak/checks.py
@@ -10,7 +10,7 @@
 from bench.soak.operators import Held, Operators
 from bench.soak.world import InvariantError, Machine, World
 from leadrudder.control_plane.feeds import UNSENT_MOST
-from leadrudder.emulation.standins import Asked, call, request
+from leadrudder.emulation.standins import SentRequest, encoded_request, http_call
 
 READ_TRIES = 100
 UNSENT_BOUND = UNSENT_MOST + 1024 * 1024  # a whole book may be written beside what waits
@@ -60,7 +60,7 @@
 
 async def _probe(address: tuple[str, int], name: str, held: Held) -> None:
     fields = f"Attempt-Id: probe-{name}\r\nTime-Left: 2000\r\n"
-    answer = await call(address, request("GET", "/probe", f"{name}.example", fields), 2.5)
+    answer = await http_call(address, encoded_request("GET", "/probe", f"{name}.example", fields), 2.5)
     if answer is None:
         raise InvariantError(f"{address[0]} gives no answer on {name}")
     if (answer.status == 404) != (held.content is None):
@@ -69,20 +69,22 @@
         )
 
 
-def judge_requests(runs: Mapping[str, int], asked: Collection[Asked]) -> None:
+def judge_requests(runs: Mapping[str, int], asked: Collection[SentRequest]) -> None:
     """Bookings run once at most; what was refused never ran; what was told as served ran.
 
     runs: how often each try ran, by its id.
     """
     for each in asked:
-        if each.served and not runs.get(each.served):
-            raise InvariantError(f"{each.served} was told as served, and no server ran it")
+        if each.served_attempt and not runs.get(each.served_attempt):
+            raise InvariantError(f"{each.served_attempt} was told as served, and no server ran it")
         if not each.once:
             continue
-        for name in each.ids:
+        for name in each.attempt_ids:
             if runs.get(name, 0) > 1:
                 raise InvariantError(f"booking {name} ran {runs[name]} times")
-        for name in each.ids[:-1]:  # a booking is tried again only after a promise that it did not run
+        for name in each.attempt_ids[
+            :-1
+        ]:  # a booking is tried again only after a promise that it did not run
             if runs.get(name):
                 raise InvariantError(f"booking {name} was told as not run, and ran")
 
@@ -106,8 +108,8 @@
             )
 
 
-def _enough_served(asked: Collection[Asked]) -> None:
-    served = sum(bool(each.served) for each in asked)
+def _enough_served(asked: Collection[SentRequest]) -> None:
+    served = sum(bool(each.served_attempt) for each in asked)
     if served < SERVED_LEAST * len(asked):
         raise InvariantError(f"{served} of {len(asked)} requests were served")
 
--- a/bench/soak/clients.py
+++ b/bench/soak/clients.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from leadrudder.emulation.standins import Wish, request
+from leadrudder.emulation.standins import RequestKind, encoded_request
 
 REOPEN_S = 0.05  # after a connection that did not come up, or has ended
 CROSSED_S = 0.05  # a close that was on its way already when the request was sent is seen within that time
@@ -41,7 +41,7 @@
 
     name: str
     address: tuple[str, int]
-    wishes: Sequence[Wish]
+    wishes: Sequence[RequestKind]
     until: float
     pause_s: float
     rng: Random
@@ -69,7 +69,7 @@
             asked = KeptRequest(f"{self.name}-{len(self.requests)}", wish.once, loop.time())
             self.requests.append(asked)
             fields = f"Attempt-Id: {asked.id}\r\nTime-Left: {int(1000 * wish.deadline_s)}\r\n"
-            writer.write(request("POST", "/a", wish.host, fields))
+            writer.write(encoded_request("POST", "/a", wish.host, fields))
             try:
                 async with asyncio.timeout(wish.deadline_s + GIVE_UP_S):
                     asked.status, closes = await read_answer(reader)
--- a/bench/soak/world.py
+++ b/bench/soak/world.py
@@ -22,14 +22,21 @@
 from bench.soak.clients import KeptConnection, KeptRequest
 from bench.soak.process import HOST_VARIABLE, RELAY_VARIABLE
 from bench.soak.relay import Relay
-from leadrudder.emulation.standins import Asked, Clients, Server, Wish, call, request
+from leadrudder.emulation.standins import (
+    Clients,
+    RequestKind,
+    SentRequest,
+    Server,
+    encoded_request,
+    http_call,
+)
 from leadrudder.mesh.demo import free_port
 from leadrudder.transport.http import WholeMessage
 
 SERVICES = ("kal", "var")
 WISHES = (
-    Wish("luku.example", once=False, per_s=8.0, deadline_s=1.5),
-    Wish("varaus.example", once=True, per_s=5.0, deadline_s=1.5),
+    RequestKind("luku.example", once=False, per_s=8.0, deadline_s=1.5),
+    RequestKind("varaus.example", once=True, per_s=5.0, deadline_s=1.5),
 )
 IDLE_ROUTES = 120
 RELAY_HOST = "127.0.9.1"
@@ -280,7 +287,7 @@
         """One call to a machine's control interface, by whoever is not on the network that is troubled."""
         data = b"" if body is None else json.dumps(body).encode()
         address = (machine.host, self.base)
-        return await call(address, request(method, path, "control", body=data), within_s)
+        return await http_call(address, encoded_request(method, path, "control", body=data), within_s)
 
     async def metrics(self, machine: Machine) -> dict[str, float]:
         answer = await self.ask(machine, "GET", "/metrics", within_s=3.0)
@@ -313,13 +320,13 @@
     def kept_requests(self) -> list[tuple[Machine, KeptRequest]]:
         return [(m, asked) for m in self.side for kept in m.kept for asked in kept.requests]
 
-    def asked(self) -> list[Asked]:
-        return [asked for machine in self.side if machine.clients for asked in machine.clients.asked]
+    def asked(self) -> list[SentRequest]:
+        return [asked for machine in self.side if machine.clients for asked in machine.clients.sent_requests]
 
     def runs(self) -> Counter[str]:
         """How often each try ran, at all servers."""
         total: Counter[str] = Counter()
         for machine in self.side:
             if machine.server is not None:
-                total.update(machine.server.runs)
+                total.update(machine.server.runs_by_attempt)
         return total
--- a/bench/window.py
+++ b/bench/window.py
@@ -18,8 +18,8 @@
 
 from leadrudder.configuration.items import read_route
 from leadrudder.consensus.lease import POSSESSION
-from leadrudder.emulation.fleet import Bookings, Fleet, Machine, Plan
-from leadrudder.emulation.standins import Wish
+from leadrudder.emulation.fleet import BookingOutcomes, Fleet, FleetPlan, Machine
+from leadrudder.emulation.standins import RequestKind
 from leadrudder.simulation.world import EPOCH_S
 
 SLOTS, WORK_S, LOAD = 6, 0.1, 0.7
@@ -44,21 +44,21 @@
     }
 
 
-def plan() -> Plan:
+def plan() -> FleetPlan:
     """Two tenants: look-ups of one service, bookings of the other."""
     machines = sum(SERVICES.values())
     rates = {s: LOAD * n * SLOTS / WORK_S / machines for s, n in SERVICES.items()}
     wishes = (
-        Wish("luku.example", once=False, per_s=0.8 * rates["kal"], deadline_s=HELD_S),
-        Wish("ajat.example", once=True, per_s=0.2 * rates["kal"], deadline_s=HELD_S),
-        Wish("varaus.example", once=True, per_s=rates["var"], deadline_s=HELD_S),
+        RequestKind("luku.example", once=False, per_s=0.8 * rates["kal"], deadline_s=HELD_S),
+        RequestKind("ajat.example", once=True, per_s=0.2 * rates["kal"], deadline_s=HELD_S),
+        RequestKind("varaus.example", once=True, per_s=rates["var"], deadline_s=HELD_S),
     )
     routes = {
         "luku": route("luku.example", "kal", once=False),
         "ajat": route("ajat.example", "kal", once=True),
         "varaus": route("varaus.example", "var", once=True),
     }
-    return Plan(SERVICES, wishes, routes, slots=SLOTS, work_s=WORK_S, traffic=(BEGIN_S, END_S))
+    return FleetPlan(SERVICES, wishes, routes, slots=SLOTS, work_s=WORK_S, traffic_period_s=(BEGIN_S, END_S))
 
 
 LOOKUPS = read_route("luku", route("luku.example", "kal", once=False))
@@ -91,7 +91,7 @@
     tenants that ran at the machine while it was out; stages: of the window, with their times.
     """
 
-    bookings: Bookings
+    bookings: BookingOutcomes
     lookups: list[float]
     faults: list[str]
     answer: int = 0
@@ -103,24 +103,30 @@
 
 
 def ordinary(seed: int) -> Day:
-    fleet = Fleet(seed, plan(), possession=True)
-    fleet.play(LAST_S)
+    fleet = Fleet(seed, plan(), maintenance=True)
+    fleet.run_until(LAST_S)
     return _day(fleet)
 
 
 def _day(fleet: Fleet, **more: Any) -> Day:
-    took = [a.took_s for a in fleet.asked() if a.served and not a.once and LOOKED[0] <= a.at <= LOOKED[1]]
-    return Day(Bookings.of(fleet), took, fleet.faults, **more)
+    took = [
+        a.duration_s
+        for a in fleet.sent_requests()
+        if a.served_attempt and not a.once and LOOKED[0] <= a.sent_at_s <= LOOKED[1]
+    ]
+    return Day(BookingOutcomes.of(fleet), took, fleet.errors, **more)
 
 
 def lent(fleet: Fleet, machine: Machine) -> int:
     """How many stations hold a machine as lent out of the look-ups just now."""
-    return sum(m.station.state.lent.lent(machine.name, LOOKUPS) for m in fleet.side if m.station is not None)
+    return sum(
+        m.node.state.lent.lent(machine.name, LOOKUPS) for m in fleet.node_machines if m.node is not None
+    )
 
 
 def window(seed: int, *, approved: bool = True, lose_holder: bool = False) -> Day:
-    fleet = Fleet(seed, plan(), possession=True)
-    machine = fleet.side[seed % SERVICES["kal"]]
+    fleet = Fleet(seed, plan(), maintenance=True)
+    machine = fleet.node_machines[seed % SERVICES["kal"]]
     order = {
         "from": EPOCH_S + LENT_S - 3.0,
         "to": EPOCH_S + LENT_S + HELD_S + WORKS_S + RETURN_S + 8.0,
@@ -135,15 +141,15 @@
     late = out = 0
 
     async def operate() -> None:
-        answers.append(await fleet.ask("PATCH", "/contracts", contracts(approved=approved)))
-        answers.append(await fleet.ask("POST", "/maintenance/huolto", order))
+        answers.append(await fleet.call_operator_api("PATCH", "/contracts", contracts(approved=approved)))
+        answers.append(await fleet.call_operator_api("POST", "/maintenance/huolto", order))
 
-    fleet.at(BEGIN_S + 1.0, lambda: fleet.operate(operate))
+    fleet.call_at(BEGIN_S + 1.0, lambda: fleet.run_operator(operate))
     lost: Machine | None = None
     assert machine.server is not None
     while fleet.now < LAST_S:
-        fleet.play(fleet.now + 0.25)
-        box = next((m.signalbox for m in fleet.core if m.signalbox is not None), None)
+        fleet.run_until(fleet.now + 0.25)
+        box = next((m.control_node for m in fleet.control_machines if m.control_node is not None), None)
         windows = box._possessions.situation().windows if box is not None and box._possessions else {}
         step = windows["huolto"].steps[0] if "huolto" in windows else None
         stage = str(step.stage) if step is not None else ""
@@ -153,15 +159,15 @@
             before = _runs(fleet)
         if lent(fleet, machine):
             touched.add(fleet.now)
-            late += step is not None and fleet.wall > step.back + 0.25
+            late += step is not None and fleet.unix_time > step.back + 0.25
         if stage == "out" and stages[-1][0] < fleet.now:
-            out += sum(machine.server.hosts.values())
-        machine.server.hosts.clear()
+            out += sum(machine.server.runs_by_host.values())
+        machine.server.runs_by_host.clear()
         if lose_holder and lost is None and stage == "out" and fleet.now > stages[-1][0] + 2.0:
-            lost = next((m for m in fleet.core if _holds(m, fleet.now)), None)
+            lost = next((m for m in fleet.control_machines if _holds(m, fleet.now)), None)
             if lost is not None:
                 fleet.kill(lost, "signalbox")
-                fleet.at(fleet.now + 6.0, lambda m=lost: fleet.start_signalbox(m))  # type: ignore[misc]
+                fleet.call_at(fleet.now + 6.0, lambda m=lost: fleet.start_control_node(m))  # type: ignore[misc]
     since = {name: ran - before.get(name, 0) for name, ran in _runs(fleet).items()}
     others = [ran for name, ran in since.items() if name != machine.name]
     return _day(
@@ -178,12 +184,14 @@
 def _runs(fleet: Fleet) -> dict[str, int]:
     """What each server of the look-ups' service has run."""
     return {
-        m.name: sum(m.server.runs.values()) for m in fleet.side if m.service == "kal" and m.server is not None
+        m.name: sum(m.server.runs_by_attempt.values())
+        for m in fleet.node_machines
+        if m.service == "kal" and m.server is not None
     }
 
 
 def _holds(machine: Machine, now: float) -> bool:
-    box = machine.signalbox
+    box = machine.control_node
     return box is not None and box.interlocking.leases.holds(POSSESSION, now)
 
 
--- a/leadrudder/control_simulation/incidents.py
+++ b/leadrudder/control_simulation/incidents.py
@@ -16,7 +16,7 @@
 from leadrudder.control_simulation.nodes import SimulatedNodes
 from leadrudder.control_simulation.world import InvariantViolation, World
 from leadrudder.control_simulation.world import Machine as CoreMachine
-from leadrudder.emulation.fleet import Bookings, Fleet, Machine, Plan
+from leadrudder.emulation.fleet import BookingOutcomes, Fleet, FleetPlan, Machine
 from leadrudder.protocol.mesh_pb2 import Item
 
 KEYS = tuple(f"routes/r{i}" for i in range(8))
@@ -260,19 +260,19 @@
     )
 
 
-def run_requests(seed: int, plan: Plan, faults: int = 6) -> Bookings:
+def run_requests(seed: int, plan: FleetPlan, faults: int = 6) -> BookingOutcomes:
     """Requests of which some may run once only, while nodes stand still and nodes and servers are killed."""
     fleet = Fleet(seed, plan)
     rng = Random(f"calls/{seed}")
-    begin, end = plan.traffic
+    begin, end = plan.traffic_period_s
     for _ in range(faults):
-        machine = rng.choice(fleet.side)
+        machine = rng.choice(fleet.node_machines)
         at = rng.uniform(begin + 1.0, end - 6.0)
-        fleet.at(at, _strike(fleet, machine, rng))
-    fleet.play(end + 4.0)
-    told = Bookings.of(fleet)
-    if told.twice or told.lost or fleet.faults:
-        raise InvariantViolation(f"seed {seed}: {told}, faults {fleet.faults[:2]}")
+        fleet.call_at(at, _strike(fleet, machine, rng))
+    fleet.run_until(end + 4.0)
+    told = BookingOutcomes.of(fleet)
+    if told.twice or told.lost or fleet.errors:
+        raise InvariantViolation(f"seed {seed}: {told}, faults {fleet.errors[:2]}")
     return told
 
 
@@ -283,10 +283,10 @@
     def strike() -> None:
         if kind == "node killed":
             fleet.kill(machine, "station")
-            fleet.at(fleet.now + 0.3, lambda: fleet.start_station(machine))
+            fleet.call_at(fleet.now + 0.3, lambda: fleet.start_node(machine))
             return
-        place = rng.choice(fleet.core) if kind == "control stands still" else machine
+        place = rng.choice(fleet.control_machines) if kind == "control stands still" else machine
         loop = "signalbox" if place is not machine else "server" if kind.startswith("server") else "station"
-        fleet.stand_still(place, loop, span)
+        fleet.freeze(place, loop, span)
 
     return strike
--- a/leadrudder/emulation/fleet.py
+++ b/leadrudder/emulation/fleet.py
@@ -16,19 +16,27 @@
 from leadrudder.bootstrap.settings import Settings, read
 from leadrudder.control_plane.program import Signalbox
 from leadrudder.data_plane.program import Station
-from leadrudder.emulation.standins import Asked, Clients, Server, Wish, Work, call, request
+from leadrudder.emulation.standins import (
+    Clients,
+    RequestKind,
+    SentRequest,
+    Server,
+    Work,
+    encoded_request,
+    http_call,
+)
 from leadrudder.simulation.loop import VirtualLoop
 from leadrudder.simulation.network import Network, Untapped
 from leadrudder.simulation.scheduler import MICROSECONDS, Scheduler
 from leadrudder.simulation.world import EPOCH_S, NodePlatform
 from leadrudder.storage.store import MemoryStore, Store
 
-CONTROL, OUT, READY, LINKS, APP = 7000, 7001, 7002, 7100, 8000
-SYNC_S = (0.006, 0.02)
-COLD_PER_S = 8.0  # requests a second that a cold server bears
+CONTROL_PORT, OUTBOUND_PORT, READINESS_PORT, FIRST_LINK_PORT, APPLICATION_PORT = 7000, 7001, 7002, 7100, 8000
+SYNC_DURATION_RANGE_S = (0.006, 0.02)
+COLD_REQUESTS_PER_S = 8.0  # requests a second that a cold server bears
 
 
-class Syncing:
+class SimulatedWriter:
     """Writes to a disk in virtual time: what is handed over meanwhile is written together as the next."""
 
     def __init__(self, store: Store, rng: Random) -> None:
@@ -66,7 +74,7 @@
                 done()
             self._begin()
 
-        self._loop.call_later(self._rng.uniform(*SYNC_S), synced)
+        self._loop.call_later(self._rng.uniform(*SYNC_DURATION_RANGE_S), synced)
 
 
 @dataclass(eq=False)
@@ -79,56 +87,56 @@
     service: str = ""
     disk: MemoryStore = field(default_factory=MemoryStore)  # what was synced stays when a process dies
     loops: dict[str, VirtualLoop] = field(default_factory=dict)
-    station: Station | None = None
-    signalbox: Signalbox | None = None
+    node: Station | None = None
+    control_node: Signalbox | None = None
     server: Server | None = None
-    lives: list[Server] = field(default_factory=list)  # of the server, that are over
+    past_servers: list[Server] = field(default_factory=list)  # of the server, that are over
     clients: Clients | None = None
-    starts: int = 0
+    start_count: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class FleetPlan:
     """What a mesh is like.  services: by name, how many servers; wishes: what the clients of each machine
     ask; slots, work_s: of each server.
     """
 
     services: Mapping[str, int]
-    wishes: tuple[Wish, ...]
+    request_kinds: tuple[RequestKind, ...]
     routes: Mapping[str, Any]
     zones: int = 3
     cores: int = 3
     slots: int = 9
     work_s: float = 0.06
-    works: Mapping[str, Work] = field(default_factory=dict)  # by host, in place of work_s
-    traffic: tuple[float, float] = (8.0, 80.0)
+    work_by_host: Mapping[str, Work] = field(default_factory=dict)  # by host, in place of work_s
+    traffic_period_s: tuple[float, float] = (8.0, 80.0)
 
 
 class Fleet:
     """The mesh at work.  possession: maintenance windows are on."""
 
-    def __init__(self, seed: int, plan: Plan, *, possession: bool = False) -> None:
-        self.plan, self.seed, self._possession = plan, seed, possession
+    def __init__(self, seed: int, plan: FleetPlan, *, maintenance: bool = False) -> None:
+        self.plan, self.seed, self._maintenance = plan, seed, maintenance
         self.scheduler = Scheduler(f"fleet/{seed}")
         self.network = Network(self.scheduler, f"fleet/{seed}", Untapped())
-        self.faults: list[str] = []
-        self.core = [
+        self.errors: list[str] = []
+        self.control_machines = [
             Machine(f"core-{i}", f"z{i % plan.zones}", f"10.{i % plan.zones}.0.{1 + i}")
             for i in range(plan.cores)
         ]
-        self.side: list[Machine] = []
+        self.node_machines: list[Machine] = []
         for service, count in plan.services.items():
             for _ in range(count):
-                i = len(self.side)
+                i = len(self.node_machines)
                 zone = i % plan.zones
-                self.side.append(Machine(f"side-{i}", f"z{zone}", f"10.{zone}.1.{1 + i}", service))
-        for machine in self.core:
-            self.start_signalbox(machine, first=True)
-        for machine in self.side:
-            self.start_station(machine)
+                self.node_machines.append(Machine(f"side-{i}", f"z{zone}", f"10.{zone}.1.{1 + i}", service))
+        for machine in self.control_machines:
+            self.start_control_node(machine, first=True)
+        for machine in self.node_machines:
+            self.start_node(machine)
             self.start_server(machine)
-        self.at(2.0, self._configure)
-        self.at(plan.traffic[0], self._start_clients)
+        self.call_at(2.0, self._configure)
+        self.call_at(plan.traffic_period_s[0], self._start_clients)
 
     # ------------------------------------------------------------ time
 
@@ -137,14 +145,14 @@
         return self.scheduler.now / MICROSECONDS
 
     @property
-    def wall(self) -> float:
+    def unix_time(self) -> float:
         """Unix time on every machine."""
         return EPOCH_S + self.now
 
-    def at(self, when: float, do: Callable[[], object]) -> None:
+    def call_at(self, when: float, do: Callable[[], object]) -> None:
         self.scheduler.timer(int(when * MICROSECONDS), None, "plan", do)
 
-    def play(self, until: float) -> None:
+    def run_until(self, until: float) -> None:
         """All that happens until then."""
         end = int(until * MICROSECONDS)
         while (due := self.scheduler.next_due()) is not None and due <= end:
@@ -156,17 +164,17 @@
     def _rng(self, *what: object) -> Random:
         return Random("/".join(map(str, ("fleet", self.seed, *what))))
 
-    def _process(self, machine: Machine, kind: str) -> VirtualLoop:
-        machine.starts += 1
-        name = f"{machine.name}.{kind}.{machine.starts}"
+    def _start_process(self, machine: Machine, kind: str) -> VirtualLoop:
+        machine.start_count += 1
+        name = f"{machine.name}.{kind}.{machine.start_count}"
         loop = VirtualLoop(  # type: ignore[abstract]  # it has what is used
-            name, machine.host, self.scheduler, self.network, self._fault
+            name, machine.host, self.scheduler, self.network, self._record_error
         )
         machine.loops[kind] = loop
         return loop
 
-    def _fault(self, loop: VirtualLoop, text: str) -> None:
-        self.faults.append(f"{self.now:.3f} s, {loop.name}: {text}")
+    def _record_error(self, loop: VirtualLoop, text: str) -> None:
+        self.errors.append(f"{self.now:.3f} s, {loop.name}: {text}")
 
     def _settings(self, machine: Machine, *, first: bool) -> Settings:
         host = machine.host
@@ -174,71 +182,74 @@
             "nodeName": machine.name,
             "zone": machine.zone,
             "ip": host,
-            "sparePorts": [LINKS, LINKS + 9],
-            "seedNodes": [f"{core.host}:{CONTROL}" for core in self.core[:3]],
+            "sparePorts": [FIRST_LINK_PORT, FIRST_LINK_PORT + 9],
+            "seedNodes": [f"{core.host}:{CONTROL_PORT}" for core in self.control_machines[:3]],
             "firstRun": first,
             "service": machine.service,
-            "appAddress": f"{host}:{APP}",
-            "addresses": {"controlPort": f"{host}:{CONTROL}"},
+            "appAddress": f"{host}:{APPLICATION_PORT}",
+            "addresses": {"controlPort": f"{host}:{CONTROL_PORT}"},
             "withstand": {"machineLosses": (self.plan.cores - 1) // 2},
             "limits": {"ramMb": 300},
         }
         if machine.service:
-            raw["addresses"] |= {"outboundPort": f"{host}:{OUT}", "readiness": f"{host}:{READY}"}
+            raw["addresses"] |= {
+                "outboundPort": f"{host}:{OUTBOUND_PORT}",
+                "readiness": f"{host}:{READINESS_PORT}",
+            }
         return read(raw).unwrap()
 
-    def start_signalbox(self, machine: Machine, *, first: bool = False) -> None:
-        loop = self._process(machine, "signalbox")
+    def start_control_node(self, machine: Machine, *, first: bool = False) -> None:
+        loop = self._start_process(machine, "signalbox")
         rng = self._rng(loop.name)
         settings = self._settings(machine, first=first)
 
         async def main() -> None:
-            machine.signalbox = Signalbox(
+            machine.control_node = Signalbox(
                 settings,
-                possession=self._possession,
+                possession=self._maintenance,
                 rng=rng,
-                wall=lambda: self.wall,
-                writer=lambda store, told: Syncing(store, rng),
+                wall=lambda: self.unix_time,
+                writer=lambda store, told: SimulatedWriter(store, rng),
                 store=machine.disk,
                 monotonic=lambda: self.now,
             )
-            await machine.signalbox.start()
+            await machine.control_node.start()
 
         loop.spawn(main())
 
-    def start_station(self, machine: Machine) -> None:
-        loop = self._process(machine, "station")
+    def start_node(self, machine: Machine) -> None:
+        loop = self._start_process(machine, "station")
         settings = self._settings(machine, first=True)
 
         async def main() -> None:
-            machine.station = Station(
+            machine.node = Station(
                 settings,
-                possession=self._possession,
+                possession=self._maintenance,
                 rng=self._rng(loop.name),
-                wall=lambda: self.wall,
+                wall=lambda: self.unix_time,
                 platform=NodePlatform(self.scheduler, {}),
             )
-            await machine.station.start()
+            await machine.node.start()
 
         loop.spawn(main())
 
     def start_server(self, machine: Machine, cold_s: float = 0.0) -> None:
         """Another life of it; cold_s: how long it is slow."""
-        loop = self._process(machine, "server")
+        loop = self._start_process(machine, "server")
         rng = self._rng(loop.name)
         if machine.server is not None:
-            machine.lives.append(machine.server)
+            machine.past_servers.append(machine.server)
         machine.server = Server(
-            f"i-{machine.name}-{len(machine.lives)}",
+            f"i-{machine.name}-{len(machine.past_servers)}",
             machine.service,
             machine.zone,
-            (machine.host, APP),
-            (machine.host, CONTROL),
+            (machine.host, APPLICATION_PORT),
+            (machine.host, CONTROL_PORT),
             self.plan.slots,
             self.plan.work_s * rng.uniform(0.9, 1.1),
             rng,
-            works=self.plan.works,
-            outbound=(machine.host, OUT),
+            work_by_host=self.plan.work_by_host,
+            outbound_address=(machine.host, OUTBOUND_PORT),
             cold_until=self.now + cold_s,
         )
         loop.spawn(machine.server.start())
@@ -247,27 +258,29 @@
         """A process dies at once; what it had synced is on its disk."""
         machine.loops[kind].kill()
         if kind == "signalbox":
-            machine.signalbox = None
+            machine.control_node = None
         elif kind == "station":
-            machine.station = None
+            machine.node = None
 
-    def stand_still(self, machine: Machine, kind: str, span_s: float) -> None:
+    def freeze(self, machine: Machine, kind: str, span_s: float) -> None:
         """A process does nothing for a while; what was due meanwhile it does afterwards."""
         machine.loops[kind].frozen_until = int((self.now + span_s) * MICROSECONDS)
 
     # ------------------------------------------------------------ operators and clients
 
-    def operate(self, work: Callable[[], Coroutine[Any, Any, Any]]) -> None:
+    def run_operator(self, work: Callable[[], Coroutine[Any, Any, Any]]) -> None:
         """Something an operator does, on a machine of its own."""
         operator = Machine("operator", "", "10.99.0.1")
-        self._process(operator, "work").spawn(work())
+        self._start_process(operator, "work").spawn(work())
 
-    async def ask(self, method: str, path: str, body: Any = None, tries: int = 40) -> tuple[int, bytes]:
+    async def call_operator_api(
+        self, method: str, path: str, body: Any = None, tries: int = 40
+    ) -> tuple[int, bytes]:
         """A call of an operator's, sent again to the next signalbox until there is a clear answer."""
         data = b"" if body is None else json.dumps(body).encode()
         for i in range(tries):
-            address = (self.core[i % len(self.core)].host, CONTROL)
-            answer = await call(address, request(method, path, "control", body=data), 1.0)
+            address = (self.control_machines[i % len(self.control_machines)].host, CONTROL_PORT)
+            answer = await http_call(address, encoded_request(method, path, "control", body=data), 1.0)
             if answer is not None and answer.status < 500:
                 return answer.status, answer.body
             await asyncio.sleep(0.1)
@@ -278,23 +291,23 @@
             name: {
                 "healthPath": "/health",
                 "maxConnections": 100,
-                "coldPerS": COLD_PER_S,
+                "coldPerS": COLD_REQUESTS_PER_S,
                 "version": "00000001",
             }
             for name in self.plan.services
         }
         routes = dict(self.plan.routes)
         body = {"addOrReplace": {"routes": routes, "services": services}, "remove": {"routes": []}}
-        self.operate(lambda: self.ask("PATCH", "/config", body))
+        self.run_operator(lambda: self.call_operator_api("PATCH", "/config", body))
 
     def _start_clients(self) -> None:
-        for machine in self.side:
-            loop = self._process(machine, "clients")
+        for machine in self.node_machines:
+            loop = self._start_process(machine, "clients")
             machine.clients = Clients(
                 machine.name,
-                (machine.host, OUT),
-                self.plan.wishes,
-                self.plan.traffic[1],
+                (machine.host, OUTBOUND_PORT),
+                self.plan.request_kinds,
+                self.plan.traffic_period_s[1],
                 self._rng(machine.name, "clients"),
             )
             with loop.running():
@@ -302,21 +315,26 @@
 
     # ------------------------------------------------------------ what is seen
 
-    def asked(self) -> list[Asked]:
-        return [asked for machine in self.side if machine.clients for asked in machine.clients.asked]
+    def sent_requests(self) -> list[SentRequest]:
+        return [
+            asked
+            for machine in self.node_machines
+            if machine.clients
+            for asked in machine.clients.sent_requests
+        ]
 
-    def runs(self) -> Counter[str]:
+    def runs_by_attempt(self) -> Counter[str]:
         """How often each try ran, by its id, at all servers."""
         total: Counter[str] = Counter()
-        for machine in self.side:
-            for server in (*machine.lives, machine.server):
+        for machine in self.node_machines:
+            for server in (*machine.past_servers, machine.server):
                 if server is not None:
-                    total.update(server.runs)
+                    total.update(server.runs_by_attempt)
         return total
 
 
 @dataclass(frozen=True, slots=True)
-class Bookings:
+class BookingOutcomes:
     """What became of bookings, by both ends: what clients were told, and what servers ran."""
 
     asked: int
@@ -327,16 +345,16 @@
     refused: int  # never ran, and its client knows
 
     @classmethod
-    def of(cls, fleet: Fleet) -> Bookings:
-        runs = fleet.runs()
+    def of(cls, fleet: Fleet) -> BookingOutcomes:
+        runs = fleet.runs_by_attempt()
         counts: Counter[str] = Counter()
-        for asked in fleet.asked():
+        for asked in fleet.sent_requests():
             if not asked.once:
                 continue
-            ran = sum(runs[name] for name in asked.ids)
+            ran = sum(runs[name] for name in asked.attempt_ids)
             if ran > 1:
                 counts["twice"] += 1
-            elif asked.served:
+            elif asked.served_attempt:
                 counts["landed_once" if ran else "lost"] += 1
             else:
                 counts["in_doubt" if ran else "refused"] += 1
--- a/leadrudder/emulation/standins.py
+++ b/leadrudder/emulation/standins.py
@@ -15,13 +15,13 @@
 
 from leadrudder.transport.http import WholeMessage, WholeReader, rendered
 
-BEAT_S = 1.5
-QUEUE = 4  # requests that a server takes beside those it runs
-COME_BACK_MOST = 1 / 3  # of the time left: a client waits no longer than that for a Retry-After
-TRIES = 4
+HEARTBEAT_INTERVAL_S = 1.5
+MAX_QUEUED_REQUESTS = 4  # requests that a server takes beside those it runs
+MAX_RETRY_WAIT_SHARE = 1 / 3  # of the time left: a client waits no longer than that for a Retry-After
+MAX_ATTEMPTS = 4
 
 
-class _Once(asyncio.Protocol):
+class _SingleExchange(asyncio.Protocol):
     """One call on a connection of its own."""
 
     def __init__(self, text: bytes, over: asyncio.Future[WholeMessage | None]) -> None:
@@ -47,13 +47,13 @@
             self._over.set_result(None)
 
 
-async def call(address: tuple[str, int], text: bytes, within_s: float) -> WholeMessage | None:
+async def http_call(address: tuple[str, int], text: bytes, within_s: float) -> WholeMessage | None:
     """None where no whole answer came in time."""
     loop = asyncio.get_running_loop()
     over: asyncio.Future[WholeMessage | None] = loop.create_future()
     try:
         async with asyncio.timeout(within_s):
-            transport, _ = await loop.create_connection(lambda: _Once(text, over), *address)
+            transport, _ = await loop.create_connection(lambda: _SingleExchange(text, over), *address)
             try:
                 return await over
             finally:
@@ -62,7 +62,7 @@
         return None
 
 
-def request(method: str, path: str, host: str, fields: str = "", body: bytes = b"") -> bytes:
+def encoded_request(method: str, path: str, host: str, fields: str = "", body: bytes = b"") -> bytes:
     head = f"{method} {path} HTTP/1.1\r\nHost: {host}\r\n{fields}Content-Length: {len(body)}\r\n\r\n"
     return head.encode() + body
 
@@ -70,7 +70,7 @@
 # ---------------------------------------------------------------- servers
 
 
-class _Served(asyncio.Protocol):
+class _ServerConnection(asyncio.Protocol):
     """One connection at a server, which runs one request at a time."""
 
     def __init__(self, server: Server) -> None:
@@ -88,7 +88,7 @@
         self._transport = None
 
     def _ask(self, message: object) -> None:
-        self._server.take(cast(WholeMessage, message), self._answer)
+        self._server.handle(cast(WholeMessage, message), self._answer)
 
     def _answer(self, data: bytes) -> None:
         if self._transport is not None and not self._transport.is_closing():
@@ -122,69 +122,69 @@
     service: str
     zone: str
     address: tuple[str, int]
-    control: tuple[str, int]
+    control_address: tuple[str, int]
     slots: int
     work_s: float
     rng: Random
-    works: Mapping[str, Work] = field(default_factory=dict)
-    outbound: tuple[str, int] = ("", 0)
-    runs: Counter[str] = field(default_factory=Counter)
-    hosts: Counter[str] = field(default_factory=Counter)  # requests run, by host, since last looked at
+    work_by_host: Mapping[str, Work] = field(default_factory=dict)
+    outbound_address: tuple[str, int] = ("", 0)
+    runs_by_attempt: Counter[str] = field(default_factory=Counter)
+    runs_by_host: Counter[str] = field(default_factory=Counter)  # requests run, by host, since last looked at
     draining: bool = False
     cold_until: float = 0.0
     running: int = 0
     waiting: deque[tuple[WholeMessage, Callable[[bytes], None]]] = field(default_factory=deque)
-    _beats: int = 0
+    _heartbeat_count: int = 0
 
     async def start(self) -> None:
         loop = asyncio.get_running_loop()
-        await loop.create_server(lambda: _Served(self), *self.address)
-        self._later(self.rng.random() * 0.2)
+        await loop.create_server(lambda: _ServerConnection(self), *self.address)
+        self._schedule_heartbeat(self.rng.random() * 0.2)
 
-    def _later(self, after: float) -> None:
+    def _schedule_heartbeat(self, after: float) -> None:
         loop = asyncio.get_running_loop()
-        loop.call_later(after, lambda: loop.create_task(self._beat()))
+        loop.call_later(after, lambda: loop.create_task(self._send_heartbeat()))
 
     def cold_left(self, now: float) -> float:
         return max(0.0, self.cold_until - now)
 
-    async def _beat(self) -> None:
-        self._beats += 1
+    async def _send_heartbeat(self) -> None:
+        self._heartbeat_count += 1
         body = {
             "address": f"{self.address[0]}:{self.address[1]}",
             "details": {"service": self.service, "version": "v1", "zone": self.zone, "capacity": self.slots},
             "status": {
                 "state": "draining" if self.draining else "ready",
-                "callCount": self._beats,
+                "callCount": self._heartbeat_count,
                 "coldLeft": f"{int(1000 * self.cold_left(asyncio.get_running_loop().time()))}ms",
             },
         }
-        text = request("PUT", f"/servers/{self.id}", "control", body=json.dumps(body).encode())
-        await call(self.control, text, 1.0)
-        self._later(BEAT_S)
+        text = encoded_request("PUT", f"/servers/{self.id}", "control", body=json.dumps(body).encode())
+        await http_call(self.control_address, text, 1.0)
+        self._schedule_heartbeat(HEARTBEAT_INTERVAL_S)
 
-    def take(self, message: WholeMessage, answer: Callable[[bytes], None]) -> None:
+    def handle(self, message: WholeMessage, answer: Callable[[bytes], None]) -> None:
         if message.headers.get(b"target-server", b"").decode() not in ("", self.id):
-            answer(rendered(421, self._fields(message) + b"Not-Run: 1\r\n", b""))
+            answer(rendered(421, self._response_headers(message) + b"Not-Run: 1\r\n", b""))
         elif self.running < self.slots:
             self._run(message, answer)
-        elif len(self.waiting) < QUEUE:
+        elif len(self.waiting) < MAX_QUEUED_REQUESTS:
             self.waiting.append((message, answer))
         else:
-            answer(rendered(503, self._fields(message) + b"Not-Run: 1\r\n", b""))
+            answer(rendered(503, self._response_headers(message) + b"Not-Run: 1\r\n", b""))
 
     def _run(self, message: WholeMessage, answer: Callable[[bytes], None]) -> None:
         attempt_id = message.headers.get(b"attempt-id", b"").decode()
         host = message.headers.get(b"host", b"").decode()
         self.running += 1
-        self.runs[attempt_id] += 1
-        self.hosts[host] += 1
-        work = self.works.get(host, Work(self.work_s))
+        self.runs_by_attempt[attempt_id] += 1
+        self.runs_by_host[host] += 1
+        work = self.work_by_host.get(host, Work(self.work_s))
 
         def over(status: int = 200) -> None:
             self.running -= 1
             seal = b"Server-Seal: s\r\n" if status == 200 else b""
-            answer(rendered(status, self._fields(message) + seal, b"done\n"))
+            answer(rendered(status, self._response_headers(message) + seal, b"done\n"))
             if self.waiting:
                 self._run(*self.waiting.popleft())
 
@@ -192,25 +192,27 @@
 
         def worked() -> None:
             if work.calls:
-                loop.create_task(self._call(attempt_id, work.calls, over))
+                loop.create_task(self._make_internal_calls(attempt_id, work.calls, over))
             else:
                 over()
 
         loop.call_later(work.work_s * self.rng.gammavariate(4.0, 0.25), worked)
 
-    async def _call(
+    async def _make_internal_calls(
         self, attempt_id: str, calls: tuple[InternalCall, ...], over: Callable[[int], None]
     ) -> None:
         """The request's own calls: if one fails, so does the request, by a 500."""
         for number, each in enumerate(calls):
             fields = f"Attempt-Id: {attempt_id}.{number}\r\nTime-Left: {int(1000 * each.deadline_s)}\r\n"
-            answer = await call(self.outbound, request("GET", "/a", each.host, fields), each.deadline_s)
+            answer = await http_call(
+                self.outbound_address, encoded_request("GET", "/a", each.host, fields), each.deadline_s
+            )
             if answer is None or answer.status != 200:
                 over(500)
                 return
         over(200)
 
-    def _fields(self, message: WholeMessage) -> bytes:
+    def _response_headers(self, message: WholeMessage) -> bytes:
         load = b"%d,%d,%d" % (self.running, len(self.waiting), self.slots)
         return b"Attempt-Id: %s\r\nServer-Load: %s\r\n" % (message.headers.get(b"attempt-id", b""), load)
 
@@ -219,7 +221,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class RequestKind:
     """A kind of request.  once: a booking."""
 
     host: str
@@ -229,15 +231,15 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class SentRequest:
     """One client's wish, with the ids of its tries, and what came of it."""
 
-    at: float
+    sent_at_s: float
     host: str
     once: bool
-    ids: list[str] = field(default_factory=list)
-    served: str = ""  # the try that was answered with success
-    took_s: float = 0.0
+    attempt_ids: list[str] = field(default_factory=list)
+    served_attempt: str = ""  # the try that was answered with success
+    duration_s: float = 0.0
 
 
 @dataclass(eq=False)
@@ -245,45 +247,47 @@
     """Those of one machine: they ask at moments of their own, whatever became of what they asked before."""
 
     name: str
-    outbound: tuple[str, int]
-    wishes: tuple[Wish, ...]
-    until: float
+    outbound_address: tuple[str, int]
+    request_kinds: tuple[RequestKind, ...]
+    end_s: float
     rng: Random
-    asked: list[Asked] = field(default_factory=list)
-    _last: int = 0
+    sent_requests: list[SentRequest] = field(default_factory=list)
+    _attempt_count: int = 0
 
     def start(self) -> None:
-        for wish in self.wishes:
-            self._next(wish)
+        for wish in self.request_kinds:
+            self._schedule_next(wish)
 
-    def _next(self, wish: Wish) -> None:
+    def _schedule_next(self, wish: RequestKind) -> None:
         loop = asyncio.get_running_loop()
         after = self.rng.expovariate(wish.per_s)
-        if loop.time() + after < self.until:
+        if loop.time() + after < self.end_s:
             loop.call_later(after, self._begin, wish)
 
-    def _begin(self, wish: Wish) -> None:
-        self._next(wish)
-        asyncio.get_running_loop().create_task(self._ask(wish))
+    def _begin(self, wish: RequestKind) -> None:
+        self._schedule_next(wish)
+        asyncio.get_running_loop().create_task(self._send(wish))
 
-    async def _ask(self, wish: Wish) -> None:
+    async def _send(self, wish: RequestKind) -> None:
         loop = asyncio.get_running_loop()
-        asked = Asked(loop.time(), wish.host, wish.once)
-        self.asked.append(asked)
-        end = asked.at + wish.deadline_s
-        while len(asked.ids) < TRIES and end - loop.time() > 0.01:
-            self._last += 1
-            name = f"{self.name}-{self._last}"
-            asked.ids.append(name)
+        asked = SentRequest(loop.time(), wish.host, wish.once)
+        self.sent_requests.append(asked)
+        end = asked.sent_at_s + wish.deadline_s
+        while len(asked.attempt_ids) < MAX_ATTEMPTS and end - loop.time() > 0.01:
+            self._attempt_count += 1
+            name = f"{self.name}-{self._attempt_count}"
+            asked.attempt_ids.append(name)
             left = end - loop.time()
             fields = f"Attempt-Id: {name}\r\nTime-Left: {int(1000 * left)}\r\n"
-            answer = await call(self.outbound, request("POST", "/a", wish.host, fields), left)
+            answer = await http_call(
+                self.outbound_address, encoded_request("POST", "/a", wish.host, fields), left
+            )
             if answer is not None and answer.status == 200:
-                asked.served, asked.took_s = name, loop.time() - asked.at
+                asked.served_attempt, asked.duration_s = name, loop.time() - asked.sent_at_s
                 return
             left = end - loop.time()
             promised = answer is not None and answer.status in (408, 421, 429, 503)
             if (wish.once and not promised) or (answer is not None and answer.status in (400, 404, 413)):
                 return
             wait = float(answer.headers.get(b"retry-after", b"0.05")) if answer is not None else 0.05
-            await asyncio.sleep(min(wait, COME_BACK_MOST * max(0.0, left)))
+            await asyncio.sleep(min(wait, MAX_RETRY_WAIT_SHARE * max(0.0, left)))
--- a/leadrudder/mesh/demo.py
+++ b/leadrudder/mesh/demo.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 
 from leadrudder.backup import snapshot
-from leadrudder.emulation.standins import call, request
+from leadrudder.emulation.standins import encoded_request, http_call
 from leadrudder.maintenance.contract import DAYS
 from leadrudder.mesh import snapshots
 from leadrudder.transport.http import WholeMessage, WholeReader, rendered
@@ -71,11 +71,11 @@
 
 async def _call(address: tuple[str, int], text: bytes) -> WholeMessage | None:
     """One call on a connection of its own; None where there is no whole answer."""
-    return await call(address, text, CALL_S)
+    return await http_call(address, text, CALL_S)
 
 
 def _http(method: str, path: str, body: bytes = b"", fields: str = "") -> bytes:
-    return request(method, path, "demo.example", fields, body)
+    return encoded_request(method, path, "demo.example", fields, body)
 
 
 def free_port() -> int:
--- a/tests/mesh/test_change_cost.py
+++ b/tests/mesh/test_change_cost.py
@@ -10,20 +10,20 @@
 
 from bench.window import route
 from leadrudder.configuration import items
-from leadrudder.emulation.fleet import Fleet, Plan
-from leadrudder.emulation.standins import Wish
+from leadrudder.emulation.fleet import Fleet, FleetPlan
+from leadrudder.emulation.standins import RequestKind
 
 IDLE_ROUTES = 60
 CHANGES = 12
 FIRST_AT, EACH_S = 7.0, 0.125
-PLAN = Plan(
+PLAN = FleetPlan(
     {"kal": 3, "var": 2},
-    (Wish("luku.example", once=False, per_s=4.0, deadline_s=1.5),),
+    (RequestKind("luku.example", once=False, per_s=4.0, deadline_s=1.5),),
     {
         "luku": route("luku.example", "kal", once=False),
         **{f"idle-{i}": route(f"idle-{i}.example", "var", once=False) for i in range(IDLE_ROUTES)},
     },
-    traffic=(4.0, 12.0),
+    traffic_period_s=(4.0, 12.0),
 )
 
 
@@ -51,25 +51,25 @@
             body = {"addOrReplace": {"routes": {f"idle-{i}": changed}}, "remove": {"routes": []}}
 
             async def operate() -> None:
-                answers.append(await fleet.ask("PATCH", "/config", body))
+                answers.append(await fleet.call_operator_api("PATCH", "/config", body))
 
-            fleet.operate(operate)
+            fleet.run_operator(operate)
 
         for i in range(CHANGES):
-            fleet.at(FIRST_AT + i * EACH_S, lambda i=i: change(i))  # type: ignore[misc]
+            fleet.call_at(FIRST_AT + i * EACH_S, lambda i=i: change(i))  # type: ignore[misc]
         return answers
 
     def test_a_station_reads_only_the_routes_that_changed(self) -> None:
         counted, fleet = Counted(), Fleet(1, PLAN)
         answers = self.changing(fleet)
-        fleet.play(FIRST_AT - 0.5)
+        fleet.run_until(FIRST_AT - 0.5)
         with mock.patch.object(items, "read_route", counted.wrap("read", items.read_route)):
-            fleet.play(12.0)
+            fleet.run_until(12.0)
         self.assertEqual([status for status, _ in answers], [200] * CHANGES)
         # Each change is read once where it is checked, and once at each station.
-        self.assertLessEqual(counted.calls["read"], CHANGES * (1 + len(fleet.side)))
-        self.assertEqual(fleet.faults, [])
-        stations = [machine.station for machine in fleet.side if machine.station is not None]
+        self.assertLessEqual(counted.calls["read"], CHANGES * (1 + len(fleet.node_machines)))
+        self.assertEqual(fleet.errors, [])
+        stations = [machine.node for machine in fleet.node_machines if machine.node is not None]
         for station in stations:
             self.assertEqual(station.invariants.violations, Counter())
 
--- a/tests/mesh/test_full_load.py
+++ b/tests/mesh/test_full_load.py
@@ -6,8 +6,8 @@
 from collections import Counter
 from typing import Any
 
-from leadrudder.emulation.fleet import Fleet, Plan
-from leadrudder.emulation.standins import InternalCall, Wish, Work
+from leadrudder.emulation.fleet import Fleet, FleetPlan
+from leadrudder.emulation.standins import InternalCall, RequestKind, Work
 
 TARGET_S = 0.3
 INTERNAL_TARGET_S = 0.08
@@ -31,7 +31,7 @@
     }
 
 
-def plan(load: float) -> Plan:
+def plan(load: float) -> FleetPlan:
     """Lookups and bookings, each with an internal call to the other service.
 
     load: slots in use if no call ever waits, as a fraction of the capacity; the same at both services.
@@ -39,11 +39,11 @@
     slots = SLOTS / 2  # of one service, for each machine
     lookups = bookings = load * slots / (CLIENT_WORK_S + 2 * INTERNAL_WORK_S)
     internal = InternalCall("vapaat.example", 0.25), InternalCall("saannot.example", 0.25)
-    return Plan(
+    return FleetPlan(
         {"kal": SERVERS, "var": SERVERS},
         (
-            Wish("luku.example", once=False, per_s=lookups, deadline_s=4 * TARGET_S),
-            Wish("varaus.example", once=True, per_s=bookings, deadline_s=4 * TARGET_S),
+            RequestKind("luku.example", once=False, per_s=lookups, deadline_s=4 * TARGET_S),
+            RequestKind("varaus.example", once=True, per_s=bookings, deadline_s=4 * TARGET_S),
         ),
         {
             "luku": route("luku.example", "kal", TARGET_S, 2),
@@ -52,13 +52,13 @@
             "saannot": route("saannot.example", "kal", INTERNAL_TARGET_S, 1),
         },
         slots=SLOTS,
-        works={
+        work_by_host={
             "luku.example": Work(CLIENT_WORK_S, (internal[0],)),
             "varaus.example": Work(CLIENT_WORK_S, (internal[1],)),
             "vapaat.example": Work(INTERNAL_WORK_S),
             "saannot.example": Work(INTERNAL_WORK_S),
         },
-        traffic=(TRAFFIC_START_S, TRAFFIC_END_S),
+        traffic_period_s=(TRAFFIC_START_S, TRAFFIC_END_S),
     )
 
 
@@ -68,15 +68,15 @@
     def play(self, load: float) -> tuple[float, float]:
         """The share of requests served in time, and the number of refused calls per run of a request."""
         fleet = Fleet(7, plan(load))
-        fleet.play(TRAFFIC_END_S + 1.5)
-        self.assertEqual(fleet.faults, [])
-        asked = fleet.asked()
-        in_time = sum(bool(a.served) and a.took_s <= TARGET_S for a in asked)
+        fleet.run_until(TRAFFIC_END_S + 1.5)
+        self.assertEqual(fleet.errors, [])
+        asked = fleet.sent_requests()
+        in_time = sum(bool(a.served_attempt) and a.duration_s <= TARGET_S for a in asked)
         refused: Counter[str] = Counter()
-        for machine in fleet.side:
-            assert machine.station is not None
-            refused.update(machine.station.traffic.refused)
-        return in_time / len(asked), sum(refused.values()) / sum(fleet.runs().values())
+        for machine in fleet.node_machines:
+            assert machine.node is not None
+            refused.update(machine.node.traffic.refused)
+        return in_time / len(asked), sum(refused.values()) / sum(fleet.runs_by_attempt().values())
 
     def test_at_80_percent_of_capacity_nearly_all_requests_are_in_time(self) -> None:
         in_time, refused = self.play(0.8)
--- a/tests/mesh/test_graceful_shutdown.py
+++ b/tests/mesh/test_graceful_shutdown.py
@@ -21,14 +21,14 @@
     def _wiped_and_another_told_to_end(self) -> tuple[Fleet, Machine, Machine]:
         """One comes back with an empty disk; at the same moment another is told to end, for good."""
         fleet = Fleet(5, PLAN)
-        fleet.play(8.0)
-        wiped, leaving = fleet.core[1], fleet.core[2]
+        fleet.run_until(8.0)
+        wiped, leaving = fleet.control_machines[1], fleet.control_machines[2]
         fleet.kill(wiped, "signalbox")
         wiped.disk = MemoryStore()
-        fleet.play(8.3)
-        fleet.start_signalbox(wiped)
-        assert leaving.signalbox is not None
-        leaving.signalbox.terminate()
+        fleet.run_until(8.3)
+        fleet.start_control_node(wiped)
+        assert leaving.control_node is not None
+        leaving.control_node.terminate()
         return fleet, wiped, leaving
 
     def _order(self, fleet: Fleet) -> list[int]:
@@ -36,9 +36,9 @@
         answers: list[int] = []
 
         async def operate() -> None:
-            answers.append((await fleet.ask("POST", "/evacuate/z2", tries=30))[0])
+            answers.append((await fleet.call_operator_api("POST", "/evacuate/z2", tries=30))[0])
 
-        fleet.operate(operate)
+        fleet.run_operator(operate)
         return answers
 
     def test_a_member_stays_while_the_only_other_copy_is_being_filled(self) -> None:
@@ -47,41 +47,41 @@
         filled_at = left_at = 0.0
         answers = self._order(fleet)
         while fleet.now < began + GRACE_S:
-            fleet.play(fleet.now + 0.05)
-            assert wiped.signalbox is not None and leaving.signalbox is not None
-            if not filled_at and wiped.signalbox.interlocking.seats.full:
+            fleet.run_until(fleet.now + 0.05)
+            assert wiped.control_node is not None and leaving.control_node is not None
+            if not filled_at and wiped.control_node.interlocking.seats.full:
                 filled_at = fleet.now
-            if not left_at and leaving.signalbox.interlocking.resigned:
+            if not left_at and leaving.control_node.interlocking.resigned:
                 left_at = fleet.now
         self.assertGreater(filled_at, 0.0)
         self.assertGreaterEqual(left_at, filled_at)
         self.assertLess(left_at - began, 3.0)
         fleet.kill(leaving, "signalbox")  # it does not come back
-        fleet.play(fleet.now + 3.0)
+        fleet.run_until(fleet.now + 3.0)
         self.assertEqual(answers, [200])
         after = self._order(fleet)
-        fleet.play(fleet.now + 4.0)
+        fleet.run_until(fleet.now + 4.0)
         self.assertEqual(after, [200])
 
     def test_one_that_left_at_once_would_leave_no_majority(self) -> None:
         with mock.patch.object(Interlocking, "may_leave", lambda self: True):
             fleet, _, leaving = self._wiped_and_another_told_to_end()
-            fleet.play(fleet.now + 1.0)
+            fleet.run_until(fleet.now + 1.0)
             fleet.kill(leaving, "signalbox")
             answers = self._order(fleet)
-            fleet.play(fleet.now + 8.0)
+            fleet.run_until(fleet.now + 8.0)
         self.assertNotEqual(answers, [200])
 
     def test_the_grace_is_kept_whatever_others_are_like(self) -> None:
         fleet = Fleet(6, PLAN)
-        fleet.play(8.0)
-        leaving = fleet.core[0]
-        for other in fleet.core[1:]:
+        fleet.run_until(8.0)
+        leaving = fleet.control_machines[0]
+        for other in fleet.control_machines[1:]:
             fleet.kill(other, "signalbox")
-        assert leaving.signalbox is not None
-        leaving.signalbox.terminate()
-        fleet.play(fleet.now + GRACE_S - 1.0)
-        self.assertTrue(leaving.signalbox._done.is_set())
+        assert leaving.control_node is not None
+        leaving.control_node.terminate()
+        fleet.run_until(fleet.now + GRACE_S - 1.0)
+        self.assertTrue(leaving.control_node._done.is_set())
 
 
 class Clock(Loop):
--- a/tests/mesh/test_shedding.py
+++ b/tests/mesh/test_shedding.py
@@ -18,8 +18,8 @@
 class Shedding(unittest.TestCase):
     def test_a_call_is_refused_as_never_run(self) -> None:
         fleet = Fleet(4, PLAN)
-        fleet.play(7.0)
-        station = fleet.side[0].station
+        fleet.run_until(7.0)
+        station = fleet.node_machines[0].node
         assert station is not None
         link = mock.Mock()
         station.on_up(link)
@@ -32,8 +32,8 @@
 
     def test_while_one_node_lags_requests_are_served_elsewhere(self) -> None:
         fleet = Fleet(4, PLAN)
-        fleet.play(LAG_START_S)
-        lagging_node = fleet.side[0].station
+        fleet.run_until(LAG_START_S)
+        lagging_node = fleet.node_machines[0].node
         assert lagging_node is not None
         actual_seconds = LoopLag.seconds
 
@@ -41,16 +41,18 @@
             return 2 * BEHIND_S if lag is lagging_node._lag else actual_seconds(lag)
 
         with mock.patch.object(LoopLag, "seconds", seconds):
-            fleet.play(LAG_START_S + LAG_DURATION_S)
-        fleet.play(LAG_START_S + LAG_DURATION_S + 2.0)
+            fleet.run_until(LAG_START_S + LAG_DURATION_S)
+        fleet.run_until(LAG_START_S + LAG_DURATION_S + 2.0)
         requests = [
-            request for request in fleet.asked() if LAG_START_S < request.at < LAG_START_S + LAG_DURATION_S
+            request
+            for request in fleet.sent_requests()
+            if LAG_START_S < request.sent_at_s < LAG_START_S + LAG_DURATION_S
         ]
-        elsewhere = [request for request in requests if not request.ids[0].startswith("side-0-")]
-        served = sum(bool(request.served) for request in elsewhere)
+        elsewhere = [request for request in requests if not request.attempt_ids[0].startswith("side-0-")]
+        served = sum(bool(request.served_attempt) for request in elsewhere)
         self.assertGreater(served, 0.98 * len(elsewhere))
         self.assertGreater(lagging_node._calls_shed + lagging_node._outbound.requests_shed, 0)
-        self.assertEqual(fleet.faults, [])
+        self.assertEqual(fleet.errors, [])
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_start_and_end.py
+++ b/tests/mesh/test_start_and_end.py
@@ -45,8 +45,8 @@
 class End(unittest.TestCase):
     def test_a_signalbox_that_has_ended_dials_nobody(self) -> None:
         fleet = Fleet(11, PLAN)
-        fleet.play(5.0)
-        signalbox = fleet.core[0].signalbox
+        fleet.run_until(5.0)
+        signalbox = fleet.control_machines[0].control_node
         assert signalbox is not None
         signalbox._done.set()
         with mock.patch.object(asyncio.AbstractEventLoop, "create_task") as create_task:
@@ -57,8 +57,8 @@
 
     def test_a_station_that_has_ended_looks_for_nothing(self) -> None:
         fleet = Fleet(11, PLAN)
-        fleet.play(5.0)
-        station = fleet.side[0].station
+        fleet.run_until(5.0)
+        station = fleet.node_machines[0].node
         assert station is not None
         station._done.set()
         with mock.patch.object(station, "_loop") as loop, mock.patch.object(station, "state") as state:
--- a/tests/mesh/test_traffic_split.py
+++ b/tests/mesh/test_traffic_split.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from bench.window import route
-from leadrudder.emulation.fleet import Fleet, Plan
-from leadrudder.emulation.standins import Wish
+from leadrudder.emulation.fleet import Fleet, FleetPlan
+from leadrudder.emulation.standins import RequestKind
 
 MAX_SHARE_ERROR = 0.1  # half of the documented tolerance
 SHARES = {"kal": 70, "var": 30}
@@ -21,19 +21,19 @@
 
 class TrafficSplit(unittest.TestCase):
     def test_each_part_gets_its_share_over_all_nodes(self) -> None:
-        plan = Plan(
+        plan = FleetPlan(
             {"kal": 3, "var": 2},
-            (Wish("luku.example", once=False, per_s=6.0, deadline_s=1.5),),
+            (RequestKind("luku.example", once=False, per_s=6.0, deadline_s=1.5),),
             {"luku": split_route()},
-            traffic=(4.0, 14.0),
+            traffic_period_s=(4.0, 14.0),
         )
         for seed in range(3):
             fleet = Fleet(seed, plan)
-            fleet.play(16.0)
+            fleet.run_until(16.0)
             runs = {name: 0 for name in SHARES}
-            for machine in fleet.side:
+            for machine in fleet.node_machines:
                 assert machine.server is not None
-                runs[machine.service] += sum(machine.server.runs.values())
+                runs[machine.service] += sum(machine.server.runs_by_attempt.values())
             self.assertGreater(sum(runs.values()), 200)
             for name, share in SHARES.items():
                 self.assertAlmostEqual(runs[name] / sum(runs.values()), share / 100.0, delta=MAX_SHARE_ERROR)
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -16,7 +16,7 @@
 from bench.soak.operators import Held, Operators, idle_name, route
 from bench.soak.relay import Relay
 from bench.soak.world import InvariantError
-from leadrudder.emulation.standins import Asked
+from leadrudder.emulation.standins import SentRequest
 
 CORE, SIDES = ["127.0.1.1", "127.0.1.2", "127.0.1.3"], ["127.0.2.1", "127.0.2.2"]
 NAME = idle_name(0)
@@ -123,7 +123,7 @@
 
 class Requests(unittest.TestCase):
     def judge(self, runs: dict[str, int], *ids: str, served: str = "") -> None:
-        judge_requests({"x": 0, **runs}, [Asked(0.0, "h", True, list(ids), served)])
+        judge_requests({"x": 0, **runs}, [SentRequest(0.0, "h", True, list(ids), served)])
 
     def test_a_booking_runs_once_and_never_after_a_promise(self) -> None:
         self.judge({"a": 0, "b": 1}, "a", "b", served="b")
