--- a/leadrudder/control_simulation/__init__.py
+++ b/leadrudder/control_simulation/__init__.py
@@ -1,3 +1,3 @@
-"""Rehearsals of the control state: the machines that run, in virtual time, against faults drawn from a
-seed.
+"""Deterministic simulation of the control state: the production state machines in virtual time, under faults
+drawn from a seed.
 """
--- a/leadrudder/control_simulation/incidents.py
+++ b/leadrudder/control_simulation/incidents.py
@@ -1,8 +1,9 @@
-"""Days that once went wrong for users, each brought about on purpose and measured.
+"""Reproductions of incidents that users had, each with measurements.
 
-A control machine cut off or standing still for 20 s; a second loss at any moment after a first; hundreds to
-thousands of changes with members that come back empty; calls while nodes stand still and restart. Each
-function plays one day from its seed and raises Broken where a rule does not hold. Times are seconds.
+A control machine partitioned or paused for 20 s; a second loss at any time after a first one; hundreds to
+thousands of changes with members that come back with an empty disk; requests while nodes are paused and
+restarted. Each function runs one incident from its seed and raises InvariantViolation where an invariant does
+not hold. Times are seconds.
 """
 
 from __future__ import annotations
@@ -20,14 +21,14 @@
 from leadrudder.protocol.mesh_pb2 import Item
 
 KEYS = tuple(f"routes/r{i}" for i in range(8))
-FIRST_CHANGE_S = 5.0  # the first order; by then every section has an owner
-ANSWER_TIMEOUT_S = 1.0  # an operator goes to another machine after so long without an answer
-RETRY_DELAY_S = 0.1  # before it sends again
-CALM_DURATION_S = 10.0  # after the last fault, in which everything must come right
+FIRST_CHANGE_S = 5.0  # by then every section has an owner
+ANSWER_TIMEOUT_S = 1.0  # before an operator tries another machine
+RETRY_DELAY_S = 0.1  # before an operator sends a change again
+CALM_DURATION_S = 10.0  # after the last fault, in which the system must recover
 
 
 class Fault(StrEnum):
-    """How a control machine is out of reach."""
+    """How a control machine becomes unreachable."""
 
     CUT = "cut from the other control machines"
     NOTHING_OUT = "nothing that it sends to them arrives"
@@ -37,80 +38,82 @@
 
 
 class Operator:
-    """Sends orders, each again to another machine until it is confirmed; at most eight are open."""
+    """Submits changes, each to other machines again until it is answered; at most eight are open."""
 
     def __init__(self, world: World) -> None:
         self._world = world
         self._versions = dict.fromkeys(KEYS, 0)
-        self.confirmation_times_s: list[float] = []  # from the first sending of an order to its confirmation
+        self.confirmation_times_s: list[float] = []  # from the first attempt of a change
         self.refused = 0
         self.open_changes = 0
 
-    def change_periodically(self, gap_s: float, until: float, keys: Iterable[str] = KEYS) -> None:
+    def change_periodically(self, interval_s: float, end_s: float, keys: Iterable[str] = KEYS) -> None:
         names = tuple(keys)
         count = 0
 
         def send() -> None:
             nonlocal count
-            if self._world.now >= until:
+            if self._world.now >= end_s:
                 return
             if self.open_changes < 8:
                 self.change(names[count % len(names)])
                 count += 1
-            self._world.call_later(gap_s, send)
+            self._world.call_later(interval_s, send)
 
         send()
 
     def change(self, key: str) -> None:
         self._versions[key] = version = self._versions.get(key, 0) + 1
-        world, began = self._world, self._world.now
+        world, start_s = self._world, self._world.now
         item = Item(key=key, version=version, value=b"value %d" % version)
         self.open_changes += 1
-        ended = False
+        is_done = False
 
-        def send(skipped: str) -> None:
-            if ended:
+        def send(excluded_address: str) -> None:
+            if is_done:
                 return
-            there = [m for m in world.machines.values() if m.process is not None and m.address != skipped]
-            if not there:
+            candidates = [
+                m for m in world.machines.values() if m.process is not None and m.address != excluded_address
+            ]
+            if not candidates:
                 world.call_later(RETRY_DELAY_S, lambda: send(""))
                 return
-            machine = world.rng.choice(there)
-            answered = False
+            machine = world.rng.choice(candidates)
+            is_answered = False
 
-            def take(answer: Answer) -> None:
-                nonlocal answered, ended
-                answered = True
-                if ended:
+            def on_answer(answer: Answer) -> None:
+                nonlocal is_answered, is_done
+                is_answered = True
+                if is_done:
                     return
                 if answer.code is Code.BUSY:
                     world.call_later(RETRY_DELAY_S, lambda: send(machine.address))
                     return
-                ended = True
+                is_done = True
                 self.open_changes -= 1
                 self.refused += answer.code is Code.CONFLICT
-                self.confirmation_times_s.append(world.now - began)
+                self.confirmation_times_s.append(world.now - start_s)
 
-            world.submit_change(machine, [item], take)
-            world.call_later(ANSWER_TIMEOUT_S, lambda: None if answered else send(machine.address))
+            world.submit_change(machine, [item], on_answer)
+            world.call_later(ANSWER_TIMEOUT_S, lambda: None if is_answered else send(machine.address))
 
         send("")
 
 
 @dataclass(frozen=True, slots=True)
 class UnreachableResult:
-    """What a machine that was out of reach cost."""
+    """The effect of an unreachable control machine."""
 
     orders: int
-    ack_max_s: float  # the longest that an order waited, sent to any machine first
-    apply_max_s: float  # from a confirmation until the last station had it
+    ack_max_s: float  # the longest time from a change to its confirmation
+    apply_max_s: float  # the longest time from a confirmation until a node received the item
 
 
 def run_unreachable_machine(
     seed: int, fault: Fault, span_s: float = 20.0, stations: int = 6
 ) -> UnreachableResult:
     world = World(seed)
-    told = SimulatedNodes(world, stations)
+    nodes = SimulatedNodes(world, stations)
     world.run_until(FIRST_CHANGE_S)
     operator = Operator(world)
     machine = list(world.machines.values())[seed % len(world.machines)]
@@ -123,22 +126,24 @@
         world.call_at(6.0 + span_s, lambda: setattr(machine, "sync_slowdown", 1.0))
     else:
         ends = ([machine.address], others)
-        one, other = ends if fault is not Fault.NOTHING_IN else ends[::-1]
-        world.call_at(6.0, lambda: world.partition(one, other, one_way=fault is not Fault.CUT))
+        senders, receivers = ends if fault is not Fault.NOTHING_IN else ends[::-1]
+        world.call_at(6.0, lambda: world.partition(senders, receivers, one_way=fault is not Fault.CUT))
         world.call_at(6.0 + span_s, world.heal)
     operator.change_periodically(0.4, 6.0 + span_s)
     world.run_until(6.0 + span_s + CALM_DURATION_S)
     if operator.open_changes or operator.refused:
-        world.fail(f"{operator.open_changes} orders have no answer in calm, {operator.refused} were refused")
+        world.fail(
+            f"{operator.open_changes} changes unanswered after recovery, {operator.refused} were refused"
+        )
     world.check_linearizable()
-    told.check_all_delivered()
+    nodes.check_all_delivered()
     return UnreachableResult(
-        len(operator.confirmation_times_s), max(operator.confirmation_times_s), told.max_propagation_s()
+        len(operator.confirmation_times_s), max(operator.confirmation_times_s), nodes.max_propagation_s()
     )
 
 
 class FirstLoss(StrEnum):
-    """The first of two losses in a row."""
+    """The first of two consecutive losses."""
 
     WIPED = "its disk is lost, and it is back at once"
     REPLACED = "gone for good, an empty one comes"
@@ -146,114 +151,116 @@
 
 
 def run_two_losses(seed: int, first: FirstLoss, after_s: float) -> bool:
-    """The second loses power after_s after the first loss; its disk too where the first is whole again.
+    """The second machine loses power after_s after the first loss, and its disk if the first has recovered.
 
-    Returns whether the second lost its disk.
+    Returns whether the second machine lost its disk.
     """
     world = World(seed)
     world.run_until(FIRST_CHANGE_S)
     operator = Operator(world)
     operator.change_periodically(0.15, 12.0)
-    one, two, _ = world.rng.sample(list(world.machines.values()), 3)
-    fresh: list[CoreMachine] = [one]
+    first_lost, second_lost, _ = world.rng.sample(list(world.machines.values()), 3)
+    returning: list[CoreMachine] = [first_lost]
 
     def lose_first() -> None:
         if first is FirstLoss.REPLACED:
-            fresh[0] = world.replace(one, "10.60.0.1:1")
+            returning[0] = world.replace(first_lost, "10.60.0.1:1")
             return
-        world.kill(one, wipe=first is FirstLoss.WIPED)
-        world.call_later(0.1, lambda: world.start(one))
+        world.kill(first_lost, wipe=first is FirstLoss.WIPED)
+        world.call_later(0.1, lambda: world.start(first_lost))
 
     wiped: list[bool] = []
 
     def lose_second() -> None:
-        process = fresh[0].process
+        process = returning[0].process
         wiped.append(process is not None and process.seats.full)
-        world.kill(two, power=True, wipe=wiped[0])
-        world.call_later(1.5, lambda: world.start(two))
+        world.kill(second_lost, power=True, wipe=wiped[0])
+        world.call_later(1.5, lambda: world.start(second_lost))
 
     world.call_at(6.0, lose_first)
     world.call_at(6.0 + after_s, lose_second)
     world.run_until(14.0 + CALM_DURATION_S)
     if operator.open_changes or operator.refused:
-        world.fail(f"{operator.open_changes} orders have no answer in calm, {operator.refused} were refused")
+        world.fail(
+            f"{operator.open_changes} changes unanswered after recovery, {operator.refused} were refused"
+        )
     world.check_linearizable()
     check_reads(world)
     return wiped[0]
 
 
 def check_reads(world: World) -> None:
-    """Every machine answers a read in calm; the world holds it against what was acknowledged."""
+    """Every machine answers a read; World checks the answers against what was acknowledged."""
     answers: list[Code] = []
     running = [m for m in world.machines.values() if m.process is not None]
     for machine in running:
         world.read(machine, lambda answer: answers.append(answer.code))
     world.run_until(world.now + 2.0)
     if answers != [Code.DONE] * len(running):
-        world.fail(f"reads in calm end with {answers}")
+        world.fail(f"reads after recovery end with {answers}")
 
 
 @dataclass(frozen=True, slots=True)
 class CatchUpResult:
-    """What it takes a member to be useful again after many changes.  bytes: sent to it until then."""
+    """What a member needs to catch up after many changes.  wiped_bytes: sent to it until then."""
 
     changes: int
     restarted_s: float
     wiped_s: float
     absent_s: float
     wiped_bytes: int
-    largest_frame_bytes: int  # bytes, of the whole play
-    longest_step_s: float  # of real processor time, for one input of one machine
+    largest_frame_bytes: int  # in the whole run
+    longest_step_s: float  # wall-clock time, for one input of one machine
 
 
 def run_many_changes(seed: int, changes: int, keys: int) -> CatchUpResult:
-    """A member restarted in the middle, one that comes back empty, and one that was away for a third."""
+    """One member restarts, one misses a third of the changes, and one comes back with an empty disk."""
     world = World(seed)
     world.max_events = 400 * changes + 400_000
     world.run_until(FIRST_CHANGE_S)
     operator = Operator(world)
     names = [f"routes/r{i}" for i in range(keys)]
-    position = 0
+    changes_sent = 0
 
     def change(count: int) -> None:
-        nonlocal position
-        for end in range(position + 8, position + count + 8, 8):
-            while position < min(end, position + count, changes):
-                operator.change(names[position % keys])
-                position += 1
+        nonlocal changes_sent
+        for end in range(changes_sent + 8, changes_sent + count + 8, 8):
+            while changes_sent < min(end, changes_sent + count, changes):
+                operator.change(names[changes_sent % keys])
+                changes_sent += 1
             while operator.open_changes:
                 world.run_until(world.now + 0.02)
 
-    def useful(machine: CoreMachine) -> float:
-        """Seconds until it is full and knows all that stands elsewhere."""
-        began = world.now
+    def caught_up_s(machine: CoreMachine) -> float:
+        """Seconds until the machine has a full seat and all items of the others."""
+        start_s = world.now
         others = [m.process for m in world.machines.values() if m is not machine and m.process is not None]
-        while world.now < began + 60.0:
+        while world.now < start_s + 60.0:
             process = machine.process
-            whole = process is not None and process.seats.full and process.owner.complete()
-            if whole and process is not None:
-                known = process.standing.digest
-                if all(known == other.standing.digest for other in others):
-                    return world.now - began
+            is_complete = process is not None and process.seats.full and process.owner.complete()
+            if is_complete and process is not None:
+                digest = process.standing.digest
+                if all(digest == other.standing.digest for other in others):
+                    return world.now - start_s
             world.run_until(world.now + 0.02)
         world.fail(f"{machine.address} has not caught up after a minute")
         return 0.0
 
-    one, two, three = world.machines.values()
+    restarted, absent, wiped = world.machines.values()
     change(changes // 3)
-    world.kill(one)
-    world.start(one)
-    restarted_s = useful(one)
-    world.kill(two, power=True)
+    world.kill(restarted)
+    world.start(restarted)
+    restarted_s = caught_up_s(restarted)
+    world.kill(absent, power=True)
     change(changes // 3)
-    world.start(two)
-    absent_s = useful(two)
-    change(changes - position)
-    world.kill(three, power=True, wipe=True)
-    before = world.bytes_sent_to[three.address]
-    world.start(three)
-    wiped_s = useful(three)
-    wiped_bytes = world.bytes_sent_to[three.address] - before
+    world.start(absent)
+    absent_s = caught_up_s(absent)
+    change(changes - changes_sent)
+    world.kill(wiped, power=True, wipe=True)
+    before = world.bytes_sent_to[wiped.address]
+    world.start(wiped)
+    wiped_s = caught_up_s(wiped)
+    wiped_bytes = world.bytes_sent_to[wiped.address] - before
     check_reads(world)
     return CatchUpResult(
         changes, restarted_s, wiped_s, absent_s, wiped_bytes, world.largest_frame_bytes, world.longest_step_s
@@ -261,32 +268,34 @@
 
 
 def run_requests(seed: int, plan: FleetPlan, faults: int = 6) -> BookingOutcomes:
-    """Requests of which some may run once only, while nodes stand still and nodes and servers are killed."""
+    """Requests, some not repeatable, while machines and servers are paused and nodes are killed."""
     fleet = Fleet(seed, plan)
     rng = Random(f"calls/{seed}")
     begin, end = plan.traffic_period_s
     for _ in range(faults):
         machine = rng.choice(fleet.node_machines)
-        at = rng.uniform(begin + 1.0, end - 6.0)
-        fleet.call_at(at, _strike(fleet, machine, rng))
+        at_s = rng.uniform(begin + 1.0, end - 6.0)
+        fleet.call_at(at_s, _fault_callback(fleet, machine, rng))
     fleet.run_until(end + 4.0)
-    told = BookingOutcomes.of(fleet)
-    if told.twice or told.lost or fleet.errors:
-        raise InvariantViolation(f"seed {seed}: {told}, faults {fleet.errors[:2]}")
-    return told
+    outcomes = BookingOutcomes.of(fleet)
+    if outcomes.twice or outcomes.lost or fleet.errors:
+        raise InvariantViolation(f"seed {seed}: {outcomes}, faults {fleet.errors[:2]}")
+    return outcomes
 
 
-def _strike(fleet: Fleet, machine: Machine, rng: Random) -> Callable[[], None]:
-    kind = rng.choice(("node stands still", "server stands still", "node killed", "control stands still"))
-    span = rng.uniform(0.2, 4.0)
+def _fault_callback(fleet: Fleet, machine: Machine, rng: Random) -> Callable[[], None]:
+    fault = rng.choice(("node stands still", "server stands still", "node killed", "control stands still"))
+    duration_s = rng.uniform(0.2, 4.0)
 
-    def strike() -> None:
-        if kind == "node killed":
+    def inject() -> None:
+        if fault == "node killed":
             fleet.kill(machine, "station")
             fleet.call_at(fleet.now + 0.3, lambda: fleet.start_node(machine))
             return
-        place = rng.choice(fleet.control_machines) if kind == "control stands still" else machine
-        loop = "signalbox" if place is not machine else "server" if kind.startswith("server") else "station"
-        fleet.freeze(place, loop, span)
+        target = rng.choice(fleet.control_machines) if fault == "control stands still" else machine
+        process_kind = (
+            "signalbox" if target is not machine else "server" if fault.startswith("server") else "station"
+        )
+        fleet.freeze(target, process_kind, duration_s)
 
-    return strike
+    return inject
--- a/leadrudder/control_simulation/nodes.py
+++ b/leadrudder/control_simulation/nodes.py
@@ -1,7 +1,7 @@
-"""Stations in a rehearsal: each has a session with one signalbox, and is told what stands.
+"""Data plane nodes in a simulation: each has a session with one control machine and receives committed items.
 
-They take in items by the very book that stations use. A session is taken as the signalbox takes it: once
-it was told by the owner of every section and has fresh contact with a majority. Times are seconds.
+Nodes keep items in the production item store. A control machine accepts a session as in production: once it
+has the state of the owner of every section and recent contact with a majority. Times are seconds.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 from leadrudder.control_simulation.world import LINK_DELAY_RANGE_S, Machine, World
 from leadrudder.protocol.mesh_pb2 import Item
 
-SESSION_RETRY_INTERVAL_S = 0.25  # how often a station without a session looks for one
-PROPAGATION_BOUND_S = 2.5  # in calm all that was acknowledged is with every station after so much
+SESSION_RETRY_INTERVAL_S = 0.25  # between attempts to open a session
+PROPAGATION_BOUND_S = 2.5  # without faults, from an acknowledgement until every node has the item
 
 
 @dataclass(slots=True)
 class SimulatedNode:
     store: Book = field(default_factory=Book)
     machine_address: str = ""
-    incarnation: int = 0  # of the home's process
+    incarnation: int = 0  # of the machine's process
     received_versions: dict[str, list[tuple[int, float]]] = field(
         default_factory=dict
-    )  # versions by key, and when they came
+    )  # (version, time received) by key
 
 
 class SimulatedNodes:
-    """All of a world's."""
+    """All data plane nodes of a simulation."""
 
     def __init__(self, world: World, count: int) -> None:
         self._world = world
@@ -39,75 +39,80 @@
             world.call_at(SESSION_RETRY_INTERVAL_S, self._open_sessions)
 
     def _open_sessions(self) -> None:
-        """Sessions that ended are made anew, with another or the same."""
+        """Nodes without a session open one with any running machine."""
         world = self._world
-        there = [m for m in world.machines.values() if m.process is not None]
-        for station in self.nodes:
-            if self._has_session(station):
+        running = [m for m in world.machines.values() if m.process is not None]
+        for node in self.nodes:
+            if self._has_session(node):
                 continue
-            station.machine_address = ""
-            if there:
-                self.open_session(station, world.rng.choice(there))
+            node.machine_address = ""
+            if running:
+                self.open_session(node, world.rng.choice(running))
         world.call_later(SESSION_RETRY_INTERVAL_S, self._open_sessions)
 
-    def _has_session(self, station: SimulatedNode) -> bool:
-        home = self._world.machines.get(station.machine_address)
-        if home is None or home.process is None or home.frozen or home.incarnation != station.incarnation:
+    def _has_session(self, node: SimulatedNode) -> bool:
+        machine = self._world.machines.get(node.machine_address)
+        if (
+            machine is None
+            or machine.process is None
+            or machine.frozen
+            or machine.incarnation != node.incarnation
+        ):
             return False
-        return not home.process.contact.lost(self._world.now)
+        return not machine.process.contact.lost(self._world.now)
 
-    def open_session(self, station: SimulatedNode, home: Machine) -> None:
-        """One that stands still takes it at its thaw, before it sees that its own links are dead."""
-        life = home.incarnation
+    def open_session(self, node: SimulatedNode, machine: Machine) -> None:
+        """A frozen machine handles this first when it resumes, before it notices its closed links."""
+        incarnation = machine.incarnation
 
-        def take() -> None:
-            process = home.process
+        def accept() -> None:
+            process = machine.process
             if (
                 process is None
-                or home.incarnation != life
-                or station.machine_address
+                or machine.incarnation != incarnation
+                or node.machine_address
                 or not process.owner.complete()
             ):
                 return
             if not process.contact.fresh(self._world.now):
                 return
-            self._check_initial_state(home, process.standing)
-            station.machine_address, station.incarnation = home.address, life
-            self._deliver(station, tuple(process.standing.items.values()))
+            self._check_initial_state(machine, process.standing)
+            node.machine_address, node.incarnation = machine.address, incarnation
+            self._deliver(node, tuple(process.standing.items.values()))
 
-        if home.frozen:
-            home.deferred_inputs.insert(0, take)
+        if machine.frozen:
+            machine.deferred_inputs.insert(0, accept)
         else:
-            take()
+            accept()
 
-    def _check_initial_state(self, home: Machine, told: Book) -> None:
-        """What a station begins with is no older than what was acknowledged a moment before."""
-        for acknowledged in self._world.acknowledgements:
-            if acknowledged.at_s > self._world.now - FRESH_S:
+    def _check_initial_state(self, machine: Machine, store: Book) -> None:
+        """The initial state of a session must include what was acknowledged more than FRESH_S ago."""
+        for change in self._world.acknowledgements:
+            if change.at_s > self._world.now - FRESH_S:
                 break
-            item = told.items.get(acknowledged.key)
-            if item is None or item.version < acknowledged.version:
+            item = store.items.get(change.key)
+            if item is None or item.version < change.version:
                 self._world.fail(
-                    f"{home.address} hands out {acknowledged.key} older than version {acknowledged.version}"
+                    f"{machine.address} hands out {change.key} older than version {change.version}"
                 )
 
     def _on_committed(self, machine: Machine, items: tuple[Item, ...]) -> None:
-        for station in self.nodes:
-            if station.machine_address == machine.address and station.incarnation == machine.incarnation:
-                self._deliver(station, items)
+        for node in self.nodes:
+            if node.machine_address == machine.address and node.incarnation == machine.incarnation:
+                self._deliver(node, items)
 
-    def _deliver(self, station: SimulatedNode, items: Iterable[Item]) -> None:
-        """News arrive in any order: late ones change nothing."""
+    def _deliver(self, node: SimulatedNode, items: Iterable[Item]) -> None:
+        """Updates may arrive in any order; an outdated one changes nothing."""
         self._world.call_later(
-            self._world.rng.uniform(*LINK_DELAY_RANGE_S), lambda: self._receive(station, items)
+            self._world.rng.uniform(*LINK_DELAY_RANGE_S), lambda: self._receive(node, items)
         )
 
-    def _receive(self, station: SimulatedNode, items: Iterable[Item]) -> None:
-        before = {item.key: station.store.items.get(item.key) for item in items}
-        for item in station.store.take(items):
-            station.received_versions.setdefault(item.key, []).append((item.version, self._world.now))
+    def _receive(self, node: SimulatedNode, items: Iterable[Item]) -> None:
+        before = {item.key: node.store.items.get(item.key) for item in items}
+        for item in node.store.take(items):
+            node.received_versions.setdefault(item.key, []).append((item.version, self._world.now))
         for key, old in before.items():
-            new = station.store.items[key]
+            new = node.store.items[key]
             if old is not None and new.version < old.version:
                 self._world.fail(f"a station goes back: {key} from version {old.version} to {new.version}")
             value = b"" if new.dropped else b"=" + new.value
@@ -115,32 +120,32 @@
                 self._world.fail(f"a station has {key} version {new.version}, which never stood")
 
     def max_propagation_s(self) -> float:
-        """The longest from the acknowledgement of a version until every station had it or a later one."""
+        """The longest time from the acknowledgement of a version until a node had it or a later one."""
         longest = 0.0
-        for told in self._world.acknowledgements:
-            had = [
+        for change in self._world.acknowledgements:
+            receipt_times = [
                 min(
                     (
                         at
-                        for version, at in station.received_versions.get(told.key, ())
-                        if version >= told.version
+                        for version, at in node.received_versions.get(change.key, ())
+                        if version >= change.version
                     ),
                     default=None,
                 )
-                for station in self.nodes
+                for node in self.nodes
             ]
-            late = [at - told.at_s for at in had if at is not None]
-            longest = max([longest, *late])
+            delays = [at - change.at_s for at in receipt_times if at is not None]
+            longest = max([longest, *delays])
         return longest
 
     def check_all_delivered(self) -> None:
-        """In calm every station has all that was acknowledged."""
+        """Without faults every node receives everything that was acknowledged."""
         world = self._world
         if not self.nodes:
             return
         world.run_until(world.now + PROPAGATION_BOUND_S)
-        for number, station in enumerate(self.nodes):
+        for number, node in enumerate(self.nodes):
             for key, item in world.latest_acknowledged.items():
-                has = station.store.items.get(key)
-                if has is None or has.version < item.version:
+                known = node.store.items.get(key)
+                if known is None or known.version < item.version:
                     world.fail(f"station {number} lacks {key} version {item.version} in calm")
--- a/leadrudder/control_simulation/scenario.py
+++ b/leadrudder/control_simulation/scenario.py
@@ -1,4 +1,4 @@
-"""A rehearsal: a world with faults and operators drawn from a seed, and what must hold at its end."""
+"""Simulation scenarios: faults and operator requests drawn from a seed, and checks of the final state."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from leadrudder.simulation.shrink import ddmin
 
 KEYS = [f"routes/r{i}" for i in range(6)] + ["services/s", "limits"]
-RECOVERY_ALLOWANCE_S = 4.0  # a machine that is back counts as lost for so long
-RETRY_INTERVAL_S = 0.4  # an operator sends again, to another machine
-CALM_DURATION_S = 12.0  # in calm, after which all must be read back
+RECOVERY_ALLOWANCE_S = 4.0  # a restarted machine counts as lost for this long
+RETRY_INTERVAL_S = 0.4  # before an operator sends a change again, to any machine
+CALM_DURATION_S = 12.0  # without faults, before the final state is checked
 
 FAULT_KINDS = (
     "kill",
@@ -33,15 +33,15 @@
     "after_ack_kill",
     "after_ack_wipe",
 )
-FREEZE_KINDS = ("freeze",)  # a process stands still and runs on with what it knew
-RESIZE_KINDS = ("grow", "shrink")  # two seats more, with the machines for them; two less
+FREEZE_KINDS = ("freeze",)  # a process is paused and resumes with its former state
+RESIZE_KINDS = ("grow", "shrink")  # two voter seats more, with new machines for them; two fewer
 MAX_SEATS = 9
-MAX_DELAY_AFTER_ACK_S = 0.004  # a machine that acknowledged goes within so much
+MAX_DELAY_AFTER_ACK_S = 0.004  # from an acknowledgement to the loss of the machine that sent it
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """at_s: when; pick: which of the running machines, as a part of all; span_s: for how long."""
+    """A planned fault.  position: of the affected machine, as a fraction of the list of running machines."""
 
     at_s: float
     kind: str
@@ -54,8 +54,10 @@
 
 @dataclass(slots=True)
 class Scenario:
-    """seed: of all chance; machines: of the core; faults: how many, from which kinds; plan: the faults
-    themselves, where they are not drawn; stations: that are told what stands.
+    """A simulation run, fully determined by its fields.
+
+    node_count: data plane nodes that subscribe to the configuration; fixed_faults: used in place of faults
+    drawn from the seed.
     """
 
     seed: int
@@ -66,18 +68,18 @@
     node_count: int = 0
     fixed_faults: tuple[Fault, ...] | None = None
     world: World = field(init=False)
-    _lost_until: dict[str, float] = field(default_factory=dict)  # machines that count as lost, and until when
-    _open_changes: list[list[Item]] = field(default_factory=list)  # calls without a clear answer
+    _lost_until: dict[str, float] = field(default_factory=dict)  # by address
+    _open_changes: list[list[Item]] = field(default_factory=list)  # without a definite answer
     _added_machines: int = 0
-    _fault_after_ack: Fault | None = None  # waits for an acknowledgement
-    _ordered_seats: int = 0  # wanted by the operator's latest order; 0: there was none
+    _fault_after_ack: Fault | None = None  # strikes at the next acknowledgement
+    _ordered_seats: int = 0  # by the operator's latest resize; 0: no resize yet
     _resize_count: int = 0
 
     def run(self) -> World:
-        """Broken if any rule does not hold; the same seed plays the same again."""
+        """Raise InvariantViolation if an invariant does not hold; the same seed gives the same run."""
         self.world = world = World(self.seed, self.machine_count)
         rng = world.rng
-        told = SimulatedNodes(world, self.node_count)
+        nodes = SimulatedNodes(world, self.node_count)
         world.run_until(3.0)
         versions = dict.fromkeys(KEYS, 1)
         self._send([Item(key=key, version=1, value=b"first") for key in KEYS])
@@ -85,9 +87,9 @@
         for fault in self.planned_faults():
             world.call_at(fault.at_s, lambda fault=fault: self._inject(fault))  # type: ignore[misc]
         for i in range(self.change_count):
-            at = 5.0 + 14.0 * rng.random()
-            world.call_at(at, lambda i=i: self._change_random_keys(versions, i))  # type: ignore[misc]
-            world.call_at(at + rng.random(), self._read_random_machine)
+            at_s = 5.0 + 14.0 * rng.random()
+            world.call_at(at_s, lambda i=i: self._change_random_keys(versions, i))  # type: ignore[misc]
+            world.call_at(at_s + rng.random(), self._read_random_machine)
         world.run_until(20.0)
         world.heal()
         for machine in world.machines.values():
@@ -96,11 +98,11 @@
             world.start(machine)
         world.run_until(20.0 + CALM_DURATION_S)
         self._check_end_state()
-        told.check_all_delivered()
+        nodes.check_all_delivered()
         return world
 
     def planned_faults(self) -> tuple[Fault, ...]:
-        """The plan: the same for the same seed, whatever the play does."""
+        """The faults: the same for the same seed, whatever happens during the run."""
         if self.fixed_faults is not None:
             return self.fixed_faults
         rng = Random(f"plan {self.seed}")
@@ -114,7 +116,7 @@
             for _ in range(self.fault_count)
         )
 
-    # ------------------------------------------------------------ operators
+    # ------------------------------------------------------------ requests of operators
 
     def _running_machines(self) -> list[Machine]:
         return [m for m in self.world.machines.values() if m.process is not None]
@@ -131,37 +133,37 @@
             if item.dropped:
                 item.value = b""
         self._send(items)
-        if rng.random() < 0.4:  # another operator at the same time, with the same version
+        if rng.random() < 0.4:  # a concurrent change by another operator, with the same version
             shared = rng.sample(keys, rng.randint(1, len(keys)))
-            rival = [Item(key=key, version=versions[key], value=b"w%d" % i) for key in shared]
-            self.world.call_later(0.02 * rng.random(), lambda: self._send(rival))
+            concurrent_items = [Item(key=key, version=versions[key], value=b"w%d" % i) for key in shared]
+            self.world.call_later(0.02 * rng.random(), lambda: self._send(concurrent_items))
 
     def _send(self, items: list[Item]) -> None:
-        """Sent again as it was, to any machine, until there is a clear answer."""
+        """Send a change, unaltered and to any machine, until there is a definite answer."""
         world = self.world
         self._open_changes.append(items)
-        done = False
-        asked: list[Machine] = []
+        is_done = False
+        receivers: list[Machine] = []
 
-        def answered(answer: Answer) -> None:
-            nonlocal done
-            if answer.code in (Code.DONE, Code.CONFLICT) and not done:
-                done = True
+        def on_answer(answer: Answer) -> None:
+            nonlocal is_done
+            if answer.code in (Code.DONE, Code.CONFLICT) and not is_done:
+                is_done = True
                 self._open_changes.remove(items)
                 world.record(f"{items[0].key} v{items[0].version} {items[0].value!r}: {answer.code.name}")
                 if answer.code is Code.DONE and self._fault_after_ack is not None:
-                    self._lose_after_ack(asked[-1])
+                    self._lose_after_ack(receivers[-1])
 
-        def again() -> None:
-            if done:
+        def submit() -> None:
+            if is_done:
                 return
             running = self._running_machines()
             if running:
-                asked.append(world.rng.choice(running))
-                world.submit_change(asked[-1], items, answered)
-            world.call_later(RETRY_INTERVAL_S + RETRY_INTERVAL_S * world.rng.random(), again)
+                receivers.append(world.rng.choice(running))
+                world.submit_change(receivers[-1], items, on_answer)
+            world.call_later(RETRY_INTERVAL_S + RETRY_INTERVAL_S * world.rng.random(), submit)
 
-        again()
+        submit()
 
     def _read_random_machine(self) -> None:
         running = self._running_machines()
@@ -172,32 +174,36 @@
 
     def _may_lose(self, machine: Machine) -> bool:
         now = self.world.now
-        lost = {a for a, until in self._lost_until.items() if until > now and a != machine.address}
+        lost = {
+            address
+            for address, until in self._lost_until.items()
+            if until > now and address != machine.address
+        }
         return len(lost) < self.world.tolerated_losses
 
-    def _count_as_lost(self, machine: Machine, span: float) -> None:
-        self._lost_until[machine.address] = self.world.now + span + RECOVERY_ALLOWANCE_S
+    def _count_as_lost(self, machine: Machine, outage_s: float) -> None:
+        self._lost_until[machine.address] = self.world.now + outage_s + RECOVERY_ALLOWANCE_S
 
     def _lose_after_ack(self, machine: Machine) -> None:
-        """The machine that answered loses power, or its disk too, a moment later."""
+        """The machine that acknowledged a change loses power, and possibly its disk, soon afterwards."""
         fault, self._fault_after_ack = self._fault_after_ack, None
         assert fault is not None
         if machine.process is None or not self._may_lose(machine):
             return
         self._count_as_lost(machine, fault.duration_s)
 
-        def strike() -> None:
+        def lose() -> None:
             self.world.kill(machine, power=True, wipe=fault.kind == "after_ack_wipe")
             self.world.call_later(fault.duration_s, lambda: self.world.start(machine))
 
-        self.world.call_later(MAX_DELAY_AFTER_ACK_S * fault.position, strike)
+        self.world.call_later(MAX_DELAY_AFTER_ACK_S * fault.position, lose)
 
     def _inject(self, fault: Fault) -> None:
         world, rng = self.world, self.world.rng
         running = self._running_machines()
         if not running:
             return
-        kind, span = fault.kind, fault.duration_s
+        kind, duration_s = fault.kind, fault.duration_s
         machine = running[int(fault.position * len(running))]
         if kind in ("after_ack_kill", "after_ack_wipe"):
             self._fault_after_ack = fault
@@ -212,86 +218,86 @@
             return
         if not self._may_lose(machine):
             return
-        self._count_as_lost(machine, span)
+        self._count_as_lost(machine, duration_s)
         others = [m.address for m in running if m is not machine]
         if kind in ("kill", "power", "wipe"):
             world.kill(machine, power=kind != "kill", wipe=kind == "wipe")
-            world.call_later(span, lambda: world.start(machine))
+            world.call_later(duration_s, lambda: world.start(machine))
         elif kind in ("cut", "one_way"):
             world.partition([machine.address], others, one_way=kind == "one_way")
-            world.call_later(span, world.heal)
+            world.call_later(duration_s, world.heal)
         elif kind == "freeze":
             world.freeze(machine)
-            world.call_later(span, lambda: world.thaw(machine))
+            world.call_later(duration_s, lambda: world.thaw(machine))
         elif kind == "stall":
-            machine.stalled_until = world.now + span
-            world.record(f"the disk of {machine.address} stalls for {span:.1f} s")
+            machine.stalled_until = world.now + duration_s
+            world.record(f"the disk of {machine.address} stalls for {duration_s:.1f} s")
         elif kind == "slow":
             machine.sync_slowdown = 10.0
-            world.record(f"the disk of {machine.address} is slow for {span:.1f} s")
-            world.call_later(span, lambda: setattr(machine, "sync_slowdown", 1.0))
+            world.record(f"the disk of {machine.address} is slow for {duration_s:.1f} s")
+            world.call_later(duration_s, lambda: setattr(machine, "sync_slowdown", 1.0))
         elif kind == "planned":
             self._added_machines += 1
-            fresh = world.add_machine(f"10.{50 + self._added_machines}.0.1:1")
-            self._count_as_lost(fresh, RECOVERY_ALLOWANCE_S)
-            world.call_later(span, lambda: self._remove(machine))
+            new_machine = world.add_machine(f"10.{50 + self._added_machines}.0.1:1")
+            self._count_as_lost(new_machine, RECOVERY_ALLOWANCE_S)
+            world.call_later(duration_s, lambda: self._remove(machine))
         elif kind == "replace":
             self._added_machines += 1
-            fresh = world.replace(machine, f"10.{50 + self._added_machines}.0.1:1")
-            self._count_as_lost(fresh, RECOVERY_ALLOWANCE_S)
+            new_machine = world.replace(machine, f"10.{50 + self._added_machines}.0.1:1")
+            self._count_as_lost(new_machine, RECOVERY_ALLOWANCE_S)
         elif kind == "resign":
             process = machine.process
             assert process is not None
             world.record(f"{machine.address} resigns")
             world.apply_outputs(machine, process.resign(world.now))
             world.call_later(0.6, lambda: world.kill(machine))
-            world.call_later(span + 0.6, lambda: world.start(machine))
+            world.call_later(duration_s + 0.6, lambda: world.start(machine))
 
-    def _resize(self, more: bool) -> None:
-        """The operator's order; machines for further seats come with it, and none goes when they are less."""
+    def _resize(self, grow: bool) -> None:
+        """Change the number of voter seats; growing adds machines, shrinking removes none."""
         world = self.world
-        now = self._ordered_seats or self.machine_count
-        wanted = now + 2 if more else now - 2
-        if not max(3, 2 * world.tolerated_losses + 1) <= wanted <= MAX_SEATS:
+        current = self._ordered_seats or self.machine_count
+        seats = current + 2 if grow else current - 2
+        if not max(3, 2 * world.tolerated_losses + 1) <= seats <= MAX_SEATS:
             return
-        self._ordered_seats, self._resize_count = wanted, self._resize_count + 1
-        world.record(f"{wanted} seats are wanted")
-        for _ in range(2 * more):
+        self._ordered_seats, self._resize_count = seats, self._resize_count + 1
+        world.record(f"{seats} seats are wanted")
+        for _ in range(2 * grow):
             self._added_machines += 1
             world.add_machine(f"10.{50 + self._added_machines}.0.1:1")
-        self._send([Item(key=CORE, version=self._resize_count, value=b"%d" % wanted)])
+        self._send([Item(key=CORE, version=self._resize_count, value=b"%d" % seats)])
 
     def _remove(self, machine: Machine) -> None:
-        """SIGTERM, and it does not come back."""
+        """SIGTERM; the machine does not come back."""
         if machine.process is None:
             return
         self.world.record(f"{machine.address} resigns for good")
         self.world.apply_outputs(machine, machine.process.resign(self.world.now))
 
-        def leave() -> None:
+        def remove() -> None:
             self.world.kill(machine)
             machine.removed = True
 
-        self.world.call_later(0.6, leave)
+        self.world.call_later(0.6, remove)
 
-    # ------------------------------------------------------------ the end
+    # ------------------------------------------------------------ checks of the final state
 
     def _check_end_state(self) -> None:
-        """In calm all machines answer, and what was acknowledged is read back at each."""
+        """Without faults every machine answers, and returns everything that was acknowledged."""
         world = self.world
-        read: list[str] = []
+        answered: list[str] = []
         for machine in self._running_machines():
             address = machine.address
 
-            def answered(answer: Answer, address: str = address) -> None:
+            def on_answer(answer: Answer, address: str = address) -> None:
                 if answer.code is Code.DONE:
-                    read.append(address)
+                    answered.append(address)
 
-            world.read(machine, answered)
+            world.read(machine, on_answer)
         world.run_until(world.now + 2.0)
         running = [m.address for m in self._running_machines()]
-        if sorted(read) != sorted(running):
-            world.fail(f"only {read} of {running} answer in calm")
+        if sorted(answered) != sorted(running):
+            world.fail(f"only {answered} of {running} answer in calm")
         world.check_linearizable()
         self._check_sizes(running)
         unanswered = [items for items in self._open_changes if not world.is_partly_committed(items)]
@@ -299,54 +305,56 @@
             world.fail(f"{len(unanswered)} changes have no answer in calm")
 
     def _check_sizes(self, running: list[str]) -> None:
-        """In calm there are as many full seats as were wanted, and sections are spread evenly."""
+        """Without faults there are as many full seats as ordered, and sections are spread evenly."""
         if not self._ordered_seats or len(running) < self._ordered_seats:
             return
         world = self.world
-        owned: dict[str, int] = {}
+        sections_owned: dict[str, int] = {}
         for machine in self._running_machines():
             process = machine.process
             assert process is not None
             holders = process.seats.holders()
-            full = [h for h in holders if process.votes(h)]
-            if len(full) != self._ordered_seats:
-                world.fail(f"{machine.address} sees {full} of {holders}, {self._ordered_seats} are wanted")
+            full_seats = [holder for holder in holders if process.votes(holder)]
+            if len(full_seats) != self._ordered_seats:
+                world.fail(
+                    f"{machine.address} sees {full_seats} of {holders}, {self._ordered_seats} are wanted"
+                )
             if machine.address in holders:
-                owned[machine.address] = len(process.owner.owned())
-        if max(owned.values()) - min(owned.values()) > 1:
-            world.fail(f"sections are not even: {owned}")
+                sections_owned[machine.address] = len(process.owner.owned())
+        if max(sections_owned.values()) - min(sections_owned.values()) > 1:
+            world.fail(f"sections are not even: {sections_owned}")
 
 
-def violated_invariant(broken: InvariantViolation) -> str:
-    """A broken rule without names and numbers."""
-    return " ".join(word for word in str(broken).splitlines()[0].split() if word.isalpha())
+def violated_invariant(violation: InvariantViolation) -> str:
+    """The violated invariant, without names and numbers."""
+    return " ".join(word for word in str(violation).splitlines()[0].split() if word.isalpha())
 
 
 def shrink_scenario(
-    course: Scenario, tell: Callable[[str], None] = lambda _: None
+    scenario: Scenario, report: Callable[[str], None] = lambda _: None
 ) -> tuple[Scenario, InvariantViolation] | None:
-    """A course that breaks a rule, with the least of its faults that still break it; None if it breaks none.
+    """A failing scenario with a minimal set of its faults that still violates the same invariant.
 
-    tell is given a line for each try.
+    None if the scenario does not fail. report is given a line for each attempt.
     """
 
-    def breaks(plan: Sequence[Fault]) -> InvariantViolation | None:
+    def violation_of(plan: Sequence[Fault]) -> InvariantViolation | None:
         try:
-            replace(course, fixed_faults=tuple(plan)).run()
-        except InvariantViolation as broken:
-            return broken
+            replace(scenario, fixed_faults=tuple(plan)).run()
+        except InvariantViolation as violation:
+            return violation
         return None
 
-    plan = course.planned_faults()
-    whole = breaks(plan)
-    if whole is None:
+    plan = scenario.planned_faults()
+    original = violation_of(plan)
+    if original is None:
         return None
 
-    def fails(left: Sequence[Fault]) -> bool:
-        found = breaks(left)
-        same = found is not None and violated_invariant(found) == violated_invariant(whole)
-        tell(f"{len(left)} of {len(plan)} faults: {'breaks' if same else 'does not'}")
+    def fails_alike(faults: Sequence[Fault]) -> bool:
+        violation = violation_of(faults)
+        same = violation is not None and violated_invariant(violation) == violated_invariant(original)
+        report(f"{len(faults)} of {len(plan)} faults: {'breaks' if same else 'does not'}")
         return same
 
-    least = tuple(ddmin(plan, fails))
-    return replace(course, fixed_faults=least), breaks(least) or whole
+    minimal = tuple(ddmin(plan, fails_alike))
+    return replace(scenario, fixed_faults=minimal), violation_of(minimal) or original
--- a/leadrudder/control_simulation/world.py
+++ b/leadrudder/control_simulation/world.py
@@ -1,9 +1,9 @@
-"""A world of signalboxes' interlockings: links, disks, faults and operators in virtual time.
+"""Simulated control machines with links, disks, faults and operators in virtual time.
 
-The very state machines that run are played, nothing of them is modelled. Links are ordered and end when
-they are silent; a disk holds what it has synced, and of what it has not a part that the seed draws;
-processes are killed, machines lose power or their disk, or are replaced by an empty one at another address.
-Times are seconds.
+The production state machines run here; they are not modelled. Links deliver in order and close when they are
+silent. A disk keeps all synced writes and a prefix of the unsynced ones, drawn from the seed. Processes are
+killed; machines lose power or their disk, or are replaced by an empty machine at another address. Times are
+seconds.
 """
 
 from __future__ import annotations
@@ -26,25 +26,27 @@
 
 TICK_INTERVAL_S = 0.1
 CONNECT_INTERVAL_S = 0.25
-MAX_EVENTS = 400_000  # of one play
+MAX_EVENTS = 400_000  # in one run
 LINK_TIMEOUT_S = 1.0
 LINK_DELAY_RANGE_S = (0.0005, 0.004)
 SYNC_DURATION_RANGE_S = (0.008, 0.03)
 
 
-class InvariantViolation(AssertionError):  # noqa: N818 - it says what is the matter with a rule
-    """A rule of the control state does not hold; the text tells which, and what led to it."""
+class InvariantViolation(AssertionError):  # noqa: N818
+    """An invariant of the control state does not hold; the text names it and ends with the trace."""
 
 
 @dataclass(slots=True)
 class PendingWrite:
+    """Records to be synced, and the frames to be sent after that."""
+
     records: dict[str, bytes]
     sends: tuple[Send, ...]
 
 
 @dataclass(slots=True)
 class Machine:
-    """A core machine: its disk, and its process while it runs."""
+    """A control machine: its disk, and its process while that runs."""
 
     address: str
     first_run: bool
@@ -54,15 +56,15 @@
     pending_writes: list[PendingWrite] = field(default_factory=list)
     writing: bool = False
     stalled_until: float = 0.0
-    sync_slowdown: float = 1.0  # how many times as long a sync takes
-    frozen: bool = False  # its process stands still; what comes in meanwhile waits
-    deferred_inputs: list[Callable[[], None]] = field(default_factory=list)  # inputs that wait for the thaw
-    removed: bool = False  # taken away for good
+    sync_slowdown: float = 1.0  # factor on the duration of a sync
+    frozen: bool = False  # the process is paused; inputs are deferred until it resumes
+    deferred_inputs: list[Callable[[], None]] = field(default_factory=list)  # while frozen
+    removed: bool = False  # permanently
 
 
 @dataclass(frozen=True, slots=True)
 class AcknowledgedVersion:
-    """A version that an operator was told of, and when."""
+    """A version that was confirmed to an operator, and when."""
 
     at_s: float
     key: str
@@ -71,18 +73,16 @@
 
 @dataclass(slots=True)
 class Connection:
-    """One connection, by the lives of its ends."""
+    """A connection between two machines, valid for one incarnation of each."""
 
     addresses: tuple[str, str]
     incarnations: tuple[int, int]
-    last_arrival_s: dict[str, float] = field(
-        default_factory=dict
-    )  # by receiver: when the latest frame arrives
+    last_arrival_s: dict[str, float] = field(default_factory=dict)  # of the latest frame, by receiver
     is_open: bool = True
 
 
 class World:
-    """One play. All chance comes from the seed, so it plays the same again."""
+    """One simulation run. All randomness comes from the seed, so a run can be repeated."""
 
     def __init__(self, seed: int, machines: int = 3) -> None:
         self.rng = Random(seed)
@@ -94,21 +94,21 @@
         self.seed_addresses = tuple(f"10.{i}.0.1:1" for i in range(min(3, machines)))
         self.machines = {f"10.{i}.0.1:1": Machine(f"10.{i}.0.1:1", True) for i in range(machines)}
         self._connections: dict[frozenset[str], Connection] = {}
-        self.blocked_directions: set[tuple[str, str]] = set()  # from, to: nothing passes
-        self.committed_values: dict[tuple[str, int], bytes] = {}  # what has stood, by key and version
+        self.blocked_directions: set[tuple[str, str]] = set()  # (from, to): no frame is delivered
+        self.committed_values: dict[tuple[str, int], bytes] = {}  # by key and version
         self.refused_values: set[tuple[str, int, bytes]] = set()
         self.latest_acknowledged: dict[str, Item] = {}
-        self.acknowledgements: list[AcknowledgedVersion] = []  # all, in their order
-        self.history: list[Operation] = []  # orders and reads, as operators know them
+        self.acknowledgements: list[AcknowledgedVersion] = []  # in order of time
+        self.history: list[Operation] = []  # changes and reads, as operators see them
         self.section_owners: dict[tuple[int, int], str] = {}
         self.answer_callbacks: dict[tuple[str, int], Callable[[Answer], None]] = {}
         self._request_count = 0
         self.commit_listeners: list[Callable[[Machine, tuple[Item, ...]], None]] = []
         self.max_events = MAX_EVENTS
-        self.bytes_sent_to: Counter[str] = Counter()  # of frames, by receiver
-        self.largest_frame_bytes = 0  # bytes
-        self.longest_step_s = 0.0  # real time of one machine's handling of one frame
-        self.steps_with_lease_holder = 0  # steps at which somebody held the duty
+        self.bytes_sent_to: Counter[str] = Counter()  # in frames, by receiver
+        self.largest_frame_bytes = 0
+        self.longest_step_s = 0.0  # wall-clock time that one machine took to handle one frame
+        self.steps_with_lease_holder = 0  # steps at which some machine held the sweep lease
         for machine in self.machines.values():
             self.call_at(0.1 * self.rng.random(), self._start_callback(machine))
         self.call_at(CONNECT_INTERVAL_S, self._connect_all)
@@ -116,19 +116,19 @@
 
     # ------------------------------------------------------------ time
 
-    def call_at(self, when: float, do: Callable[[], None]) -> None:
+    def call_at(self, when: float, callback: Callable[[], None]) -> None:
         self._event_count += 1
-        heapq.heappush(self._events, (when, self._event_count, do))
+        heapq.heappush(self._events, (when, self._event_count, callback))
 
-    def call_later(self, span: float, do: Callable[[], None]) -> None:
-        self.call_at(self.now + span, do)
+    def call_later(self, delay_s: float, callback: Callable[[], None]) -> None:
+        self.call_at(self.now + delay_s, callback)
 
     def run_until(self, until: float) -> None:
         while self._events and self._events[0][0] <= until:
-            self.now, _, do = heapq.heappop(self._events)
+            self.now, _, callback = heapq.heappop(self._events)
             if self._event_count > self.max_events:
                 self.fail("frames go round and round")
-            do()
+            callback()
         self.now = until
 
     def record(self, text: str) -> None:
@@ -164,7 +164,7 @@
         self.record(f"{machine.address} starts with {len(machine.disk)} records")
 
     def kill(self, machine: Machine, *, power: bool = False, wipe: bool = False) -> None:
-        """The process dies; with the power what was not synced is there in part, with the disk all goes."""
+        """End the process. A part of its unsynced writes is kept; wipe loses the whole disk."""
         if machine.process is None:
             return
         machine.process = None
@@ -175,28 +175,28 @@
         if wipe:
             machine.disk, machine.first_run = {}, False
         self.record(f"{machine.address} {'is wiped' if wipe else 'loses power' if power else 'is killed'}")
-        for wire in list(self._connections.values()):
-            if machine.address in wire.addresses:
-                self.call_later(LINK_TIMEOUT_S if power else 0.002, lambda wire=wire: self._close(wire))  # type: ignore[misc]
+        for connection in list(self._connections.values()):
+            if machine.address in connection.addresses:
+                self.call_later(LINK_TIMEOUT_S if power else 0.002, lambda c=connection: self._close(c))  # type: ignore[misc]
 
     def freeze(self, machine: Machine) -> None:
-        """The process stands still: others notice silence, and it notices nothing until the thaw."""
+        """Pause the process: peers see a silent link, and it sees nothing until it resumes."""
         if machine.process is None or machine.frozen:
             return
         machine.frozen = True
         self.record(f"{machine.address} stands still")
-        for wire in list(self._connections.values()):
-            if machine.address in wire.addresses:
-                self.call_later(LINK_TIMEOUT_S, lambda wire=wire: self._close(wire))  # type: ignore[misc]
+        for connection in list(self._connections.values()):
+            if machine.address in connection.addresses:
+                self.call_later(LINK_TIMEOUT_S, lambda c=connection: self._close(c))  # type: ignore[misc]
 
     def thaw(self, machine: Machine) -> None:
-        """What came in meanwhile is handled, in its order and late, and then the ends of links."""
+        """Resume the process: deferred inputs are handled late and in order, then the closed links."""
         if not machine.frozen:
             return
         machine.frozen = False
         self.record(f"{machine.address} runs again")
-        waiting, machine.deferred_inputs = machine.deferred_inputs, []
-        for handle in waiting:
+        deferred, machine.deferred_inputs = machine.deferred_inputs, []
+        for handle in deferred:
             handle()
 
     def _run_or_defer(self, machine: Machine, handle: Callable[[], None]) -> None:
@@ -206,18 +206,18 @@
             handle()
 
     def replace(self, machine: Machine, address: str) -> Machine:
-        """One is gone for good; an empty one comes at another address."""
+        """Remove a machine permanently and add an empty one at another address."""
         self.kill(machine, power=True)
         machine.removed = True
         self.record(f"{machine.address} is gone for good")
         return self.add_machine(address)
 
     def add_machine(self, address: str) -> Machine:
-        """An empty machine comes."""
-        fresh = Machine(address, False)
-        self.machines[address] = fresh
-        self.start(fresh)
-        return fresh
+        """Add an empty machine and start it."""
+        new_machine = Machine(address, False)
+        self.machines[address] = new_machine
+        self.start(new_machine)
+        return new_machine
 
     # ------------------------------------------------------------ links
 
@@ -230,8 +230,8 @@
         for i, a in enumerate(running):
             for b in running[i + 1 :]:
                 pair = frozenset((a.address, b.address))
-                old = self._connections.get(pair)
-                if old is not None and old.is_open:
+                existing = self._connections.get(pair)
+                if existing is not None and existing.is_open:
                     continue
                 if (a.address, b.address) in self.blocked_directions or (
                     b.address,
@@ -239,40 +239,43 @@
                 ) in self.blocked_directions:
                     continue
                 self._connections[pair] = Connection((a.address, b.address), (a.incarnation, b.incarnation))
-                for one, other in ((a, b), (b, a)):
-                    if one.process is not None:
-                        self.apply_outputs(one, one.process.up(other.address, self.now))
+                for machine, peer in ((a, b), (b, a)):
+                    if machine.process is not None:
+                        self.apply_outputs(machine, machine.process.up(peer.address, self.now))
         self.call_later(CONNECT_INTERVAL_S, self._connect_all)
 
-    def _close(self, wire: Connection) -> None:
-        if not wire.is_open:
+    def _close(self, connection: Connection) -> None:
+        if not connection.is_open:
             return
-        wire.is_open = False
-        for i, address in enumerate(wire.addresses):
+        connection.is_open = False
+        for i, address in enumerate(connection.addresses):
             machine = self._running_machine(address)
-            if machine is not None and machine.incarnation == wire.incarnations[i]:
+            if machine is not None and machine.incarnation == connection.incarnations[i]:
                 self._run_or_defer(
-                    machine, self._peer_down_callback(machine, wire.incarnations[i], wire.addresses[1 - i])
+                    machine,
+                    self._peer_down_callback(
+                        machine, connection.incarnations[i], connection.addresses[1 - i]
+                    ),
                 )
 
-    def _peer_down_callback(self, machine: Machine, life: int, other: str) -> Callable[[], None]:
+    def _peer_down_callback(self, machine: Machine, incarnation: int, peer: str) -> Callable[[], None]:
         def down() -> None:
-            if machine.process is not None and machine.incarnation == life:
-                self.apply_outputs(machine, machine.process.down(other, self.now))
+            if machine.process is not None and machine.incarnation == incarnation:
+                self.apply_outputs(machine, machine.process.down(peer, self.now))
 
         return down
 
     def partition(self, a: Iterable[str], b: Iterable[str], *, one_way: bool = False) -> None:
-        """Nothing passes from a to b; nor back, unless it is cut one way only."""
+        """Block all frames from a to b, and from b to a unless one_way is set."""
         pairs = [(x, y) for x in a for y in b]
         self.blocked_directions.update(pairs)
         if not one_way:
             self.blocked_directions.update((y, x) for x, y in pairs)
         self.record(f"cut {'one way ' if one_way else ''}{pairs}")
         for x, y in pairs:
-            wire = self._connections.get(frozenset((x, y)))
-            if wire is not None:
-                self.call_later(LINK_TIMEOUT_S, lambda wire=wire: self._close(wire))  # type: ignore[misc]
+            connection = self._connections.get(frozenset((x, y)))
+            if connection is not None:
+                self.call_later(LINK_TIMEOUT_S, lambda c=connection: self._close(c))  # type: ignore[misc]
 
     def heal(self) -> None:
         self.blocked_directions.clear()
@@ -282,32 +285,46 @@
         if send.to == machine.address:
             self._receive(machine, machine.incarnation, machine.address, send.frame)
             return
-        wire = self._connections.get(frozenset((machine.address, send.to)))
-        if wire is None or not wire.is_open or (machine.address, send.to) in self.blocked_directions:
+        connection = self._connections.get(frozenset((machine.address, send.to)))
+        if (
+            connection is None
+            or not connection.is_open
+            or (machine.address, send.to) in self.blocked_directions
+        ):
             return
-        place = wire.addresses.index(send.to)
-        if wire.incarnations[1 - place] != machine.incarnation:
+        receiver_index = connection.addresses.index(send.to)
+        if connection.incarnations[1 - receiver_index] != machine.incarnation:
             return
-        when = max(self.now + self.rng.uniform(*LINK_DELAY_RANGE_S), wire.last_arrival_s.get(send.to, 0.0))
-        wire.last_arrival_s[send.to] = when
+        due_s = max(
+            self.now + self.rng.uniform(*LINK_DELAY_RANGE_S), connection.last_arrival_s.get(send.to, 0.0)
+        )
+        connection.last_arrival_s[send.to] = due_s
         data = send.frame.SerializeToString()
         self.bytes_sent_to[send.to] += len(data)
         self.largest_frame_bytes = max(self.largest_frame_bytes, len(data))
 
         def arrive() -> None:
             receiver = self._running_machine(send.to)
-            if receiver is None or not wire.is_open or (machine.address, send.to) in self.blocked_directions:
+            if (
+                receiver is None
+                or not connection.is_open
+                or (machine.address, send.to) in self.blocked_directions
+            ):
                 return
-            life, sender, frame = wire.incarnations[place], machine.address, Frame.FromString(data)
-            self._run_or_defer(receiver, lambda: self._receive(receiver, life, sender, frame))
-
-        self.call_at(when, arrive)
-
-    def _receive(self, machine: Machine, life: int, peer: str, frame: Frame) -> None:
-        if machine.process is not None and machine.incarnation == life:
-            began = time.perf_counter()
+            incarnation, sender, frame = (
+                connection.incarnations[receiver_index],
+                machine.address,
+                Frame.FromString(data),
+            )
+            self._run_or_defer(receiver, lambda: self._receive(receiver, incarnation, sender, frame))
+
+        self.call_at(due_s, arrive)
+
+    def _receive(self, machine: Machine, incarnation: int, peer: str, frame: Frame) -> None:
+        if machine.process is not None and machine.incarnation == incarnation:
+            start_s = time.perf_counter()
             outputs = machine.process.frame(peer, frame, self.now)
-            self.longest_step_s = max(self.longest_step_s, time.perf_counter() - began)
+            self.longest_step_s = max(self.longest_step_s, time.perf_counter() - start_s)
             self.apply_outputs(machine, outputs)
 
     # ------------------------------------------------------------ outputs
@@ -321,12 +338,12 @@
             elif isinstance(output, Stands):
                 for item in output.items:
                     self.check_committed(machine, item)
-                for told in self.commit_listeners:
-                    told(machine, output.items)
+                for listener in self.commit_listeners:
+                    listener(machine, output.items)
             elif isinstance(output, Answer):
-                answered = self.answer_callbacks.pop((machine.address, output.number), None)
-                if answered is not None:
-                    answered(output)
+                on_answer = self.answer_callbacks.pop((machine.address, output.number), None)
+                if on_answer is not None:
+                    on_answer(output)
         holders = [
             m.address
             for m in self.machines.values()
@@ -354,13 +371,13 @@
 
     def _sync(self, machine: Machine) -> None:
         machine.writing = True
-        life, batch = machine.incarnation, len(machine.pending_writes)
-        when = max(self.now, machine.stalled_until) + machine.sync_slowdown * self.rng.uniform(
+        incarnation, batch = machine.incarnation, len(machine.pending_writes)
+        due_s = max(self.now, machine.stalled_until) + machine.sync_slowdown * self.rng.uniform(
             *SYNC_DURATION_RANGE_S
         )
 
         def synced() -> None:
-            if machine.incarnation != life or machine.process is None:
+            if machine.incarnation != incarnation or machine.process is None:
                 return
             if machine.frozen:
                 machine.deferred_inputs.append(synced)
@@ -368,98 +385,101 @@
             if machine.stalled_until > self.now:
                 self.call_at(machine.stalled_until + 0.01, synced)
                 return
-            done, machine.pending_writes = machine.pending_writes[:batch], machine.pending_writes[batch:]
+            synced_writes, machine.pending_writes = (
+                machine.pending_writes[:batch],
+                machine.pending_writes[batch:],
+            )
             machine.writing = False
-            for pending in done:
+            for pending in synced_writes:
                 machine.disk.update(pending.records)
             if machine.pending_writes:
                 self._sync(machine)
-            for pending in done:
+            for pending in synced_writes:
                 for send in pending.sends:
                     self._send(machine, send)
 
-        self.call_at(when, synced)
+        self.call_at(due_s, synced)
 
     def check_committed(self, machine: Machine, item: Item) -> None:
         value = b"" if item.dropped else b"=" + item.value
-        known = self.committed_values.setdefault((item.key, item.version), value)
-        if known != value:
+        committed = self.committed_values.setdefault((item.key, item.version), value)
+        if committed != value:
             self.fail(f"{item.key} version {item.version} stands with two values, at {machine.address}")
         if (item.key, item.version, item.value) in self.refused_values:
             self.fail(f"{item.key} version {item.version} stands though it was refused")
 
-    # ------------------------------------------------------------ operators
+    # ------------------------------------------------------------ requests of operators
 
-    def submit_change(self, machine: Machine, items: list[Item], answered: Callable[[Answer], None]) -> None:
-        """An operator's change, at one machine."""
+    def submit_change(self, machine: Machine, items: list[Item], on_answer: Callable[[Answer], None]) -> None:
+        """Submit an operator's change at one machine."""
         if machine.process is None:
             return
         self._request_count += 1
-        number = self._request_count
-        began = self.now
-        tried = [self._operation(item, Outcome.UNKNOWN, began, math.inf) for item in items]
-        self.history += tried
+        request_number = self._request_count
+        start_s = self.now
+        unknown_operations = [self._operation(item, Outcome.UNKNOWN, start_s, math.inf) for item in items]
+        self.history += unknown_operations
 
-        def judged(answer: Answer) -> None:
+        def check_answer(answer: Answer) -> None:
             outcome = self._outcome(answer, items)
             if outcome is not Outcome.UNKNOWN:
-                for each in tried:
-                    self.history.remove(each)
-                self.history += [self._operation(item, outcome, began, self.now) for item in items]
+                for operation in unknown_operations:
+                    self.history.remove(operation)
+                self.history += [self._operation(item, outcome, start_s, self.now) for item in items]
             if answer.code is Code.DONE:
                 for item in items:
                     self.acknowledgements.append(AcknowledgedVersion(self.now, item.key, item.version))
-                    old = self.latest_acknowledged.get(item.key)
-                    if old is None or item.version > old.version:
+                    previous = self.latest_acknowledged.get(item.key)
+                    if previous is None or item.version > previous.version:
                         self.latest_acknowledged[item.key] = item
             elif answer.code is Code.CONFLICT:
                 self._check_refused(items)
-            answered(answer)
+            on_answer(answer)
 
-        self.answer_callbacks[machine.address, number] = judged
-        life = machine.incarnation
+        self.answer_callbacks[machine.address, request_number] = check_answer
+        incarnation = machine.incarnation
 
-        def take() -> None:
-            if machine.process is not None and machine.incarnation == life:
-                self.apply_outputs(machine, machine.process.change(number, items, self.now))
+        def handle_request() -> None:
+            if machine.process is not None and machine.incarnation == incarnation:
+                self.apply_outputs(machine, machine.process.change(request_number, items, self.now))
 
-        self._run_or_defer(machine, take)
+        self._run_or_defer(machine, handle_request)
 
     @staticmethod
-    def _operation(item: Item, outcome: Outcome, began: float, ended: float) -> Operation:
+    def _operation(item: Item, outcome: Outcome, start_s: float, end_s: float) -> Operation:
         value = b"" if item.dropped else b"=" + item.value
-        return Operation(item.key, outcome, Register(item.version, value), began, ended)
+        return Operation(item.key, outcome, Register(item.version, value), start_s, end_s)
 
     @staticmethod
     def _outcome(answer: Answer, items: list[Item]) -> Outcome:
-        """A refusal of several does not tell which of them is refused."""
+        """The outcome for each item; a refusal of several items does not tell which one conflicts."""
         if answer.code is Code.DONE:
             return Outcome.CONFIRMED
         alone = len(items) == 1 and not items[0].key.startswith(ORDERS)
         return Outcome.REFUSED if answer.code is Code.CONFLICT and alone else Outcome.UNKNOWN
 
     def check_linearizable(self) -> None:
-        """All answers so far are such as one register a key would have given."""
-        wrong = non_linearizable_keys(each for each in self.history if not each.key.startswith(ORDERS))
-        if wrong:
-            self.fail(f"the answers about {wrong[0]} fit no order of events")
+        """All answers so far must be explained by one atomic register for each key."""
+        keys = non_linearizable_keys(each for each in self.history if not each.key.startswith(ORDERS))
+        if keys:
+            self.fail(f"the answers about {keys[0]} fit no order of events")
 
     def is_partly_committed(self, items: Iterable[Item]) -> bool:
-        """Whether a part of a call stood, and another part's version has another operator's value.
+        """Whether one item of a change was committed, and another has the value of another operator.
 
-        Such a call can be neither confirmed nor refused: calls over several sections are not atomic.
+        Such a change can be neither confirmed nor refused: changes over several sections are not atomic.
         """
-        stood = [
+        matches = [
             self.committed_values[item.key, item.version] == (b"" if item.dropped else b"=" + item.value)
             for item in items
             if (item.key, item.version) in self.committed_values
         ]
-        return any(stood) and not all(stood)
+        return any(matches) and not all(matches)
 
     def _check_refused(self, items: Iterable[Item]) -> None:
-        """A call was refused: no part of it may stand, before or after.
+        """A change was refused: no item of it may be committed, before or afterwards.
 
-        Dropped items are passed over: another operator's drop of the same version looks alike.
+        Removals are skipped: another operator's removal with the same version looks the same.
         """
         for item in items:
             if item.dropped or item.key.startswith(ORDERS):
@@ -468,34 +488,34 @@
             if self.committed_values.get((item.key, item.version)) == b"=" + item.value:
                 self.fail(f"{item.key} version {item.version} was refused and stands")
 
-    def read(self, machine: Machine, answered: Callable[[Answer], None]) -> None:
-        """A read at one machine, which must not be older than what was acknowledged when it began."""
+    def read(self, machine: Machine, on_answer: Callable[[Answer], None]) -> None:
+        """Read at one machine; a result older than what was acknowledged at the start is a violation."""
         if machine.process is None:
             return
         self._request_count += 1
-        number = self._request_count
-        owed = dict(self.latest_acknowledged)
-        began = self.now
+        request_number = self._request_count
+        acknowledged = dict(self.latest_acknowledged)
+        start_s = self.now
 
-        def judged(answer: Answer) -> None:
+        def check_answer(answer: Answer) -> None:
             if answer.code is Code.DONE:
-                found = Book()
-                found.take(answer.items)
-                for item in found.items.values():
-                    self.history.append(self._operation(item, Outcome.READ, began, self.now))
-                for key, item in owed.items():
-                    got = found.items.get(key)
-                    if got is None or got.version < item.version:
+                store = Book()
+                store.take(answer.items)
+                for item in store.items.values():
+                    self.history.append(self._operation(item, Outcome.READ, start_s, self.now))
+                for key, item in acknowledged.items():
+                    item_read = store.items.get(key)
+                    if item_read is None or item_read.version < item.version:
                         self.fail(f"read at {machine.address}: {key} is older than version {item.version}")
-                    elif got.version == item.version and got.value != item.value:
+                    elif item_read.version == item.version and item_read.value != item.value:
                         self.fail(f"read at {machine.address}: {key} is not what was acknowledged")
-            answered(answer)
+            on_answer(answer)
 
-        self.answer_callbacks[machine.address, number] = judged
-        life = machine.incarnation
+        self.answer_callbacks[machine.address, request_number] = check_answer
+        incarnation = machine.incarnation
 
-        def take() -> None:
-            if machine.process is not None and machine.incarnation == life:
-                self.apply_outputs(machine, machine.process.read(number, self.now))
+        def handle_request() -> None:
+            if machine.process is not None and machine.incarnation == incarnation:
+                self.apply_outputs(machine, machine.process.read(request_number, self.now))
 
-        self._run_or_defer(machine, take)
+        self._run_or_defer(machine, handle_request)
--- a/leadrudder/emulation/__init__.py
+++ b/leadrudder/emulation/__init__.py
@@ -1,1 +1,1 @@
-"""A whole mesh in virtual time: the very stations and signalboxes, between stand-in servers and clients."""
+"""A whole mesh in virtual time: the production processes between stand-in servers and clients."""
--- a/leadrudder/emulation/fleet.py
+++ b/leadrudder/emulation/fleet.py
@@ -1,6 +1,7 @@
-"""A mesh of whole processes on simulated machines: the programs that run, on a clock and a network in memory.
+"""A mesh of whole processes on simulated machines: the production programs on a virtual clock and network.
 
-All chance comes from the seed, so a play with a window and one without begin alike. Times are seconds.
+All randomness comes from the seed, so runs with and without a maintenance window start the same. Times are
+seconds.
 """
 
 from __future__ import annotations
@@ -33,72 +34,72 @@
 
 CONTROL_PORT, OUTBOUND_PORT, READINESS_PORT, FIRST_LINK_PORT, APPLICATION_PORT = 7000, 7001, 7002, 7100, 8000
 SYNC_DURATION_RANGE_S = (0.006, 0.02)
-COLD_REQUESTS_PER_S = 8.0  # requests a second that a cold server bears
+COLD_REQUESTS_PER_S = 8.0  # that a cold server can handle
 
 
 class SimulatedWriter:
-    """Writes to a disk in virtual time: what is handed over meanwhile is written together as the next."""
+    """Group commit to a simulated disk: records that arrive during a sync are written by the next one."""
 
     def __init__(self, store: Store, rng: Random) -> None:
         self._store, self._rng = store, rng
         self._loop = asyncio.get_running_loop()
-        self._waiting: dict[str, bytes] = {}
+        self._pending_records: dict[str, bytes] = {}
         self._callbacks: list[Callable[[], None]] = []
-        self._busy = False
+        self._syncing = False
 
-    def put(self, records: dict[str, bytes], done: Callable[[], None]) -> None:
-        self._waiting.update(records)
-        self._callbacks.append(done)
-        self._begin()
+    def put(self, records: dict[str, bytes], on_done: Callable[[], None]) -> None:
+        self._pending_records.update(records)
+        self._callbacks.append(on_done)
+        self._start_sync()
 
-    def after(self, done: Callable[[], None]) -> None:
-        if self._busy or self._callbacks:
-            self._callbacks.append(done)
+    def after(self, on_done: Callable[[], None]) -> None:
+        if self._syncing or self._callbacks:
+            self._callbacks.append(on_done)
         else:
-            done()
+            on_done()
 
     def stop(self, wait_s: float) -> None:
-        self._store.commit(self._waiting)
+        self._store.commit(self._pending_records)
 
-    def _begin(self) -> None:
-        if self._busy or not self._callbacks:
+    def _start_sync(self) -> None:
+        if self._syncing or not self._callbacks:
             return
-        self._busy = True
-        records, self._waiting = self._waiting, {}
+        self._syncing = True
+        records, self._pending_records = self._pending_records, {}
         callbacks, self._callbacks = self._callbacks, []
 
         def synced() -> None:
             self._store.commit(records)
-            self._busy = False
-            for done in callbacks:
-                done()
-            self._begin()
+            self._syncing = False
+            for on_done in callbacks:
+                on_done()
+            self._start_sync()
 
         self._loop.call_later(self._rng.uniform(*SYNC_DURATION_RANGE_S), synced)
 
 
 @dataclass(eq=False)
 class Machine:
-    """One with its processes.  service: empty on a core machine."""
+    """A machine and its processes.  service: empty on a control machine."""
 
     name: str
     zone: str
     host: str
     service: str = ""
-    disk: MemoryStore = field(default_factory=MemoryStore)  # what was synced stays when a process dies
+    disk: MemoryStore = field(default_factory=MemoryStore)  # synced records survive the process
     loops: dict[str, VirtualLoop] = field(default_factory=dict)
     node: Station | None = None
     control_node: Signalbox | None = None
     server: Server | None = None
-    past_servers: list[Server] = field(default_factory=list)  # of the server, that are over
+    past_servers: list[Server] = field(default_factory=list)  # former incarnations of the server
     clients: Clients | None = None
     start_count: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """What a mesh is like.  services: by name, how many servers; wishes: what the clients of each machine
-    ask; slots, work_s: of each server.
+    """The layout and load of a mesh.  services: number of servers by name; request_kinds: sent by the clients
+    of each machine; slots, work_s: of each server.
     """
 
     services: Mapping[str, int]
@@ -113,7 +114,7 @@
 
 
 class Fleet:
-    """The mesh at work.  possession: maintenance windows are on."""
+    """A running mesh.  maintenance: maintenance windows are enabled."""
 
     def __init__(self, seed: int, plan: FleetPlan, *, maintenance: bool = False) -> None:
         self.plan, self.seed, self._maintenance = plan, seed, maintenance
@@ -149,11 +150,11 @@
         """Unix time on every machine."""
         return EPOCH_S + self.now
 
-    def call_at(self, when: float, do: Callable[[], object]) -> None:
-        self.scheduler.timer(int(when * MICROSECONDS), None, "plan", do)
+    def call_at(self, when: float, callback: Callable[[], object]) -> None:
+        self.scheduler.timer(int(when * MICROSECONDS), None, "plan", callback)
 
     def run_until(self, until: float) -> None:
-        """All that happens until then."""
+        """Run all events that are due by then."""
         end = int(until * MICROSECONDS)
         while (due := self.scheduler.next_due()) is not None and due <= end:
             self.scheduler.run_one()
@@ -161,13 +162,14 @@
 
     # ------------------------------------------------------------ machines
 
-    def _rng(self, *what: object) -> Random:
-        return Random("/".join(map(str, ("fleet", self.seed, *what))))
+    def _rng(self, *parts: object) -> Random:
+        return Random("/".join(map(str, ("fleet", self.seed, *parts))))
 
     def _start_process(self, machine: Machine, kind: str) -> VirtualLoop:
+        """The kind is part of the loop's name, which seeds the random numbers of the process."""
         machine.start_count += 1
         name = f"{machine.name}.{kind}.{machine.start_count}"
-        loop = VirtualLoop(  # type: ignore[abstract]  # it has what is used
+        loop = VirtualLoop(  # type: ignore[abstract]  # only the methods in use are implemented
             name, machine.host, self.scheduler, self.network, self._record_error
         )
         machine.loops[kind] = loop
@@ -209,7 +211,7 @@
                 possession=self._maintenance,
                 rng=rng,
                 wall=lambda: self.unix_time,
-                writer=lambda store, told: SimulatedWriter(store, rng),
+                writer=lambda store, _: SimulatedWriter(store, rng),
                 store=machine.disk,
                 monotonic=lambda: self.now,
             )
@@ -234,7 +236,7 @@
         loop.spawn(main())
 
     def start_server(self, machine: Machine, cold_s: float = 0.0) -> None:
-        """Another life of it; cold_s: how long it is slow."""
+        """Start a new incarnation of the server.  cold_s: how long it reports a cold start."""
         loop = self._start_process(machine, "server")
         rng = self._rng(loop.name)
         if machine.server is not None:
@@ -255,7 +257,7 @@
         loop.spawn(machine.server.start())
 
     def kill(self, machine: Machine, kind: str) -> None:
-        """A process dies at once; what it had synced is on its disk."""
+        """End a process at once; its synced records remain on the disk."""
         machine.loops[kind].kill()
         if kind == "signalbox":
             machine.control_node = None
@@ -263,22 +265,22 @@
             machine.node = None
 
     def freeze(self, machine: Machine, kind: str, span_s: float) -> None:
-        """A process does nothing for a while; what was due meanwhile it does afterwards."""
+        """Pause a process; events that come due meanwhile are handled when it resumes."""
         machine.loops[kind].frozen_until = int((self.now + span_s) * MICROSECONDS)
 
     # ------------------------------------------------------------ operators and clients
 
-    def run_operator(self, work: Callable[[], Coroutine[Any, Any, Any]]) -> None:
-        """Something an operator does, on a machine of its own."""
+    def run_operator(self, task: Callable[[], Coroutine[Any, Any, Any]]) -> None:
+        """Run an operator's coroutine on a machine of its own."""
         operator = Machine("operator", "", "10.99.0.1")
-        self._start_process(operator, "work").spawn(work())
+        self._start_process(operator, "work").spawn(task())
 
     async def call_operator_api(
-        self, method: str, path: str, body: Any = None, tries: int = 40
+        self, method: str, path: str, body: Any = None, max_attempts: int = 40
     ) -> tuple[int, bytes]:
-        """A call of an operator's, sent again to the next signalbox until there is a clear answer."""
+        """Call the operator API, retrying at the next control machine until there is a definite answer."""
         data = b"" if body is None else json.dumps(body).encode()
-        for i in range(tries):
+        for i in range(max_attempts):
             address = (self.control_machines[i % len(self.control_machines)].host, CONTROL_PORT)
             answer = await http_call(address, encoded_request(method, path, "control", body=data), 1.0)
             if answer is not None and answer.status < 500:
@@ -313,48 +315,48 @@
             with loop.running():
                 machine.clients.start()
 
-    # ------------------------------------------------------------ what is seen
+    # ------------------------------------------------------------ results
 
     def sent_requests(self) -> list[SentRequest]:
         return [
-            asked
+            request
             for machine in self.node_machines
             if machine.clients
-            for asked in machine.clients.sent_requests
+            for request in machine.clients.sent_requests
         ]
 
     def runs_by_attempt(self) -> Counter[str]:
-        """How often each try ran, by its id, at all servers."""
-        total: Counter[str] = Counter()
+        """How often each attempt ran, by attempt id, over all servers."""
+        runs: Counter[str] = Counter()
         for machine in self.node_machines:
             for server in (*machine.past_servers, machine.server):
                 if server is not None:
-                    total.update(server.runs_by_attempt)
-        return total
+                    runs.update(server.runs_by_attempt)
+        return runs
 
 
 @dataclass(frozen=True, slots=True)
 class BookingOutcomes:
-    """What became of bookings, by both ends: what clients were told, and what servers ran."""
+    """Outcomes of non-repeatable requests, from the answers to clients and the runs at servers."""
 
     asked: int
     landed_once: int
-    lost: int  # told as served, and no server ran it
+    lost: int  # reported as served, and no server ran it
     twice: int
-    in_doubt: int  # ran, and its client was not told
-    refused: int  # never ran, and its client knows
+    in_doubt: int  # ran, and its client got no answer of success
+    refused: int  # never ran, and its client got no answer of success
 
     @classmethod
     def of(cls, fleet: Fleet) -> BookingOutcomes:
         runs = fleet.runs_by_attempt()
         counts: Counter[str] = Counter()
-        for asked in fleet.sent_requests():
-            if not asked.once:
+        for request in fleet.sent_requests():
+            if not request.once:
                 continue
-            ran = sum(runs[name] for name in asked.attempt_ids)
+            ran = sum(runs[attempt_id] for attempt_id in request.attempt_ids)
             if ran > 1:
                 counts["twice"] += 1
-            elif asked.served_attempt:
+            elif request.served_attempt:
                 counts["landed_once" if ran else "lost"] += 1
             else:
                 counts["in_doubt" if ran else "refused"] += 1
--- a/leadrudder/emulation/standins.py
+++ b/leadrudder/emulation/standins.py
@@ -1,6 +1,6 @@
-"""What surrounds the mesh: servers that beat and run requests, clients that ask and ask again.
+"""Stand-ins for what surrounds the mesh: servers with heartbeats, and clients that retry.
 
-Both speak what the users' pages say, with the mesh's own reader of HTTP. Times are seconds.
+Both follow the documented protocol and use the mesh's own HTTP reader. Times are seconds.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from leadrudder.transport.http import WholeMessage, WholeReader, rendered
 
 HEARTBEAT_INTERVAL_S = 1.5
-MAX_QUEUED_REQUESTS = 4  # requests that a server takes beside those it runs
-MAX_RETRY_WAIT_SHARE = 1 / 3  # of the time left: a client waits no longer than that for a Retry-After
+MAX_QUEUED_REQUESTS = 4  # beside the requests that run
+MAX_RETRY_WAIT_SHARE = 1 / 3  # of the remaining time: the most that a client waits on a Retry-After
 MAX_ATTEMPTS = 4
 
 
 class _SingleExchange(asyncio.Protocol):
-    """One call on a connection of its own."""
+    """One request and its answer, on a connection of its own."""
 
-    def __init__(self, text: bytes, over: asyncio.Future[WholeMessage | None]) -> None:
-        self._text, self._over = text, over
+    def __init__(self, text: bytes, future: asyncio.Future[WholeMessage | None]) -> None:
+        self._text, self._future = text, future
         self._reader = WholeReader(self._answer, requests=False)
         self._transport: asyncio.Transport | None = None
 
@@ -37,33 +37,33 @@
         self._reader.feed(data)
 
     def _answer(self, message: object) -> None:
-        if not self._over.done():
-            self._over.set_result(cast(WholeMessage, message))
+        if not self._future.done():
+            self._future.set_result(cast(WholeMessage, message))
         if self._transport is not None:
             self._transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if not self._over.done():
-            self._over.set_result(None)
+        if not self._future.done():
+            self._future.set_result(None)
 
 
-async def http_call(address: tuple[str, int], text: bytes, within_s: float) -> WholeMessage | None:
-    """None where no whole answer came in time."""
+async def http_call(address: tuple[str, int], text: bytes, timeout_s: float) -> WholeMessage | None:
+    """Send a request; None if no complete answer arrives in time."""
     loop = asyncio.get_running_loop()
-    over: asyncio.Future[WholeMessage | None] = loop.create_future()
+    future: asyncio.Future[WholeMessage | None] = loop.create_future()
     try:
-        async with asyncio.timeout(within_s):
-            transport, _ = await loop.create_connection(lambda: _SingleExchange(text, over), *address)
+        async with asyncio.timeout(timeout_s):
+            transport, _ = await loop.create_connection(lambda: _SingleExchange(text, future), *address)
             try:
-                return await over
+                return await future
             finally:
                 transport.close()
     except (OSError, TimeoutError):
         return None
 
 
-def encoded_request(method: str, path: str, host: str, fields: str = "", body: bytes = b"") -> bytes:
-    head = f"{method} {path} HTTP/1.1\r\nHost: {host}\r\n{fields}Content-Length: {len(body)}\r\n\r\n"
+def encoded_request(method: str, path: str, host: str, headers: str = "", body: bytes = b"") -> bytes:
+    head = f"{method} {path} HTTP/1.1\r\nHost: {host}\r\n{headers}Content-Length: {len(body)}\r\n\r\n"
     return head.encode() + body
 
 
@@ -71,7 +71,7 @@
 
 
 class _ServerConnection(asyncio.Protocol):
-    """One connection at a server, which runs one request at a time."""
+    """One connection to a server; it carries one request at a time."""
 
     def __init__(self, server: Server) -> None:
         self._server = server
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InternalCall:
-    """A request that a server sends, through the node beside it, while it runs one of its own."""
+    """A request that a server sends through its local node while it runs another."""
 
     host: str
     deadline_s: float
@@ -105,17 +105,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """What a server does for requests of one host.  work_s: mean, without the time that its calls take."""
+    """A server's work for a request of one host.  work_s: mean duration, excluding internal calls."""
 
     work_s: float
-    calls: tuple[InternalCall, ...] = ()  # one after the other
+    calls: tuple[InternalCall, ...] = ()  # in sequence
 
 
 @dataclass(eq=False)
 class Server:
-    """One application server.  work_s: mean of a request; runs: by attempt id, how often it ran.
+    """An application server.  work_s: mean duration of a request; work_by_host: replaces it for some hosts.
 
-    works: for requests of some hosts, what is done in place of work_s; outbound: where its calls go.
+    outbound_address: receives its internal calls; runs_by_attempt: how often each attempt ran, by attempt id.
     """
 
     id: str
@@ -129,7 +129,7 @@
     work_by_host: Mapping[str, Work] = field(default_factory=dict)
     outbound_address: tuple[str, int] = ("", 0)
     runs_by_attempt: Counter[str] = field(default_factory=Counter)
-    runs_by_host: Counter[str] = field(default_factory=Counter)  # requests run, by host, since last looked at
+    runs_by_host: Counter[str] = field(default_factory=Counter)  # by host; cleared by whoever reads it
     draining: bool = False
     cold_until: float = 0.0
     running: int = 0
@@ -141,9 +141,9 @@
         await loop.create_server(lambda: _ServerConnection(self), *self.address)
         self._schedule_heartbeat(self.rng.random() * 0.2)
 
-    def _schedule_heartbeat(self, after: float) -> None:
+    def _schedule_heartbeat(self, delay_s: float) -> None:
         loop = asyncio.get_running_loop()
-        loop.call_later(after, lambda: loop.create_task(self._send_heartbeat()))
+        loop.call_later(delay_s, lambda: loop.create_task(self._send_heartbeat()))
 
     def cold_left(self, now: float) -> float:
         return max(0.0, self.cold_until - now)
@@ -181,7 +181,7 @@
         self.runs_by_host[host] += 1
         work = self.work_by_host.get(host, Work(self.work_s))
 
-        def over(status: int = 200) -> None:
+        def finish(status: int = 200) -> None:
             self.running -= 1
             seal = b"Server-Seal: s\r\n" if status == 200 else b""
             answer(rendered(status, self._response_headers(message) + seal, b"done\n"))
@@ -192,25 +192,25 @@
 
         def worked() -> None:
             if work.calls:
-                loop.create_task(self._make_internal_calls(attempt_id, work.calls, over))
+                loop.create_task(self._make_internal_calls(attempt_id, work.calls, finish))
             else:
-                over()
+                finish()
 
         loop.call_later(work.work_s * self.rng.gammavariate(4.0, 0.25), worked)
 
     async def _make_internal_calls(
-        self, attempt_id: str, calls: tuple[InternalCall, ...], over: Callable[[int], None]
+        self, attempt_id: str, calls: tuple[InternalCall, ...], on_done: Callable[[int], None]
     ) -> None:
-        """The request's own calls: if one fails, so does the request, by a 500."""
+        """Make the internal calls of a request; if one fails, the request fails with status 500."""
         for number, each in enumerate(calls):
-            fields = f"Attempt-Id: {attempt_id}.{number}\r\nTime-Left: {int(1000 * each.deadline_s)}\r\n"
+            headers = f"Attempt-Id: {attempt_id}.{number}\r\nTime-Left: {int(1000 * each.deadline_s)}\r\n"
             answer = await http_call(
-                self.outbound_address, encoded_request("GET", "/a", each.host, fields), each.deadline_s
+                self.outbound_address, encoded_request("GET", "/a", each.host, headers), each.deadline_s
             )
             if answer is None or answer.status != 200:
-                over(500)
+                on_done(500)
                 return
-        over(200)
+        on_done(200)
 
     def _response_headers(self, message: WholeMessage) -> bytes:
         load = b"%d,%d,%d" % (self.running, len(self.waiting), self.slots)
@@ -222,7 +222,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestKind:
-    """A kind of request.  once: a booking."""
+    """A kind of request.  once: not repeatable, such as a booking."""
 
     host: str
     once: bool
@@ -232,19 +232,19 @@
 
 @dataclass(slots=True)
 class SentRequest:
-    """One client's wish, with the ids of its tries, and what came of it."""
+    """One client request, the ids of its attempts, and its result."""
 
     sent_at_s: float
     host: str
     once: bool
     attempt_ids: list[str] = field(default_factory=list)
-    served_attempt: str = ""  # the try that was answered with success
+    served_attempt: str = ""  # the id of the attempt that succeeded
     duration_s: float = 0.0
 
 
 @dataclass(eq=False)
 class Clients:
-    """Those of one machine: they ask at moments of their own, whatever became of what they asked before."""
+    """The clients of one machine: an open workload, where requests start regardless of earlier answers."""
 
     name: str
     outbound_address: tuple[str, int]
@@ -255,39 +255,39 @@
     _attempt_count: int = 0
 
     def start(self) -> None:
-        for wish in self.request_kinds:
-            self._schedule_next(wish)
+        for kind in self.request_kinds:
+            self._schedule_next(kind)
 
-    def _schedule_next(self, wish: RequestKind) -> None:
+    def _schedule_next(self, kind: RequestKind) -> None:
         loop = asyncio.get_running_loop()
-        after = self.rng.expovariate(wish.per_s)
-        if loop.time() + after < self.end_s:
-            loop.call_later(after, self._begin, wish)
+        delay_s = self.rng.expovariate(kind.per_s)
+        if loop.time() + delay_s < self.end_s:
+            loop.call_later(delay_s, self._begin, kind)
 
-    def _begin(self, wish: RequestKind) -> None:
-        self._schedule_next(wish)
-        asyncio.get_running_loop().create_task(self._send(wish))
+    def _begin(self, kind: RequestKind) -> None:
+        self._schedule_next(kind)
+        asyncio.get_running_loop().create_task(self._send(kind))
 
-    async def _send(self, wish: RequestKind) -> None:
+    async def _send(self, kind: RequestKind) -> None:
         loop = asyncio.get_running_loop()
-        asked = SentRequest(loop.time(), wish.host, wish.once)
-        self.sent_requests.append(asked)
-        end = asked.sent_at_s + wish.deadline_s
-        while len(asked.attempt_ids) < MAX_ATTEMPTS and end - loop.time() > 0.01:
+        request = SentRequest(loop.time(), kind.host, kind.once)
+        self.sent_requests.append(request)
+        deadline = request.sent_at_s + kind.deadline_s
+        while len(request.attempt_ids) < MAX_ATTEMPTS and deadline - loop.time() > 0.01:
             self._attempt_count += 1
-            name = f"{self.name}-{self._attempt_count}"
-            asked.attempt_ids.append(name)
-            left = end - loop.time()
-            fields = f"Attempt-Id: {name}\r\nTime-Left: {int(1000 * left)}\r\n"
+            attempt_id = f"{self.name}-{self._attempt_count}"
+            request.attempt_ids.append(attempt_id)
+            remaining_s = deadline - loop.time()
+            headers = f"Attempt-Id: {attempt_id}\r\nTime-Left: {int(1000 * remaining_s)}\r\n"
             answer = await http_call(
-                self.outbound_address, encoded_request("POST", "/a", wish.host, fields), left
+                self.outbound_address, encoded_request("POST", "/a", kind.host, headers), remaining_s
             )
             if answer is not None and answer.status == 200:
-                asked.served_attempt, asked.duration_s = name, loop.time() - asked.sent_at_s
+                request.served_attempt, request.duration_s = attempt_id, loop.time() - request.sent_at_s
                 return
-            left = end - loop.time()
-            promised = answer is not None and answer.status in (408, 421, 429, 503)
-            if (wish.once and not promised) or (answer is not None and answer.status in (400, 404, 413)):
+            remaining_s = deadline - loop.time()
+            not_run = answer is not None and answer.status in (408, 421, 429, 503)
+            if (kind.once and not not_run) or (answer is not None and answer.status in (400, 404, 413)):
                 return
-            wait = float(answer.headers.get(b"retry-after", b"0.05")) if answer is not None else 0.05
-            await asyncio.sleep(min(wait, MAX_RETRY_WAIT_SHARE * max(0.0, left)))
+            retry_after_s = float(answer.headers.get(b"retry-after", b"0.05")) if answer is not None else 0.05
+            await asyncio.sleep(min(retry_after_s, MAX_RETRY_WAIT_SHARE * max(0.0, remaining_s)))
--- a/tests/mesh/test_graceful_shutdown.py
+++ b/tests/mesh/test_graceful_shutdown.py
@@ -36,7 +36,7 @@
         answers: list[int] = []
 
         async def operate() -> None:
-            answers.append((await fleet.call_operator_api("POST", "/evacuate/z2", tries=30))[0])
+            answers.append((await fleet.call_operator_api("POST", "/evacuate/z2", max_attempts=30))[0])
 
         fleet.run_operator(operate)
         return answers
