--- a/tests/mesh/test_concurrent_operators.py
+++ b/tests/mesh/test_concurrent_operators.py
@@ -1,4 +1,4 @@
-"""Orders of several operators: never two values under one version, never refused what was taken in part."""
+"""Concurrent changes of several operators: one value for each version, no refusal after a partial commit."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from leadrudder.protocol.mesh_pb2 import Item
 from tests.mesh.planted_faults import PLANTS
 
-# Two operators' calls shared several versions, and each held one that the other waited for, without end.
-ENTANGLED_SEEDS = (7, 20, 183)
+# Two operators' changes shared several versions, and each reserved one that the other waited for: a deadlock.
+DEADLOCK_SEEDS = (7, 20, 183)
 FROZEN_SEEDS = range(24)
 
 
-class Orders(unittest.TestCase):
+class ConcurrentChanges(unittest.TestCase):
     def setUp(self) -> None:
         self.world = World(3)
         self.world.run_until(4.0)
         first, second = self._keys_of_two_owners()
-        self.call = [(first, b"ours"), (second, b"ours")]
-        self.rival = [(second, b"theirs")]
+        self.change = [(first, b"ours"), (second, b"ours")]
+        self.rival_change = [(second, b"theirs")]
 
     def _owner(self, key: str) -> Machine:
         for machine in self.world.machines.values():
@@ -35,7 +35,7 @@
         raise AssertionError(f"{key} has no owner")
 
     def _keys_of_two_owners(self) -> tuple[str, str]:
-        """Two keys of sections in rising order, of two owners, neither of whom is asked by the operator."""
+        """Two keys in ascending sections with different owners; neither owner receives the change itself."""
         process = next(iter(self.world.machines.values())).process
         assert process is not None
         keys = sorted((f"routes/r{i}" for i in range(40)), key=process.section_of)
@@ -49,28 +49,28 @@
         )
         return first, second
 
-    def _send(self, at: Machine, call: list[tuple[str, bytes]]) -> list[Code]:
-        """An operator's call at one machine; its answer is in the list when it has come."""
+    def _send(self, at: Machine, change: list[tuple[str, bytes]]) -> list[Code]:
+        """Submit a change at one machine; the returned list receives the result."""
         codes: list[Code] = []
 
-        def answered(answer: Answer) -> None:
+        def on_answer(answer: Answer) -> None:
             codes.append(answer.code)
 
-        items = [Item(key=key, version=7, value=value) for key, value in call]
-        self.world.submit_change(at, items, answered)
+        items = [Item(key=key, version=7, value=value) for key, value in change]
+        self.world.submit_change(at, items, on_answer)
         return codes
 
-    def _until(self, done: Callable[[], bool], most_s: float = 6.0) -> None:
-        end = self.world.now + most_s
+    def _until(self, done: Callable[[], bool], timeout_s: float = 6.0) -> None:
+        end = self.world.now + timeout_s
         while not done() and self.world.now < end:
             self.world.run_until(self.world.now + 0.002)
         self.assertTrue(done())
 
-    def _lose_the_second_owner_after_the_first_part(self) -> Machine:
-        """Ours is made at its first owner; the second owner is lost before it hears of it."""
+    def _lose_second_owner_after_partial_commit(self) -> Machine:
+        """Our change is committed at its first owner; the second owner is lost before it gets the change."""
         world = self.world
         asked = next(iter(world.machines.values()))
-        first, second = self._owner(self.call[0][0]), self._owner(self.call[1][0])
+        first, second = self._owner(self.change[0][0]), self._owner(self.change[1][0])
         make_all = Requests._make_all
 
         def lost_on_the_way(requests: Requests, change: Change) -> None:
@@ -78,61 +78,61 @@
             make_all(requests, change)
 
         with mock.patch.object(Requests, "_make_all", lost_on_the_way):
-            self._send(asked, self.call)
-            self._until(lambda: (self.call[0][0], 7) in world.committed_values)
+            self._send(asked, self.change)
+            self._until(lambda: (self.change[0][0], 7) in world.committed_values)
         self.assertIsNotNone(first.process)
         return asked
 
-    def test_a_call_that_was_taken_in_part_is_not_refused(self) -> None:
-        asked = self._lose_the_second_owner_after_the_first_part()
-        taken = self._send(asked, self.rival)
-        self._until(lambda: bool(taken), most_s=12.0)
+    def test_a_partly_committed_change_is_not_refused(self) -> None:
+        asked = self._lose_second_owner_after_partial_commit()
+        taken = self._send(asked, self.rival_change)
+        self._until(lambda: bool(taken), timeout_s=12.0)
         if taken == [Code.BUSY]:
-            taken = self._send(asked, self.rival)
-            self._until(lambda: bool(taken), most_s=12.0)
+            taken = self._send(asked, self.rival_change)
+            self._until(lambda: bool(taken), timeout_s=12.0)
         self.assertEqual(taken, [Code.DONE])
-        again = self._send(asked, self.call)
+        again = self._send(asked, self.change)
         self._until(lambda: bool(again))
-        self.assertEqual(again, [Code.BUSY], "a part of it stands")
+        self.assertEqual(again, [Code.BUSY], "one item is committed")
 
-    def test_nor_once_a_higher_version_has_overtaken_that_part(self) -> None:
-        # Course 10 of bench.incidents: the part's version was 7, and 10 when the call was refused.
-        asked = self._lose_the_second_owner_after_the_first_part()
-        higher = [Item(key=self.call[0][0], version=9, value=b"later")]
-        for items in (higher, [Item(key=key, version=7, value=value) for key, value in self.rival]):
+    def test_nor_after_a_higher_version_superseded_the_committed_item(self) -> None:
+        # Found with seed 10 of bench.incidents: the item had version 7, and 10 when the change was refused.
+        asked = self._lose_second_owner_after_partial_commit()
+        higher = [Item(key=self.change[0][0], version=9, value=b"later")]
+        for items in (higher, [Item(key=key, version=7, value=value) for key, value in self.rival_change]):
             codes: list[Code] = []
             while Code.DONE not in codes:
                 sent = len(codes)
                 self.world.submit_change(asked, items, lambda answer, codes=codes: codes.append(answer.code))  # type: ignore[misc]
                 self._until(lambda sent=sent, codes=codes: len(codes) > sent)  # type: ignore[misc]
-        again = self._send(asked, self.call)
+        again = self._send(asked, self.change)
         self._until(lambda: bool(again))
         self.assertEqual(again, [Code.BUSY])
 
-    def test_without_the_withdrawal_it_would_be_refused(self) -> None:
+    def test_without_the_withdrawal_the_change_would_be_refused(self) -> None:
         def refuse(requests: Requests, change: Change, conflicts: object) -> None:
             requests._end(change, Code.CONFLICT)
 
         with mock.patch.object(Requests, "_withdraw_all", refuse), self.assertRaises(InvariantViolation):
-            self.test_a_call_that_was_taken_in_part_is_not_refused()
+            self.test_a_partly_committed_change_is_not_refused()
 
-    def test_a_call_no_part_of_which_was_taken_is_refused_each_time(self) -> None:
+    def test_a_change_without_committed_items_is_refused_each_time(self) -> None:
         asked = next(iter(self.world.machines.values()))
-        taken = self._send(asked, self.rival)
+        taken = self._send(asked, self.rival_change)
         self._until(lambda: bool(taken))
         for _ in range(3):
-            refused = self._send(asked, self.call)
+            refused = self._send(asked, self.change)
             self._until(lambda refused=refused: bool(refused))  # type: ignore[misc]
             self.assertEqual(refused, [Code.CONFLICT])
-        self.assertNotIn((self.call[0][0], 7), self.world.committed_values)
+        self.assertNotIn((self.change[0][0], 7), self.world.committed_values)
 
-    def test_what_stands_already_by_another_call_does_not_keep_one_from_being_refused(self) -> None:
+    def test_items_committed_by_another_change_do_not_prevent_a_refusal(self) -> None:
         asked = next(iter(self.world.machines.values()))
-        for earlier in ([self.call[0]], self.rival):
+        for earlier in ([self.change[0]], self.rival_change):
             taken = self._send(asked, earlier)
             self._until(lambda taken=taken: bool(taken))  # type: ignore[misc]
         refused: list[Code] = []
-        items = [Item(key=key, version=7, value=value) for key, value in self.call]
+        items = [Item(key=key, version=7, value=value) for key, value in self.change]
         process = asked.process
         assert process is not None
         self.world.answer_callbacks[asked.address, 10**6] = lambda answer: refused.append(answer.code)
@@ -140,62 +140,64 @@
         self._until(lambda: bool(refused))
         self.assertEqual(refused, [Code.CONFLICT])
 
-    def test_a_make_that_comes_after_the_withdrawal_takes_nothing(self) -> None:
-        """The first try's last words arrive when the second try has been refused."""
+    def test_a_late_commit_request_after_the_withdrawal_has_no_effect(self) -> None:
+        """The last message of the first attempt arrives after the second attempt was refused."""
         world = self.world
         asked = next(iter(world.machines.values()))
-        taken = self._send(asked, self.rival)
+        taken = self._send(asked, self.rival_change)
         self._until(lambda: bool(taken))
-        refused = self._send(asked, self.call)
+        refused = self._send(asked, self.change)
         self._until(lambda: bool(refused))
         process = asked.process
         assert process is not None
         late = Change(99, {}, world.now + 0.9, Phase.MAKE)
-        items = [Item(key=key, version=7, value=value) for key, value in self.call]
+        items = [Item(key=key, version=7, value=value) for key, value in self.change]
         with mock.patch.object(Requests, "_reserve_all", Requests._make_all):
             world.answer_callbacks[asked.address, 99] = lambda answer: None
             world.apply_outputs(asked, process.change(late.number, items, world.now))
             world.run_until(world.now + 3.0)
-        self.assertNotIn((self.call[0][0], 7), world.committed_values)
+        self.assertNotIn((self.change[0][0], 7), world.committed_values)
 
-    def _two_calls_that_share_both_versions(self) -> list[Code]:
-        """Each operator asks the owner of one, and sends again while the answer is unclear."""
-        keys = [key for key, _ in self.call]
+    def _submit_two_changes_with_the_same_versions(self) -> list[Code]:
+        """Each operator submits at the owner of one item, and retries until there is a definite answer."""
+        keys = [key for key, _ in self.change]
         ended: list[Code] = []
 
         def send(at: Machine, value: bytes) -> None:
             items = [Item(key=key, version=7, value=value) for key in keys]
 
-            def answered(answer: Answer) -> None:
+            def on_answer(answer: Answer) -> None:
                 if answer.code is Code.BUSY:
                     self.world.call_later(0.05, lambda: send(at, value))
                 else:
                     ended.append(answer.code)
 
-            self.world.submit_change(at, items, answered)
+            self.world.submit_change(at, items, on_answer)
 
         for key, value in zip(keys, (b"ours", b"theirs"), strict=True):
             send(self._owner(key), value)
         self.world.run_until(self.world.now + 10.0)
         return ended
 
-    def test_of_two_calls_that_share_several_versions_one_is_confirmed_and_one_refused(self) -> None:
-        self.assertEqual(sorted(self._two_calls_that_share_both_versions()), [Code.DONE, Code.CONFLICT])
+    def test_of_two_changes_with_the_same_versions_one_is_confirmed_and_one_refused(self) -> None:
+        self.assertEqual(
+            sorted(self._submit_two_changes_with_the_same_versions()), [Code.DONE, Code.CONFLICT]
+        )
 
-    def test_reserved_in_no_order_each_waits_for_the_other_without_end(self) -> None:
+    def test_without_an_order_of_reservations_two_changes_deadlock(self) -> None:
         with PLANTS["reserved_in_no_order"]():
-            self.assertEqual(self._two_calls_that_share_both_versions(), [])
+            self.assertEqual(self._submit_two_changes_with_the_same_versions(), [])
 
-    def test_courses_in_which_that_happened(self) -> None:
-        for seed in ENTANGLED_SEEDS:
+    def test_scenarios_that_had_a_deadlock(self) -> None:
+        for seed in DEADLOCK_SEEDS:
             with self.subTest(seed=seed):
                 Scenario(seed, fault_count=10, change_count=24).run()
 
 
-class Standstill(unittest.TestCase):
-    """A machine that stands still for seconds and runs on with what it knew."""
+class PausedMachine(unittest.TestCase):
+    """A machine is paused for seconds and resumes with its former state."""
 
-    def test_nothing_old_is_handed_out_and_every_rule_holds(self) -> None:
+    def test_no_outdated_state_is_sent_and_every_invariant_holds(self) -> None:
         for seed in FROZEN_SEEDS:
             with self.subTest(seed=seed):
                 Scenario(
@@ -206,16 +208,16 @@
                     node_count=6,
                 ).run()
 
-    def _old_state_at_the_thaw(self) -> None:
-        """A station calls a machine that stands still; the others confirm a change meanwhile."""
+    def _open_session_with_paused_machine(self) -> None:
+        """A node opens a session with a paused machine; the others confirm a change meanwhile."""
         world = World(2)
-        stations = SimulatedNodes(world, 1)
+        nodes = SimulatedNodes(world, 1)
         world.run_until(4.0)
         frozen, other, _ = world.machines.values()
-        station = stations.nodes[0]
+        node = nodes.nodes[0]
         world.freeze(frozen)
-        station.machine_address = ""
-        stations.open_session(station, frozen)
+        node.machine_address = ""
+        nodes.open_session(node, frozen)
         codes: list[Code] = []
         world.run_until(6.0)
         world.submit_change(
@@ -223,17 +225,17 @@
         )
         world.run_until(24.0)
         self.assertEqual(codes, [Code.DONE])
-        station.machine_address = ""  # its session with another has ended just now
+        node.machine_address = ""  # as if its session with another machine had just ended
         world.thaw(frozen)
         world.run_until(30.0)
-        stations.check_all_delivered()
+        nodes.check_all_delivered()
 
-    def test_a_machine_that_wakes_hands_out_nothing_before_a_majority_answered(self) -> None:
-        self._old_state_at_the_thaw()
+    def test_a_resumed_machine_sends_no_state_before_a_majority_answered(self) -> None:
+        self._open_session_with_paused_machine()
 
-    def test_one_that_believes_its_links_hands_out_what_is_old(self) -> None:
+    def test_a_resumed_machine_that_trusts_its_links_sends_outdated_state(self) -> None:
         with PLANTS["links_believed"](), self.assertRaisesRegex(InvariantViolation, "hands out .* older"):
-            self._old_state_at_the_thaw()
+            self._open_session_with_paused_machine()
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_emulation.py
+++ b/tests/mesh/test_emulation.py
@@ -1,4 +1,4 @@
-"""Whole meshes in virtual time: they serve, lose a signalbox, and lend a machine to a window."""
+"""Whole meshes in virtual time: traffic, loss of a control process, and maintenance windows."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     def fleet(
         self, seed: int = 1, *, approved: bool = True, terms: dict[str, Any] | None = None, **asked: Any
     ) -> Fleet:
-        """A mesh whose operator sends contracts, and asks for a window if one is given."""
+        """A mesh whose operator sends contracts, and orders a maintenance window if one is given."""
         fleet = Fleet(seed, PLAN, maintenance=True)
         self.answers: list[tuple[int, bytes]] = []
         body = contracts(approved=approved)
@@ -57,28 +57,28 @@
         fleet.call_at(5.0, lambda: fleet.run_operator(operate))
         return fleet
 
-    def lent(self, fleet: Fleet) -> list[str]:
-        """Stations that hold the first machine as lent."""
+    def nodes_that_drain(self, fleet: Fleet) -> list[str]:
+        """Names of the nodes that treat the first machine as drained for maintenance."""
         holds = [m for m in fleet.node_machines if m.node is not None]
         return [m.name for m in holds if m.node and m.node.state.lent.lent("side-0", LOOKUPS)]
 
-    def landed(self, fleet: Fleet, doubt: int = 0) -> None:
-        """Every booking landed once; doubt: but for so many, whose clients were told of no success."""
+    def check_bookings(self, fleet: Fleet, doubt: int = 0) -> None:
+        """Every booking ran once, apart from at most `doubt` whose clients got no answer of success."""
         told = BookingOutcomes.of(fleet)
         self.assertGreater(told.asked, 300)
         self.assertEqual((told.lost, told.twice), (0, 0))
         self.assertLessEqual(told.asked - told.landed_once, doubt)
         self.assertEqual(fleet.errors, [])
 
-    def ran(self, fleet: Fleet, until: float) -> dict[str, int]:
-        """What the first machine's server runs from now on, by host."""
+    def requests_run(self, fleet: Fleet, until: float) -> dict[str, int]:
+        """The requests that the first machine's server runs from now on, by host."""
         server = fleet.node_machines[0].server
         assert server is not None
         server.runs_by_host.clear()
         fleet.run_until(until)
         return dict(server.runs_by_host)
 
-    def test_a_mesh_serves_and_the_same_seed_plays_the_same(self) -> None:
+    def test_a_mesh_serves_and_the_same_seed_gives_the_same_run(self) -> None:
         digests = set()
         for _ in range(2):
             fleet = Fleet(3, PLAN)
@@ -87,7 +87,7 @@
             digests.add(fleet.scheduler.digest())
         self.assertEqual(len(digests), 1)
 
-    def test_sessions_are_in_the_own_zone_and_elsewhere_when_that_is_gone(self) -> None:
+    def test_sessions_prefer_the_local_zone_and_fail_over_to_others(self) -> None:
         fleet = Fleet(2, PLAN)
         fleet.run_until(6.0)
         self.assertEqual(self.sessions(fleet), {m.name: m.zone for m in fleet.node_machines})
@@ -99,13 +99,13 @@
         fleet.start_control_node(lost)
         fleet.run_until(12.0)
         fleet.kill(fleet.node_machines[0], "station")
-        fleet.start_node(fleet.node_machines[0])  # one that begins finds the signalbox of its zone again
+        fleet.start_node(fleet.node_machines[0])  # a new process finds the control process of its zone
         fleet.run_until(15.0)
         self.assertEqual(self.sessions(fleet)["side-0"], lost.zone)
         self.assertEqual(fleet.errors, [])
 
     def sessions(self, fleet: Fleet) -> dict[str, str]:
-        """By station with a session, the zone of its signalbox."""
+        """The zone of the control process for each node with a session."""
         found = {}
         for machine in fleet.node_machines:
             link = machine.node._session._link if machine.node is not None else None
@@ -132,18 +132,18 @@
         assert server is not None
         fleet.run_until(10.0)
         self.assertEqual([status for status, _ in self.answers], [200, 200])
-        fleet.run_until(13.5)  # lent from 10.0 on; drained after the routes' giveUp
-        self.assertEqual(len(self.lent(fleet)), 5)
+        fleet.run_until(13.5)  # unavailable from 10.0 s on; drained after the routes' giveUp
+        self.assertEqual(len(self.nodes_that_drain(fleet)), 5)
         server.runs_by_host.clear()
         fleet.run_until(16.0)
         self.assertEqual(server.runs_by_host["luku.example"], 0)
         fleet.run_until(24.0)
-        self.assertEqual(self.lent(fleet), [])
+        self.assertEqual(self.nodes_that_drain(fleet), [])
         self.assertGreater(server.runs_by_host["luku.example"], 10)
         fleet.run_until(42.0)
-        self.landed(fleet)
+        self.check_bookings(fleet)
 
-    def test_the_report_closes_the_books_by_both_ends(self) -> None:
+    def test_the_report_agrees_with_clients_and_servers(self) -> None:
         fleet = self.fleet(11, **order("side-0"))
         reports: list[dict[str, Any]] = []
 
@@ -164,7 +164,7 @@
         self.assertIn("<svg", shown)
         self.assertIn(f"<td>{bookings['landed']}", shown)
 
-    def test_a_booking_that_ran_twice_or_never_is_told(self) -> None:
+    def test_a_booking_that_ran_twice_or_never_is_reported(self) -> None:
         here, there = Ledger(), Ledger()
         for number in range(3):
             here.answered("var", 100, True, f"x{number}", Reply(200, b"", b""), 50.0)
@@ -179,27 +179,27 @@
         self.assertEqual(through, 100)
         self.assertEqual(report({}, counted, {})["var"]["lost"], 1)
         for _ in range(3):
-            there.ran("var", 100)  # late: counted all the same
+            there.ran("var", 100)  # late, but counted
         there.close(epochs + EPOCH_S)
         here.close(epochs + EPOCH_S)
         for name, each in (("a", here), ("b", there)):
             totals.take(name, each.through, each.closed.values())
         self.assertEqual(report({}, totals.latest()[1], {})["var"]["twice"], 2)
 
-    def test_one_tenant_leaves_a_machine_and_the_other_stays(self) -> None:
+    def test_one_tenant_is_drained_from_a_machine_and_the_other_stays(self) -> None:
         terms = contracts(approved=True)["addOrReplace"]["contracts"]
         terms["hieroja"] = {**terms["kampaamo"], "hosts": ["ajat.example"]}
         terms["kampaamo"] = {**terms["kampaamo"], "hosts": ["luku.example"]}
         fleet = self.fleet(13, terms=terms, **order("side-0", tenants=["kampaamo"]))
         fleet.run_until(13.5)
-        self.assertEqual(len(self.lent(fleet)), 5)
-        ran = self.ran(fleet, 16.5)
+        self.assertEqual(len(self.nodes_that_drain(fleet)), 5)
+        ran = self.requests_run(fleet, 16.5)
         self.assertNotIn("luku.example", ran)
         self.assertGreater(ran["ajat.example"], 3)
         fleet.run_until(42.0)
-        self.landed(fleet)
+        self.check_bookings(fleet)
 
-    def test_a_route_that_comes_while_a_machine_is_out_goes_elsewhere(self) -> None:
+    def test_a_route_added_during_a_window_avoids_the_machine(self) -> None:
         fleet = self.fleet(15, **order("side-0", works="12s"))
         fleet.run_until(13.5)
         moved = {**route("luku.example", "kal", once=False), "pathStart": "/a", "version": "00000002"}
@@ -212,37 +212,37 @@
         fleet.run_operator(operate)
         fleet.run_until(15.0)
         self.assertEqual([status for status, _ in got], [200])
-        self.assertNotIn("luku.example", self.ran(fleet, 20.0))
+        self.assertNotIn("luku.example", self.requests_run(fleet, 20.0))
         fleet.run_until(42.0)
-        self.landed(fleet)
+        self.check_bookings(fleet)
 
-    def test_a_machine_is_ended_before_its_drain_is_over(self) -> None:
+    def test_a_machine_is_shut_down_before_its_drain_is_over(self) -> None:
         fleet = self.fleet(17, **order("side-0"))
-        fleet.run_until(10.6)  # lent for half a second: bookings are under way there
+        fleet.run_until(10.6)  # draining for half a second: bookings are in flight
         machine = fleet.node_machines[0]
         assert machine.server is not None and machine.node is not None
         machine.server.draining = True
         with machine.loops["station"].running():
             machine.node.terminate()
-        machine.loops["clients"].kill()  # they go with the machine
+        machine.loops["clients"].kill()  # they stop with the machine
         asked = len(fleet.sent_requests())
         fleet.run_until(14.0)
         fleet.kill(machine, "server")
         fleet.run_until(42.0)
         self.assertGreater(len(fleet.sent_requests()), asked)
-        self.landed(fleet, doubt=2)
-        self.assertEqual(self.lent(fleet), [])
+        self.check_bookings(fleet, doubt=2)
+        self.assertEqual(self.nodes_that_drain(fleet), [])
 
-    def test_a_machine_that_loses_power_while_it_drains_doubles_nothing(self) -> None:
+    def test_a_machine_that_loses_power_while_draining_causes_no_duplicates(self) -> None:
         fleet = self.fleet(19, **order("side-0"))
         fleet.run_until(10.3)
         for kind in ("clients", "station", "server"):
             fleet.kill(fleet.node_machines[0], kind)
         fleet.run_until(42.0)
-        self.landed(fleet, doubt=12)
-        self.assertEqual(self.lent(fleet), [])
+        self.check_bookings(fleet, doubt=12)
+        self.assertEqual(self.nodes_that_drain(fleet), [])
 
-    def test_the_holder_is_told_to_end_halfway_and_the_next_goes_on(self) -> None:
+    def test_the_lease_holder_is_shut_down_during_a_window_and_the_next_continues(self) -> None:
         fleet = self.fleet(21, **order("side-0"))
         fleet.run_until(14.0)
         holder = next(m for m in fleet.control_machines if m.control_node and self.holds(m, fleet))
@@ -252,33 +252,33 @@
         fleet.run_until(15.0)
         fleet.kill(holder, "signalbox")
         fleet.run_until(42.0)
-        self.assertEqual(self.lent(fleet), [])
+        self.assertEqual(self.nodes_that_drain(fleet), [])
         self.assertEqual(self.state(fleet), "done")
-        self.landed(fleet)
+        self.check_bookings(fleet)
 
     def holds(self, machine: Machine, fleet: Fleet) -> bool:
         box = machine.control_node
         return box is not None and box.interlocking.leases.holds(POSSESSION, fleet.now)
 
     def state(self, fleet: Fleet) -> str:
-        """The window's, as a signalbox that is left has it."""
+        """The state of the window, as a remaining control process sees it."""
         left = next(m.control_node for m in fleet.control_machines if m.control_node is not None)
         assert left._possessions is not None
         return left._possessions.situation().windows["huolto"].state()
 
-    def test_what_a_contract_wants_is_given_back_when_a_zone_is_lost(self) -> None:
+    def test_a_machine_is_returned_early_when_a_zone_is_lost(self) -> None:
         fleet = self.fleet(23, **order("side-0", works="15s"))
         fleet.run_until(14.0)
-        self.assertEqual(len(self.lent(fleet)), 5)
+        self.assertEqual(len(self.nodes_that_drain(fleet)), 5)
         for kind in ("clients", "station", "server"):
             fleet.kill(
                 fleet.node_machines[1], kind
-            )  # the others' slots are a third of what they were: under the half
+            )  # the other servers have a third of their slots left, below the required half
         fleet.run_until(19.0)
-        self.assertEqual(self.lent(fleet), [])
-        self.assertGreater(self.ran(fleet, 21.0)["luku.example"], 5)
+        self.assertEqual(self.nodes_that_drain(fleet), [])
+        self.assertGreater(self.requests_run(fleet, 21.0)["luku.example"], 5)
 
-    def test_a_machine_that_comes_back_cold_is_taken_back_at_its_pace(self) -> None:
+    def test_a_machine_that_returns_cold_gets_traffic_at_its_cold_rate(self) -> None:
         fleet = self.fleet(25, **order("side-0"))
         fleet.run_until(16.0)
         server = fleet.node_machines[0].server
@@ -294,25 +294,25 @@
         while again.cold_left(fleet.now) > step_s:
             fleet.run_until(fleet.now + step_s)
             ran.append(sum(again.runs_by_host.values()))
-        cold = max(after - before for before, after in zip(ran, ran[10:], strict=False))  # any second of it
+        cold = max(after - before for before, after in zip(ran, ran[10:], strict=False))  # in any second
         self.assertGreater(cold, 2)
         self.assertLessEqual(cold, 1.5 * COLD_REQUESTS_PER_S + 5)
         fleet.run_until(42.0)
-        self.landed(fleet)
+        self.check_bookings(fleet)
 
-    def test_a_window_outside_approved_hours_leaves_traffic_untouched(self) -> None:
+    def test_a_window_outside_approved_hours_does_not_affect_traffic(self) -> None:
         fleet = self.fleet(approved=False, **order("side-0"))
         while fleet.now < 30.0:
             fleet.run_until(fleet.now + 0.5)
-            self.assertEqual(self.lent(fleet), [])
+            self.assertEqual(self.nodes_that_drain(fleet), [])
         self.assertEqual([status for status, _ in self.answers], [200, 409])
         self.assertIn(b"outside_hours", self.answers[1][1])
         self.assertIn(b"possible", self.answers[1][1])
 
-    def test_the_holder_is_lost_halfway_and_the_next_goes_on(self) -> None:
+    def test_the_lease_holder_is_lost_during_a_window_and_the_next_continues(self) -> None:
         fleet = self.fleet(5, **order("side-0"))
         fleet.run_until(14.0)
-        self.assertEqual(len(self.lent(fleet)), 5)
+        self.assertEqual(len(self.nodes_that_drain(fleet)), 5)
         holders = [
             m
             for m in fleet.control_machines
@@ -321,31 +321,31 @@
         self.assertEqual(len(holders), 1)
         fleet.kill(holders[0], "signalbox")
         fleet.run_until(42.0)
-        self.assertEqual(self.lent(fleet), [])
+        self.assertEqual(self.nodes_that_drain(fleet), [])
         self.assertEqual(self.state(fleet), "done")
-        self.landed(fleet)
+        self.check_bookings(fleet)
 
-    def test_a_machine_is_given_back_by_the_clock_though_the_core_is_gone(self) -> None:
+    def test_a_machine_is_returned_on_time_without_any_control_machine(self) -> None:
         fleet = self.fleet(7, **order("side-0"))
         fleet.run_until(14.0)
-        self.assertEqual(len(self.lent(fleet)), 5)
+        self.assertEqual(len(self.nodes_that_drain(fleet)), 5)
         for machine in fleet.control_machines:
             fleet.kill(machine, "signalbox")
-        fleet.run_until(26.0)  # the loan was until 17.5
-        self.assertEqual(self.lent(fleet), [])
+        fleet.run_until(26.0)  # the window was until 17.5 s
+        self.assertEqual(self.nodes_that_drain(fleet), [])
         server = fleet.node_machines[0].server
         assert server is not None
         server.runs_by_host.clear()
         fleet.run_until(32.0)
         self.assertGreater(server.runs_by_host["luku.example"], 10)
         fleet.run_until(42.0)
-        self.landed(fleet)
+        self.check_bookings(fleet)
 
-    def test_what_is_needed_is_given_back_when_others_are_lost(self) -> None:
+    def test_a_machine_is_returned_early_when_other_servers_are_lost(self) -> None:
         fleet = self.fleet(9, **order("side-0", works="10s"))
         fleet.run_until(14.0)
-        self.assertEqual(len(self.lent(fleet)), 5)
-        for machine in fleet.node_machines[1:3]:  # the others of its service
+        self.assertEqual(len(self.nodes_that_drain(fleet)), 5)
+        for machine in fleet.node_machines[1:3]:  # the other servers of its service
             for kind in ("station", "server", "clients"):
                 fleet.kill(machine, kind)
         server = fleet.node_machines[0].server
@@ -355,7 +355,7 @@
         fleet.run_until(20.5)
         self.assertGreater(server.runs_by_host["luku.example"], 5)
         fleet.run_until(23.0)
-        self.assertEqual(self.lent(fleet), [])
+        self.assertEqual(self.nodes_that_drain(fleet), [])
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_linearizability.py
+++ b/tests/mesh/test_linearizability.py
@@ -1,4 +1,4 @@
-"""The linearizability check: histories that one register explains, and histories that none does."""
+"""The linearizability check on histories that are linearizable and on histories that are not."""
 
 from __future__ import annotations
 
@@ -23,26 +23,26 @@
 
 
 class Histories(unittest.TestCase):
-    def test_what_one_register_explains(self) -> None:
+    def test_linearizable_histories(self) -> None:
         self.assertTrue(is_linearizable([]))
         self.assertTrue(
             is_linearizable(
                 [
                     operation(CONFIRMED, 1, b"a", 0.0, 4.0),
-                    operation(READ, 0, b"", 1.0, 2.0),  # before the order that overlaps it
+                    operation(READ, 0, b"", 1.0, 2.0),  # before the write that overlaps it
                     operation(READ, 1, b"a", 2.5, 3.0),
                     operation(REFUSED, 1, b"b", 3.0, 5.0),
                     operation(UNKNOWN, 2, b"c", 4.0),
                     operation(READ, 1, b"a", 6.0, 7.0),
-                    operation(READ, 2, b"c", 8.0, 9.0),  # it has taken place meanwhile
-                    operation(CONFIRMED, 1, b"a", 10.0, 11.0),  # sent again, and overtaken
+                    operation(READ, 2, b"c", 8.0, 9.0),  # it has taken effect meanwhile
+                    operation(CONFIRMED, 1, b"a", 10.0, 11.0),  # a retry of a superseded write
                 ]
             )
         )
         never = [operation(UNKNOWN, 2, b"c", 0.0), operation(READ, 0, b"", 5.0, 6.0)]
         self.assertTrue(is_linearizable(never))
 
-    def test_what_none_explains(self) -> None:
+    def test_histories_that_are_not_linearizable(self) -> None:
         both = [operation(CONFIRMED, 1, b"a", 0.0, 1.0), operation(CONFIRMED, 1, b"b", 0.0, 1.0)]
         lost = [operation(CONFIRMED, 1, b"a", 0.0, 1.0), operation(READ, 0, b"", 2.0, 3.0)]
         back = [
@@ -55,10 +55,10 @@
         for wrong in (both, lost, back, invented, taken_and_refused):
             self.assertFalse(is_linearizable(wrong))
 
-    def test_many_overlapping_orders_are_searched_and_too_many_are_told(self) -> None:
-        orders = [operation(CONFIRMED, i + 1, b"%d" % i, 0.0, 10.0) for i in range(40)]
-        self.assertTrue(is_linearizable([*orders, operation(READ, 40, b"39", 11.0, 12.0)]))
-        few = [*orders[:10], operation(READ, 10, b"none", 11.0, 12.0)]
+    def test_many_overlapping_writes_are_searched_and_too_many_are_reported(self) -> None:
+        writes = [operation(CONFIRMED, i + 1, b"%d" % i, 0.0, 10.0) for i in range(40)]
+        self.assertTrue(is_linearizable([*writes, operation(READ, 40, b"39", 11.0, 12.0)]))
+        few = [*writes[:10], operation(READ, 10, b"none", 11.0, 12.0)]
         self.assertFalse(is_linearizable(few))
         with (
             mock.patch.object(linearizability, "MAX_STATES", 50),
@@ -66,10 +66,10 @@
         ):
             is_linearizable(few)
 
-    def test_courses_are_explained_and_a_fault_that_only_their_answers_show_is_found(self) -> None:
+    def test_a_fault_that_only_the_answers_show_is_detected(self) -> None:
         world = Scenario(3, fault_count=8, change_count=24).run()
         self.assertGreater(len(world.history), 100)
-        with PLANTS["one_version_two_values"](), mock.patch.object(World, "fail", self._only_history):
+        with PLANTS["one_version_two_values"](), mock.patch.object(World, "fail", self._check_history_only):
             broken = 0
             for seed in range(12):
                 try:
@@ -79,21 +79,21 @@
         self.assertGreater(broken, 0)
 
     @staticmethod
-    def _only_history(world: World, text: str) -> None:
-        """All hand-written rules are passed over."""
+    def _check_history_only(world: World, text: str) -> None:
+        """Ignore all invariants but linearizability."""
         if "fit no order" in text:
             raise InvariantViolation(text)
 
-    def test_the_register_is_the_owners(self) -> None:
-        """What the check takes for allowed is what an owner answers to one order after another."""
+    def test_the_register_matches_a_section_owner(self) -> None:
+        """The outcomes that the check allows are those of an owner that handles one change after another."""
         world = World(1)
         world.run_until(4.0)
         machine = next(iter(world.machines.values()))
         for version, value in ((2, b"a"), (2, b"a"), (2, b"b"), (1, b"c"), (3, b"d"), (3, b"a")):
             world.submit_change(machine, [Item(key="k", version=version, value=value)], lambda answer: None)
             world.run_until(world.now + 1.0)
-        told = [each.outcome for each in world.history]
-        self.assertEqual(told, [CONFIRMED, CONFIRMED, REFUSED, CONFIRMED, CONFIRMED, REFUSED])
+        outcomes = [operation.outcome for operation in world.history]
+        self.assertEqual(outcomes, [CONFIRMED, CONFIRMED, REFUSED, CONFIRMED, CONFIRMED, REFUSED])
         world.check_linearizable()
 
 
