--- a/leadrudder/control_simulation/world.py
+++ b/leadrudder/control_simulation/world.py
@@ -1,9 +1,9 @@
-"""A world of signalboxes' interlockings: links, disks, faults and operators in virtual time.
+"""Simulated control machines with links, disks, faults and operators in virtual time.
 
-The very state machines that run are played, nothing of them is modelled. Links are ordered and end when
-they are silent; a disk holds what it has synced, and of what it has not a part that the seed draws;
-processes are killed, machines lose power or their disk, or are replaced by an empty one at another address.
-Times are seconds.
+The production state machines run here; they are not modelled. Links deliver in order and close when they are
+silent. A disk keeps all synced writes and a prefix of the unsynced ones, drawn from the seed. Processes are
+killed; machines lose power or their disk, or are replaced by an empty machine at another address. Times are
+seconds.
 """
 
 from __future__ import annotations
@@ -21,325 +21,349 @@
 from leadrudder.consensus.lease import MEMBER_EXPIRY
 from leadrudder.consensus.outputs import Answer, Committed, Output, ResultCode, Send, Write
 from leadrudder.consensus.state_machine import ControlStateMachine
-from leadrudder.control_simulation.linearizability import Operation, Outcome, Register, wrong_keys
+from leadrudder.control_simulation.linearizability import Operation, Outcome, Register, non_linearizable_keys
 from leadrudder.protocol.mesh_pb2 import Frame, Item
 
-TICK_S = 0.1
-DIAL_S = 0.25
-EVENTS_MOST = 400_000  # of one play
-SILENCE_S = 1.0
-DELAY_S = (0.0005, 0.004)
-SYNC_S = (0.008, 0.03)
+TICK_INTERVAL_S = 0.1
+CONNECT_INTERVAL_S = 0.25
+MAX_EVENTS = 400_000  # in one run
+LINK_TIMEOUT_S = 1.0
+LINK_DELAY_RANGE_S = (0.0005, 0.004)
+SYNC_DURATION_RANGE_S = (0.008, 0.03)
 
 
-class Broken(AssertionError):  # noqa: N818 - it says what is the matter with a rule
-    """A rule of the control state does not hold; the text tells which, and what led to it."""
+class InvariantViolation(AssertionError):  # noqa: N818
+    """An invariant of the control state does not hold; the text names it and ends with the trace."""
 
 
 @dataclass(slots=True)
-class Pending:
+class PendingWrite:
+    """Records to be synced, and the frames to be sent after that."""
+
     records: dict[str, bytes]
-    then: tuple[Send, ...]
+    sends: tuple[Send, ...]
 
 
 @dataclass(slots=True)
 class Machine:
-    """A core machine: its disk, and its process while it runs."""
+    """A control machine: its disk, and its process while that runs."""
 
     address: str
     first_run: bool
     disk: dict[str, bytes] = field(default_factory=dict)
     process: ControlStateMachine | None = None
-    life: int = 0
-    queue: list[Pending] = field(default_factory=list)
+    incarnation: int = 0
+    pending_writes: list[PendingWrite] = field(default_factory=list)
     writing: bool = False
     stalled_until: float = 0.0
-    slow: float = 1.0  # how many times as long a sync takes
-    frozen: bool = False  # its process stands still; what comes in meanwhile waits
-    inbox: list[Callable[[], None]] = field(default_factory=list)  # inputs that wait for the thaw
-    gone: bool = False  # taken away for good
+    sync_slowdown: float = 1.0  # factor on the duration of a sync
+    frozen: bool = False  # the process is paused; inputs are deferred until it resumes
+    deferred_inputs: list[Callable[[], None]] = field(default_factory=list)  # while frozen
+    removed: bool = False  # permanently
 
 
 @dataclass(frozen=True, slots=True)
-class Acknowledged:
-    """A version that an operator was told of, and when."""
+class AcknowledgedVersion:
+    """A version that was confirmed to an operator, and when."""
 
-    at: float
+    at_s: float
     key: str
     version: int
 
 
 @dataclass(slots=True)
-class Wire:
-    """One connection, by the lives of its ends."""
+class Connection:
+    """A connection between two machines, valid for one incarnation of each."""
 
-    ends: tuple[str, str]
-    lives: tuple[int, int]
-    last: dict[str, float] = field(default_factory=dict)  # by receiver: when the latest frame arrives
-    up: bool = True
+    addresses: tuple[str, str]
+    incarnations: tuple[int, int]
+    last_arrival_s: dict[str, float] = field(default_factory=dict)  # of the latest frame, by receiver
+    is_open: bool = True
 
 
 class World:
-    """One play. All chance comes from the seed, so it plays the same again."""
+    """One simulation run. All randomness comes from the seed, so a run can be repeated."""
 
     def __init__(self, seed: int, machines: int = 3) -> None:
         self.rng = Random(seed)
         self.now = 0.0
-        self.story: list[str] = []
+        self.trace: list[str] = []
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._count = 0
-        self.losses = machines // 2
-        self.seeds = tuple(f"10.{i}.0.1:1" for i in range(min(3, machines)))
+        self._event_count = 0
+        self.tolerated_losses = machines // 2
+        self.seed_addresses = tuple(f"10.{i}.0.1:1" for i in range(min(3, machines)))
         self.machines = {f"10.{i}.0.1:1": Machine(f"10.{i}.0.1:1", True) for i in range(machines)}
-        self._wires: dict[frozenset[str], Wire] = {}
-        self.cuts: set[tuple[str, str]] = set()  # from, to: nothing passes
-        self.values: dict[tuple[str, int], bytes] = {}  # what has stood, by key and version
-        self.refused: set[tuple[str, int, bytes]] = set()
-        self.acknowledged: dict[str, Item] = {}
-        self.acknowledgements: list[Acknowledged] = []  # all, in their order
-        self.history: list[Operation] = []  # orders and reads, as operators know them
-        self.owners: dict[tuple[int, int], str] = {}
-        self.answers: dict[tuple[str, int], Callable[[Answer], None]] = {}
-        self._numbers = 0
-        self.on_stands: list[Callable[[Machine, tuple[Item, ...]], None]] = []
-        self.events_most = EVENTS_MOST
-        self.bytes_to: Counter[str] = Counter()  # of frames, by receiver
-        self.largest_frame = 0  # bytes
-        self.longest_step_s = 0.0  # real time of one machine's handling of one frame
-        self.held = 0  # steps at which somebody held the duty
+        self._connections: dict[frozenset[str], Connection] = {}
+        self.blocked_directions: set[tuple[str, str]] = set()  # (from, to): no frame is delivered
+        self.committed_values: dict[tuple[str, int], bytes] = {}  # by key and version
+        self.refused_values: set[tuple[str, int, bytes]] = set()
+        self.latest_acknowledged: dict[str, Item] = {}
+        self.acknowledgements: list[AcknowledgedVersion] = []  # in order of time
+        self.history: list[Operation] = []  # changes and reads, as operators see them
+        self.section_owners: dict[tuple[int, int], str] = {}
+        self.answer_callbacks: dict[tuple[str, int], Callable[[Answer], None]] = {}
+        self._request_count = 0
+        self.commit_listeners: list[Callable[[Machine, tuple[Item, ...]], None]] = []
+        self.max_events = MAX_EVENTS
+        self.bytes_sent_to: Counter[str] = Counter()  # in frames, by receiver
+        self.largest_frame_bytes = 0
+        self.longest_step_s = 0.0  # wall-clock time that one machine took to handle one frame
+        self.steps_with_lease_holder = 0  # steps at which some machine held the sweep lease
         for machine in self.machines.values():
-            self.at(0.1 * self.rng.random(), self._starter(machine))
-        self.at(DIAL_S, self._dial)
-        self.at(TICK_S, self._tick)
+            self.call_at(0.1 * self.rng.random(), self._start_callback(machine))
+        self.call_at(CONNECT_INTERVAL_S, self._connect_all)
+        self.call_at(TICK_INTERVAL_S, self._tick)
 
     # ------------------------------------------------------------ time
 
-    def at(self, when: float, do: Callable[[], None]) -> None:
-        self._count += 1
-        heapq.heappush(self._events, (when, self._count, do))
+    def call_at(self, when: float, callback: Callable[[], None]) -> None:
+        self._event_count += 1
+        heapq.heappush(self._events, (when, self._event_count, callback))
 
-    def after(self, span: float, do: Callable[[], None]) -> None:
-        self.at(self.now + span, do)
+    def call_later(self, delay_s: float, callback: Callable[[], None]) -> None:
+        self.call_at(self.now + delay_s, callback)
 
-    def play(self, until: float) -> None:
+    def run_until(self, until: float) -> None:
         while self._events and self._events[0][0] <= until:
-            self.now, _, do = heapq.heappop(self._events)
-            if self._count > self.events_most:
-                self.broken("frames go round and round")
-            do()
+            self.now, _, callback = heapq.heappop(self._events)
+            if self._event_count > self.max_events:
+                self.fail("frames go round and round")
+            callback()
         self.now = until
 
-    def tell(self, text: str) -> None:
-        self.story.append(f"{self.now:8.3f} {text}")
+    def record(self, text: str) -> None:
+        self.trace.append(f"{self.now:8.3f} {text}")
 
-    def broken(self, text: str) -> None:
-        raise Broken("\n".join([text, *self.story[-60:]]))
+    def fail(self, text: str) -> None:
+        raise InvariantViolation("\n".join([text, *self.trace[-60:]]))
 
     def _tick(self) -> None:
         for machine in list(self.machines.values()):
             if machine.process is not None and not machine.frozen:
-                self._carry_out(machine, machine.process.tick(self.now))
-        self.after(TICK_S, self._tick)
+                self.apply_outputs(machine, machine.process.tick(self.now))
+        self.call_later(TICK_INTERVAL_S, self._tick)
 
     # ------------------------------------------------------------ processes
 
-    def _starter(self, machine: Machine) -> Callable[[], None]:
+    def _start_callback(self, machine: Machine) -> Callable[[], None]:
         return lambda: self.start(machine)
 
     def start(self, machine: Machine) -> None:
-        if machine.gone or machine.process is not None:
+        if machine.removed or machine.process is not None:
             return
-        machine.life += 1
+        machine.incarnation += 1
         machine.process = ControlStateMachine(
             machine.address,
             "zone",
             first_run=machine.first_run,
-            seeds=self.seeds,
-            losses=self.losses,
+            seeds=self.seed_addresses,
+            losses=self.tolerated_losses,
             rng=Random(self.rng.random()),
             records=dict(machine.disk),
         )
-        self.tell(f"{machine.address} starts with {len(machine.disk)} records")
+        self.record(f"{machine.address} starts with {len(machine.disk)} records")
 
     def kill(self, machine: Machine, *, power: bool = False, wipe: bool = False) -> None:
-        """The process dies; with the power what was not synced is there in part, with the disk all goes."""
+        """End the process. A part of its unsynced writes is kept; wipe loses the whole disk."""
         if machine.process is None:
             return
         machine.process = None
-        machine.frozen, machine.inbox = False, []
-        for pending in machine.queue[: self.rng.randrange(len(machine.queue) + 1)]:
+        machine.frozen, machine.deferred_inputs = False, []
+        for pending in machine.pending_writes[: self.rng.randrange(len(machine.pending_writes) + 1)]:
             machine.disk.update(pending.records)
-        machine.queue, machine.writing = [], False
+        machine.pending_writes, machine.writing = [], False
         if wipe:
             machine.disk, machine.first_run = {}, False
-        self.tell(f"{machine.address} {'is wiped' if wipe else 'loses power' if power else 'is killed'}")
-        for wire in list(self._wires.values()):
-            if machine.address in wire.ends:
-                self.after(SILENCE_S if power else 0.002, lambda wire=wire: self._end(wire))  # type: ignore[misc]
+        self.record(f"{machine.address} {'is wiped' if wipe else 'loses power' if power else 'is killed'}")
+        for connection in list(self._connections.values()):
+            if machine.address in connection.addresses:
+                self.call_later(LINK_TIMEOUT_S if power else 0.002, lambda c=connection: self._close(c))  # type: ignore[misc]
 
     def freeze(self, machine: Machine) -> None:
-        """The process stands still: others notice silence, and it notices nothing until the thaw."""
+        """Pause the process: peers see a silent link, and it sees nothing until it resumes."""
         if machine.process is None or machine.frozen:
             return
         machine.frozen = True
-        self.tell(f"{machine.address} stands still")
-        for wire in list(self._wires.values()):
-            if machine.address in wire.ends:
-                self.after(SILENCE_S, lambda wire=wire: self._end(wire))  # type: ignore[misc]
+        self.record(f"{machine.address} stands still")
+        for connection in list(self._connections.values()):
+            if machine.address in connection.addresses:
+                self.call_later(LINK_TIMEOUT_S, lambda c=connection: self._close(c))  # type: ignore[misc]
 
     def thaw(self, machine: Machine) -> None:
-        """What came in meanwhile is handled, in its order and late, and then the ends of links."""
+        """Resume the process: deferred inputs are handled late and in order, then the closed links."""
         if not machine.frozen:
             return
         machine.frozen = False
-        self.tell(f"{machine.address} runs again")
-        waiting, machine.inbox = machine.inbox, []
-        for handle in waiting:
+        self.record(f"{machine.address} runs again")
+        deferred, machine.deferred_inputs = machine.deferred_inputs, []
+        for handle in deferred:
             handle()
 
-    def _when_it_runs(self, machine: Machine, handle: Callable[[], None]) -> None:
+    def _run_or_defer(self, machine: Machine, handle: Callable[[], None]) -> None:
         if machine.frozen:
-            machine.inbox.append(handle)
+            machine.deferred_inputs.append(handle)
         else:
             handle()
 
     def replace(self, machine: Machine, address: str) -> Machine:
-        """One is gone for good; an empty one comes at another address."""
+        """Remove a machine permanently and add an empty one at another address."""
         self.kill(machine, power=True)
-        machine.gone = True
-        self.tell(f"{machine.address} is gone for good")
-        return self.join(address)
+        machine.removed = True
+        self.record(f"{machine.address} is gone for good")
+        return self.add_machine(address)
 
-    def join(self, address: str) -> Machine:
-        """An empty machine comes."""
-        fresh = Machine(address, False)
-        self.machines[address] = fresh
-        self.start(fresh)
-        return fresh
+    def add_machine(self, address: str) -> Machine:
+        """Add an empty machine and start it."""
+        new_machine = Machine(address, False)
+        self.machines[address] = new_machine
+        self.start(new_machine)
+        return new_machine
 
     # ------------------------------------------------------------ links
 
-    def _running(self, address: str) -> Machine | None:
+    def _running_machine(self, address: str) -> Machine | None:
         machine = self.machines.get(address)
         return machine if machine is not None and machine.process is not None else None
 
-    def _dial(self) -> None:
+    def _connect_all(self) -> None:
         running = [m for m in self.machines.values() if m.process is not None and not m.frozen]
         for i, a in enumerate(running):
             for b in running[i + 1 :]:
                 pair = frozenset((a.address, b.address))
-                old = self._wires.get(pair)
-                if old is not None and old.up:
+                existing = self._connections.get(pair)
+                if existing is not None and existing.is_open:
                     continue
-                if (a.address, b.address) in self.cuts or (b.address, a.address) in self.cuts:
+                if (a.address, b.address) in self.blocked_directions or (
+                    b.address,
+                    a.address,
+                ) in self.blocked_directions:
                     continue
-                self._wires[pair] = Wire((a.address, b.address), (a.life, b.life))
-                for one, other in ((a, b), (b, a)):
-                    if one.process is not None:
-                        self._carry_out(one, one.process.up(other.address, self.now))
-        self.after(DIAL_S, self._dial)
-
-    def _end(self, wire: Wire) -> None:
-        if not wire.up:
+                self._connections[pair] = Connection((a.address, b.address), (a.incarnation, b.incarnation))
+                for machine, peer in ((a, b), (b, a)):
+                    if machine.process is not None:
+                        self.apply_outputs(machine, machine.process.up(peer.address, self.now))
+        self.call_later(CONNECT_INTERVAL_S, self._connect_all)
+
+    def _close(self, connection: Connection) -> None:
+        if not connection.is_open:
             return
-        wire.up = False
-        for i, address in enumerate(wire.ends):
-            machine = self._running(address)
-            if machine is not None and machine.life == wire.lives[i]:
-                self._when_it_runs(machine, self._downer(machine, wire.lives[i], wire.ends[1 - i]))
-
-    def _downer(self, machine: Machine, life: int, other: str) -> Callable[[], None]:
+        connection.is_open = False
+        for i, address in enumerate(connection.addresses):
+            machine = self._running_machine(address)
+            if machine is not None and machine.incarnation == connection.incarnations[i]:
+                self._run_or_defer(
+                    machine,
+                    self._peer_down_callback(
+                        machine, connection.incarnations[i], connection.addresses[1 - i]
+                    ),
+                )
+
+    def _peer_down_callback(self, machine: Machine, incarnation: int, peer: str) -> Callable[[], None]:
         def down() -> None:
-            if machine.process is not None and machine.life == life:
-                self._carry_out(machine, machine.process.down(other, self.now))
+            if machine.process is not None and machine.incarnation == incarnation:
+                self.apply_outputs(machine, machine.process.down(peer, self.now))
 
         return down
 
-    def cut(self, a: Iterable[str], b: Iterable[str], *, one_way: bool = False) -> None:
-        """Nothing passes from a to b; nor back, unless it is cut one way only."""
+    def partition(self, a: Iterable[str], b: Iterable[str], *, one_way: bool = False) -> None:
+        """Block all frames from a to b, and from b to a unless one_way is set."""
         pairs = [(x, y) for x in a for y in b]
-        self.cuts.update(pairs)
+        self.blocked_directions.update(pairs)
         if not one_way:
-            self.cuts.update((y, x) for x, y in pairs)
-        self.tell(f"cut {'one way ' if one_way else ''}{pairs}")
+            self.blocked_directions.update((y, x) for x, y in pairs)
+        self.record(f"cut {'one way ' if one_way else ''}{pairs}")
         for x, y in pairs:
-            wire = self._wires.get(frozenset((x, y)))
-            if wire is not None:
-                self.after(SILENCE_S, lambda wire=wire: self._end(wire))  # type: ignore[misc]
+            connection = self._connections.get(frozenset((x, y)))
+            if connection is not None:
+                self.call_later(LINK_TIMEOUT_S, lambda c=connection: self._close(c))  # type: ignore[misc]
 
     def heal(self) -> None:
-        self.cuts.clear()
-        self.tell("cuts end")
+        self.blocked_directions.clear()
+        self.record("cuts end")
 
     def _send(self, machine: Machine, send: Send) -> None:
         if send.to == machine.address:
-            self._arrive(machine, machine.life, machine.address, send.frame)
+            self._receive(machine, machine.incarnation, machine.address, send.frame)
             return
-        wire = self._wires.get(frozenset((machine.address, send.to)))
-        if wire is None or not wire.up or (machine.address, send.to) in self.cuts:
+        connection = self._connections.get(frozenset((machine.address, send.to)))
+        if (
+            connection is None
+            or not connection.is_open
+            or (machine.address, send.to) in self.blocked_directions
+        ):
             return
-        place = wire.ends.index(send.to)
-        if wire.lives[1 - place] != machine.life:
+        receiver_index = connection.addresses.index(send.to)
+        if connection.incarnations[1 - receiver_index] != machine.incarnation:
             return
-        when = max(self.now + self.rng.uniform(*DELAY_S), wire.last.get(send.to, 0.0))
-        wire.last[send.to] = when
+        due_s = max(
+            self.now + self.rng.uniform(*LINK_DELAY_RANGE_S), connection.last_arrival_s.get(send.to, 0.0)
+        )
+        connection.last_arrival_s[send.to] = due_s
         data = send.frame.SerializeToString()
-        self.bytes_to[send.to] += len(data)
-        self.largest_frame = max(self.largest_frame, len(data))
+        self.bytes_sent_to[send.to] += len(data)
+        self.largest_frame_bytes = max(self.largest_frame_bytes, len(data))
 
         def arrive() -> None:
-            receiver = self._running(send.to)
-            if receiver is None or not wire.up or (machine.address, send.to) in self.cuts:
+            receiver = self._running_machine(send.to)
+            if (
+                receiver is None
+                or not connection.is_open
+                or (machine.address, send.to) in self.blocked_directions
+            ):
                 return
-            life, sender, frame = wire.lives[place], machine.address, Frame.FromString(data)
-            self._when_it_runs(receiver, lambda: self._arrive(receiver, life, sender, frame))
-
-        self.at(when, arrive)
-
-    def _arrive(self, machine: Machine, life: int, peer: str, frame: Frame) -> None:
-        if machine.process is not None and machine.life == life:
-            began = time.perf_counter()
+            incarnation, sender, frame = (
+                connection.incarnations[receiver_index],
+                machine.address,
+                Frame.FromString(data),
+            )
+            self._run_or_defer(receiver, lambda: self._receive(receiver, incarnation, sender, frame))
+
+        self.call_at(due_s, arrive)
+
+    def _receive(self, machine: Machine, incarnation: int, peer: str, frame: Frame) -> None:
+        if machine.process is not None and machine.incarnation == incarnation:
+            start_s = time.perf_counter()
             outputs = machine.process.frame(peer, frame, self.now)
-            self.longest_step_s = max(self.longest_step_s, time.perf_counter() - began)
-            self._carry_out(machine, outputs)
+            self.longest_step_s = max(self.longest_step_s, time.perf_counter() - start_s)
+            self.apply_outputs(machine, outputs)
 
     # ------------------------------------------------------------ outputs
 
-    def _carry_out(self, machine: Machine, outputs: list[Output]) -> None:
+    def apply_outputs(self, machine: Machine, outputs: list[Output]) -> None:
         for output in outputs:
             if isinstance(output, Send):
                 self._send(machine, output)
             elif isinstance(output, Write):
-                self._put(machine, Pending(output.records, output.then))
+                self._enqueue_write(machine, PendingWrite(output.records, output.then))
             elif isinstance(output, Committed):
                 for item in output.items:
-                    self._stood(machine, item)
-                for told in self.on_stands:
-                    told(machine, output.items)
+                    self.check_committed(machine, item)
+                for listener in self.commit_listeners:
+                    listener(machine, output.items)
             elif isinstance(output, Answer):
-                answered = self.answers.pop((machine.address, output.number), None)
-                if answered is not None:
-                    answered(output)
+                on_answer = self.answer_callbacks.pop((machine.address, output.number), None)
+                if on_answer is not None:
+                    on_answer(output)
         holders = [
             m.address
             for m in self.machines.values()
             if m.process is not None and not m.frozen and m.process.leases.holds(MEMBER_EXPIRY, self.now)
         ]
         if len(holders) > 1:
-            self.broken(f"one duty has two holders: {holders}")
-        self.held += bool(holders)
+            self.fail(f"one duty has two holders: {holders}")
+        self.steps_with_lease_holder += bool(holders)
         if machine.process is not None:
             for section, state in machine.process.ownership.sections.items():
                 if state.ready:
-                    holder = self.owners.setdefault((section, state.epoch), machine.address)
+                    holder = self.section_owners.setdefault((section, state.epoch), machine.address)
                     if holder != machine.address:
-                        self.broken(f"section {section} has two owners at epoch {state.epoch}")
+                        self.fail(f"section {section} has two owners at epoch {state.epoch}")
 
-    def _put(self, machine: Machine, pending: Pending) -> None:
-        machine.queue.append(pending)
-        if not pending.records and len(machine.queue) == 1 and not machine.writing:
-            machine.queue.clear()
-            for send in pending.then:
+    def _enqueue_write(self, machine: Machine, pending: PendingWrite) -> None:
+        machine.pending_writes.append(pending)
+        if not pending.records and len(machine.pending_writes) == 1 and not machine.writing:
+            machine.pending_writes.clear()
+            for send in pending.sends:
                 self._send(machine, send)
             return
         if not machine.writing:
@@ -347,146 +371,153 @@
 
     def _sync(self, machine: Machine) -> None:
         machine.writing = True
-        life, batch = machine.life, len(machine.queue)
-        when = max(self.now, machine.stalled_until) + machine.slow * self.rng.uniform(*SYNC_S)
+        incarnation, batch = machine.incarnation, len(machine.pending_writes)
+        due_s = max(self.now, machine.stalled_until) + machine.sync_slowdown * self.rng.uniform(
+            *SYNC_DURATION_RANGE_S
+        )
 
         def synced() -> None:
-            if machine.life != life or machine.process is None:
+            if machine.incarnation != incarnation or machine.process is None:
                 return
             if machine.frozen:
-                machine.inbox.append(synced)
+                machine.deferred_inputs.append(synced)
                 return
             if machine.stalled_until > self.now:
-                self.at(machine.stalled_until + 0.01, synced)
+                self.call_at(machine.stalled_until + 0.01, synced)
                 return
-            done, machine.queue = machine.queue[:batch], machine.queue[batch:]
+            synced_writes, machine.pending_writes = (
+                machine.pending_writes[:batch],
+                machine.pending_writes[batch:],
+            )
             machine.writing = False
-            for pending in done:
+            for pending in synced_writes:
                 machine.disk.update(pending.records)
-            if machine.queue:
+            if machine.pending_writes:
                 self._sync(machine)
-            for pending in done:
-                for send in pending.then:
+            for pending in synced_writes:
+                for send in pending.sends:
                     self._send(machine, send)
 
-        self.at(when, synced)
+        self.call_at(due_s, synced)
 
-    def _stood(self, machine: Machine, item: Item) -> None:
+    def check_committed(self, machine: Machine, item: Item) -> None:
         value = b"" if item.dropped else b"=" + item.value
-        known = self.values.setdefault((item.key, item.version), value)
-        if known != value:
-            self.broken(f"{item.key} version {item.version} stands with two values, at {machine.address}")
-        if (item.key, item.version, item.value) in self.refused:
-            self.broken(f"{item.key} version {item.version} stands though it was refused")
+        committed = self.committed_values.setdefault((item.key, item.version), value)
+        if committed != value:
+            self.fail(f"{item.key} version {item.version} stands with two values, at {machine.address}")
+        if (item.key, item.version, item.value) in self.refused_values:
+            self.fail(f"{item.key} version {item.version} stands though it was refused")
 
-    # ------------------------------------------------------------ operators
+    # ------------------------------------------------------------ requests of operators
 
-    def call(self, machine: Machine, items: list[Item], answered: Callable[[Answer], None]) -> None:
-        """An operator's change, at one machine."""
+    def submit_change(self, machine: Machine, items: list[Item], on_answer: Callable[[Answer], None]) -> None:
+        """Submit an operator's change at one machine."""
         if machine.process is None:
             return
-        self._numbers += 1
-        number = self._numbers
-        began = self.now
-        tried = [self._operation(item, Outcome.UNKNOWN, began, math.inf) for item in items]
-        self.history += tried
+        self._request_count += 1
+        request_number = self._request_count
+        start_s = self.now
+        unknown_operations = [self._operation(item, Outcome.UNKNOWN, start_s, math.inf) for item in items]
+        self.history += unknown_operations
 
-        def judged(answer: Answer) -> None:
+        def check_answer(answer: Answer) -> None:
             outcome = self._outcome(answer, items)
             if outcome is not Outcome.UNKNOWN:
-                for each in tried:
-                    self.history.remove(each)
-                self.history += [self._operation(item, outcome, began, self.now) for item in items]
+                for operation in unknown_operations:
+                    self.history.remove(operation)
+                self.history += [self._operation(item, outcome, start_s, self.now) for item in items]
             if answer.code is ResultCode.DONE:
                 for item in items:
-                    self.acknowledgements.append(Acknowledged(self.now, item.key, item.version))
-                    old = self.acknowledged.get(item.key)
-                    if old is None or item.version > old.version:
-                        self.acknowledged[item.key] = item
+                    self.acknowledgements.append(AcknowledgedVersion(self.now, item.key, item.version))
+                    previous = self.latest_acknowledged.get(item.key)
+                    if previous is None or item.version > previous.version:
+                        self.latest_acknowledged[item.key] = item
             elif answer.code is ResultCode.CONFLICT:
-                self._refused(items)
-            answered(answer)
+                self._check_refused(items)
+            on_answer(answer)
 
-        self.answers[machine.address, number] = judged
-        life = machine.life
+        self.answer_callbacks[machine.address, request_number] = check_answer
+        incarnation = machine.incarnation
 
-        def take() -> None:
-            if machine.process is not None and machine.life == life:
-                self._carry_out(machine, machine.process.change(number, items, self.now))
+        def handle_request() -> None:
+            if machine.process is not None and machine.incarnation == incarnation:
+                self.apply_outputs(machine, machine.process.change(request_number, items, self.now))
 
-        self._when_it_runs(machine, take)
+        self._run_or_defer(machine, handle_request)
 
     @staticmethod
-    def _operation(item: Item, outcome: Outcome, began: float, ended: float) -> Operation:
+    def _operation(item: Item, outcome: Outcome, start_s: float, end_s: float) -> Operation:
         value = b"" if item.dropped else b"=" + item.value
-        return Operation(item.key, outcome, Register(item.version, value), began, ended)
+        return Operation(item.key, outcome, Register(item.version, value), start_s, end_s)
 
     @staticmethod
     def _outcome(answer: Answer, items: list[Item]) -> Outcome:
-        """A refusal of several does not tell which of them is refused."""
+        """The outcome for each item; a refusal of several items does not tell which one conflicts."""
         if answer.code is ResultCode.DONE:
             return Outcome.CONFIRMED
         alone = len(items) == 1 and not items[0].key.startswith(SEQUENTIAL_PREFIXES)
         return Outcome.REFUSED if answer.code is ResultCode.CONFLICT and alone else Outcome.UNKNOWN
 
-    def explained(self) -> None:
-        """All answers so far are such as one register a key would have given."""
-        wrong = wrong_keys(each for each in self.history if not each.key.startswith(SEQUENTIAL_PREFIXES))
-        if wrong:
-            self.broken(f"the answers about {wrong[0]} fit no order of events")
+    def check_linearizable(self) -> None:
+        """All answers so far must be explained by one atomic register for each key."""
+        keys = non_linearizable_keys(
+            each for each in self.history if not each.key.startswith(SEQUENTIAL_PREFIXES)
+        )
+        if keys:
+            self.fail(f"the answers about {keys[0]} fit no order of events")
 
-    def divided(self, items: Iterable[Item]) -> bool:
-        """Whether a part of a call stood, and another part's version has another operator's value.
+    def is_partly_committed(self, items: Iterable[Item]) -> bool:
+        """Whether one item of a change was committed, and another has the value of another operator.
 
-        Such a call can be neither confirmed nor refused: calls over several sections are not atomic.
+        Such a change can be neither confirmed nor refused: changes over several sections are not atomic.
         """
-        stood = [
-            self.values[item.key, item.version] == (b"" if item.dropped else b"=" + item.value)
+        matches = [
+            self.committed_values[item.key, item.version] == (b"" if item.dropped else b"=" + item.value)
             for item in items
-            if (item.key, item.version) in self.values
+            if (item.key, item.version) in self.committed_values
         ]
-        return any(stood) and not all(stood)
+        return any(matches) and not all(matches)
 
-    def _refused(self, items: Iterable[Item]) -> None:
-        """A call was refused: no part of it may stand, before or after.
+    def _check_refused(self, items: Iterable[Item]) -> None:
+        """A change was refused: no item of it may be committed, before or afterwards.
 
-        Dropped items are passed over: another operator's drop of the same version looks alike.
+        Removals are skipped: another operator's removal with the same version looks the same.
         """
         for item in items:
             if item.dropped or item.key.startswith(SEQUENTIAL_PREFIXES):
                 continue
-            self.refused.add((item.key, item.version, item.value))
-            if self.values.get((item.key, item.version)) == b"=" + item.value:
-                self.broken(f"{item.key} version {item.version} was refused and stands")
+            self.refused_values.add((item.key, item.version, item.value))
+            if self.committed_values.get((item.key, item.version)) == b"=" + item.value:
+                self.fail(f"{item.key} version {item.version} was refused and stands")
 
-    def read(self, machine: Machine, answered: Callable[[Answer], None]) -> None:
-        """A read at one machine, which must not be older than what was acknowledged when it began."""
+    def read(self, machine: Machine, on_answer: Callable[[Answer], None]) -> None:
+        """Read at one machine; a result older than what was acknowledged at the start is a violation."""
         if machine.process is None:
             return
-        self._numbers += 1
-        number = self._numbers
-        owed = dict(self.acknowledged)
-        began = self.now
+        self._request_count += 1
+        request_number = self._request_count
+        acknowledged = dict(self.latest_acknowledged)
+        start_s = self.now
 
-        def judged(answer: Answer) -> None:
+        def check_answer(answer: Answer) -> None:
             if answer.code is ResultCode.DONE:
-                found = ItemStore()
-                found.merge(answer.items)
-                for item in found.items.values():
-                    self.history.append(self._operation(item, Outcome.READ, began, self.now))
-                for key, item in owed.items():
-                    got = found.items.get(key)
-                    if got is None or got.version < item.version:
-                        self.broken(f"read at {machine.address}: {key} is older than version {item.version}")
-                    elif got.version == item.version and got.value != item.value:
-                        self.broken(f"read at {machine.address}: {key} is not what was acknowledged")
-            answered(answer)
-
-        self.answers[machine.address, number] = judged
-        life = machine.life
-
-        def take() -> None:
-            if machine.process is not None and machine.life == life:
-                self._carry_out(machine, machine.process.read(number, self.now))
-
-        self._when_it_runs(machine, take)
+                store = ItemStore()
+                store.merge(answer.items)
+                for item in store.items.values():
+                    self.history.append(self._operation(item, Outcome.READ, start_s, self.now))
+                for key, item in acknowledged.items():
+                    item_read = store.items.get(key)
+                    if item_read is None or item_read.version < item.version:
+                        self.fail(f"read at {machine.address}: {key} is older than version {item.version}")
+                    elif item_read.version == item.version and item_read.value != item.value:
+                        self.fail(f"read at {machine.address}: {key} is not what was acknowledged")
+            on_answer(answer)
+
+        self.answer_callbacks[machine.address, request_number] = check_answer
+        incarnation = machine.incarnation
+
+        def handle_request() -> None:
+            if machine.process is not None and machine.incarnation == incarnation:
+                self.apply_outputs(machine, machine.process.read(request_number, self.now))
+
+        self._run_or_defer(machine, handle_request)
--- a/leadrudder/mesh/__main__.py
+++ b/leadrudder/mesh/__main__.py
@@ -12,8 +12,8 @@
 
 from leadrudder.configuration import validation
 from leadrudder.configuration.items import CONTRACT_PREFIX
-from leadrudder.control_simulation.scenario import FAULTS, RESIZING, Course, cut
-from leadrudder.control_simulation.world import Broken
+from leadrudder.control_simulation.scenario import FAULT_KINDS, RESIZE_KINDS, Scenario, shrink_scenario
+from leadrudder.control_simulation.world import InvariantViolation
 from leadrudder.maintenance import contract
 from leadrudder.mesh import snapshots, windows
 from leadrudder.model_checker.maintenance import WindowModel
@@ -89,18 +89,18 @@
     return []
 
 
-def _run_courses(courses: Sequence[Course], shrink: bool) -> int:
+def _run_courses(courses: Sequence[Scenario], shrink: bool) -> int:
     failures = 0
     for course in courses:
         try:
-            course.play()
-        except Broken as error:
+            course.run()
+        except InvariantViolation as error:
             failures += 1
             print(f"seed {course.seed}: {error}")
-            smallest = cut(course, print) if shrink else None
+            smallest = shrink_scenario(course, print) if shrink else None
             if smallest is not None:
                 print(f"seed {course.seed}, cut down: {smallest[1]}")
-                print("faults:", *(f"  {fault}" for fault in smallest[0].drawn()), sep="\n")
+                print("faults:", *(f"  {fault}" for fault in smallest[0].planned_faults()), sep="\n")
     print(f"seeds={len(courses)} broken={failures}")
     return 1 if failures else 0
 
@@ -219,7 +219,7 @@
     )
     rehearse.add_argument("--shrink", action="store_true", help="reduce a failing run to the fewest faults")
     rehearse.add_argument("--resize", action="store_true", help="also add and remove voters")
-    rehearse.add_argument("--kinds", default=",".join(FAULTS), help="of faults, separated by commas")
+    rehearse.add_argument("--kinds", default=",".join(FAULT_KINDS), help="of faults, separated by commas")
     prove = commands.add_parser(
         "prove", help="explore small models of the control plane in every order of events"
     )
@@ -280,13 +280,13 @@
     if options.command == "check":
         return _check_files(options.file)
     if options.command == "rehearse":
-        kinds = tuple(options.kinds.split(",")) + (RESIZING if options.resize else ())
-        unknown = set(kinds) - {*FAULTS, *RESIZING}
+        kinds = tuple(options.kinds.split(",")) + (RESIZE_KINDS if options.resize else ())
+        unknown = set(kinds) - {*FAULT_KINDS, *RESIZE_KINDS}
         if unknown:
             print(f"leadrudder: --kinds: no such fault: {', '.join(sorted(unknown))}", file=sys.stderr)
             return 2
         courses = [
-            Course(seed, options.machines, options.faults, kinds, stations=options.stations)
+            Scenario(seed, options.machines, options.faults, kinds, node_count=options.stations)
             for seed in options.seeds
         ]
         return _run_courses(courses, options.shrink)
--- a/leadrudder/mesh/demo.py
+++ b/leadrudder/mesh/demo.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 
 from leadrudder.backup import snapshot
-from leadrudder.emulation.standins import call, request
+from leadrudder.emulation.standins import encoded_request, http_call
 from leadrudder.maintenance.contract import WEEKDAYS
 from leadrudder.mesh import snapshots
 from leadrudder.transport.http import BufferedHttpMessage, HttpReader, render_response
@@ -75,11 +75,11 @@
 
 async def _call(address: tuple[str, int], text: bytes) -> BufferedHttpMessage | None:
     """Sends one request on its own connection; returns None if there is no complete response."""
-    return await call(address, text, CALL_TIMEOUT_S)
+    return await http_call(address, text, CALL_TIMEOUT_S)
 
 
 def _render_request(method: str, path: str, body: bytes = b"", fields: str = "") -> bytes:
-    return request(method, path, "demo.example", fields, body)
+    return encoded_request(method, path, "demo.example", fields, body)
 
 
 def free_port() -> int:
--- a/tests/mesh/planted_faults.py
+++ b/tests/mesh/planted_faults.py
@@ -20,7 +20,7 @@
 from leadrudder.consensus.requests import OperatorRequests, PendingChange, Phase
 from leadrudder.consensus.state_machine import ControlStateMachine
 from leadrudder.consensus.voters import VoterTable
-from leadrudder.control_simulation.scenario import FAULTS, RESIZING, Course
+from leadrudder.control_simulation.scenario import FAULT_KINDS, RESIZE_KINDS, Scenario
 from leadrudder.model_checker.state import Action
 from leadrudder.protocol import mesh_pb2 as wire
 from leadrudder.protocol.mesh_pb2 import Frame, Item, VoterSlot
@@ -562,11 +562,11 @@
 FOUND_AT_START = ("older_overwrites_newer",)  # frames are exchanged without end before the first fault
 
 # Simulations that detect faults which few seeds detect.
-RESIZING_KINDS = FAULTS + 3 * RESIZING
+RESIZING_KINDS = FAULT_KINDS + 3 * RESIZE_KINDS
 FOUND_BY_SIMULATION = {
-    "one_version_two_values": Course(4, faults=10),
-    "promise_not_written": Course(3, faults=10),
-    "promised_to_all": Course(273, faults=10, kinds=FAULTS + 2 * RESIZING),
-    "old_epoch_taken": Course(489, 5, faults=14, calls=24),
-    "closed_without_filling": Course(180, 5, faults=8, kinds=RESIZING_KINDS),
+    "one_version_two_values": Scenario(4, fault_count=10),
+    "promise_not_written": Scenario(3, fault_count=10),
+    "promised_to_all": Scenario(273, fault_count=10, fault_kinds=FAULT_KINDS + 2 * RESIZE_KINDS),
+    "old_epoch_taken": Scenario(489, 5, fault_count=14, change_count=24),
+    "closed_without_filling": Scenario(180, 5, fault_count=8, fault_kinds=RESIZING_KINDS),
 }
--- a/tests/mesh/test_concurrent_operators.py
+++ b/tests/mesh/test_concurrent_operators.py
@@ -1,4 +1,4 @@
-"""Concurrent operators: never two values under one version, never a refusal of a call applied in part."""
+"""Concurrent changes of several operators: one value for each version, no refusal after a partial commit."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 from leadrudder.consensus.outputs import Answer, ResultCode
 from leadrudder.consensus.requests import OperatorRequests, PendingChange, Phase
-from leadrudder.control_simulation.nodes import Stations
-from leadrudder.control_simulation.scenario import FAULTS, STANDSTILL, Course
-from leadrudder.control_simulation.world import Broken, Machine, World
+from leadrudder.control_simulation.nodes import SimulatedNodes
+from leadrudder.control_simulation.scenario import FAULT_KINDS, FREEZE_KINDS, Scenario
+from leadrudder.control_simulation.world import InvariantViolation, Machine, World
 from leadrudder.protocol.mesh_pb2 import Item
 from tests.mesh.planted_faults import PLANTED_FAULTS
 
-# Two calls shared several versions, and each reserved one that the other waited for: a deadlock.
+# Two operators' changes shared several versions, and each reserved one that the other waited for: a deadlock.
 DEADLOCK_SEEDS = (7, 20, 183)
 FROZEN_SEEDS = range(24)
 
 
-class ConcurrentCalls(unittest.TestCase):
+class ConcurrentChanges(unittest.TestCase):
     def setUp(self) -> None:
         self.world = World(3)
-        self.world.play(4.0)
+        self.world.run_until(4.0)
         first, second = self._keys_of_two_owners()
-        self.call = [(first, b"ours"), (second, b"ours")]
-        self.rival = [(second, b"theirs")]
+        self.change = [(first, b"ours"), (second, b"ours")]
+        self.rival_change = [(second, b"theirs")]
 
     def _owner(self, key: str) -> Machine:
         for machine in self.world.machines.values():
@@ -35,7 +35,7 @@
         raise AssertionError(f"{key} has no owner")
 
     def _keys_of_two_owners(self) -> tuple[str, str]:
-        """Two keys of sections in ascending order with different owners; the operator calls neither owner."""
+        """Two keys in ascending sections with different owners; neither owner receives the change itself."""
         process = next(iter(self.world.machines.values())).process
         assert process is not None
         keys = sorted((f"routes/r{i}" for i in range(40)), key=process.section_of)
@@ -49,28 +49,28 @@
         )
         return first, second
 
-    def _send(self, at: Machine, call: list[tuple[str, bytes]]) -> list[ResultCode]:
-        """Send an operator's call to one node; its result is appended to the returned list."""
+    def _send(self, at: Machine, change: list[tuple[str, bytes]]) -> list[ResultCode]:
+        """Submit a change to one node; the returned list receives the result."""
         codes: list[ResultCode] = []
 
-        def answered(answer: Answer) -> None:
+        def on_answer(answer: Answer) -> None:
             codes.append(answer.code)
 
-        items = [Item(key=key, version=7, value=value) for key, value in call]
-        self.world.call(at, items, answered)
+        items = [Item(key=key, version=7, value=value) for key, value in change]
+        self.world.submit_change(at, items, on_answer)
         return codes
 
-    def _until(self, done: Callable[[], bool], most_s: float = 6.0) -> None:
-        end = self.world.now + most_s
+    def _until(self, done: Callable[[], bool], timeout_s: float = 6.0) -> None:
+        end = self.world.now + timeout_s
         while not done() and self.world.now < end:
-            self.world.play(self.world.now + 0.002)
+            self.world.run_until(self.world.now + 0.002)
         self.assertTrue(done())
 
-    def _lose_second_owner_after_first_part(self) -> Machine:
-        """Apply our call at its first owner; the second owner is lost before the request arrives."""
+    def _lose_second_owner_after_partial_commit(self) -> Machine:
+        """Our change is committed at its first owner; the second owner is lost before it gets the change."""
         world = self.world
         asked = next(iter(world.machines.values()))
-        first, second = self._owner(self.call[0][0]), self._owner(self.call[1][0])
+        first, second = self._owner(self.change[0][0]), self._owner(self.change[1][0])
         make_all = OperatorRequests._apply_all
 
         def lose_second_owner(requests: OperatorRequests, change: PendingChange) -> None:
@@ -78,156 +78,170 @@
             make_all(requests, change)
 
         with mock.patch.object(OperatorRequests, "_apply_all", lose_second_owner):
-            self._send(asked, self.call)
-            self._until(lambda: (self.call[0][0], 7) in world.values)
+            self._send(asked, self.change)
+            self._until(lambda: (self.change[0][0], 7) in world.committed_values)
         self.assertIsNotNone(first.process)
         return asked
 
-    def test_partly_applied_call_is_not_refused(self) -> None:
-        asked = self._lose_second_owner_after_first_part()
-        taken = self._send(asked, self.rival)
-        self._until(lambda: bool(taken), most_s=12.0)
+    def test_a_partly_committed_change_is_not_refused(self) -> None:
+        asked = self._lose_second_owner_after_partial_commit()
+        taken = self._send(asked, self.rival_change)
+        self._until(lambda: bool(taken), timeout_s=12.0)
         if taken == [ResultCode.BUSY]:
-            taken = self._send(asked, self.rival)
-            self._until(lambda: bool(taken), most_s=12.0)
+            taken = self._send(asked, self.rival_change)
+            self._until(lambda: bool(taken), timeout_s=12.0)
         self.assertEqual(taken, [ResultCode.DONE])
-        again = self._send(asked, self.call)
+        again = self._send(asked, self.change)
         self._until(lambda: bool(again))
-        self.assertEqual(again, [ResultCode.BUSY], "a part of it is committed")
+        self.assertEqual(again, [ResultCode.BUSY], "one item is committed")
 
-    def test_partly_applied_call_is_not_refused_after_a_newer_version(self) -> None:
-        # Course 10 of bench.incidents: the part had version 7, superseded by 10 when the call was refused.
-        asked = self._lose_second_owner_after_first_part()
-        higher = [Item(key=self.call[0][0], version=9, value=b"later")]
-        for items in (higher, [Item(key=key, version=7, value=value) for key, value in self.rival]):
+    def test_nor_after_a_higher_version_superseded_the_committed_item(self) -> None:
+        # Found with seed 10 of bench.incidents: the item had version 7, and 10 when the change was refused.
+        asked = self._lose_second_owner_after_partial_commit()
+        higher = [Item(key=self.change[0][0], version=9, value=b"later")]
+        for items in (higher, [Item(key=key, version=7, value=value) for key, value in self.rival_change]):
             codes: list[ResultCode] = []
             while ResultCode.DONE not in codes:
                 sent = len(codes)
-                self.world.call(asked, items, lambda answer, codes=codes: codes.append(answer.code))  # type: ignore[misc]
+                self.world.submit_change(asked, items, lambda answer, codes=codes: codes.append(answer.code))  # type: ignore[misc]
                 self._until(lambda sent=sent, codes=codes: len(codes) > sent)  # type: ignore[misc]
-        again = self._send(asked, self.call)
+        again = self._send(asked, self.change)
         self._until(lambda: bool(again))
         self.assertEqual(again, [ResultCode.BUSY])
 
-    def test_partly_applied_call_is_refused_without_the_withdrawal(self) -> None:
+    def test_without_the_withdrawal_the_change_would_be_refused(self) -> None:
         def refuse(requests: OperatorRequests, change: PendingChange, conflicts: object) -> None:
             requests._finish(change, ResultCode.CONFLICT)
 
-        with mock.patch.object(OperatorRequests, "_withdraw_all", refuse), self.assertRaises(Broken):
-            self.test_partly_applied_call_is_not_refused()
+        with (
+            mock.patch.object(OperatorRequests, "_withdraw_all", refuse),
+            self.assertRaises(InvariantViolation),
+        ):
+            self.test_a_partly_committed_change_is_not_refused()
 
-    def test_call_without_applied_parts_is_refused_each_time(self) -> None:
+    def test_a_change_without_committed_items_is_refused_each_time(self) -> None:
         asked = next(iter(self.world.machines.values()))
-        taken = self._send(asked, self.rival)
+        taken = self._send(asked, self.rival_change)
         self._until(lambda: bool(taken))
         for _ in range(3):
-            refused = self._send(asked, self.call)
+            refused = self._send(asked, self.change)
             self._until(lambda refused=refused: bool(refused))  # type: ignore[misc]
             self.assertEqual(refused, [ResultCode.CONFLICT])
-        self.assertNotIn((self.call[0][0], 7), self.world.values)
+        self.assertNotIn((self.change[0][0], 7), self.world.committed_values)
 
-    def test_equal_value_of_another_call_does_not_prevent_a_refusal(self) -> None:
+    def test_items_committed_by_another_change_do_not_prevent_a_refusal(self) -> None:
         asked = next(iter(self.world.machines.values()))
-        for earlier in ([self.call[0]], self.rival):
+        for earlier in ([self.change[0]], self.rival_change):
             taken = self._send(asked, earlier)
             self._until(lambda taken=taken: bool(taken))  # type: ignore[misc]
         refused: list[ResultCode] = []
-        items = [Item(key=key, version=7, value=value) for key, value in self.call]
+        items = [Item(key=key, version=7, value=value) for key, value in self.change]
         process = asked.process
         assert process is not None
-        self.world.answers[asked.address, 10**6] = lambda answer: refused.append(answer.code)
-        self.world._carry_out(asked, process.change(10**6, items, self.world.now))
+        self.world.answer_callbacks[asked.address, 10**6] = lambda answer: refused.append(answer.code)
+        self.world.apply_outputs(asked, process.change(10**6, items, self.world.now))
         self._until(lambda: bool(refused))
         self.assertEqual(refused, [ResultCode.CONFLICT])
 
-    def test_apply_after_the_withdrawal_changes_nothing(self) -> None:
-        """A late request of the first attempt arrives after the second attempt was refused."""
+    def test_a_late_commit_request_after_the_withdrawal_has_no_effect(self) -> None:
+        """A last message of the first attempt arrives after the second attempt was refused."""
         world = self.world
         asked = next(iter(world.machines.values()))
-        taken = self._send(asked, self.rival)
+        taken = self._send(asked, self.rival_change)
         self._until(lambda: bool(taken))
-        refused = self._send(asked, self.call)
+        refused = self._send(asked, self.change)
         self._until(lambda: bool(refused))
         process = asked.process
         assert process is not None
         late = PendingChange(99, {}, world.now + 0.9, Phase.APPLY)
-        items = [Item(key=key, version=7, value=value) for key, value in self.call]
+        items = [Item(key=key, version=7, value=value) for key, value in self.change]
         with mock.patch.object(OperatorRequests, "_reserve_all", OperatorRequests._apply_all):
-            world.answers[asked.address, 99] = lambda answer: None
-            world._carry_out(asked, process.change(late.number, items, world.now))
-            world.play(world.now + 3.0)
-        self.assertNotIn((self.call[0][0], 7), world.values)
-
-    def _two_calls_that_share_both_versions(self) -> list[ResultCode]:
-        """Each operator calls the owner of one key, and repeats the call while the result is BUSY."""
-        keys = [key for key, _ in self.call]
+            world.answer_callbacks[asked.address, 99] = lambda answer: None
+            world.apply_outputs(asked, process.change(late.number, items, world.now))
+            world.run_until(world.now + 3.0)
+        self.assertNotIn((self.change[0][0], 7), world.committed_values)
+
+    def _submit_two_changes_with_the_same_versions(self) -> list[ResultCode]:
+        """Each operator submits at the owner of one item, and retries until there is a definite answer."""
+        keys = [key for key, _ in self.change]
         ended: list[ResultCode] = []
 
         def send(at: Machine, value: bytes) -> None:
             items = [Item(key=key, version=7, value=value) for key in keys]
 
-            def answered(answer: Answer) -> None:
+            def on_answer(answer: Answer) -> None:
                 if answer.code is ResultCode.BUSY:
-                    self.world.after(0.05, lambda: send(at, value))
+                    self.world.call_later(0.05, lambda: send(at, value))
                 else:
                     ended.append(answer.code)
 
-            self.world.call(at, items, answered)
+            self.world.submit_change(at, items, on_answer)
 
         for key, value in zip(keys, (b"ours", b"theirs"), strict=True):
             send(self._owner(key), value)
-        self.world.play(self.world.now + 10.0)
+        self.world.run_until(self.world.now + 10.0)
         return ended
 
-    def test_of_two_calls_that_share_versions_one_is_confirmed_and_one_refused(self) -> None:
+    def test_of_two_changes_with_the_same_versions_one_is_confirmed_and_one_refused(self) -> None:
         self.assertEqual(
-            sorted(self._two_calls_that_share_both_versions()), [ResultCode.DONE, ResultCode.CONFLICT]
+            sorted(self._submit_two_changes_with_the_same_versions()), [ResultCode.DONE, ResultCode.CONFLICT]
         )
 
-    def test_reservations_without_an_order_deadlock(self) -> None:
+    def test_without_an_order_of_reservations_two_changes_deadlock(self) -> None:
         with PLANTED_FAULTS["reserved_in_no_order"]():
-            self.assertEqual(self._two_calls_that_share_both_versions(), [])
+            self.assertEqual(self._submit_two_changes_with_the_same_versions(), [])
 
-    def test_seeds_that_once_deadlocked(self) -> None:
+    def test_scenarios_that_had_a_deadlock(self) -> None:
         for seed in DEADLOCK_SEEDS:
             with self.subTest(seed=seed):
-                Course(seed, faults=10, calls=24).play()
+                Scenario(seed, fault_count=10, change_count=24).run()
 
 
-class FrozenNodes(unittest.TestCase):
-    """Nodes that are frozen for seconds and continue with outdated state."""
+class PausedMachine(unittest.TestCase):
+    """A machine is paused for seconds and resumes with its former state."""
 
-    def test_no_outdated_state_is_served_and_all_invariants_hold(self) -> None:
+    def test_no_outdated_state_is_sent_and_every_invariant_holds(self) -> None:
         for seed in FROZEN_SEEDS:
             with self.subTest(seed=seed):
-                Course(seed, kinds=FAULTS + 6 * STANDSTILL, faults=8, calls=24, stations=6).play()
-
-    def _outdated_state_after_the_thaw(self) -> None:
-        """A proxy connects to a frozen node while the others confirm a change."""
+                Scenario(
+                    seed,
+                    fault_kinds=FAULT_KINDS + 6 * FREEZE_KINDS,
+                    fault_count=8,
+                    change_count=24,
+                    node_count=6,
+                ).run()
+
+    def _open_session_with_paused_machine(self) -> None:
+        """A node opens a session with a paused machine; the others confirm a change meanwhile."""
         world = World(2)
-        stations = Stations(world, 1)
-        world.play(4.0)
+        nodes = SimulatedNodes(world, 1)
+        world.run_until(4.0)
         frozen, other, _ = world.machines.values()
-        station = stations.stations[0]
+        node = nodes.nodes[0]
         world.freeze(frozen)
-        station.home = ""
-        stations._hello(station, frozen)
+        node.machine_address = ""
+        nodes.open_session(node, frozen)
         codes: list[ResultCode] = []
-        world.play(6.0)
-        world.call(other, [Item(key="routes/r1", version=1, value=b"new")], lambda a: codes.append(a.code))
-        world.play(24.0)
+        world.run_until(6.0)
+        world.submit_change(
+            other, [Item(key="routes/r1", version=1, value=b"new")], lambda a: codes.append(a.code)
+        )
+        world.run_until(24.0)
         self.assertEqual(codes, [ResultCode.DONE])
-        station.home = ""  # its session with another node has just ended
+        node.machine_address = ""  # as if its session with another machine had just ended
         world.thaw(frozen)
-        world.play(30.0)
-        stations.end()
-
-    def test_thawed_node_serves_nothing_before_a_majority_answers(self) -> None:
-        self._outdated_state_after_the_thaw()
-
-    def test_without_quorum_checks_outdated_state_is_served(self) -> None:
-        with PLANTED_FAULTS["links_believed"](), self.assertRaisesRegex(Broken, "hands out .* older"):
-            self._outdated_state_after_the_thaw()
+        world.run_until(30.0)
+        nodes.check_all_delivered()
+
+    def test_a_resumed_machine_sends_no_state_before_a_majority_answered(self) -> None:
+        self._open_session_with_paused_machine()
+
+    def test_a_resumed_machine_that_trusts_its_links_sends_outdated_state(self) -> None:
+        with (
+            PLANTED_FAULTS["links_believed"](),
+            self.assertRaisesRegex(InvariantViolation, "hands out .* older"),
+        ):
+            self._open_session_with_paused_machine()
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_graceful_shutdown.py
+++ b/tests/mesh/test_graceful_shutdown.py
@@ -23,14 +23,14 @@
     def _wipe_one_and_terminate_another(self) -> tuple[Fleet, Machine, Machine]:
         """Restart one node with an empty disk, and at the same time terminate another one for good."""
         fleet = Fleet(5, PLAN)
-        fleet.play(8.0)
-        wiped, leaving = fleet.core[1], fleet.core[2]
+        fleet.run_until(8.0)
+        wiped, leaving = fleet.control_machines[1], fleet.control_machines[2]
         fleet.kill(wiped, "signalbox")
         wiped.disk = MemoryStore()
-        fleet.play(8.3)
-        fleet.start_signalbox(wiped)
-        assert leaving.signalbox is not None
-        leaving.signalbox.terminate()
+        fleet.run_until(8.3)
+        fleet.start_control_node(wiped)
+        assert leaving.control_node is not None
+        leaving.control_node.terminate()
         return fleet, wiped, leaving
 
     def _request_evacuation(self, fleet: Fleet) -> list[int]:
@@ -38,9 +38,9 @@
         answers: list[int] = []
 
         async def send_request() -> None:
-            answers.append((await fleet.ask("POST", "/evacuate/z2", tries=30))[0])
+            answers.append((await fleet.call_operator_api("POST", "/evacuate/z2", max_attempts=30))[0])
 
-        fleet.operate(send_request)
+        fleet.run_operator(send_request)
         return answers
 
     def test_a_voter_stays_while_the_only_other_replica_recovers(self) -> None:
@@ -49,41 +49,41 @@
         recovered_at = resigned_at = 0.0
         answers = self._request_evacuation(fleet)
         while fleet.now < started + GRACE_S:
-            fleet.play(fleet.now + 0.05)
-            assert wiped.signalbox is not None and leaving.signalbox is not None
-            if not recovered_at and wiped.signalbox.state_machine.voter_table.full:
+            fleet.run_until(fleet.now + 0.05)
+            assert wiped.control_node is not None and leaving.control_node is not None
+            if not recovered_at and wiped.control_node.state_machine.voter_table.full:
                 recovered_at = fleet.now
-            if not resigned_at and leaving.signalbox.state_machine.resigned:
+            if not resigned_at and leaving.control_node.state_machine.resigned:
                 resigned_at = fleet.now
         self.assertGreater(recovered_at, 0.0)
         self.assertGreaterEqual(resigned_at, recovered_at)
         self.assertLess(resigned_at - started, 3.0)
         fleet.kill(leaving, "signalbox")  # it is not restarted
-        fleet.play(fleet.now + 3.0)
+        fleet.run_until(fleet.now + 3.0)
         self.assertEqual(answers, [200])
         second_answers = self._request_evacuation(fleet)
-        fleet.play(fleet.now + 4.0)
+        fleet.run_until(fleet.now + 4.0)
         self.assertEqual(second_answers, [200])
 
     def test_leaving_at_once_would_leave_no_majority(self) -> None:
         with mock.patch.object(ControlStateMachine, "may_leave", lambda self: True):
             fleet, _, leaving = self._wipe_one_and_terminate_another()
-            fleet.play(fleet.now + 1.0)
+            fleet.run_until(fleet.now + 1.0)
             fleet.kill(leaving, "signalbox")
             answers = self._request_evacuation(fleet)
-            fleet.play(fleet.now + 8.0)
+            fleet.run_until(fleet.now + 8.0)
         self.assertNotEqual(answers, [200])
 
     def test_shutdown_ends_within_the_grace_period_without_peers(self) -> None:
         fleet = Fleet(6, PLAN)
-        fleet.play(8.0)
-        leaving = fleet.core[0]
-        for other in fleet.core[1:]:
+        fleet.run_until(8.0)
+        leaving = fleet.control_machines[0]
+        for other in fleet.control_machines[1:]:
             fleet.kill(other, "signalbox")
-        assert leaving.signalbox is not None
-        leaving.signalbox.terminate()
-        fleet.play(fleet.now + GRACE_S - 1.0)
-        self.assertTrue(leaving.signalbox._stopped.is_set())
+        assert leaving.control_node is not None
+        leaving.control_node.terminate()
+        fleet.run_until(fleet.now + GRACE_S - 1.0)
+        self.assertTrue(leaving.control_node._stopped.is_set())
 
 
 class Clock(Loop):
--- a/tests/mesh/test_start_and_end.py
+++ b/tests/mesh/test_start_and_end.py
@@ -45,8 +45,8 @@
 class Shutdown(unittest.TestCase):
     def test_a_stopped_control_plane_node_dials_no_peer(self) -> None:
         fleet = Fleet(11, PLAN)
-        fleet.play(5.0)
-        signalbox = fleet.core[0].signalbox
+        fleet.run_until(5.0)
+        signalbox = fleet.control_machines[0].control_node
         assert signalbox is not None
         signalbox._stopped.set()
         with mock.patch.object(asyncio.AbstractEventLoop, "create_task") as create_task:
@@ -57,8 +57,8 @@
 
     def test_a_stopped_data_plane_node_does_no_periodic_work(self) -> None:
         fleet = Fleet(11, PLAN)
-        fleet.play(5.0)
-        node = fleet.side[0].station
+        fleet.run_until(5.0)
+        node = fleet.node_machines[0].node
         assert node is not None
         node._done.set()
         with mock.patch.object(node, "_loop") as loop, mock.patch.object(node, "state") as state:
