--- a/bench/tool.py
+++ b/bench/tool.py
@@ -25,8 +25,8 @@
 from pathlib import Path
 
 from bench.revision import ROOT, unpack
-from leadrudder.tool.check import check
-from leadrudder.tool.template import template
+from leadrudder.tool.check import check_files
+from leadrudder.tool.template import new_file_text
 
 BEFORE = "22bf0fe"  # the node before there was a tool
 
@@ -49,7 +49,7 @@
     found = []
     for _ in range(ROUNDS):
         began = time.perf_counter()
-        done = check(names)
+        done = check_files(names)
         found.append(1000 * (time.perf_counter() - began))
         if done.exit_code:
             raise RuntimeError(done.problems[0].text())
@@ -113,7 +113,7 @@
     with _discovery() as address:
         for turn in range(ROUNDS):
             listen = f"127.0.0.1:{20_000 + turn}"
-            path.write_text(template(path.name, "sovellus", "palvelu", listen, address))
+            path.write_text(new_file_text(path.name, "sovellus", "palvelu", listen, address))
             began = time.time()
             done = subprocess.run(
                 [sys.executable, "-m", "leadrudder.cli", "sidecar", str(path), "--", "date", "+%s.%N"],
@@ -161,7 +161,9 @@
         for i in range(MANY):
             path = Path(folder) / f"{i}.toml"
             path.write_text(
-                template(path.name, f"sovellus-{i}", "palvelu", f"127.0.0.1:{10_000 + i}", "127.0.0.1:8500")
+                new_file_text(
+                    path.name, f"sovellus-{i}", "palvelu", f"127.0.0.1:{10_000 + i}", "127.0.0.1:8500"
+                )
             )
             names.append(str(path))
         one = _check_ms(names[:1])
--- a/leadrudder/demo/command.py
+++ b/leadrudder/demo/command.py
@@ -15,10 +15,10 @@
 
 from leadrudder.demo.parts import HOST, StandInDiscovery, StandInServer, run_caller
 from leadrudder.demo.record import Record
-from leadrudder.tool.check import Checked, check_sources
-from leadrudder.tool.render import Rendered, render
-from leadrudder.tool.source import parse
-from leadrudder.tool.template import template
+from leadrudder.tool.check import CheckResult, check_sources
+from leadrudder.tool.render import RenderedNode, render_nodes
+from leadrudder.tool.source import parse_source
+from leadrudder.tool.template import new_file_text
 
 SERVER_COUNT = 5
 CALLER_COUNT = 24
@@ -26,13 +26,18 @@
 COMPLETION_GRACE_S = 4.0  # for requests still in progress at the end
 
 
-def _render_node(port: int, discovery: str) -> Rendered:
+def _render_node(port: int, discovery: str) -> RenderedNode:
     """The node described by the file that `leadrudder init` writes."""
-    checked = Checked()
+    checked = CheckResult()
     check_sources(
-        [parse("demo.toml", template("demo.toml", "demo", "palvelu", f"{HOST}:{port}", discovery))], checked
+        [
+            parse_source(
+                "demo.toml", new_file_text("demo.toml", "demo", "palvelu", f"{HOST}:{port}", discovery)
+            )
+        ],
+        checked,
     )
-    return render(checked.files[0])[0]
+    return render_nodes(checked.files[0])[0]
 
 
 def _free_port() -> int:
--- a/leadrudder/experiment/command.py
+++ b/leadrudder/experiment/command.py
@@ -27,7 +27,7 @@
 from leadrudder.experiment.runner import Experiment, Progress, run
 from leadrudder.experiment.spec import File, Side
 from leadrudder.experiment.store import Row, Store, StoreError
-from leadrudder.tool.problems import report as report_problems
+from leadrudder.tool.problems import format_problems
 
 FINDINGS, UNUSABLE = 1, 2
 PROGRESS_S = 1.0
@@ -106,7 +106,7 @@
     """A checked file with the fields that were set; ClickException with all that is wrong."""
     source, file, problems = reading.load(name)
     if file is None:
-        print(report_problems(problems, "text"), file=sys.stderr)
+        print(format_problems(problems, "text"), file=sys.stderr)
         raise click.ClickException(f"{name} cannot be played: {len(problems)} problems")
     values = dict(source.values)
     if sets:
@@ -203,7 +203,7 @@
     """Check experiment FILES and tell all problems in one go. Exit code 0: clean, 1: there are problems."""
     problems = [problem for name in files for problem in reading.load(name)[2]]
     if problems or form == "json":
-        print(report_problems(problems, form))
+        print(format_problems(problems, form))
     if form == "text" and not problems:
         print(f"{len(files)} {'file' if len(files) == 1 else 'files'}: no problems")
     return FINDINGS if problems else 0
--- a/leadrudder/experiment/reading.py
+++ b/leadrudder/experiment/reading.py
@@ -15,9 +15,9 @@
 from leadrudder.experiment.spec import File
 from leadrudder.tool.checks import Finding
 from leadrudder.tool.problems import Problem
-from leadrudder.tool.source import Path as Field
-from leadrudder.tool.source import Source, Unreadable, parse, read
-from leadrudder.tool.typed import field_name, type_problems
+from leadrudder.tool.source import FieldPath as Field
+from leadrudder.tool.source import SourceFile, UnreadableFileError, parse_source, read_source
+from leadrudder.tool.validation import field_name, type_problems
 
 MOST_REQUESTS = 50_000_000  # of one run: days of waiting
 _WHY = "A run with it would not be the experiment that the file says."
@@ -37,24 +37,24 @@
     }
 
 
-def load(name: str) -> tuple[Source, File | None, list[Problem]]:
+def load(name: str) -> tuple[SourceFile, File | None, list[Problem]]:
     """A file, or a shipped experiment of that name; no File where there are problems."""
     try:
         if not Path(name).exists() and name in (texts := shipped()):
-            source = parse(f"{name} (shipped)", texts[name])
+            source = parse_source(f"{name} (shipped)", texts[name])
         else:
-            source = read(name)
-    except Unreadable as error:
-        line, column = error.place
+            source = read_source(name)
+    except UnreadableFileError as error:
+        line, column = error.position
         why = "Nothing in it can be checked."
         problem = Problem(
             name, line, column, "file", "unreadable", f"{error}.", why, "a TOML file, or: experiment list"
         )
-        return Source(name, {}, {}), None, [problem]
+        return SourceFile(name, {}, {}), None, [problem]
     try:
         source = _based(source, Path(name).parent, [])
     except _BaseError as error:
-        line, column = source.place(("base",))
+        line, column = source.position(("base",))
         why = "What it leaves unsaid is nowhere said."
         right = f"a file, or one of {', '.join(shipped())}"
         problem = Problem(source.name, line, column, "base", "base", f"{error}.", why, right)
@@ -74,7 +74,7 @@
     """A base that cannot be had."""
 
 
-def _based(source: Source, folder: Path, above: list[str]) -> Source:
+def _based(source: SourceFile, folder: Path, above: list[str]) -> SourceFile:
     """The file with what its base says of the rest; tables are merged, everything else is replaced."""
     name = source.values.get("base", "")
     if not name or not isinstance(name, str):
@@ -83,13 +83,13 @@
         raise _BaseError(f"{name!r} is its own base")
     path, texts = folder / name, shipped()
     try:
-        base = read(str(path)) if path.exists() else parse(name, texts[name])
+        base = read_source(str(path)) if path.exists() else parse_source(name, texts[name])
     except KeyError:
         raise _BaseError(f"there is no {name!r}") from None
-    except Unreadable as error:
+    except UnreadableFileError as error:
         raise _BaseError(f"{name!r} {error}") from None
     base = _based(base, path.parent, [*above, name])
-    return Source(source.name, _merged(base.values, source.values), source.places)
+    return SourceFile(source.name, _merged(base.values, source.values), source.positions)
 
 
 def _merged(base: dict[str, Any], own: dict[str, Any]) -> dict[str, Any]:
@@ -102,8 +102,8 @@
     return merged
 
 
-def _problem(source: Source, finding: Finding) -> Problem:
-    line, column = source.place(finding.path)
+def _problem(source: SourceFile, finding: Finding) -> Problem:
+    line, column = source.position(finding.path)
     field = field_name(finding.path)
     return Problem(source.name, line, column, field, finding.rule, finding.what, finding.why, finding.right)
 
@@ -253,7 +253,7 @@
             )
 
 
-def _expanded(source: Source, file: File) -> Iterator[Finding]:
+def _expanded(source: SourceFile, file: File) -> Iterator[Finding]:
     """What is wrong with the experiment as a whole: its size, and the fields that it varies."""
     count = combinations(file)
     runs = (file.runs.sample or count) * len(file.side) * file.runs.seeds
--- a/leadrudder/experiment/spec.py
+++ b/leadrudder/experiment/spec.py
@@ -9,7 +9,7 @@
 
 from pydantic import Field
 
-from leadrudder.tool.model import Name, Section
+from leadrudder.tool.model import Identifier, StrictModel
 
 VERSION = 1
 
@@ -37,7 +37,7 @@
 Spread = Literal["fixed", "exponential", "lognormal", "pareto"]
 
 
-class Slowing(Section):
+class Slowing(StrictModel):
     """Servers that turn slow once crowded and stay so until they are nearly idle: what makes jams last."""
 
     part: Part = Field(default=1.0, description="of all seeds have such servers")
@@ -55,10 +55,10 @@
     most_s: PositiveDrawn = Field(default=1e6, description="and it recovers after this long at the latest")
 
 
-class Kind(Section):
+class Kind(StrictModel):
     """Servers that are alike."""
 
-    name: Name
+    name: Identifier
     part: Part = Field(default=1.0, description="of the tier's servers; parts are scaled to sum to 1")
     cores: int = Field(default=1, ge=1, le=1024)
     speed: PositiveDrawn = Field(default=1.0, description="of a core; 1 does a millisecond of work in one")
@@ -77,7 +77,7 @@
     )
 
 
-class Reports(Section):
+class Reports(StrictModel):
     """Load that servers tell in their answers."""
 
     period_ms: PositiveDrawn = 1000.0
@@ -85,10 +85,10 @@
     noise: PartDrawn = 0.0
 
 
-class Tier(Section):
+class Tier(StrictModel):
     """Servers of one tier, and how the tier before calls it."""
 
-    name: Name
+    name: Identifier
     servers: CountDrawn | None = Field(default=None, description="left out: by servers_each")
     servers_each: PositiveDrawn = Field(default=1.0, description="servers for each one of the tier before")
     work: PositiveDrawn = Field(default=1.0, description="part of a request's work; scaled to sum to 1")
@@ -104,10 +104,10 @@
     reports: Reports | None = None
 
 
-class RequestClass(Section):
+class RequestClass(StrictModel):
     """Requests that are alike, and what an answer to one is worth."""
 
-    name: Name
+    name: Identifier
     part: Part = Field(default=1.0, description="of the requests; parts are scaled to sum to 1")
     work_ms: PositiveDrawn = Field(description="mean, over all tiers, on a core of speed 1")
     spread: Spread = "exponential"
@@ -123,15 +123,15 @@
     window_ms: Amount = 0.0
 
 
-class Tenant(Section):
+class Tenant(StrictModel):
     """One of those who share the service."""
 
-    name: Name
+    name: Identifier
     share: Part
     usage: PositiveDrawn = Field(default=1.0, description="of its share; scaled to the load over all")
 
 
-class Load(Section):
+class Load(StrictModel):
     """What is asked of the fleet."""
 
     form: Literal["open", "closed", "trace"] = "open"
@@ -153,7 +153,7 @@
     quota_of_capacity: PartDrawn = 1.0
 
 
-class Callers(Section):
+class Callers(StrictModel):
     """What callers do who are refused or get no answer."""
 
     tries: AmountDrawn = Field(default=0.0, description="more after the first; a fraction is a chance")
@@ -164,7 +164,7 @@
     notice_s: AmountDrawn = Field(default=0.0, description="until callers notice a node that is gone")
 
 
-class Network(Section):
+class Network(StrictModel):
     zones: list[str] = Field(default=["zone-1"], min_length=1, max_length=64)
     same_ms: AmountDrawn = Field(default=0.2, description="one way within a zone")
     cross_ms: AmountDrawn = Field(default=2.0, description="one way between zones")
@@ -172,7 +172,7 @@
     jitter: PartDrawn = Field(default=0.0, description="of each way, up to this part longer")
 
 
-class Lists(Section):
+class Lists(StrictModel):
     """How the list of servers lags."""
 
     asked: bool = False
@@ -183,7 +183,7 @@
     spread_ms: AmountDrawn = Field(default=0.0, description="from node to node")
 
 
-class Node(Section):
+class Node(StrictModel):
     """What the nodes are told and may do; the rules they are held to."""
 
     attempts: int = Field(default=3, ge=1, le=10)
@@ -204,7 +204,7 @@
     )
 
 
-class Fleet(Section):
+class Fleet(StrictModel):
     nodes: CountDrawn = Field(default=1, description="before the first tier")
     hot: PartDrawn = Field(
         default=0.0, description="part of them that callers bring more to than to the others"
@@ -216,7 +216,7 @@
     node: Node = Node()
 
 
-class Trouble(Section):
+class Trouble(StrictModel):
     """Something that goes wrong, at a time, for a while, with some."""
 
     what: Literal[
@@ -227,21 +227,21 @@
     length_s: AmountDrawn = 10.0
     part: PartDrawn = Field(default=0.1, description="of the servers, nodes or zones")
     times: AmountDrawn = Field(default=2.0, description="how much slower or more")
-    tier: Name | None = Field(default=None, description="left out: the first")
+    tier: Identifier | None = Field(default=None, description="left out: the first")
     chance: Part = Field(default=1.0, description="part of the seeds that have it")
 
 
-class Vary(Section):
+class Vary(StrictModel):
     """One field takes several values; with more than one [[vary]], all of their combinations."""
 
     field: str = Field(pattern=r"^[a-z_]+(\.[a-z0-9_-]+)*$", description="as in load.of_capacity")
     values: list[float | int | str | bool] = Field(min_length=1, max_length=1000)
 
 
-class Side(Section):
+class Side(StrictModel):
     """One of what is compared: a policy, of a revision, with settings of its own."""
 
-    name: Name
+    name: Identifier
     policy: Literal[
         "leadrudder", "random", "round-robin", "least-outstanding", "two-choices",
         "limit-fixed", "limit-aimd", "limit-gradient", "limit-vegas", "limit-codel",
@@ -255,7 +255,7 @@
     )
 
 
-class Runs(Section):
+class Runs(StrictModel):
     seeds: int = Field(default=10, ge=1, le=10_000)
     first_seed: int = Field(default=1, ge=0)
     most_runs: int = Field(default=10_000, ge=1, le=1_000_000, description="a larger grid is not begun")
@@ -264,11 +264,11 @@
     sample: int = Field(default=0, ge=0, description="combinations drawn at random; 0: all of the grid")
 
 
-class File(Section):
+class File(StrictModel):
     """The whole file."""
 
     version: Literal[1] = Field(description="of this format")
-    name: Name
+    name: Identifier
     about: str = Field(default="", max_length=2000)
     base: str = Field(
         default="",
--- a/leadrudder/tool/check.py
+++ b/leadrudder/tool/check.py
@@ -7,15 +7,15 @@
 
 from pydantic import ValidationError
 
-from leadrudder.tool.checks import CHECKS, Finding, together
+from leadrudder.tool.checks import CHECKS, Finding, check_across_files
 from leadrudder.tool.model import File
 from leadrudder.tool.problems import Problem
-from leadrudder.tool.source import Source, Unreadable, read
-from leadrudder.tool.typed import field_name, type_problems
+from leadrudder.tool.source import SourceFile, UnreadableFileError, read_source
+from leadrudder.tool.validation import field_name, type_problems
 
 
 @dataclass
-class Checked:
+class CheckResult:
     """What came of the files; files holds those that are good in themselves."""
 
     problems: list[Problem] = field(default_factory=list)
@@ -28,16 +28,16 @@
         return 2 if self.unreadable else 1 if self.problems else 0
 
 
-def check(names: Iterable[str]) -> Checked:
+def check_files(names: Iterable[str]) -> CheckResult:
     """Check files of one or many applications together."""
-    done = Checked()
-    sources: list[Source] = []
+    done = CheckResult()
+    sources: list[SourceFile] = []
     for name in names:
         try:
-            sources.append(read(name))
-        except Unreadable as error:
+            sources.append(read_source(name))
+        except UnreadableFileError as error:
             done.unreadable = True
-            line, column = error.place
+            line, column = error.position
             why = "Nothing in it can be checked."
             done.problems.append(
                 Problem(name, line, column, "file", "unreadable", f"{error}.", why, "a TOML file in UTF-8")
@@ -46,9 +46,9 @@
     return done
 
 
-def check_sources(sources: list[Source], done: Checked) -> None:
+def check_sources(sources: list[SourceFile], done: CheckResult) -> None:
     """The same for what has been read."""
-    kept: list[Source] = []
+    kept: list[SourceFile] = []
     for source in sources:
         try:
             file = File.model_validate(source.values)
@@ -58,12 +58,12 @@
         kept.append(source)
         done.files.append(file)
         done.problems += [_problem(source, finding) for one in CHECKS for finding in one(file)]
-    done.problems += [_problem(kept[i], finding) for i, finding in together(done.files)]
+    done.problems += [_problem(kept[i], finding) for i, finding in check_across_files(done.files)]
     done.problems.sort(key=lambda problem: (problem.file, problem.line, problem.column))
 
 
-def _problem(source: Source, finding: Finding) -> Problem:
-    line, column = source.place(finding.path)
+def _problem(source: SourceFile, finding: Finding) -> Problem:
+    line, column = source.position(finding.path)
     return Problem(
         source.name,
         line,
--- a/leadrudder/tool/checks.py
+++ b/leadrudder/tool/checks.py
@@ -13,7 +13,7 @@
 
 from leadrudder.node.routes import path_covers
 from leadrudder.tool.model import File, Listener, Tier
-from leadrudder.tool.source import Path
+from leadrudder.tool.source import FieldPath
 
 WIDTH = {"none": 0, "cell": 1, "zone": 2, "all": 3}
 BASE_MB = 20  # of a node that holds nothing, with room for its interpreter's own growth
@@ -26,7 +26,7 @@
 class Finding:
     """A mistake, by the path of its field."""
 
-    path: Path
+    path: FieldPath
     rule: str
     what: str
     why: str
@@ -74,7 +74,7 @@
                 )
 
 
-def _unknown(path: Path, rule: str, kind: str, name: str, known: list[str], why: str) -> Finding:
+def _unknown(path: FieldPath, rule: str, kind: str, name: str, known: list[str], why: str) -> Finding:
     return Finding(path, rule, f"there is no {kind} {name!r}.", why, f"one of {', '.join(known) or 'none'}")
 
 
@@ -108,10 +108,10 @@
     """Also by inheritance: then the finding stands at the default that does it."""
     effects = {x.name: x.effect for x in file.request_class}
     for i, route in enumerate(file.route):
-        if effects.get(route.request_class) != "unsafe" or not file.repeats(route):
+        if effects.get(route.request_class) != "unsafe" or not file.allows_repeat(route):
             continue
         inherited = route.repeat is None
-        path: Path = ("defaults", "repeat") if inherited else ("route", i, "repeat")
+        path: FieldPath = ("defaults", "repeat") if inherited else ("route", i, "repeat")
         by = ", which inherits it from [defaults]" if inherited else ""
         yield Finding(
             path,
@@ -127,7 +127,7 @@
     first: dict[tuple[str, str], int] = {}
     for i, route in enumerate(file.route):
         j = first.setdefault((route.listener, route.request_class), i)
-        if file.repeats(file.route[j]) != file.repeats(route):
+        if file.allows_repeat(file.route[j]) != file.allows_repeat(route):
             yield Finding(
                 ("route", i, "repeat"),
                 "repeat-mixed",
@@ -184,7 +184,7 @@
     for i, kind in enumerate(file.request_class):
         if kind.effect != "keyed" or kind.window_ms is None:
             continue
-        repeated = any(file.repeats(r) for r in file.route if r.request_class == kind.name)
+        repeated = any(file.allows_repeat(r) for r in file.route if r.request_class == kind.name)
         if repeated and kind.window_ms < kind.deadline_ms:
             yield Finding(
                 ("class", i, "window_ms"),
@@ -224,7 +224,7 @@
 def repeats_have_attempts(file: File) -> Iterator[Finding]:
     """Copies make sense with a second attempt only."""
     for i, tier in enumerate(file.tier):
-        if tier.copies and file.attempts(tier) < 2:
+        if tier.copies and file.attempts_for(tier) < 2:
             yield Finding(
                 ("tier", i, "copies"),
                 "copies-without-attempts",
@@ -246,9 +246,9 @@
 def attempts_do_not_multiply(file: File) -> Iterator[Finding]:
     for i, tier in enumerate(file.tier):
         chain = _chain(file, tier)
-        product = math.prod(file.attempts(x) for x in chain)
-        if product > file.limits.repeat_factor and file.attempts(tier) > 1:
-            parts = " x ".join(str(file.attempts(x)) for x in reversed(chain))
+        product = math.prod(file.attempts_for(x) for x in chain)
+        if product > file.limits.repeat_factor and file.attempts_for(tier) > 1:
+            parts = " x ".join(str(file.attempts_for(x)) for x in reversed(chain))
             inherited = tier.attempts is None
             yield Finding(
                 ("defaults", "attempts") if inherited else ("tier", i, "attempts"),
@@ -308,7 +308,7 @@
 
 
 def addresses_are_addresses(file: File) -> Iterator[Finding]:
-    places: list[tuple[Path, str]] = [
+    places: list[tuple[FieldPath, str]] = [
         (("listener", i, "address"), x.address) for i, x in enumerate(file.listener)
     ]
     places += [(("tier", i, "discovery"), x.discovery) for i, x in enumerate(file.tier)]
@@ -358,7 +358,7 @@
             )
 
 
-def collide(one: str, other: str) -> bool:
+def addresses_conflict(one: str, other: str) -> bool:
     """Whether two addresses cannot both be listened on: 0.0.0.0 and :: take every address of their port."""
     if _port(one) != _port(other):
         return False
@@ -371,7 +371,7 @@
 
 def _takes(listener: str, asked: str) -> bool:
     """Whether a listener stands where an address is asked: of all addresses, only at this machine's own."""
-    if not collide(listener, asked):
+    if not addresses_conflict(listener, asked):
         return False
     return _host(listener) == _host(asked) or _host(asked) == "localhost" or _is_loopback(_host(asked))
 
@@ -392,7 +392,7 @@
     return None
 
 
-def _taken(listener: Listener, by: str, path: Path) -> Finding:
+def _taken(listener: Listener, by: str, path: FieldPath) -> Finding:
     return Finding(
         path,
         "port-taken",
@@ -405,7 +405,7 @@
 def ports_are_free(file: File) -> Iterator[Finding]:
     for i, listener in enumerate(file.listener):
         for other in file.listener[:i]:
-            if collide(listener.address, other.address):
+            if addresses_conflict(listener.address, other.address):
                 yield _taken(
                     listener, f"listener {other.name!r} ({other.address})", ("listener", i, "address")
                 )
@@ -507,7 +507,7 @@
 # ---------------------------------------------------------------- several files
 
 
-def together(files: list[File]) -> Iterator[tuple[int, Finding]]:
+def check_across_files(files: list[File]) -> Iterator[tuple[int, Finding]]:
     """Mistakes between applications, with the number of the file at which each is told."""
     names = [file.application.name for file in files]
     for i, file in enumerate(files):
@@ -529,7 +529,9 @@
 def _ports_of_others(files: list[File], i: int) -> Iterator[Finding]:
     for k, listener in enumerate(files[i].listener):
         for before in files[:i]:
-            found = next((x for x in before.listener if collide(listener.address, x.address)), None)
+            found = next(
+                (x for x in before.listener if addresses_conflict(listener.address, x.address)), None
+            )
             if found is not None:
                 by = f"application {before.application.name!r} ({found.name}, {found.address})"
                 yield _taken(listener, by, ("listener", k, "address"))
--- a/leadrudder/tool/commands.py
+++ b/leadrudder/tool/commands.py
@@ -11,23 +11,20 @@
 import click
 from click.shell_completion import get_completion_class
 
-from leadrudder.tool.check import Checked, check_sources
-from leadrudder.tool.check import check as check_files
-from leadrudder.tool.explain import NoRequestError
-from leadrudder.tool.explain import diff as differences
-from leadrudder.tool.explain import explain as explain_request
+from leadrudder.tool.check import CheckResult, check_files, check_sources
+from leadrudder.tool.explain import InvalidRequestError, diff_files, explain_request
 from leadrudder.tool.model import File
-from leadrudder.tool.problems import report
-from leadrudder.tool.render import render as render_file
-from leadrudder.tool.sidecar.machine import machine_lacks
-from leadrudder.tool.sidecar.supervisor import Supervisor, Terms
-from leadrudder.tool.source import Unreadable, parse, read
-from leadrudder.tool.template import template, write
+from leadrudder.tool.problems import format_problems
+from leadrudder.tool.render import render_nodes
+from leadrudder.tool.sidecar.capacity import capacity_shortfall
+from leadrudder.tool.sidecar.supervisor import Supervisor, Timeouts
+from leadrudder.tool.source import UnreadableFileError, parse_source, read_source
+from leadrudder.tool.template import new_file_text, write_new_file
 
 
-def _complain(done: Checked, form: str = "text") -> None:
+def _complain(done: CheckResult, form: str = "text") -> None:
     if done.problems:
-        print(report(done.problems, form), file=sys.stderr)
+        print(format_problems(done.problems, form), file=sys.stderr)
 
 
 @click.command()
@@ -40,7 +37,7 @@
     """
     done = check_files(files)
     if done.problems or form == "json":
-        print(report(done.problems, form))
+        print(format_problems(done.problems, form))
     if form == "text" and not done.problems:
         print(f"{len(files)} {'file' if len(files) == 1 else 'files'}: no problems")
     return done.exit_code
@@ -56,7 +53,7 @@
         return done.exit_code
     nodes = [
         {"name": node.name, "environment": node.environment, "config": node.config}
-        for node in render_file(done.files[0])
+        for node in render_nodes(done.files[0])
     ]
     print(json.dumps(nodes, indent=2))
     return 0
@@ -103,17 +100,17 @@
 
     Without --application it asks for all that no flag says.
     """
-    text = template(str(file), **_answers(told))
-    done = Checked()
+    text = new_file_text(str(file), **_answers(told))
+    done = CheckResult()
     try:
-        check_sources([parse(str(file), text)], done)
-    except Unreadable as error:
+        check_sources([parse_source(str(file), text)], done)
+    except UnreadableFileError as error:
         raise click.ClickException(f"{file}: {error}") from None
     if done.problems:
         _complain(done)
         return 1
     try:
-        write(file, text, force=force)
+        write_new_file(file, text, force=force)
     except FileExistsError:
         raise click.ClickException(f"{file} is there; --force replaces it") from None
     except OSError as error:
@@ -144,13 +141,13 @@
         _complain(done)
         return done.exit_code
 
-    lacking = machine_lacks(done.files[0])
+    lacking = capacity_shortfall(done.files[0])
     if lacking:
         print(f"leadrudder: {lacking}", file=sys.stderr)
         return 1
 
     async def main() -> int:
-        return await Supervisor(done.files[0], command, Terms(ready_s, stop_s)).run()
+        return await Supervisor(done.files[0], command, Timeouts(ready_s, stop_s)).run()
 
     return asyncio.run(main())
 
@@ -165,9 +162,9 @@
         _complain(done)
         return done.exit_code
     try:
-        for line in explain_request(done.files[0], read(file), request):
+        for line in explain_request(done.files[0], read_source(file), request):
             print(line)
-    except (NoRequestError, Unreadable) as error:
+    except (InvalidRequestError, UnreadableFileError) as error:
         raise click.ClickException(str(error)) from None
     return 0
 
@@ -187,7 +184,7 @@
             _complain(done)
             return done.exit_code
         files += done.files
-    changes = differences(*files)
+    changes = diff_files(*files)
     for change in changes:
         print(change)
     print(f"{len(changes)} differences" if changes else "no difference")
--- a/leadrudder/tool/explain.py
+++ b/leadrudder/tool/explain.py
@@ -11,23 +11,23 @@
 
 from leadrudder.node.routes import path_covers
 from leadrudder.tool.model import File, RequestClass, Route, Tier
-from leadrudder.tool.source import Source
+from leadrudder.tool.source import SourceFile
 
 _REQUEST = re.compile(r"([A-Z]+) +(/[!-~]*)")
 
 
-class NoRequestError(Exception):
+class InvalidRequestError(Exception):
     """A text that is no method and path."""
 
 
-def explain(file: File, source: Source, request: str) -> Iterator[str]:
+def explain_request(file: File, source: SourceFile, request: str) -> Iterator[str]:
     """Lines that say which route and class take a request, what may be repeated, and by which line of the file.
 
     request: a method and a path, as 'POST /varaus/17'. NoRequestError if it is none.
     """
     found = _REQUEST.fullmatch(request.strip())
     if found is None:
-        raise NoRequestError(f"{request!r} is no method and path, such as 'POST /varaus/17'")
+        raise InvalidRequestError(f"{request!r} is no method and path, such as 'POST /varaus/17'")
     method, path = found[1], found[2].partition("?")[0]
     at = next((i for i, r in enumerate(file.route) if r.method == method and path_covers(r.path, path)), None)
     if at is None:
@@ -39,7 +39,7 @@
     tier = next(x for x in file.tier if x.name == listener.tier)
 
     def line(*where: str | int) -> str:
-        return f"line {source.place(where)[0]}"
+        return f"line {source.position(where)[0]}"
 
     yield f"route    {at + 1}: {route.method} {route.path} ({line('route', at)})"
     k = file.request_class.index(kind)
@@ -58,28 +58,28 @@
 def _repeat(file: File, route: Route, kind: RequestClass) -> str:
     if kind.effect == "unsafe":
         return "never, once it may have run"
-    if not file.repeats(route):
+    if not file.allows_repeat(route):
         return "not once it may have run, as its route does not allow it"
     if kind.effect == "safe":
         return "at any server"
     return f"within its {kind.group}, for {kind.window_ms:g} ms from its first attempt"
 
 
-def _repeat_line(source: Source, at: int, route: Route) -> str:
+def _repeat_line(source: SourceFile, at: int, route: Route) -> str:
     if route.repeat is not None:
-        return f"line {source.place(('route', at, 'repeat'))[0]}"
-    if ("defaults", "repeat") in source.places:
-        return f"inherited, line {source.place(('defaults', 'repeat'))[0]}"
+        return f"line {source.position(('route', at, 'repeat'))[0]}"
+    if ("defaults", "repeat") in source.positions:
+        return f"inherited, line {source.position(('defaults', 'repeat'))[0]}"
     return "by default: nothing says so"
 
 
-def _attempts(file: File, tier: Tier, source: Source) -> str:
+def _attempts(file: File, tier: Tier, source: SourceFile) -> str:
     where = ("tier", file.tier.index(tier), "attempts")
-    said = "by default" if where not in source.places else f"line {source.place(where)[0]}"
-    if tier.attempts is None and ("defaults", "attempts") in source.places:
-        said = f"inherited, line {source.place(('defaults', 'attempts'))[0]}"
+    said = "by default" if where not in source.positions else f"line {source.position(where)[0]}"
+    if tier.attempts is None and ("defaults", "attempts") in source.positions:
+        said = f"inherited, line {source.position(('defaults', 'attempts'))[0]}"
     copies = ", a copy may go out beside the first" if tier.copies else ""
-    return f"up to {file.attempts(tier)}{copies} ({said})"
+    return f"up to {file.attempts_for(tier)}{copies} ({said})"
 
 
 # ---------------------------------------------------------------- changes
@@ -110,7 +110,7 @@
 )
 
 
-def diff(old: File, new: File) -> list[Change]:
+def diff_files(old: File, new: File) -> list[Change]:
     """What differs, defaults and inheritance included; tables are told apart by their names."""
     before, after = dict(_flat(old)), dict(_flat(new))
     changes = []
@@ -136,13 +136,13 @@
         for each in tables:
             for name, value in _fields(each):
                 if table == "tier" and name == "attempts":
-                    value = file.attempts(each)
+                    value = file.attempts_for(each)
                 yield f"{table} {each.name}.{name}", _text(value)
     for i, route in enumerate(file.route):
         key = f"route {route.method} {route.path}"
         yield f"{key}.class", route.request_class
         yield f"{key}.listener", route.listener
-        yield f"{key}.repeat", _text(file.repeats(route))
+        yield f"{key}.repeat", _text(file.allows_repeat(route))
         yield f"{key}.place", str(i + 1)
 
 
--- a/leadrudder/tool/model.py
+++ b/leadrudder/tool/model.py
@@ -10,34 +10,36 @@
 
 from pydantic import BaseModel, ConfigDict, Field
 
-VERSION = 1
+FORMAT_VERSION = 1
 
-Name = Annotated[str, Field(pattern=r"^[a-z][a-z0-9-]{0,62}$")]
+Identifier = Annotated[str, Field(pattern=r"^[a-z][a-z0-9-]{0,62}$")]
 Address = Annotated[str, Field(pattern=r"^\S+:[0-9]{1,5}$", description="host:port")]
 Milliseconds = Annotated[float, Field(gt=0, le=3_600_000, allow_inf_nan=False)]
 Share = Annotated[float, Field(ge=0, le=1, allow_inf_nan=False)]
-Amount = Annotated[float, Field(ge=0, le=1e9, allow_inf_nan=False)]
-Group = Literal["cell", "zone", "all"]
+NonNegativeNumber = Annotated[float, Field(ge=0, le=1e9, allow_inf_nan=False)]
+DeduplicationGroup = Literal["cell", "zone", "all"]
 
 
-class Section(BaseModel):
+class StrictModel(BaseModel):
     """A table of the file: unknown keys are mistakes, and nothing is converted on the quiet."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=True)
 
 
-class Application(Section):
+class Application(StrictModel):
     """The application that the sidecar stands beside."""
 
-    name: Name
+    name: Identifier
     zone: str = Field(default="", description="the zone of its machine; empty where there is one zone")
     stop: Literal["application-first", "nodes-first"] = Field(
         default="application-first", description="who goes first when the sidecar is told to end"
     )
-    calls: list[Name] = Field(default=[], description="other applications that it calls, by their names")
+    calls: list[Identifier] = Field(
+        default=[], description="other applications that it calls, by their names"
+    )
 
 
-class Limits(Section):
+class Limits(StrictModel):
     """What one node may use, and what the file promises to stay within."""
 
     memory_mb: int = Field(default=64, ge=32, le=65_536, description="of each node")
@@ -56,17 +58,17 @@
     )
 
 
-class Defaults(Section):
+class Defaults(StrictModel):
     """What routes and tiers inherit where they say nothing."""
 
     repeat: bool = Field(default=False, description="whether a route's requests may be repeated")
     attempts: int = Field(default=1, ge=1, le=10, description="that a tier's node makes for a request")
 
 
-class Tier(Section):
+class Tier(StrictModel):
     """Servers of one kind, which one listener's node balances."""
 
-    name: Name
+    name: Identifier
     discovery: Address = Field(description="where the list of its servers is asked for")
     list: Literal["asked", "pushed"] = Field(
         default="asked", description="whether the list is asked for or pushed"
@@ -85,7 +87,7 @@
         allow_inf_nan=False,
         description="and for how long they remember them",
     )
-    behind: Name | None = Field(
+    behind: Identifier | None = Field(
         default=None, description="the tier whose servers call this one; left out: the first"
     )
     deadline_ms: Milliseconds | None = Field(default=None, description="that its callers are given at most")
@@ -95,51 +97,51 @@
     nodes: int = Field(default=1, ge=1, le=10_000, description="nodes that share its servers")
 
 
-class Listener(Section):
+class Listener(StrictModel):
     """Where the application calls its node: one node for each."""
 
-    name: Name
+    name: Identifier
     address: Address
-    tier: Name
+    tier: Identifier
 
 
-class RequestClass(Section):
+class RequestClass(StrictModel):
     """Requests that are alike, and what an answer to one is worth."""
 
-    name: Name
+    name: Identifier
     effect: Literal["safe", "keyed", "unsafe"] = Field(
         default="unsafe",
         description="what a second execution does: nothing, dropped by its key, or the effect again",
     )
     aim_ms: Milliseconds
     deadline_ms: Milliseconds
-    worth: Amount = 1.0
+    worth: NonNegativeNumber = 1.0
     late_share: Share = 0.0
-    group: Group | None = Field(
+    group: DeduplicationGroup | None = Field(
         default=None, description="of a keyed class: the servers that drop its repeats"
     )
     window_ms: Milliseconds | None = Field(default=None, description="of a keyed class: how long they do")
 
 
-class Route(Section):
+class Route(StrictModel):
     """Requests of a method and a path are of a class and go to a listener."""
 
     method: Literal["GET", "POST"]
     path: str = Field(pattern=r"^/[!-~]*$", max_length=1024, description="a trailing /* takes all below it")
-    listener: Name
-    request_class: Name = Field(alias="class")
+    listener: Identifier
+    request_class: Identifier = Field(alias="class")
     repeat: bool | None = Field(default=None, description="left out: as in [defaults], which is false there")
 
 
-class Tenant(Section):
+class Tenant(StrictModel):
     """One of those who share the service."""
 
-    name: Name
+    name: Identifier
     share: Share
-    quota_per_s: Amount = 0.0
+    quota_per_s: NonNegativeNumber = 0.0
 
 
-class File(Section):
+class File(StrictModel):
     """The whole file."""
 
     version: Literal[1] = Field(description="of this format")
@@ -152,10 +154,10 @@
     route: list[Route] = Field(min_length=1)
     tenant: list[Tenant] = []
 
-    def attempts(self, tier: Tier) -> int:
+    def attempts_for(self, tier: Tier) -> int:
         """Of a tier's node for one request, inherited where it says nothing."""
         return self.defaults.attempts if tier.attempts is None else tier.attempts
 
-    def repeats(self, route: Route) -> bool:
+    def allows_repeat(self, route: Route) -> bool:
         """Whether a route's requests may be repeated, inherited where it says nothing."""
         return self.defaults.repeat if route.repeat is None else route.repeat
--- a/leadrudder/tool/problems.py
+++ b/leadrudder/tool/problems.py
@@ -39,7 +39,7 @@
     return _escape(text).replace(":", "%3A").replace(",", "%2C")
 
 
-def report(problems: Iterable[Problem], form: str) -> str:
+def format_problems(problems: Iterable[Problem], form: str) -> str:
     """All problems in one of the forms text, json and github."""
     if form == "json":
         return json.dumps([asdict(problem) for problem in problems], indent=2, ensure_ascii=False)
--- a/leadrudder/tool/reference.py
+++ b/leadrudder/tool/reference.py
@@ -18,7 +18,7 @@
 }
 
 
-def reference() -> str:
+def fields_page() -> str:
     """The page, as Markdown."""
     schema = File.model_json_schema()
     lines = [
@@ -72,4 +72,4 @@
 
 
 if __name__ == "__main__":
-    sys.stdout.write(reference())
+    sys.stdout.write(fields_page())
--- a/leadrudder/tool/render.py
+++ b/leadrudder/tool/render.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rendered:
+class RenderedNode:
     """One node: NODE_CONFIG is a path, which whoever starts the node adds."""
 
     name: str
@@ -23,12 +23,12 @@
     config: dict[str, Any]
 
 
-def render(file: File) -> list[Rendered]:
+def render_nodes(file: File) -> list[RenderedNode]:
     """The nodes of a file that check has passed, one for each listener."""
     return [_node(file, listener) for listener in file.listener]
 
 
-def _node(file: File, listener: Listener) -> Rendered:
+def _node(file: File, listener: Listener) -> RenderedNode:
     tier = next(tier for tier in file.tier if tier.name == listener.tier)
     name = f"{file.application.name}-{listener.name}"
     config = {
@@ -53,7 +53,7 @@
         "NODE_LISTEN": listener.address,
         "NODE_DISCOVERY": tier.discovery,
     }
-    return Rendered(name, environment, config)
+    return RenderedNode(name, environment, config)
 
 
 def tiers_before(file: File, tier: Tier) -> list[Tier]:
@@ -87,7 +87,7 @@
             "mayDuplicate": tier.copies,
             "probes": False,
             "retryAfter": True,
-            "tryLimit": file.attempts(tier),
+            "tryLimit": file.attempts_for(tier),
         },
         "profiles": [_profile(file, listener, kind) for kind in _classes(file, listener)],
         "registryMode": "pushed" if tier.list == "pushed" else "on_request",
@@ -104,7 +104,7 @@
 
 def _profile(file: File, listener: Listener, kind: RequestClass) -> dict[str, Any]:
     repeat = any(
-        file.repeats(route)
+        file.allows_repeat(route)
         for route in file.route
         if route.listener == listener.name and route.request_class == kind.name
     )
--- a/leadrudder/tool/sidecar/machine.py
+++ b/leadrudder/tool/sidecar/capacity.py
@@ -10,26 +10,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Machine:
+class MachineCapacity:
     """What one process may open, and what all may hold. None: without a limit."""
 
     descriptors: int | None
     memory_mb: int | None
 
     @classmethod
-    def this(cls) -> Machine:
+    def of_this_machine(cls) -> MachineCapacity:
         """By the hard limit, to which a process may raise its own, and the memory that is there."""
         hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
         memory = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE") // 1_000_000
         return cls(None if hard == resource.RLIM_INFINITY else hard, memory if memory > 0 else None)
 
 
-def machine_lacks(file: File, machine: Machine | None = None) -> str | None:
+def capacity_shortfall(file: File, machine: MachineCapacity | None = None) -> str | None:
     """One line on what is missing; None where all is there. machine: this one, if left out.
 
     Only the start looks: a file is mostly checked on another machine than the one that runs it.
     """
-    here = machine or Machine.this()
+    here = machine or MachineCapacity.of_this_machine()
     limits, nodes = file.limits, len(file.listener)
     if here.descriptors is not None and limits.descriptors > here.descriptors:
         return (
--- a/leadrudder/tool/sidecar/children.py
+++ b/leadrudder/tool/sidecar/processes.py
@@ -22,14 +22,14 @@
         os._exit(1)
 
 
-class Guard:
+class GuardianProcess:
     """The guardian's process, and what it is told."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self._process = process
 
     @classmethod
-    async def start(cls, grace_s: float) -> Guard:
+    async def start(cls, grace_s: float) -> GuardianProcess:
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -40,7 +40,7 @@
         )
         return cls(process)
 
-    def tell(self, sign: str, group: int) -> None:
+    def send(self, sign: str, group: int) -> None:
         if self._process.stdin is not None and not self._process.stdin.is_closing():
             self._process.stdin.write(f"{sign}{group}\n".encode())
 
@@ -51,16 +51,18 @@
         await self._process.wait()
 
 
-class Child:
+class ChildProcess:
     """One child, the leader of its process group."""
 
-    def __init__(self, process: asyncio.subprocess.Process, guard: Guard) -> None:
+    def __init__(self, process: asyncio.subprocess.Process, guard: GuardianProcess) -> None:
         self._process = process
         self._guard = guard
         self.pid = process.pid
 
     @classmethod
-    async def start(cls, command: Sequence[str], environment: dict[str, str], guard: Guard) -> Child:
+    async def start(
+        cls, command: Sequence[str], environment: dict[str, str], guard: GuardianProcess
+    ) -> ChildProcess:
         """OSError where the command cannot be started."""
         parent = os.getpid()
         process = await asyncio.create_subprocess_exec(
@@ -69,7 +71,7 @@
             start_new_session=True,
             preexec_fn=lambda: _die_with(parent),
         )
-        guard.tell("+", process.pid)
+        guard.send("+", process.pid)
         return cls(process, guard)
 
     def signal(self, number: int) -> None:
@@ -82,7 +84,7 @@
         code = await self._process.wait()
         # What it started itself and left behind in its group is ended with it.
         self.signal(signal.SIGKILL)
-        self._guard.tell("-", self.pid)
+        self._guard.send("-", self.pid)
         return code
 
     async def stop(self, grace_s: float) -> int:
--- a/leadrudder/tool/sidecar/supervisor.py
+++ b/leadrudder/tool/sidecar/supervisor.py
@@ -21,24 +21,24 @@
 from pathlib import Path
 
 from leadrudder.tool.model import File
-from leadrudder.tool.render import Rendered, render
-from leadrudder.tool.sidecar.children import Child, Guard
-from leadrudder.tool.sidecar.pauses import Pauses
+from leadrudder.tool.render import RenderedNode, render_nodes
+from leadrudder.tool.sidecar.backoff import RestartBackoff
+from leadrudder.tool.sidecar.processes import ChildProcess, GuardianProcess
 
-READY_LOOK_S = 0.05
-NOT_READY = 3  # exit code: a node was not ready in time
-NOT_STARTED = 127  # exit code, as a shell's: the command cannot be started
+READY_POLL_S = 0.05
+NOT_READY_EXIT_CODE = 3  # exit code: a node was not ready in time
+NOT_STARTED_EXIT_CODE = 127  # exit code, as a shell's: the command cannot be started
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class Timeouts:
     """Seconds. ready_s: for the nodes' start; stop_s: that a child has after SIGTERM."""
 
     ready_s: float = 30.0
     stop_s: float = 5.0
 
 
-def exit_code(code: int) -> int:
+def shell_exit_code(code: int) -> int:
     """A child's exit code as a shell tells it: 128 and the signal's number where one killed it."""
     return 128 - code if code < 0 else code
 
@@ -46,13 +46,13 @@
 class Supervisor:
     """One sidecar."""
 
-    def __init__(self, file: File, command: Sequence[str], terms: Terms) -> None:
+    def __init__(self, file: File, command: Sequence[str], terms: Timeouts) -> None:
         self._file = file
         self._command = command
         self._terms = terms
         self._stopping = asyncio.Event()
-        self._nodes: dict[str, Child] = {}
-        self._application: Child | None = None
+        self._nodes: dict[str, ChildProcess] = {}
+        self._application: ChildProcess | None = None
 
     async def run(self) -> int:
         """The application's exit code, or why it was not started."""
@@ -60,7 +60,7 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stopping.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload)
-        guard = await Guard.start(self._terms.stop_s)
+        guard = await GuardianProcess.start(self._terms.stop_s)
         try:
             with tempfile.TemporaryDirectory(prefix="leadrudder-") as folder:
                 return await self._serve(Path(folder), guard)
@@ -73,13 +73,13 @@
             if child is not None:
                 child.signal(signal.SIGHUP)
 
-    async def _serve(self, folder: Path, guard: Guard) -> int:
-        rendered = render(self._file)
+    async def _serve(self, folder: Path, guard: GuardianProcess) -> int:
+        rendered = render_nodes(self._file)
         keepers = [asyncio.create_task(self._keep(node, folder, guard)) for node in rendered]
         code = 0
         try:
             if not await self._all_ready(rendered):
-                return NOT_READY if not self._stopping.is_set() else 0
+                return NOT_READY_EXIT_CODE if not self._stopping.is_set() else 0
             code = await self._run_application(guard, keepers)
         finally:
             await self._end_nodes(keepers)
@@ -87,27 +87,28 @@
 
     # ------------------------------------------------------------ nodes
 
-    async def _keep(self, node: Rendered, folder: Path, guard: Guard) -> None:
+    async def _keep(self, node: RenderedNode, folder: Path, guard: GuardianProcess) -> None:
         """Start a node, and again whenever it dies."""
         path = folder / f"{node.name}.json"
-        pauses = Pauses()
+        pauses = RestartBackoff()
         while True:
             # A new seed for each start, as the platform gives it.
             path.write_text(json.dumps({**node.config, "seed": secrets.token_hex(8)}))
             began = time.monotonic()
             environment = {**node.environment, "NODE_CONFIG": str(path)}
-            child = await Child.start((sys.executable, "-m", "leadrudder"), environment, guard)
+            child = await ChildProcess.start((sys.executable, "-m", "leadrudder"), environment, guard)
             self._nodes[node.name] = child
             code = await child.wait()
             del self._nodes[node.name]
-            pause = pauses.after(time.monotonic() - began)
+            pause = pauses.next_delay_s(time.monotonic() - began)
             print(
-                f"leadrudder: node {node.name} ended with {exit_code(code)}, starts again in {pause:g} s",
+                f"leadrudder: node {node.name} ended with {shell_exit_code(code)},"
+                f" starts again in {pause:g} s",
                 file=sys.stderr,
             )
             await asyncio.sleep(pause)
 
-    async def _all_ready(self, rendered: Sequence[Rendered]) -> bool:
+    async def _all_ready(self, rendered: Sequence[RenderedNode]) -> bool:
         """Wait for /ready of each node; False when the time is over, or at a signal."""
         ready = asyncio.gather(*(self._ready(node) for node in rendered))
         stopping = asyncio.ensure_future(self._stopping.wait())
@@ -126,10 +127,10 @@
             )
         return False
 
-    async def _ready(self, node: Rendered) -> None:
+    async def _ready(self, node: RenderedNode) -> None:
         host, _, port = node.environment["NODE_LISTEN"].rpartition(":")
         while not await self._answers(host.strip("[]"), int(port)):
-            await asyncio.sleep(READY_LOOK_S)
+            await asyncio.sleep(READY_POLL_S)
 
     @staticmethod
     async def _answers(host: str, port: int) -> bool:
@@ -147,12 +148,12 @@
 
     # ------------------------------------------------------------ the application
 
-    async def _run_application(self, guard: Guard, keepers: list[asyncio.Task[None]]) -> int:
+    async def _run_application(self, guard: GuardianProcess, keepers: list[asyncio.Task[None]]) -> int:
         try:
-            child = self._application = await Child.start(self._command, {}, guard)
+            child = self._application = await ChildProcess.start(self._command, {}, guard)
         except OSError as error:
             print(f"leadrudder: {self._command[0]} cannot be started: {error.strerror}", file=sys.stderr)
-            return NOT_STARTED
+            return NOT_STARTED_EXIT_CODE
         ended = asyncio.ensure_future(child.wait())
         stopping = asyncio.ensure_future(self._stopping.wait())
         await asyncio.wait((ended, stopping), return_when=asyncio.FIRST_COMPLETED)
@@ -165,7 +166,7 @@
             if not done:
                 print("leadrudder: the application ignores SIGTERM and is killed", file=sys.stderr)
                 child.signal(signal.SIGKILL)
-        return exit_code(await ended)
+        return shell_exit_code(await ended)
 
     async def _end_nodes(self, keepers: list[asyncio.Task[None]]) -> None:
         """No node is started again; those that are there drain, and are killed where they do not."""
--- a/leadrudder/tool/source.py
+++ b/leadrudder/tool/source.py
@@ -19,62 +19,64 @@
 MOST_DEPTH = 32  # of brackets: tomllib calls itself for each
 TRIES = 3  # to read a file that is replaced meanwhile
 
-Path = tuple[str | int, ...]
-Place = tuple[int, int]
+FieldPath = tuple[str | int, ...]
+Position = tuple[int, int]
 
 _TOML = Language(tree_sitter_toml.language())
 _AT = re.compile(r"\(at line (\d+), column (\d+)\)")
 
 
-class Unreadable(Exception):  # noqa: N818 - it says what the file is
+class UnreadableFileError(Exception):
     """A file that cannot be read, or is no TOML; place is where, if that is known."""
 
-    def __init__(self, text: str, place: Place = (1, 1)) -> None:
+    def __init__(self, text: str, position: Position = (1, 1)) -> None:
         super().__init__(text)
-        self.place = place
+        self.position = position
 
 
 @dataclass(frozen=True)
-class Source:
+class SourceFile:
     """A file's values, and where they stand."""
 
     name: str
     values: dict[str, Any]
-    places: dict[Path, Place]
+    positions: dict[FieldPath, Position]
 
-    def place(self, path: Path) -> Place:
+    def position(self, path: FieldPath) -> Position:
         """Line and column of a field, or of the nearest thing around it that is there."""
         for length in range(len(path), -1, -1):
-            found = self.places.get(path[:length])
+            found = self.positions.get(path[:length])
             if found is not None:
                 return found
         return (1, 1)
 
 
-def read(name: str) -> Source:
+def read_source(name: str) -> SourceFile:
     """The file of this name; Unreadable with what is wrong."""
     data = _bytes(name)
     try:
         text = data.decode("utf-8")
     except UnicodeDecodeError as error:
-        raise Unreadable(f"is not UTF-8: byte {error.start}", _place_of(data, error.start)) from None
-    return parse(name, text)
+        raise UnreadableFileError(
+            f"is not UTF-8: byte {error.start}", _position_of(data, error.start)
+        ) from None
+    return parse_source(name, text)
 
 
-def parse(name: str, text: str) -> Source:
+def parse_source(name: str, text: str) -> SourceFile:
     """The same for a text; Unreadable if it is no TOML."""
     depth = _depth(text)
     if depth > MOST_DEPTH:
-        raise Unreadable(f"is nested {depth} deep; at most {MOST_DEPTH} are read")
+        raise UnreadableFileError(f"is nested {depth} deep; at most {MOST_DEPTH} are read")
     try:
         values = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         found = _AT.search(str(error))
-        place = (int(found[1]), int(found[2])) if found else (text.count("\n") + 1, 1)
-        raise Unreadable(f"is no TOML: {_AT.sub('', str(error)).strip()}", place) from None
+        position = (int(found[1]), int(found[2])) if found else (text.count("\n") + 1, 1)
+        raise UnreadableFileError(f"is no TOML: {_AT.sub('', str(error)).strip()}", position) from None
     except (RecursionError, ValueError) as error:
-        raise Unreadable(f"is no TOML: {error}") from None
-    return Source(name, values, _places(text))
+        raise UnreadableFileError(f"is no TOML: {error}") from None
+    return SourceFile(name, values, _field_positions(text))
 
 
 def _bytes(name: str) -> bytes:
@@ -84,16 +86,16 @@
             with open(name, "rb", opener=_open) as file:
                 before = os.fstat(file.fileno())
                 if not stat.S_ISREG(before.st_mode):
-                    raise Unreadable("is not a regular file")
+                    raise UnreadableFileError("is not a regular file")
                 if before.st_size > MOST_BYTES:
-                    raise Unreadable(f"holds {before.st_size} bytes; at most {MOST_BYTES} are read")
+                    raise UnreadableFileError(f"holds {before.st_size} bytes; at most {MOST_BYTES} are read")
                 data = file.read(MOST_BYTES + 1)
                 after = os.fstat(file.fileno())
             if _same(before, after) and _same(before, os.stat(name)) and len(data) == before.st_size:
                 return data
     except OSError as error:
-        raise Unreadable(f"cannot be read: {error.strerror}") from None
-    raise Unreadable(f"was changed each of {TRIES} times that it was read")
+        raise UnreadableFileError(f"cannot be read: {error.strerror}") from None
+    raise UnreadableFileError(f"was changed each of {TRIES} times that it was read")
 
 
 def _open(name: str, flags: int) -> int:
@@ -110,7 +112,7 @@
     )
 
 
-def _place_of(data: bytes, offset: int) -> Place:
+def _position_of(data: bytes, offset: int) -> Position:
     before = data[:offset]
     return before.count(b"\n") + 1, offset - (before.rfind(b"\n") + 1) + 1
 
@@ -130,60 +132,64 @@
 # ---------------------------------------------------------------- positions
 
 
-def _places(text: str) -> dict[Path, Place]:
+def _field_positions(text: str) -> dict[FieldPath, Position]:
     """Where each key and each element of an array stands."""
-    places: dict[Path, Place] = {(): (1, 1)}
-    counts: dict[Path, int] = {}
+    positions: dict[FieldPath, Position] = {(): (1, 1)}
+    counts: dict[FieldPath, int] = {}
     for node in Parser(_TOML).parse(text.encode()).root_node.children:
         if node.type == "pair":
-            _pair(node, (), places, counts)
+            _pair(node, (), positions, counts)
         elif node.type in ("table", "table_array_element"):
-            _table(node, places, counts)
-    return places
+            _table(node, positions, counts)
+    return positions
 
 
-def _put(places: dict[Path, Place], path: Path, node: Node) -> None:
+def _put(positions: dict[FieldPath, Position], path: FieldPath, node: Node) -> None:
     row, column = node.start_point
-    places.setdefault(path, (row + 1, column + 1))
+    positions.setdefault(path, (row + 1, column + 1))
 
 
-def _table(node: Node, places: dict[Path, Place], counts: dict[Path, int]) -> None:
+def _table(node: Node, positions: dict[FieldPath, Position], counts: dict[FieldPath, int]) -> None:
     keys = next((c for c in node.children if c.type.endswith("key")), None)
     if keys is None:
         return
-    path: Path = ()
+    path: FieldPath = ()
     names = _names(keys)
     for i, name in enumerate(names):
         path = (*path, name)
         if node.type == "table_array_element" and i == len(names) - 1:
             counts[path] = counts.get(path, 0) + 1
         if path in counts:
-            _put(places, path, keys)
+            _put(positions, path, keys)
             path = (*path, counts[path] - 1)
-        _put(places, path, keys)
+        _put(positions, path, keys)
     for child in node.children:
         if child.type == "pair":
-            _pair(child, path, places, counts)
+            _pair(child, path, positions, counts)
 
 
-def _pair(node: Node, path: Path, places: dict[Path, Place], counts: dict[Path, int]) -> None:
+def _pair(
+    node: Node, path: FieldPath, positions: dict[FieldPath, Position], counts: dict[FieldPath, int]
+) -> None:
     keys, value = node.children[0], node.children[-1]
     for name in _names(keys):
         path = (*path, name)
-        _put(places, path, keys)
-    _value(value, path, places, counts)
+        _put(positions, path, keys)
+    _value(value, path, positions, counts)
 
 
-def _value(node: Node, path: Path, places: dict[Path, Place], counts: dict[Path, int]) -> None:
+def _value(
+    node: Node, path: FieldPath, positions: dict[FieldPath, Position], counts: dict[FieldPath, int]
+) -> None:
     if node.type == "inline_table":
         for child in node.children:
             if child.type == "pair":
-                _pair(child, path, places, counts)
+                _pair(child, path, positions, counts)
     elif node.type == "array":
         elements = [c for c in node.children if c.type not in ("[", "]", ",", "comment")]
         for i, element in enumerate(elements):
-            _put(places, (*path, i), element)
-            _value(element, (*path, i), places, counts)
+            _put(positions, (*path, i), element)
+            _value(element, (*path, i), positions, counts)
 
 
 def _names(node: Node) -> list[str]:
--- a/leadrudder/tool/template.py
+++ b/leadrudder/tool/template.py
@@ -77,14 +77,14 @@
 """
 
 
-def template(file: str, application: str, tier: str, listen: str, discovery: str) -> str:
+def new_file_text(file: str, application: str, tier: str, listen: str, discovery: str) -> str:
     """The text of a new file; the values go in as TOML strings."""
     values = {"application": application, "tier": tier, "listen": listen, "discovery": discovery}
     quoted = {f"{name}_": json.dumps(value, ensure_ascii=False) for name, value in values.items()}
     return _TEXT.format(file=json.dumps(Path(file).name, ensure_ascii=False), **quoted)
 
 
-def write(path: Path, text: str, *, force: bool) -> None:
+def write_new_file(path: Path, text: str, *, force: bool) -> None:
     """Write a new file in one step: there is either none of it or all. FileExistsError unless forced.
 
     OSError where the folder cannot be written to.
--- a/leadrudder/tool/typed.py
+++ b/leadrudder/tool/validation.py
@@ -9,7 +9,7 @@
 from pydantic import BaseModel, ValidationError
 
 from leadrudder.tool.problems import Problem
-from leadrudder.tool.source import Path, Source
+from leadrudder.tool.source import FieldPath, SourceFile
 
 # What pydantic calls a mistake, and what it means in service.
 _WHY = {
@@ -19,7 +19,7 @@
 _ELSE = "A node that started with it would not do what the file says."
 
 
-def field_name(path: Path) -> str:
+def field_name(path: FieldPath) -> str:
     """A path as it is written down: route[2].repeat, counted from 1."""
     text = ""
     for part in path:
@@ -28,7 +28,7 @@
 
 
 def type_problems(
-    source: Source, error: ValidationError, model: type[BaseModel], otherwise: str = _ELSE
+    source: SourceFile, error: ValidationError, model: type[BaseModel], otherwise: str = _ELSE
 ) -> Iterable[Problem]:
     """One problem for each thing that the model rejects; otherwise: why it matters, by default."""
     told = set()
@@ -49,12 +49,12 @@
         if (path, rule) in told:
             continue  # each form that a field may have finds its own fault with it; the first says enough
         told.add((path, rule))
-        line, column = source.place(path)
+        line, column = source.position(path)
         why = _WHY.get(kind, otherwise)
         yield Problem(source.name, line, column, field_name(path), rule, what, why, right)
 
 
-def _in_file(source: Source, path: Path) -> Path:
+def _in_file(source: SourceFile, path: FieldPath) -> FieldPath:
     """Without the names of alternatives, which pydantic puts behind the field that has them."""
     values: Any = source.values
     kept: list[str | int] = []
@@ -70,7 +70,7 @@
     return tuple(kept)
 
 
-def _known(model: Any, path: Path) -> list[str]:
+def _known(model: Any, path: FieldPath) -> list[str]:
     """The keys of the table in which a path ends."""
     for part in path[:-1]:
         if isinstance(part, int) or not (isinstance(model, type) and issubclass(model, BaseModel)):
--- a/tests/experiment/small.py
+++ b/tests/experiment/small.py
@@ -9,7 +9,7 @@
 from leadrudder.experiment.plan import changed
 from leadrudder.experiment.play import decider_of, play
 from leadrudder.experiment.runner import Experiment
-from leadrudder.tool.source import parse
+from leadrudder.tool.source import parse_source
 
 TEXT = """
 version = 1
@@ -61,7 +61,7 @@
 
 def values(**change: Any) -> dict[str, Any]:
     """The file's values, with fields changed: dots are written as two underscores."""
-    file = changed(parse("small", TEXT).values, {k.replace("__", "."): v for k, v in change.items()})
+    file = changed(parse_source("small", TEXT).values, {k.replace("__", "."): v for k, v in change.items()})
     return file.model_dump(mode="json", by_alias=True, exclude_unset=True)
 
 
--- a/tests/tool/samples.py
+++ b/tests/tool/samples.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass
 
-from leadrudder.tool.template import template
+from leadrudder.tool.template import new_file_text
 
-BASE = template("a.toml", "kampaamo", "palvelu", "127.0.0.1:8100", "127.0.0.1:8500")
+BASE = new_file_text("a.toml", "kampaamo", "palvelu", "127.0.0.1:8100", "127.0.0.1:8500")
 SECOND_TIER = """
 [[tier]]
 name = "tallennus"
--- a/tests/tool/test_check.py
+++ b/tests/tool/test_check.py
@@ -15,10 +15,12 @@
 from leadrudder.node.config import ConfigError, load_config
 from leadrudder.settings import SettingsError
 from leadrudder.tool import source
-from leadrudder.tool.check import Checked, check, check_sources
-from leadrudder.tool.checks import collide
-from leadrudder.tool.render import render
-from leadrudder.tool.source import Unreadable, parse
+from leadrudder.tool.check import CheckResult as Checked
+from leadrudder.tool.check import check_files, check_sources
+from leadrudder.tool.checks import addresses_conflict as collide
+from leadrudder.tool.render import render_nodes
+from leadrudder.tool.source import UnreadableFileError as Unreadable
+from leadrudder.tool.source import parse_source as parse
 from tests.tool.samples import BASE, BROKEN, GOOD, LEAST, Broken
 
 
@@ -44,7 +46,7 @@
 def _starts(done: Checked) -> None:
     """A node takes what is rendered of each accepted file."""
     for file in done.files:
-        for node in render(file):
+        for node in render_nodes(file):
             config = load_config({**node.environment, "NODE_CONFIG": "x"}, _OneFile(json.dumps(node.config)))
             assert config.name == node.name
             assert len(config.settings.classes) >= 1
@@ -59,7 +61,7 @@
 def test_a_mistake_is_told_with_its_reason(broken: Broken, tmp_path: Path) -> None:
     path = tmp_path / "a.toml"
     path.write_text(broken.text)
-    done = check([str(path)])
+    done = check_files([str(path)])
     assert done.exit_code == 1
     assert [problem.rule for problem in done.problems] == [broken.rule], [p.text() for p in done.problems]
     (problem,) = done.problems
@@ -79,7 +81,7 @@
     path = tmp_path / "a.toml"
     path.write_bytes(GOOD[name].encode())
     before = path.stat()
-    done = check([str(path)])
+    done = check_files([str(path)])
     assert done.exit_code == 0, [problem.text() for problem in done.problems]
     assert path.read_bytes() == GOOD[name].encode() and path.stat().st_mtime_ns == before.st_mtime_ns
     _starts(done)
@@ -91,7 +93,7 @@
         path = tmp_path / f"{i}.toml"
         path.write_text(text)
         names.append(str(path))
-    return check(names)
+    return check_files(names)
 
 
 def test_two_applications_claim_one_port(tmp_path: Path) -> None:
@@ -153,7 +155,7 @@
 
 
 def _unreadable(path: Path, says: str) -> None:
-    done = check([str(path)])
+    done = check_files([str(path)])
     assert done.exit_code == 2
     assert [p.rule for p in done.problems] == ["unreadable"] and says in done.problems[0].what
 
@@ -162,7 +164,7 @@
     path = tmp_path / "a.toml"
     path.write_bytes(b"version = 1\n# \xff\n")
     _unreadable(path, "is not UTF-8: byte 14")
-    assert (check([str(path)]).problems[0].line, check([str(path)]).problems[0].column) == (2, 3)
+    assert (check_files([str(path)]).problems[0].line, check_files([str(path)]).problems[0].column) == (2, 3)
 
 
 def test_a_file_of_100_mb(tmp_path: Path) -> None:
@@ -234,7 +236,7 @@
         return original(descriptor)
 
     monkeypatch.setattr(os, "fstat", fstat)
-    assert check([str(path)]).exit_code == 0
+    assert check_files([str(path)]).exit_code == 0
 
     def always(descriptor: int) -> os.stat_result:
         other.write_text(BASE)
--- a/tests/tool/test_commands.py
+++ b/tests/tool/test_commands.py
@@ -12,8 +12,8 @@
 import pytest
 
 from leadrudder.cli import main
-from leadrudder.tool.reference import reference
-from leadrudder.tool.template import template
+from leadrudder.tool.reference import fields_page
+from leadrudder.tool.template import new_file_text
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -132,7 +132,7 @@
 def test_the_reference_of_fields_is_current() -> None:
     page = ROOT / "docs" / "operators" / "fields.md"
     assert (
-        page.read_text() == reference()
+        page.read_text() == fields_page()
     ), "run python -m leadrudder.tool.reference > docs/operators/fields.md"
 
 
@@ -144,7 +144,7 @@
 
 def test_the_example_is_what_init_writes_and_passes_check() -> None:
     example = ROOT / "deploy" / "kampaamo.toml"
-    assert example.read_text() == template(
+    assert example.read_text() == new_file_text(
         example.name, "kampaamo", "palvelu", "127.0.0.1:8100", "127.0.0.1:8500"
     )
     assert main(["check", str(example)]) == 0
--- a/tests/tool/test_explain.py
+++ b/tests/tool/test_explain.py
@@ -7,16 +7,16 @@
 import pytest
 
 from leadrudder.cli import main
-from leadrudder.tool.check import Checked, check_sources
-from leadrudder.tool.explain import diff
+from leadrudder.tool.check import CheckResult, check_sources
+from leadrudder.tool.explain import diff_files
 from leadrudder.tool.model import File
-from leadrudder.tool.source import parse
+from leadrudder.tool.source import parse_source
 from tests.tool.samples import BASE, TENANTS
 
 
 def _file(text: str) -> File:
-    done = Checked()
-    check_sources([parse("a.toml", text)], done)
+    done = CheckResult()
+    check_sources([parse_source("a.toml", text)], done)
     assert not done.problems, done.problems
     return done.files[0]
 
@@ -81,17 +81,17 @@
 )
 def test_a_change_is_told_with_what_it_means(old: str, new: str, field: str, means: str, needs: str) -> None:
     assert old in BASE
-    (change,) = diff(_file(BASE), _file(BASE.replace(old, new)))
+    (change,) = diff_files(_file(BASE), _file(BASE.replace(old, new)))
     assert change.field == field and means in change.means and change.needs == needs
 
 
 def test_what_only_the_tool_reads_needs_nothing() -> None:
-    (change,) = diff(_file(BASE), _file(BASE + "[limits]\nrepeat_factor = 9\n"))
+    (change,) = diff_files(_file(BASE), _file(BASE + "[limits]\nrepeat_factor = 9\n"))
     assert change.needs.startswith("nothing")
 
 
 def test_new_tables_and_comments(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    changes = diff(_file(BASE), _file(BASE + TENANTS))
+    changes = diff_files(_file(BASE), _file(BASE + TENANTS))
     assert {change.field for change in changes} >= {"tenant oma.share", "tenant muut.share"}
     assert all(change.means == "it is new" for change in changes)
     old, new = tmp_path / "old.toml", tmp_path / "new.toml"
--- a/tests/tool/test_sidecar.py
+++ b/tests/tool/test_sidecar.py
@@ -17,9 +17,9 @@
 
 from leadrudder.cli import main as cli_main
 from leadrudder.tool.model import File
-from leadrudder.tool.sidecar.machine import Machine, machine_lacks
-from leadrudder.tool.sidecar.pauses import LONGEST_S, PROVEN_S, Pauses
-from leadrudder.tool.sidecar.supervisor import exit_code
+from leadrudder.tool.sidecar.backoff import MAX_DELAY_S, RESET_AFTER_S, RestartBackoff
+from leadrudder.tool.sidecar.capacity import MachineCapacity, capacity_shortfall
+from leadrudder.tool.sidecar.supervisor import shell_exit_code
 from tests.stubs import HOST, WAIT_TIMEOUT_S, StubDiscovery, StubServer, listing, reply, row, run, send_line
 
 FILE = """\
@@ -277,20 +277,25 @@
 
 
 def test_what_the_machine_does_not_allow_is_told_in_one_line() -> None:
-    small = Machine(descriptors=512, memory_mb=100)
-    assert machine_lacks(_file(), small) is None
-    assert machine_lacks(_file(descriptors=512, memory_mb=100), small) is None
-    lacks = machine_lacks(_file(descriptors=513), small)
+    small = MachineCapacity(descriptors=512, memory_mb=100)
+    assert capacity_shortfall(_file(), small) is None
+    assert capacity_shortfall(_file(descriptors=512, memory_mb=100), small) is None
+    lacks = capacity_shortfall(_file(descriptors=513), small)
     assert lacks is not None and "is 513, and a process may open 512 here" in lacks
-    lacks = machine_lacks(_file(memory_mb=101), small)
+    lacks = capacity_shortfall(_file(memory_mb=101), small)
     assert lacks is not None and "want 101 MB, and this machine has 100" in lacks
-    assert machine_lacks(_file(descriptors=1_048_576, memory_mb=65_536), Machine(None, None)) is None
+    assert (
+        capacity_shortfall(_file(descriptors=1_048_576, memory_mb=65_536), MachineCapacity(None, None))
+        is None
+    )
 
 
 def test_a_sidecar_beyond_its_machine_starts_nothing(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Machine, "this", classmethod(lambda cls: Machine(64, None)))
+    monkeypatch.setattr(
+        MachineCapacity, "of_this_machine", classmethod(lambda cls: MachineCapacity(64, None))
+    )
     path, mark = tmp_path / "a.toml", tmp_path / "started"
     path.write_text(FILE.format(list="pushed", stop="nodes-first", discovery="127.0.0.1:1", port=2))
     assert cli_main(["sidecar", str(path), "--", "touch", str(mark)]) == 1
@@ -309,11 +314,11 @@
 
 
 def test_pauses_grow_and_fall_back_when_a_node_has_lived() -> None:
-    pauses = Pauses()
-    found = [pauses.after(0.0) for _ in range(8)]
-    assert found[:4] == [0.1, 0.2, 0.4, 0.8] and found[-1] == LONGEST_S
-    assert pauses.after(PROVEN_S) == 0.1
+    pauses = RestartBackoff()
+    found = [pauses.next_delay_s(0.0) for _ in range(8)]
+    assert found[:4] == [0.1, 0.2, 0.4, 0.8] and found[-1] == MAX_DELAY_S
+    assert pauses.next_delay_s(RESET_AFTER_S) == 0.1
 
 
 def test_exit_codes_are_a_shells() -> None:
-    assert (exit_code(0), exit_code(7), exit_code(-9)) == (0, 7, 137)
+    assert (shell_exit_code(0), shell_exit_code(7), shell_exit_code(-9)) == (0, 7, 137)
