--- a/leadrudder/cli.py
+++ b/leadrudder/cli.py
@@ -1,6 +1,6 @@
-"""The tool: `leadrudder` on the command line, also as `python -m leadrudder.cli`.
+"""The command line interface: `leadrudder`, also as `python -m leadrudder.cli`.
 
-Each subsystem adds its commands here. The node in service imports none of this.
+Each subsystem adds its commands here. A running node imports none of this.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 from leadrudder.simulation.command import simulate
 from leadrudder.tool.commands import check, completion, diff, explain, init, render, schema, sidecar
 
-UNUSABLE = 2  # exit code for what was asked in a way that cannot be done
+USAGE_ERROR_EXIT_CODE = 2  # for a usage error, an aborted prompt or an operation that cannot be done
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="leadrudder", message="%(version)s")
-def tool() -> None:
-    """leadrudder: a load balancer's node for services that call services, and its tools."""
+def cli() -> None:
+    """leadrudder: a service mesh node that balances calls between services, and its tools."""
 
 
-@tool.command(
+@cli.command(
     "experiment",
     add_help_option=False,
     context_settings={"ignore_unknown_options": True, "allow_interspersed_args": False},
@@ -32,34 +32,34 @@
 def experiment(arguments: tuple[str, ...]) -> int:
     """Try a fleet, a load or a policy in virtual time before it is rolled out."""
     try:
-        from leadrudder.experiment.command import experiment as commands  # its libraries are not everybody's
+        from leadrudder.experiment.command import experiment as experiment_cli  # optional dependencies
     except ModuleNotFoundError as error:
         raise click.ClickException(
-            f"it needs {error.name}: pip install -r requirements-experiment.txt"
+            f"{error.name} is not installed: pip install -r requirements-experiment.txt"
         ) from None
-    code = commands.main(
+    code = experiment_cli.main(
         args=list(arguments) or ["--help"], prog_name="leadrudder experiment", standalone_mode=False
     )
     return int(code or 0)
 
 
 for command in (demo, init, check, render, explain, diff, schema, sidecar, rpc, simulate, completion):
-    tool.add_command(command)
+    cli.add_command(command)
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Exit code 0 when all is well, 1 for findings, 2 with one plain line for what cannot be done."""
+    """Exit code 0 on success, 1 for problems found, 2 with a one-line message for what cannot be done."""
     try:
-        code = tool.main(args=arguments, prog_name="leadrudder", standalone_mode=False)
+        code = cli.main(args=arguments, prog_name="leadrudder", standalone_mode=False)
     except click.exceptions.NoArgsIsHelpError as error:
         print(error.format_message())
-        return UNUSABLE
+        return USAGE_ERROR_EXIT_CODE
     except click.ClickException as error:
         print(f"leadrudder: {error.format_message()}", file=sys.stderr)
-        return UNUSABLE
+        return USAGE_ERROR_EXIT_CODE
     except click.Abort:
         print("leadrudder: stopped", file=sys.stderr)
-        return UNUSABLE
+        return USAGE_ERROR_EXIT_CODE
     return int(code or 0)
 
 
--- a/leadrudder/tool/__init__.py
+++ b/leadrudder/tool/__init__.py
@@ -1,1 +1,1 @@
-"""The tool for the operator's file: read it, check it, and make of it what a node is told."""
+"""Tools for the operator's configuration file: read it, check it, and render node configurations from it."""
--- a/leadrudder/tool/check.py
+++ b/leadrudder/tool/check.py
@@ -1,4 +1,4 @@
-"""Checks operators' files: reading, types, and what the system needs, all problems in one go."""
+"""Checks operators' files for syntax, types and consistency, and reports all problems at once."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass
 class CheckResult:
-    """What came of the files; files holds those that are good in themselves."""
+    """The outcome of a check; files holds those that passed type validation."""
 
     problems: list[Problem] = field(default_factory=list)
     unreadable: bool = False
@@ -24,45 +24,49 @@
 
     @property
     def exit_code(self) -> int:
-        """0 clean, 1 problems, 2 a file that cannot be read."""
+        """0: no problems; 1: problems; 2: a file could not be read."""
         return 2 if self.unreadable else 1 if self.problems else 0
 
 
 def check_files(names: Iterable[str]) -> CheckResult:
-    """Check files of one or many applications together."""
-    done = CheckResult()
+    """Check the files of one or several applications, each by itself and all together."""
+    result = CheckResult()
     sources: list[SourceFile] = []
     for name in names:
         try:
             sources.append(read_source(name))
         except UnreadableFileError as error:
-            done.unreadable = True
+            result.unreadable = True
             line, column = error.position
             why = "Nothing in it can be checked."
-            done.problems.append(
+            result.problems.append(
                 Problem(name, line, column, "file", "unreadable", f"{error}.", why, "a TOML file in UTF-8")
             )
-    check_sources(sources, done)
-    return done
+    check_sources(sources, result)
+    return result
 
 
-def check_sources(sources: list[SourceFile], done: CheckResult) -> None:
-    """The same for what has been read."""
-    kept: list[SourceFile] = []
+def check_sources(sources: list[SourceFile], result: CheckResult) -> None:
+    """Validate and check files that are already parsed; the outcome is added to result."""
+    valid_sources: list[SourceFile] = []
     for source in sources:
         try:
             file = File.model_validate(source.values)
         except ValidationError as error:
-            done.problems += type_problems(source, error, File)
+            result.problems += type_problems(source, error, File)
             continue
-        kept.append(source)
-        done.files.append(file)
-        done.problems += [_problem(source, finding) for one in CHECKS for finding in one(file)]
-    done.problems += [_problem(kept[i], finding) for i, finding in check_across_files(done.files)]
-    done.problems.sort(key=lambda problem: (problem.file, problem.line, problem.column))
+        valid_sources.append(source)
+        result.files.append(file)
+        result.problems += [
+            _to_problem(source, finding) for check_file in CHECKS for finding in check_file(file)
+        ]
+    result.problems += [
+        _to_problem(valid_sources[i], finding) for i, finding in check_across_files(result.files)
+    ]
+    result.problems.sort(key=lambda problem: (problem.file, problem.line, problem.column))
 
 
-def _problem(source: SourceFile, finding: Finding) -> Problem:
+def _to_problem(source: SourceFile, finding: Finding) -> Problem:
     line, column = source.position(finding.path)
     return Problem(
         source.name,
--- a/leadrudder/tool/model.py
+++ b/leadrudder/tool/model.py
@@ -1,7 +1,9 @@
 """The operator's file as a typed model: one application, its listeners, tiers, classes, routes and shares.
 
-What is left out has the safe value: a class that says nothing of its effect is unsafe, a route that says
-nothing may not be repeated, a tier makes one attempt. Times are milliseconds unless a name says otherwise.
+Every default is the safe value: a class without an effect is unsafe, a route without `repeat` may not be
+repeated, a tier makes one attempt. Times are milliseconds unless a name says otherwise.
+
+The docstrings and descriptions of the models are published in the JSON Schema and the field reference.
 """
 
 from __future__ import annotations
@@ -21,7 +23,7 @@
 
 
 class StrictModel(BaseModel):
-    """A table of the file: unknown keys are mistakes, and nothing is converted on the quiet."""
+    """Base of all tables of the file: rejects unknown keys and converts no types implicitly."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=True)
 
@@ -155,9 +157,9 @@
     tenant: list[Tenant] = []
 
     def attempts_for(self, tier: Tier) -> int:
-        """Of a tier's node for one request, inherited where it says nothing."""
+        """The attempts that a tier's node may make for one request; inherited from [defaults] if not set."""
         return self.defaults.attempts if tier.attempts is None else tier.attempts
 
     def allows_repeat(self, route: Route) -> bool:
-        """Whether a route's requests may be repeated, inherited where it says nothing."""
+        """Whether a route's requests may be repeated; inherited from [defaults] if not set."""
         return self.defaults.repeat if route.repeat is None else route.repeat
--- a/leadrudder/tool/problems.py
+++ b/leadrudder/tool/problems.py
@@ -1,4 +1,4 @@
-"""Problems of an operator's file: where, what, why it matters, what would be right."""
+"""Problems in an operator's file: position, description, consequence and correction."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One mistake. line and column count from 1; rule is a stable name for scripts."""
+    """One problem. line and column count from 1; rule is a stable identifier for scripts."""
 
     file: str
     line: int
@@ -25,7 +25,7 @@
         return f"{head}\n    why: {self.why}\n    right: {self.right}"
 
     def github(self) -> str:
-        """An annotation, in the form of GitHub's workflow commands."""
+        """An annotation as a GitHub Actions workflow command."""
         message = f"{self.field}: {self.what} {self.why} Right: {self.right}"
         place = f"file={_property(self.file)},line={self.line},col={self.column},title={_property(self.rule)}"
         return f"::error {place}::{_escape(message)}"
@@ -40,7 +40,7 @@
 
 
 def format_problems(problems: Iterable[Problem], form: str) -> str:
-    """All problems in one of the forms text, json and github."""
+    """All problems in one of the formats text, json and github."""
     if form == "json":
         return json.dumps([asdict(problem) for problem in problems], indent=2, ensure_ascii=False)
     return "\n".join(problem.github() if form == "github" else problem.text() for problem in problems)
--- a/leadrudder/tool/render.py
+++ b/leadrudder/tool/render.py
@@ -1,4 +1,4 @@
-"""What each node of the sidecar is told: its environment and its configuration, from a checked file."""
+"""Renders the environment and configuration of each node of a sidecar from a checked file."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 from leadrudder.tool.model import File, Listener, RequestClass, Tier
 
-MOST_RETRY_AFTER_MS = 2000.0
-MUST_ASK_MS = 10_000.0
+MAX_RETRY_AFTER_MS = 2000.0
+MUST_ASK_WITHIN_MS = 10_000.0
 DRAIN_GRACE_MS = 250.0
 ANSWER_SLACK_MS = 20.0
 
 
 @dataclass(frozen=True, slots=True)
 class RenderedNode:
-    """One node: NODE_CONFIG is a path, which whoever starts the node adds."""
+    """One node's environment and configuration; NODE_CONFIG, a path, is added when the node is started."""
 
     name: str
     environment: dict[str, str]
@@ -24,18 +24,20 @@
 
 
 def render_nodes(file: File) -> list[RenderedNode]:
-    """The nodes of a file that check has passed, one for each listener."""
-    return [_node(file, listener) for listener in file.listener]
+    """The nodes of a file that passed the checks, one for each listener."""
+    return [_render_node(file, listener) for listener in file.listener]
 
 
-def _node(file: File, listener: Listener) -> RenderedNode:
+def _render_node(file: File, listener: Listener) -> RenderedNode:
     tier = next(tier for tier in file.tier if tier.name == listener.tier)
     name = f"{file.application.name}-{listener.name}"
     config = {
         "name": name,
         "listen": listener.address,
         "discovery": tier.discovery,
-        "seed": blake2b(name.encode(), digest_size=8).hexdigest(),  # a start puts a new one in its place
+        "seed": blake2b(
+            name.encode(), digest_size=8
+        ).hexdigest(),  # the supervisor sets a new one at each start
         "limits": {
             "cores": 1.0,
             "memory_mb": file.limits.memory_mb,
@@ -46,7 +48,7 @@
             for route in file.route
             if route.listener == listener.name
         ],
-        "settings": _settings(file, listener, tier),
+        "settings": _render_settings(file, listener, tier),
     }
     environment = {
         "NODE_NAME": name,
@@ -56,67 +58,75 @@
     return RenderedNode(name, environment, config)
 
 
-def tiers_before(file: File, tier: Tier) -> list[Tier]:
-    """The tiers that stand before one, the outermost first."""
-    by_name = {x.name: x for x in file.tier}
+def tiers_in_front(file: File, tier: Tier) -> list[Tier]:
+    """The tiers in front of a tier, outermost first."""
+    by_name = {item.name: item for item in file.tier}
     chain = [tier]
     while chain[0].behind is not None:
         chain.insert(0, by_name[chain[0].behind])
     return chain[:-1]
 
 
-def _settings(file: File, listener: Listener, tier: Tier) -> dict[str, Any]:
-    before = tiers_before(file, tier)
-    depth = max(len(tiers_before(file, x)) for x in file.tier) + 1
+def _render_settings(file: File, listener: Listener, tier: Tier) -> dict[str, Any]:
+    front_tiers = tiers_in_front(file, tier)
+    depth = max(len(tiers_in_front(file, item)) for item in file.tier) + 1
     return {
         "azs": [file.application.zone] if file.application.zone else [],
         "balancers": tier.nodes,
-        "stage": len(before),
+        "stage": len(front_tiers),
         "layers": [f"tier-{i}" for i in range(depth)],
         "guarantees": {
             "answerSlackMs": ANSWER_SLACK_MS,
             "coldMs": tier.cold_ms,
-            "mustAskInMs": MUST_ASK_MS,
+            "mustAskInMs": MUST_ASK_WITHIN_MS,
             "stopSendingWithinMs": DRAIN_GRACE_MS,
         },
         "policyLimits": {
             "cancel": True,
             "connIdleMs": tier.idle_ms,
             "connectTimeoutMs": tier.connect_ms,
-            "maxRetryAfterMs": MOST_RETRY_AFTER_MS,
+            "maxRetryAfterMs": MAX_RETRY_AFTER_MS,
             "mayDuplicate": tier.copies,
             "probes": False,
             "retryAfter": True,
             "tryLimit": file.attempts_for(tier),
         },
-        "profiles": [_profile(file, listener, kind) for kind in _classes(file, listener)],
+        "profiles": [
+            _render_profile(file, listener, request_class)
+            for request_class in _listener_classes(file, listener)
+        ],
         "registryMode": "pushed" if tier.list == "pushed" else "on_request",
-        "tenants": [{"name": x.name, "fraction": x.share, "quotaPerS": x.quota_per_s} for x in file.tenant],
+        "tenants": [
+            {"name": tenant.name, "fraction": tenant.share, "quotaPerS": tenant.quota_per_s}
+            for tenant in file.tenant
+        ],
         "weights": "nominal",
     }
 
 
-def _classes(file: File, listener: Listener) -> list[RequestClass]:
-    """Those that a route brings to this listener; all of them where none does, so that its node can start."""
-    routed = {route.request_class for route in file.route if route.listener == listener.name}
-    return [kind for kind in file.request_class if kind.name in routed] or list(file.request_class)
+def _listener_classes(file: File, listener: Listener) -> list[RequestClass]:
+    """The classes that routes send to this listener; all of them if none does, so that its node can start."""
+    routed_classes = {route.request_class for route in file.route if route.listener == listener.name}
+    return [
+        request_class for request_class in file.request_class if request_class.name in routed_classes
+    ] or list(file.request_class)
 
 
-def _profile(file: File, listener: Listener, kind: RequestClass) -> dict[str, Any]:
+def _render_profile(file: File, listener: Listener, request_class: RequestClass) -> dict[str, Any]:
     repeat = any(
         file.allows_repeat(route)
         for route in file.route
-        if route.listener == listener.name and route.request_class == kind.name
+        if route.listener == listener.name and route.request_class == request_class.name
     )
     profile: dict[str, Any] = {
-        "name": kind.name,
-        "effect": kind.effect,
-        "aimMs": kind.aim_ms,
-        "deadlineMs": kind.deadline_ms,
-        "worth": kind.worth,
-        "lateShare": kind.late_share,
-        "repeat": repeat and kind.effect != "unsafe",
+        "name": request_class.name,
+        "effect": request_class.effect,
+        "aimMs": request_class.aim_ms,
+        "deadlineMs": request_class.deadline_ms,
+        "worth": request_class.worth,
+        "lateShare": request_class.late_share,
+        "repeat": repeat and request_class.effect != "unsafe",
     }
-    if kind.effect == "keyed":
-        profile |= {"group": kind.group, "windowMs": kind.window_ms}
+    if request_class.effect == "keyed":
+        profile |= {"group": request_class.group, "windowMs": request_class.window_ms}
     return profile
--- a/leadrudder/tool/sidecar/__init__.py
+++ b/leadrudder/tool/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The sidecar: nodes beside an application, started, watched and ended together with it."""
+"""The sidecar: runs an application's nodes beside it, and starts, supervises and stops them together."""
--- a/leadrudder/tool/sidecar/capacity.py
+++ b/leadrudder/tool/sidecar/capacity.py
@@ -1,4 +1,4 @@
-"""Whether this machine lets the nodes of a file use what the file promises them."""
+"""Checks whether this machine can provide the resources that a file grants its nodes."""
 
 from __future__ import annotations
 
@@ -11,34 +11,35 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineCapacity:
-    """What one process may open, and what all may hold. None: without a limit."""
+    """Descriptors that one process may open, and the memory for all processes. None: unlimited or unknown."""
 
     descriptors: int | None
     memory_mb: int | None
 
     @classmethod
     def of_this_machine(cls) -> MachineCapacity:
-        """By the hard limit, to which a process may raise its own, and the memory that is there."""
+        """The hard descriptor limit, to which a process may raise its soft limit, and the physical memory."""
         hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
         memory = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE") // 1_000_000
         return cls(None if hard == resource.RLIM_INFINITY else hard, memory if memory > 0 else None)
 
 
 def capacity_shortfall(file: File, machine: MachineCapacity | None = None) -> str | None:
-    """One line on what is missing; None where all is there. machine: this one, if left out.
+    """One line on what this machine cannot provide; None if it provides everything.
 
-    Only the start looks: a file is mostly checked on another machine than the one that runs it.
+    machine: the default is this machine. Only the sidecar's start calls this: a file is usually checked on
+    another machine than the one that runs it.
     """
-    here = machine or MachineCapacity.of_this_machine()
-    limits, nodes = file.limits, len(file.listener)
-    if here.descriptors is not None and limits.descriptors > here.descriptors:
+    available = machine or MachineCapacity.of_this_machine()
+    limits, node_count = file.limits, len(file.listener)
+    if available.descriptors is not None and limits.descriptors > available.descriptors:
         return (
-            f"limits.descriptors is {limits.descriptors}, and a process may open {here.descriptors} here;"
-            " raise that limit (ulimit -Hn) or lower the file's"
+            f"limits.descriptors is {limits.descriptors}, but a process may open"
+            f" only {available.descriptors} here; raise the hard limit (ulimit -Hn) or lower the file's"
         )
-    if here.memory_mb is not None and nodes * limits.memory_mb > here.memory_mb:
+    if available.memory_mb is not None and node_count * limits.memory_mb > available.memory_mb:
         return (
-            f"{nodes} nodes of limits.memory_mb {limits.memory_mb} want {nodes * limits.memory_mb} MB, and"
-            f" this machine has {here.memory_mb}"
+            f"{node_count} nodes of limits.memory_mb {limits.memory_mb} need"
+            f" {node_count * limits.memory_mb} MB, but this machine has {available.memory_mb} MB"
         )
     return None
--- a/leadrudder/tool/sidecar/guardian.py
+++ b/leadrudder/tool/sidecar/guardian.py
@@ -1,10 +1,9 @@
-"""python -m leadrudder.tool.sidecar.guardian: ends what a sidecar leaves behind when it is killed outright.
+"""python -m leadrudder.tool.sidecar.guardian: stops the processes that a killed sidecar leaves behind.
 
-It reads process groups from standard input, `+GROUP` when one begins and `-GROUP` when it is over. The end
-of the
-input means that the sidecar is gone, however it went: groups that are left get SIGTERM, and SIGKILL after a
-grace
-(seconds, the one argument). It needs no privileges, and outlives signals that are meant for the sidecar.
+It reads process groups from standard input, `+GROUP` when one starts and `-GROUP` when it has ended. The end
+of the input means that the sidecar is gone, for whatever reason: the groups that remain get SIGTERM, and
+SIGKILL after a grace period (in seconds, the only argument). It needs no privileges and ignores the signals
+that are meant for the sidecar.
 """
 
 from __future__ import annotations
@@ -16,29 +15,29 @@
 import time
 from collections.abc import Iterable
 
-LOOK_S = 0.05
+POLL_INTERVAL_S = 0.05
 
 
-def alive(groups: Iterable[int]) -> list[int]:
-    """Those groups that have a process."""
-    found = []
+def groups_alive(groups: Iterable[int]) -> list[int]:
+    """The groups that still have a process."""
+    alive = []
     for group in groups:
         with contextlib.suppress(ProcessLookupError):
             os.killpg(group, 0)
-            found.append(group)
-    return found
+            alive.append(group)
+    return alive
 
 
-def end(groups: Iterable[int], grace_s: float) -> None:
-    """SIGTERM, and SIGKILL for what is left after the grace."""
-    left = alive(groups)
-    for group in left:
+def stop_groups(groups: Iterable[int], grace_s: float) -> None:
+    """Send SIGTERM to all groups, and SIGKILL to those that remain after the grace period."""
+    remaining = groups_alive(groups)
+    for group in remaining:
         with contextlib.suppress(ProcessLookupError):
             os.killpg(group, signal.SIGTERM)
-    until = time.monotonic() + grace_s
-    while (left := alive(left)) and time.monotonic() < until:
-        time.sleep(LOOK_S)
-    for group in left:
+    deadline_s = time.monotonic() + grace_s
+    while (remaining := groups_alive(remaining)) and time.monotonic() < deadline_s:
+        time.sleep(POLL_INTERVAL_S)
+    for group in remaining:
         with contextlib.suppress(ProcessLookupError):
             os.killpg(group, signal.SIGKILL)
 
@@ -53,7 +52,7 @@
             groups[group] = None
         else:
             groups.pop(group, None)
-    end(groups, float(sys.argv[1]))
+    stop_groups(groups, float(sys.argv[1]))
     return 0
 
 
--- a/leadrudder/tool/sidecar/supervisor.py
+++ b/leadrudder/tool/sidecar/supervisor.py
@@ -1,9 +1,9 @@
-"""Starts the nodes of a file and the application beside them, and ends with the application's exit code.
+"""Runs the nodes of a file and the application beside them; its result is the application's exit code.
 
-In this order: the nodes, until each has answered /ready; the application; its end, or a signal. A node that
-dies is
-started again after a pause that grows. On SIGTERM or SIGINT the file's `stop` says who goes first: the
-application, so that its last calls find a node, or the nodes, so that they drain while it still answers.
+It starts the nodes, waits until each answers /ready, starts the application, and waits for its end or a
+signal. A node that dies is restarted with exponential backoff. On SIGTERM or SIGINT the file's `stop` says
+which side stops first: the application, so that its last calls still reach a node, or the nodes, so that they
+drain while the application still responds.
 """
 
 from __future__ import annotations
@@ -26,94 +26,98 @@
 from leadrudder.tool.sidecar.processes import ChildProcess, GuardianProcess
 
 READY_POLL_S = 0.05
-NOT_READY_EXIT_CODE = 3  # exit code: a node was not ready in time
-NOT_STARTED_EXIT_CODE = 127  # exit code, as a shell's: the command cannot be started
+NOT_READY_EXIT_CODE = 3  # a node was not ready in time
+NOT_STARTED_EXIT_CODE = 127  # the command cannot be started, as in a shell
 
 
 @dataclass(frozen=True, slots=True)
 class Timeouts:
-    """Seconds. ready_s: for the nodes' start; stop_s: that a child has after SIGTERM."""
+    """ready_s: until all nodes must be ready; stop_s: between SIGTERM and SIGKILL for each child."""
 
     ready_s: float = 30.0
     stop_s: float = 5.0
 
 
 def shell_exit_code(code: int) -> int:
-    """A child's exit code as a shell tells it: 128 and the signal's number where one killed it."""
+    """A child's exit code as a shell reports it: 128 plus the signal's number if a signal killed it."""
     return 128 - code if code < 0 else code
 
 
 class Supervisor:
-    """One sidecar."""
+    """Runs one sidecar."""
 
-    def __init__(self, file: File, command: Sequence[str], terms: Timeouts) -> None:
+    def __init__(self, file: File, command: Sequence[str], timeouts: Timeouts) -> None:
         self._file = file
         self._command = command
-        self._terms = terms
+        self._timeouts = timeouts
         self._stopping = asyncio.Event()
         self._nodes: dict[str, ChildProcess] = {}
         self._application: ChildProcess | None = None
 
     async def run(self) -> int:
-        """The application's exit code, or why it was not started."""
+        """Run until the application ends or a signal arrives.
+
+        Returns the application's exit code; NOT_READY_EXIT_CODE or NOT_STARTED_EXIT_CODE if it could not be
+        started; 0 if a signal came before its start.
+        """
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stopping.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload)
-        guard = await GuardianProcess.start(self._terms.stop_s)
+        guardian = await GuardianProcess.start(self._timeouts.stop_s)
         try:
             with tempfile.TemporaryDirectory(prefix="leadrudder-") as folder:
-                return await self._serve(Path(folder), guard)
+                return await self._serve(Path(folder), guardian)
         finally:
-            await guard.close()
+            await guardian.close()
 
     def _reload(self) -> None:
-        """SIGHUP goes on to all: nodes look at their configuration again, applications do as they do."""
+        """Forward SIGHUP to all children: nodes reload their configuration."""
         for child in (*self._nodes.values(), self._application):
             if child is not None:
                 child.signal(signal.SIGHUP)
 
-    async def _serve(self, folder: Path, guard: GuardianProcess) -> int:
+    async def _serve(self, folder: Path, guardian: GuardianProcess) -> int:
         rendered = render_nodes(self._file)
-        keepers = [asyncio.create_task(self._keep(node, folder, guard)) for node in rendered]
+        node_tasks = [asyncio.create_task(self._run_node(node, folder, guardian)) for node in rendered]
         code = 0
         try:
-            if not await self._all_ready(rendered):
+            if not await self._wait_until_all_ready(rendered):
                 return NOT_READY_EXIT_CODE if not self._stopping.is_set() else 0
-            code = await self._run_application(guard, keepers)
+            code = await self._run_application(guardian, node_tasks)
         finally:
-            await self._end_nodes(keepers)
+            await self._stop_nodes(node_tasks)
         return code
 
     # ------------------------------------------------------------ nodes
 
-    async def _keep(self, node: RenderedNode, folder: Path, guard: GuardianProcess) -> None:
-        """Start a node, and again whenever it dies."""
+    async def _run_node(self, node: RenderedNode, folder: Path, guardian: GuardianProcess) -> None:
+        """Start a node, and restart it whenever it dies."""
         path = folder / f"{node.name}.json"
-        pauses = RestartBackoff()
+        backoff = RestartBackoff()
         while True:
-            # A new seed for each start, as the platform gives it.
+            # Each start gets a new random seed from the operating system.
             path.write_text(json.dumps({**node.config, "seed": secrets.token_hex(8)}))
-            began = time.monotonic()
+            started_s = time.monotonic()
             environment = {**node.environment, "NODE_CONFIG": str(path)}
-            child = await ChildProcess.start((sys.executable, "-m", "leadrudder"), environment, guard)
+            child = await ChildProcess.start((sys.executable, "-m", "leadrudder"), environment, guardian)
             self._nodes[node.name] = child
             code = await child.wait()
             del self._nodes[node.name]
-            pause = pauses.next_delay_s(time.monotonic() - began)
+            delay_s = backoff.next_delay_s(time.monotonic() - started_s)
             print(
-                f"leadrudder: node {node.name} ended with {shell_exit_code(code)},"
-                f" starts again in {pause:g} s",
+                f"leadrudder: node {node.name} exited with code {shell_exit_code(code)};"
+                f" restarting in {delay_s:g} s",
                 file=sys.stderr,
             )
-            await asyncio.sleep(pause)
+            await asyncio.sleep(delay_s)
 
-    async def _all_ready(self, rendered: Sequence[RenderedNode]) -> bool:
-        """Wait for /ready of each node; False when the time is over, or at a signal."""
-        ready = asyncio.gather(*(self._ready(node) for node in rendered))
+    async def _wait_until_all_ready(self, rendered: Sequence[RenderedNode]) -> bool:
+        """Wait until every node is ready; False on a timeout or a signal."""
+        ready = asyncio.gather(*(self._wait_until_ready(node) for node in rendered))
         stopping = asyncio.ensure_future(self._stopping.wait())
         done, _ = await asyncio.wait(
-            (ready, stopping), timeout=self._terms.ready_s, return_when=asyncio.FIRST_COMPLETED
+            (ready, stopping), timeout=self._timeouts.ready_s, return_when=asyncio.FIRST_COMPLETED
         )
         stopping.cancel()
         if ready in done:
@@ -123,17 +127,19 @@
             await ready
         if not self._stopping.is_set():
             print(
-                f"leadrudder: not ready after {self._terms.ready_s:g} s; is discovery there?", file=sys.stderr
+                f"leadrudder: nodes not ready after {self._timeouts.ready_s:g} s;"
+                " is the discovery service reachable?",
+                file=sys.stderr,
             )
         return False
 
-    async def _ready(self, node: RenderedNode) -> None:
+    async def _wait_until_ready(self, node: RenderedNode) -> None:
         host, _, port = node.environment["NODE_LISTEN"].rpartition(":")
-        while not await self._answers(host.strip("[]"), int(port)):
+        while not await self._is_ready(host.strip("[]"), int(port)):
             await asyncio.sleep(READY_POLL_S)
 
     @staticmethod
-    async def _answers(host: str, port: int) -> bool:
+    async def _is_ready(host: str, port: int) -> bool:
         try:
             reader, writer = await asyncio.open_connection(host, port)
         except OSError:
@@ -148,30 +154,30 @@
 
     # ------------------------------------------------------------ the application
 
-    async def _run_application(self, guard: GuardianProcess, keepers: list[asyncio.Task[None]]) -> int:
+    async def _run_application(self, guardian: GuardianProcess, node_tasks: list[asyncio.Task[None]]) -> int:
         try:
-            child = self._application = await ChildProcess.start(self._command, {}, guard)
+            child = self._application = await ChildProcess.start(self._command, {}, guardian)
         except OSError as error:
             print(f"leadrudder: {self._command[0]} cannot be started: {error.strerror}", file=sys.stderr)
             return NOT_STARTED_EXIT_CODE
-        ended = asyncio.ensure_future(child.wait())
+        exited = asyncio.ensure_future(child.wait())
         stopping = asyncio.ensure_future(self._stopping.wait())
-        await asyncio.wait((ended, stopping), return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait((exited, stopping), return_when=asyncio.FIRST_COMPLETED)
         stopping.cancel()
-        if not ended.done():
+        if not exited.done():
             if self._file.application.stop == "nodes-first":
-                await self._end_nodes(keepers)
+                await self._stop_nodes(node_tasks)
             child.signal(signal.SIGTERM)
-            done, _ = await asyncio.wait((ended,), timeout=self._terms.stop_s)
+            done, _ = await asyncio.wait((exited,), timeout=self._timeouts.stop_s)
             if not done:
-                print("leadrudder: the application ignores SIGTERM and is killed", file=sys.stderr)
+                print("leadrudder: the application did not exit after SIGTERM; killing it", file=sys.stderr)
                 child.signal(signal.SIGKILL)
-        return shell_exit_code(await ended)
+        return shell_exit_code(await exited)
 
-    async def _end_nodes(self, keepers: list[asyncio.Task[None]]) -> None:
-        """No node is started again; those that are there drain, and are killed where they do not."""
-        for keeper in keepers:
-            keeper.cancel()
-        await asyncio.gather(*keepers, return_exceptions=True)
+    async def _stop_nodes(self, node_tasks: list[asyncio.Task[None]]) -> None:
+        """Stop restarting nodes; those that run drain, and are killed if they do not end in time."""
+        for node_task in node_tasks:
+            node_task.cancel()
+        await asyncio.gather(*node_tasks, return_exceptions=True)
         nodes, self._nodes = list(self._nodes.values()), {}
-        await asyncio.gather(*(node.stop(self._terms.stop_s) for node in nodes))
+        await asyncio.gather(*(node.stop(self._timeouts.stop_s) for node in nodes))
--- a/leadrudder/tool/source.py
+++ b/leadrudder/tool/source.py
@@ -1,6 +1,6 @@
-"""Reads an operator's file: bounded, whole, and with the line and column of every field.
+"""Reads an operator's file, with limits on its size and nesting, and records each field's line and column.
 
-Values come from tomllib, positions from the syntax tree of tree-sitter's TOML grammar: tomllib keeps none.
+Values come from tomllib, positions from the syntax tree of tree-sitter's TOML grammar: tomllib records none.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 import tree_sitter_toml
 from tree_sitter import Language, Node, Parser
 
-MOST_BYTES = 1024 * 1024
-MOST_DEPTH = 32  # of brackets: tomllib calls itself for each
-TRIES = 3  # to read a file that is replaced meanwhile
+MAX_FILE_BYTES = 1024 * 1024
+MAX_NESTING_DEPTH = 32  # of brackets: tomllib recurses for each
+MAX_READ_ATTEMPTS = 3  # of a file that is replaced or written to during the read
 
 FieldPath = tuple[str | int, ...]
 Position = tuple[int, int]
 
-_TOML = Language(tree_sitter_toml.language())
-_AT = re.compile(r"\(at line (\d+), column (\d+)\)")
+_TOML_LANGUAGE = Language(tree_sitter_toml.language())
+_ERROR_POSITION = re.compile(r"\(at line (\d+), column (\d+)\)")
 
 
 class UnreadableFileError(Exception):
-    """A file that cannot be read, or is no TOML; place is where, if that is known."""
+    """A file that cannot be read or is not valid TOML; position is (1, 1) if it is not known."""
 
     def __init__(self, text: str, position: Position = (1, 1)) -> None:
         super().__init__(text)
@@ -36,24 +36,24 @@
 
 @dataclass(frozen=True)
 class SourceFile:
-    """A file's values, and where they stand."""
+    """A file's values and the positions of its fields."""
 
     name: str
     values: dict[str, Any]
     positions: dict[FieldPath, Position]
 
     def position(self, path: FieldPath) -> Position:
-        """Line and column of a field, or of the nearest thing around it that is there."""
+        """Line and column of a field, or of the closest enclosing element in the file."""
         for length in range(len(path), -1, -1):
-            found = self.positions.get(path[:length])
-            if found is not None:
-                return found
+            match = self.positions.get(path[:length])
+            if match is not None:
+                return match
         return (1, 1)
 
 
 def read_source(name: str) -> SourceFile:
-    """The file of this name; Unreadable with what is wrong."""
-    data = _bytes(name)
+    """Read and parse the file of this name; raises UnreadableFileError."""
+    data = _read_stable(name)
     try:
         text = data.decode("utf-8")
     except UnicodeDecodeError as error:
@@ -64,51 +64,59 @@
 
 
 def parse_source(name: str, text: str) -> SourceFile:
-    """The same for a text; Unreadable if it is no TOML."""
-    depth = _depth(text)
-    if depth > MOST_DEPTH:
-        raise UnreadableFileError(f"is nested {depth} deep; at most {MOST_DEPTH} are read")
+    """Parse a text; raises UnreadableFileError if it is not valid TOML."""
+    depth = _max_nesting(text)
+    if depth > MAX_NESTING_DEPTH:
+        raise UnreadableFileError(f"is nested {depth} deep; at most {MAX_NESTING_DEPTH} are read")
     try:
         values = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        found = _AT.search(str(error))
-        position = (int(found[1]), int(found[2])) if found else (text.count("\n") + 1, 1)
-        raise UnreadableFileError(f"is no TOML: {_AT.sub('', str(error)).strip()}", position) from None
+        match = _ERROR_POSITION.search(str(error))
+        position = (int(match[1]), int(match[2])) if match else (text.count("\n") + 1, 1)
+        raise UnreadableFileError(
+            f"is not valid TOML: {_ERROR_POSITION.sub('', str(error)).strip()}", position
+        ) from None
     except (RecursionError, ValueError) as error:
-        raise UnreadableFileError(f"is no TOML: {error}") from None
+        raise UnreadableFileError(f"is not valid TOML: {error}") from None
     return SourceFile(name, values, _field_positions(text))
 
 
-def _bytes(name: str) -> bytes:
-    """The whole of one version of a file: one that is replaced or written to meanwhile is read again."""
+def _read_stable(name: str) -> bytes:
+    """One consistent version of a file: it is read again if it was replaced or written to meanwhile."""
     try:
-        for _ in range(TRIES):
-            with open(name, "rb", opener=_open) as file:
+        for _ in range(MAX_READ_ATTEMPTS):
+            with open(name, "rb", opener=_open_nonblocking) as file:
                 before = os.fstat(file.fileno())
                 if not stat.S_ISREG(before.st_mode):
                     raise UnreadableFileError("is not a regular file")
-                if before.st_size > MOST_BYTES:
-                    raise UnreadableFileError(f"holds {before.st_size} bytes; at most {MOST_BYTES} are read")
-                data = file.read(MOST_BYTES + 1)
+                if before.st_size > MAX_FILE_BYTES:
+                    raise UnreadableFileError(
+                        f"holds {before.st_size} bytes; at most {MAX_FILE_BYTES} are read"
+                    )
+                data = file.read(MAX_FILE_BYTES + 1)
                 after = os.fstat(file.fileno())
-            if _same(before, after) and _same(before, os.stat(name)) and len(data) == before.st_size:
+            if (
+                _same_version(before, after)
+                and _same_version(before, os.stat(name))
+                and len(data) == before.st_size
+            ):
                 return data
     except OSError as error:
         raise UnreadableFileError(f"cannot be read: {error.strerror}") from None
-    raise UnreadableFileError(f"was changed each of {TRIES} times that it was read")
+    raise UnreadableFileError(f"changed during each of {MAX_READ_ATTEMPTS} reads")
 
 
-def _open(name: str, flags: int) -> int:
-    # Without this a pipe of that name would hold the tool for good.
+def _open_nonblocking(name: str, flags: int) -> int:
+    # Without O_NONBLOCK, opening a pipe of that name would block forever.
     return os.open(name, flags | os.O_NONBLOCK)
 
 
-def _same(one: os.stat_result, other: os.stat_result) -> bool:
-    return (one.st_dev, one.st_ino, one.st_size, one.st_mtime_ns) == (
-        other.st_dev,
-        other.st_ino,
-        other.st_size,
-        other.st_mtime_ns,
+def _same_version(first: os.stat_result, second: os.stat_result) -> bool:
+    return (first.st_dev, first.st_ino, first.st_size, first.st_mtime_ns) == (
+        second.st_dev,
+        second.st_ino,
+        second.st_size,
+        second.st_mtime_ns,
     )
 
 
@@ -117,85 +125,85 @@
     return before.count(b"\n") + 1, offset - (before.rfind(b"\n") + 1) + 1
 
 
-def _depth(text: str) -> int:
-    """The deepest nesting of brackets, strings and comments counted in: it may only be too much."""
-    depth = most = 0
+def _max_nesting(text: str) -> int:
+    """An upper bound on the nesting depth: brackets in strings and comments count, too."""
+    depth = deepest = 0
     for character in text:
         if character in "[{":
             depth += 1
-            most = max(most, depth)
+            deepest = max(deepest, depth)
         elif character in "]}" and depth:
             depth -= 1
-    return most
+    return deepest
 
 
 # ---------------------------------------------------------------- positions
 
 
 def _field_positions(text: str) -> dict[FieldPath, Position]:
-    """Where each key and each element of an array stands."""
+    """The position of each key and each array element."""
     positions: dict[FieldPath, Position] = {(): (1, 1)}
     counts: dict[FieldPath, int] = {}
-    for node in Parser(_TOML).parse(text.encode()).root_node.children:
+    for node in Parser(_TOML_LANGUAGE).parse(text.encode()).root_node.children:
         if node.type == "pair":
-            _pair(node, (), positions, counts)
+            _record_pair(node, (), positions, counts)
         elif node.type in ("table", "table_array_element"):
-            _table(node, positions, counts)
+            _record_table(node, positions, counts)
     return positions
 
 
-def _put(positions: dict[FieldPath, Position], path: FieldPath, node: Node) -> None:
+def _record(positions: dict[FieldPath, Position], path: FieldPath, node: Node) -> None:
     row, column = node.start_point
     positions.setdefault(path, (row + 1, column + 1))
 
 
-def _table(node: Node, positions: dict[FieldPath, Position], counts: dict[FieldPath, int]) -> None:
+def _record_table(node: Node, positions: dict[FieldPath, Position], counts: dict[FieldPath, int]) -> None:
     keys = next((c for c in node.children if c.type.endswith("key")), None)
     if keys is None:
         return
     path: FieldPath = ()
-    names = _names(keys)
+    names = _key_parts(keys)
     for i, name in enumerate(names):
         path = (*path, name)
         if node.type == "table_array_element" and i == len(names) - 1:
             counts[path] = counts.get(path, 0) + 1
         if path in counts:
-            _put(positions, path, keys)
+            _record(positions, path, keys)
             path = (*path, counts[path] - 1)
-        _put(positions, path, keys)
+        _record(positions, path, keys)
     for child in node.children:
         if child.type == "pair":
-            _pair(child, path, positions, counts)
+            _record_pair(child, path, positions, counts)
 
 
-def _pair(
+def _record_pair(
     node: Node, path: FieldPath, positions: dict[FieldPath, Position], counts: dict[FieldPath, int]
 ) -> None:
     keys, value = node.children[0], node.children[-1]
-    for name in _names(keys):
+    for name in _key_parts(keys):
         path = (*path, name)
-        _put(positions, path, keys)
-    _value(value, path, positions, counts)
+        _record(positions, path, keys)
+    _record_value(value, path, positions, counts)
 
 
-def _value(
+def _record_value(
     node: Node, path: FieldPath, positions: dict[FieldPath, Position], counts: dict[FieldPath, int]
 ) -> None:
     if node.type == "inline_table":
         for child in node.children:
             if child.type == "pair":
-                _pair(child, path, positions, counts)
+                _record_pair(child, path, positions, counts)
     elif node.type == "array":
         elements = [c for c in node.children if c.type not in ("[", "]", ",", "comment")]
         for i, element in enumerate(elements):
-            _put(positions, (*path, i), element)
-            _value(element, (*path, i), positions, counts)
+            _record(positions, (*path, i), element)
+            _record_value(element, (*path, i), positions, counts)
 
 
-def _names(node: Node) -> list[str]:
-    """The parts of a key."""
+def _key_parts(node: Node) -> list[str]:
+    """The parts of a possibly dotted key."""
     if node.type == "dotted_key":
-        return [name for child in node.children for name in _names(child)]
+        return [name for child in node.children for name in _key_parts(child)]
     text = (node.text or b"").decode()
     if node.type == "bare_key":
         return [text]
--- a/leadrudder/tool/template.py
+++ b/leadrudder/tool/template.py
@@ -1,4 +1,4 @@
-"""The commented file that `leadrudder init` writes; what it makes always passes check."""
+"""The commented file that `leadrudder init` writes; the generated text always passes `leadrudder check`."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import tempfile
 from pathlib import Path
 
-_TEXT = """\
+_TEMPLATE = """\
 # What the sidecar of {application_} is told. Check it with: leadrudder check {file}
 # Times are milliseconds. What is left out has the safe value; `leadrudder schema` lists all fields.
 version = 1
@@ -78,28 +78,28 @@
 
 
 def new_file_text(file: str, application: str, tier: str, listen: str, discovery: str) -> str:
-    """The text of a new file; the values go in as TOML strings."""
+    """The text of a new file; the values are quoted as TOML strings."""
     values = {"application": application, "tier": tier, "listen": listen, "discovery": discovery}
     quoted = {f"{name}_": json.dumps(value, ensure_ascii=False) for name, value in values.items()}
-    return _TEXT.format(file=json.dumps(Path(file).name, ensure_ascii=False), **quoted)
+    return _TEMPLATE.format(file=json.dumps(Path(file).name, ensure_ascii=False), **quoted)
 
 
 def write_new_file(path: Path, text: str, *, force: bool) -> None:
-    """Write a new file in one step: there is either none of it or all. FileExistsError unless forced.
+    """Create a file atomically: it appears complete or not at all.
 
-    OSError where the folder cannot be written to.
+    Raises FileExistsError if the path exists and force is not set, OSError if the folder is not writable.
     """
-    handle, name = tempfile.mkstemp(dir=path.parent, prefix=f".{path.name}.")
+    descriptor, temporary_path = tempfile.mkstemp(dir=path.parent, prefix=f".{path.name}.")
     try:
-        with os.fdopen(handle, "w", encoding="utf-8") as file:
+        with os.fdopen(descriptor, "w", encoding="utf-8") as file:
             file.write(text)
             file.flush()
             os.fsync(file.fileno())
-        os.chmod(name, 0o644)
+        os.chmod(temporary_path, 0o644)
         if force:
-            os.replace(name, path)
+            os.replace(temporary_path, path)
         else:
-            os.link(name, path)  # fails where something is there, whoever put it there meanwhile
+            os.link(temporary_path, path)  # fails if the path exists, even if it was created meanwhile
     finally:
         with contextlib.suppress(FileNotFoundError):
-            os.unlink(name)
+            os.unlink(temporary_path)
--- a/tests/tool/test_check.py
+++ b/tests/tool/test_check.py
@@ -184,11 +184,11 @@
 @pytest.mark.parametrize(
     ("text", "says"),
     [
-        ("version = 1\nversion = 1\n", "is no TOML: Cannot overwrite a value"),
-        ("[a]\n[a]\n", "is no TOML: Cannot declare"),
-        ("a = \n", "is no TOML: Invalid value"),
-        ("\x00", "is no TOML"),
-        ("a = '''", "is no TOML"),
+        ("version = 1\nversion = 1\n", "is not valid TOML: Cannot overwrite a value"),
+        ("[a]\n[a]\n", "is not valid TOML: Cannot declare"),
+        ("a = \n", "is not valid TOML: Invalid value"),
+        ("\x00", "is not valid TOML"),
+        ("a = '''", "is not valid TOML"),
     ],
 )
 def test_what_is_no_toml(text: str, says: str, tmp_path: Path) -> None:
@@ -216,7 +216,7 @@
     def refuse(*_: object) -> int:
         raise PermissionError(13, "Permission denied")
 
-    monkeypatch.setattr(source, "_open", refuse)
+    monkeypatch.setattr(source, "_open_nonblocking", refuse)
     _unreadable(path, "cannot be read: Permission denied")
 
 
@@ -244,7 +244,7 @@
         return original(descriptor)
 
     monkeypatch.setattr(os, "fstat", always)
-    _unreadable(path, "was changed each of 3 times")
+    _unreadable(path, "changed during each of 3 reads")
 
 
 # ---------------------------------------------------------------- fuzzing
--- a/tests/tool/test_commands.py
+++ b/tests/tool/test_commands.py
@@ -38,7 +38,7 @@
     path = tmp_path / "a.toml"
     path.write_text("mine")
     assert main(["init", str(path), "--application", "kampaamo"]) == 2
-    assert path.read_text() == "mine" and "--force replaces it" in capsys.readouterr().err
+    assert path.read_text() == "mine" and "exists; --force replaces it" in capsys.readouterr().err
     assert main(["init", str(path), "--application", "kampaamo", "--force"]) == 0
     assert path.read_text().startswith('# What the sidecar of "kampaamo"')
     assert [item.name for item in tmp_path.iterdir()] == ["a.toml"]
@@ -51,7 +51,7 @@
     done = _init(str(path), "--discovery", "127.0.0.1:8507", answers=answers)
     assert done.returncode == 0, done.stderr
     assert done.stdout == f"wrote {path}; check it with: leadrudder check {path}\n"
-    assert done.stderr.count("[127.0.0.1:8100]") == 1 and "Where its servers are listed" not in done.stderr
+    assert done.stderr.count("[127.0.0.1:8100]") == 1 and "lists its servers" not in done.stderr
     file = tomllib.loads(path.read_text())
     assert file["application"]["name"] == "kampaamo" and file["tier"][0]["name"] == "palvelu"
     assert file["listener"][0]["address"] == "127.0.0.1:8107"
--- a/tests/tool/test_explain.py
+++ b/tests/tool/test_explain.py
@@ -1,4 +1,4 @@
-"""explain and diff."""
+"""`leadrudder explain` and `leadrudder diff`."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     told = _explain(BASE, "POST /varaus/17?x=1", tmp_path, capsys)
     assert told["route"].startswith("1: POST /varaus/*")
     assert told["class"] == f"varaus, unsafe (line {_line_of(BASE, 'effect = ')})"
-    assert told["repeat"] == "never, once it may have run (by default: nothing says so)"
+    assert told["repeat"] == "never, once it may have run (by default)"
     assert told["attempts"] == f"up to 2 (line {_line_of(BASE, 'attempts')})"
     assert "given up after 4000 ms" in told["aim"]
 
@@ -63,9 +63,9 @@
     path = tmp_path / "a.toml"
     path.write_text(BASE)
     assert main(["explain", str(path), "--request", "POST /muu"]) == 0
-    assert "no route takes it" in capsys.readouterr().out
+    assert "no route matches it" in capsys.readouterr().out
     assert main(["explain", str(path), "--request", "muu"]) == 2
-    assert "is no method and path" in capsys.readouterr().err
+    assert "is not a method and a path" in capsys.readouterr().err
 
 
 @pytest.mark.parametrize(
@@ -75,7 +75,7 @@
         ('"127.0.0.1:8100"', '"127.0.0.1:8101"', "listener front.address", "call another address", "restart"),
         ("attempts = 2 ", "attempts = 1 ", "tier palvelu.attempts", "fewer chances", "restart"),
         ("attempts = 2 ", "attempts = 3 ", "tier palvelu.attempts", "more load", "restart"),
-        ('"haku"\nrepeat = true', '"haku"', "route GET /*.repeat", "not sent again any more", "restart"),
+        ('"haku"\nrepeat = true', '"haku"', "route GET /*.repeat", "no longer sent again", "restart"),
         ("aim_ms = 1500", "aim_ms = 1000", "class varaus.aim_ms", "requests are shed", "restart"),
     ],
 )
--- a/tests/tool/test_sidecar.py
+++ b/tests/tool/test_sidecar.py
@@ -190,7 +190,7 @@
             await sidecar.list_server()  # the new one's watch
             assert application in sidecar.children()
             assert sidecar.process.stderr is not None
-            while b"starts again in" not in await sidecar.process.stderr.readline():
+            while b"restarting in" not in await sidecar.process.stderr.readline():
                 pass
 
     run(main())
@@ -281,9 +281,9 @@
     assert capacity_shortfall(_file(), small) is None
     assert capacity_shortfall(_file(descriptors=512, memory_mb=100), small) is None
     lacks = capacity_shortfall(_file(descriptors=513), small)
-    assert lacks is not None and "is 513, and a process may open 512 here" in lacks
+    assert lacks is not None and "is 513, but a process may open only 512 here" in lacks
     lacks = capacity_shortfall(_file(memory_mb=101), small)
-    assert lacks is not None and "want 101 MB, and this machine has 100" in lacks
+    assert lacks is not None and "need 101 MB, but this machine has 100 MB" in lacks
     assert (
         capacity_shortfall(_file(descriptors=1_048_576, memory_mb=65_536), MachineCapacity(None, None))
         is None
