--- a/leadrudder/tool/checks.py
+++ b/leadrudder/tool/checks.py
@@ -17,10 +17,8 @@
 
 GROUP_WIDTHS = {"none": 0, "cell": 1, "zone": 2, "all": 3}
 BASE_MEMORY_MB = 20  # of an idle node, with room for the growth of its interpreter
-CALLER_DESCRIPTOR_FRACTION, SERVER_DESCRIPTOR_FRACTION = (
-    0.4,
-    0.45,
-)  # of the descriptors, as the node divides them
+# Of a node's descriptors, as the node divides them between callers and servers.
+CALLER_DESCRIPTOR_FRACTION, SERVER_DESCRIPTOR_FRACTION = 0.4, 0.45
 BODY_MEMORY_FRACTION = 0.25  # of a node's memory, for the bodies of open requests
 WILDCARD_ADDRESSES = (ipaddress.ip_address("0.0.0.0"), ipaddress.ip_address("::"))
 
@@ -240,7 +238,7 @@
 
 
 def _tier_chain(file: File, tier: Tier) -> list[Tier]:
-    """A tier and those in front of it, innermost first; stops before a tier that repeats."""
+    """A tier and those in front of it, innermost first; stops at the first tier that is already in the chain."""
     by_name = {x.name: x for x in file.tier}
     chain = [tier]
     while (before := by_name.get(chain[-1].behind or "")) is not None and before not in chain:
@@ -378,14 +376,18 @@
     return hosts[0] == hosts[1] or any(host in WILDCARD_ADDRESSES for host in hosts)
 
 
-def _receives_calls_to(listener: str, asked: str) -> bool:
+def _receives_calls_to(listen_address: str, target_address: str) -> bool:
     """Whether a listener would receive what is sent to an address.
 
     A listener on all addresses receives only what is sent to this machine: loopback or the same address.
     """
-    if not addresses_conflict(listener, asked):
+    if not addresses_conflict(listen_address, target_address):
         return False
-    return _host(listener) == _host(asked) or _host(asked) == "localhost" or _is_loopback(_host(asked))
+    return (
+        _host(listen_address) == _host(target_address)
+        or _host(target_address) == "localhost"
+        or _is_loopback(_host(target_address))
+    )
 
 
 def _is_loopback(host: str) -> bool:
@@ -395,7 +397,7 @@
         return False
 
 
-def _discovery_of(files: Iterable[File], listener: Listener) -> str | None:
+def _shadowed_discovery(files: Iterable[File], listener: Listener) -> str | None:
     """The discovery endpoint that this listener's address would shadow, as text."""
     for file in files:
         for tier in file.tier:
@@ -422,7 +424,7 @@
                     listener, f"listener {other.name!r} ({other.address})", ("listener", i, "address")
                 )
                 break
-        if (by := _discovery_of([file], listener)) is not None:
+        if (by := _shadowed_discovery([file], listener)) is not None:
             yield _port_taken(listener, by, ("listener", i, "address"))
 
 
@@ -540,16 +542,16 @@
 
 def _port_conflicts(files: list[File], i: int) -> Iterator[Finding]:
     for k, listener in enumerate(files[i].listener):
-        for before in files[:i]:
-            found = next(
-                (x for x in before.listener if addresses_conflict(listener.address, x.address)), None
+        for earlier in files[:i]:
+            conflicting = next(
+                (x for x in earlier.listener if addresses_conflict(listener.address, x.address)), None
             )
-            if found is not None:
-                by = f"application {before.application.name!r} ({found.name}, {found.address})"
+            if conflicting is not None:
+                by = f"application {earlier.application.name!r} ({conflicting.name}, {conflicting.address})"
                 yield _port_taken(listener, by, ("listener", k, "address"))
                 break
-        if (asked := _discovery_of(files[:i] + files[i + 1 :], listener)) is not None:
-            yield _port_taken(listener, asked, ("listener", k, "address"))
+        if (discovery := _shadowed_discovery(files[:i] + files[i + 1 :], listener)) is not None:
+            yield _port_taken(listener, discovery, ("listener", k, "address"))
 
 
 def _call_cycles(files: list[File], index: dict[str, int]) -> Iterator[tuple[int, Finding]]:
--- a/tests/tool/test_check.py
+++ b/tests/tool/test_check.py
@@ -1,4 +1,4 @@
-"""What check accepts, what it rejects and why, and that it never fails in another way."""
+"""What `leadrudder check` accepts and rejects, with reasons, and that it never raises on any input."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from leadrudder.tool.render import render_nodes
 from leadrudder.tool.source import UnreadableFileError as Unreadable
 from leadrudder.tool.source import parse_source as parse
-from tests.tool.samples import BASE, BROKEN, GOOD, LEAST, Broken
+from tests.tool.samples import BASE, INVALID_SAMPLES, MINIMAL, VALID_FILES, InvalidSample
 
 
-class _OneFile:
-    """A platform that holds one configuration."""
+class _SingleFilePlatform:
+    """A platform whose files all have one text, a node configuration."""
 
     def __init__(self, text: str) -> None:
         self._text = text
@@ -44,30 +44,32 @@
 
 
 def _starts(done: Checked) -> None:
-    """A node takes what is rendered of each accepted file."""
+    """A node loads the configuration rendered from each accepted file."""
     for file in done.files:
         for node in render_nodes(file):
-            config = load_config({**node.environment, "NODE_CONFIG": "x"}, _OneFile(json.dumps(node.config)))
+            config = load_config(
+                {**node.environment, "NODE_CONFIG": "x"}, _SingleFilePlatform(json.dumps(node.config))
+            )
             assert config.name == node.name
             assert len(config.settings.classes) >= 1
 
 
 def test_there_are_enough_samples() -> None:
-    assert len(BROKEN) >= 40 and len(GOOD) >= 10
-    assert len({broken.name for broken in BROKEN}) == len(BROKEN)
+    assert len(INVALID_SAMPLES) >= 40 and len(VALID_FILES) >= 10
+    assert len({sample.name for sample in INVALID_SAMPLES}) == len(INVALID_SAMPLES)
 
 
-@pytest.mark.parametrize("broken", BROKEN, ids=lambda broken: broken.name.replace(" ", "-"))
-def test_a_mistake_is_told_with_its_reason(broken: Broken, tmp_path: Path) -> None:
+@pytest.mark.parametrize("sample", INVALID_SAMPLES, ids=lambda sample: sample.name.replace(" ", "-"))
+def test_each_mistake_is_reported_with_its_reason(sample: InvalidSample, tmp_path: Path) -> None:
     path = tmp_path / "a.toml"
-    path.write_text(broken.text)
+    path.write_text(sample.text)
     done = check_files([str(path)])
     assert done.exit_code == 1
-    assert [problem.rule for problem in done.problems] == [broken.rule], [p.text() for p in done.problems]
+    assert [problem.rule for problem in done.problems] == [sample.rule], [p.text() for p in done.problems]
     (problem,) = done.problems
-    assert problem.field == broken.field and broken.says in problem.what
+    assert problem.field == sample.field and sample.message in problem.what
     assert problem.why and problem.right and problem.file == str(path)
-    line = broken.text.splitlines()[problem.line - 1]
+    line = sample.text.splitlines()[problem.line - 1]
     leaf = problem.field.rpartition(".")[2].partition("[")[0]
     table = problem.field.partition(".")[0].partition("[")[0]
     assert leaf in line or f"[{table}]" in line or problem.rule in ("missing", "repeat-mixed"), (
@@ -76,18 +78,20 @@
     )
 
 
-@pytest.mark.parametrize("name", GOOD)
-def test_a_good_file_is_accepted_unchanged_and_a_node_starts_with_it(name: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("name", VALID_FILES)
+def test_a_valid_file_is_accepted_unmodified_and_a_node_loads_its_configuration(
+    name: str, tmp_path: Path
+) -> None:
     path = tmp_path / "a.toml"
-    path.write_bytes(GOOD[name].encode())
+    path.write_bytes(VALID_FILES[name].encode())
     before = path.stat()
     done = check_files([str(path)])
     assert done.exit_code == 0, [problem.text() for problem in done.problems]
-    assert path.read_bytes() == GOOD[name].encode() and path.stat().st_mtime_ns == before.st_mtime_ns
+    assert path.read_bytes() == VALID_FILES[name].encode() and path.stat().st_mtime_ns == before.st_mtime_ns
     _starts(done)
 
 
-def _together(tmp_path: Path, *texts: str) -> Checked:
+def _check_texts(tmp_path: Path, *texts: str) -> Checked:
     names = []
     for i, text in enumerate(texts):
         path = tmp_path / f"{i}.toml"
@@ -96,74 +100,74 @@
     return check_files(names)
 
 
-def test_two_applications_claim_one_port(tmp_path: Path) -> None:
-    other = LEAST.replace("127.0.0.1:2", "127.0.0.1:8100")
-    done = _together(tmp_path, BASE, other)
+def test_two_applications_on_one_port_are_rejected(tmp_path: Path) -> None:
+    other = MINIMAL.replace("127.0.0.1:2", "127.0.0.1:8100")
+    done = _check_texts(tmp_path, BASE, other)
     assert [(p.rule, Path(p.file).name, p.field) for p in done.problems] == [
         ("port-taken", "1.toml", "listener[1].address")
     ]
     assert "application 'kampaamo' (front, 127.0.0.1:8100)" in done.problems[0].what
 
 
-def test_every_address_collides_with_one_address_of_another_application(tmp_path: Path) -> None:
-    wide = LEAST.replace("127.0.0.1:2", "0.0.0.0:8100") + '[limits]\npermitted = ["0.0.0.0/0"]\n'
-    assert [p.rule for p in _together(tmp_path, BASE, wide).problems] == ["port-taken"]
-    apart = LEAST.replace("127.0.0.1:2", "127.0.0.2:8100")
-    assert not _together(tmp_path, BASE, apart).problems
+def test_a_wildcard_address_conflicts_with_an_address_of_another_application(tmp_path: Path) -> None:
+    wide = MINIMAL.replace("127.0.0.1:2", "0.0.0.0:8100") + '[limits]\npermitted = ["0.0.0.0/0"]\n'
+    assert [p.rule for p in _check_texts(tmp_path, BASE, wide).problems] == ["port-taken"]
+    apart = MINIMAL.replace("127.0.0.1:2", "127.0.0.2:8100")
+    assert not _check_texts(tmp_path, BASE, apart).problems
 
 
-def test_a_listener_where_another_application_asks_discovery(tmp_path: Path) -> None:
-    there = LEAST.replace("127.0.0.1:2", "127.0.0.1:8500")
+def test_a_listener_at_the_discovery_address_of_another_application_is_rejected(tmp_path: Path) -> None:
+    there = MINIMAL.replace("127.0.0.1:2", "127.0.0.1:8500")
     for files in ((BASE, there), (there, BASE)):
-        done = _together(tmp_path, *files)
+        done = _check_texts(tmp_path, *files)
         assert [(p.rule, p.field) for p in done.problems] == [("port-taken", "listener[1].address")]
         assert "discovery of tier 'palvelu' of application 'kampaamo'" in done.problems[0].what
 
 
-def test_all_addresses_do_not_take_a_port_of_another_machine(tmp_path: Path) -> None:
-    """Discovery of the whole site may well be asked at the port that a node listens on here."""
-    wide = LEAST.replace("127.0.0.1:2", "0.0.0.0:8500") + '[limits]\npermitted = ["0.0.0.0/0"]\n'
+def test_a_wildcard_address_does_not_conflict_with_another_machines_port(tmp_path: Path) -> None:
+    """A remote discovery service may use the same port number as a local listener on all addresses."""
+    wide = MINIMAL.replace("127.0.0.1:2", "0.0.0.0:8500") + '[limits]\npermitted = ["0.0.0.0/0"]\n'
     far = BASE.replace('discovery = "127.0.0.1:8500"', 'discovery = "10.2.0.1:8500"')
-    assert not _together(tmp_path, far, wide).problems
-    assert [p.rule for p in _together(tmp_path, BASE, wide).problems] == ["port-taken"]
+    assert not _check_texts(tmp_path, far, wide).problems
+    assert [p.rule for p in _check_texts(tmp_path, BASE, wide).problems] == ["port-taken"]
 
 
-def test_applications_that_call_each_other_in_a_circle(tmp_path: Path) -> None:
+def test_a_cycle_of_calls_between_applications_is_rejected(tmp_path: Path) -> None:
     def app(name: str, calls: str, port: int) -> str:
-        text = LEAST.replace('{name = "pieni"}', f'{{name = "{name}", calls = ["{calls}"]}}')
+        text = MINIMAL.replace('{name = "pieni"}', f'{{name = "{name}", calls = ["{calls}"]}}')
         return text.replace("127.0.0.1:2", f"127.0.0.1:{port}")
 
-    done = _together(tmp_path, app("a", "b", 11), app("b", "c", 12), app("c", "a", 13))
+    done = _check_texts(tmp_path, app("a", "b", 11), app("b", "c", 12), app("c", "a", 13))
     assert [(p.rule, p.field) for p in done.problems] == [("application-loop", "application.calls[1]")]
     assert "a -> b -> c -> a" in done.problems[0].what
-    assert not _together(tmp_path, app("a", "b", 11), app("b", "c", 12), app("c", "d", 13)).problems
+    assert not _check_texts(tmp_path, app("a", "b", 11), app("b", "c", 12), app("c", "d", 13)).problems
 
 
-def test_one_application_in_two_files(tmp_path: Path) -> None:
-    done = _together(tmp_path, LEAST, LEAST.replace("127.0.0.1:2", "127.0.0.1:3"))
+def test_an_application_in_two_files_is_rejected(tmp_path: Path) -> None:
+    done = _check_texts(tmp_path, MINIMAL, MINIMAL.replace("127.0.0.1:2", "127.0.0.1:3"))
     assert [p.rule for p in done.problems] == ["application-taken"]
 
 
-def test_all_problems_are_told_in_one_go(tmp_path: Path) -> None:
+def test_all_problems_are_reported_at_once(tmp_path: Path) -> None:
     text = BASE.replace("worth = 9", "worth = -1").replace('"siirto"\nrepeat', '"siirto"\nrepeet')
-    done = _together(tmp_path, text, LEAST.replace("aim_ms = 1", "aim_ms = 2"))
+    done = _check_texts(tmp_path, text, MINIMAL.replace("aim_ms = 1", "aim_ms = 2"))
     assert [p.rule for p in done.problems] == ["type", "unknown-key", "aim-after-deadline"]
     assert done.problems[1].right == "repeat?"
 
 
-# ---------------------------------------------------------------- what cannot be read
+# ---------------------------------------------------------------- unreadable files
 
 
-def _unreadable(path: Path, says: str) -> None:
+def _assert_unreadable(path: Path, message: str) -> None:
     done = check_files([str(path)])
     assert done.exit_code == 2
-    assert [p.rule for p in done.problems] == ["unreadable"] and says in done.problems[0].what
+    assert [p.rule for p in done.problems] == ["unreadable"] and message in done.problems[0].what
 
 
-def test_what_is_not_utf_8(tmp_path: Path) -> None:
+def test_a_file_that_is_not_utf_8(tmp_path: Path) -> None:
     path = tmp_path / "a.toml"
     path.write_bytes(b"version = 1\n# \xff\n")
-    _unreadable(path, "is not UTF-8: byte 14")
+    _assert_unreadable(path, "is not UTF-8: byte 14")
     assert (check_files([str(path)]).problems[0].line, check_files([str(path)]).problems[0].column) == (2, 3)
 
 
@@ -171,18 +175,18 @@
     path = tmp_path / "a.toml"
     with path.open("wb") as file:
         file.truncate(100 * 1024 * 1024)
-    _unreadable(path, "holds 104857600 bytes")
+    _assert_unreadable(path, "holds 104857600 bytes")
 
 
 @pytest.mark.parametrize("deep", ["[" * 5000, "a = " + "[" * 5000 + "]" * 5000, "a = " + "{b = " * 900])
 def test_deep_nesting(deep: str, tmp_path: Path) -> None:
     path = tmp_path / "a.toml"
     path.write_text(deep)
-    _unreadable(path, "deep; at most 32 are read")
+    _assert_unreadable(path, "deep; at most 32 are read")
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("version = 1\nversion = 1\n", "is not valid TOML: Cannot overwrite a value"),
         ("[a]\n[a]\n", "is not valid TOML: Cannot declare"),
@@ -191,25 +195,25 @@
         ("a = '''", "is not valid TOML"),
     ],
 )
-def test_what_is_no_toml(text: str, says: str, tmp_path: Path) -> None:
+def test_a_file_that_is_not_valid_toml(text: str, message: str, tmp_path: Path) -> None:
     path = tmp_path / "a.toml"
     path.write_text(text)
-    _unreadable(path, says)
+    _assert_unreadable(path, message)
 
 
-def test_links_in_a_circle_folders_pipes_and_nothing(tmp_path: Path) -> None:
+def test_link_cycles_directories_missing_files_and_pipes(tmp_path: Path) -> None:
     loop = tmp_path / "loop"
     loop.symlink_to(loop)
-    _unreadable(loop, "cannot be read: Too many levels of symbolic links")
-    _unreadable(tmp_path, "cannot be read: Is a directory")
-    _unreadable(tmp_path / "none", "cannot be read: No such file")
+    _assert_unreadable(loop, "cannot be read: Too many levels of symbolic links")
+    _assert_unreadable(tmp_path, "cannot be read: Is a directory")
+    _assert_unreadable(tmp_path / "none", "cannot be read: No such file")
     pipe = tmp_path / "pipe"
     os.mkfifo(pipe)
-    _unreadable(pipe, "is not a regular file")
+    _assert_unreadable(pipe, "is not a regular file")
 
 
 def test_a_file_without_permission(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Root may read everything, so the refusal is made here."""
+    """The error is injected, as root may read every file."""
     path = tmp_path / "a.toml"
     path.write_text(BASE)
 
@@ -217,11 +221,11 @@
         raise PermissionError(13, "Permission denied")
 
     monkeypatch.setattr(source, "_open_nonblocking", refuse)
-    _unreadable(path, "cannot be read: Permission denied")
+    _assert_unreadable(path, "cannot be read: Permission denied")
 
 
 def test_a_file_that_is_replaced_while_it_is_read(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The first version is never mixed with the second; a file that keeps changing is told as such."""
+    """Two versions of a file are never mixed; a file that changes during every read is reported."""
     path, other = tmp_path / "a.toml", tmp_path / "b.toml"
     path.write_text("version = 2\n")
     original = os.fstat
@@ -230,7 +234,7 @@
     def fstat(descriptor: int) -> os.stat_result:
         nonlocal calls
         calls += 1
-        if calls == 2:  # between the read and the look after it
+        if calls == 2:  # between the read and the check after it
             other.write_text(BASE)
             os.replace(other, path)
         return original(descriptor)
@@ -238,13 +242,13 @@
     monkeypatch.setattr(os, "fstat", fstat)
     assert check_files([str(path)]).exit_code == 0
 
-    def always(descriptor: int) -> os.stat_result:
+    def replace_always(descriptor: int) -> os.stat_result:
         other.write_text(BASE)
         os.replace(other, path)
         return original(descriptor)
 
-    monkeypatch.setattr(os, "fstat", always)
-    _unreadable(path, "changed during each of 3 reads")
+    monkeypatch.setattr(os, "fstat", replace_always)
+    _assert_unreadable(path, "changed during each of 3 reads")
 
 
 # ---------------------------------------------------------------- fuzzing
@@ -259,7 +263,7 @@
     return done
 
 
-_PIECES = sorted({line for line in (BASE + LEAST).splitlines() if line.strip()})
+_PIECES = sorted({line for line in (BASE + MINIMAL).splitlines() if line.strip()})
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -299,7 +303,7 @@
 _FILES = st.lists(
     st.builds(
         lambda name, calls, port, cut: (
-            LEAST.replace('{name = "pieni"}', f'{{name = "{name}", calls = {json.dumps(calls)}}}').replace(
+            MINIMAL.replace('{name = "pieni"}', f'{{name = "{name}", calls = {json.dumps(calls)}}}').replace(
                 "127.0.0.1:2", port
             )[: None if cut > 200 else cut]
         ),
@@ -341,9 +345,9 @@
 # ---------------------------------------------------------------- the command
 
 
-def test_the_forms_of_the_report(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_report_formats(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "a.toml"
-    path.write_text(BROKEN[0].text)
+    path.write_text(INVALID_SAMPLES[0].text)
     assert main(["check", str(path)]) == 1
     assert f"{path}:" in capsys.readouterr().out
     assert main(["check", str(path), "--format", "json"]) == 1
--- a/tests/tool/test_commands.py
+++ b/tests/tool/test_commands.py
@@ -1,4 +1,4 @@
-"""init, render, schema and completion, as an operator uses them."""
+"""The commands init, render, schema and completion as an operator uses them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 ROOT = Path(__file__).parent.parent.parent
 
 
-def test_what_init_writes_passes_check_and_is_whole(
+def test_the_file_that_init_writes_passes_check_and_is_complete(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "a.toml"
@@ -44,8 +44,8 @@
     assert [item.name for item in tmp_path.iterdir()] == ["a.toml"]
 
 
-def test_init_asks_for_what_no_flag_says(tmp_path: Path) -> None:
-    """Each answer lands in the file; an empty one stands for what is shown."""
+def test_init_prompts_for_values_that_no_flag_gives(tmp_path: Path) -> None:
+    """Each answer is written to the file; an empty answer selects the default shown."""
     path = tmp_path / "a.toml"
     answers = "kampaamo\n\n127.0.0.1:8107\n"
     done = _init(str(path), "--discovery", "127.0.0.1:8507", answers=answers)
@@ -58,12 +58,12 @@
     assert file["tier"][0]["discovery"] == "127.0.0.1:8507"
 
 
-def test_init_asks_nothing_where_flags_name_the_application(tmp_path: Path) -> None:
+def test_init_does_not_prompt_if_a_flag_names_the_application(tmp_path: Path) -> None:
     done = _init(str(tmp_path / "a.toml"), "--application", "kampaamo", answers="")
     assert (done.returncode, done.stderr) == (0, "")
 
 
-def test_answers_that_break_off_write_nothing(tmp_path: Path) -> None:
+def test_init_writes_nothing_if_input_ends_early(tmp_path: Path) -> None:
     done = _init(str(tmp_path / "a.toml"), answers="kampaamo\n")
     assert done.returncode == 2 and done.stderr.endswith("leadrudder: stopped\n")
     assert not list(tmp_path.iterdir())
@@ -84,40 +84,42 @@
         ["--application", "a", "--discovery", "luettelo:1"],
     ],
 )
-def test_init_writes_nothing_that_would_not_pass(arguments: list[str], tmp_path: Path) -> None:
+def test_init_writes_nothing_that_does_not_pass_check(arguments: list[str], tmp_path: Path) -> None:
     assert main(["init", str(tmp_path / "a.toml"), *arguments]) == 1
     assert not list(tmp_path.iterdir())
 
 
-def test_init_leaves_nothing_where_it_cannot_write(
+def test_init_leaves_no_file_behind_if_the_write_fails(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    def full(_: int) -> None:
+    def raise_disk_full(_: int) -> None:
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(os, "fsync", full)
+    monkeypatch.setattr(os, "fsync", raise_disk_full)
     assert main(["init", str(tmp_path / "a.toml"), "--application", "a"]) == 2
     assert "cannot be written: No space left on device" in capsys.readouterr().err
     assert not list(tmp_path.iterdir())
     assert main(["init", "/nowhere/a.toml", "--application", "a"]) == 2
 
 
-def test_render_tells_the_problems_of_a_bad_file(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_render_reports_the_problems_of_an_invalid_file(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     path = tmp_path / "a.toml"
     path.write_text("version = 1\n")
     assert main(["render", str(path)]) == 1
-    said = capsys.readouterr()
-    assert said.out == "" and "application: is required" in said.err
+    output = capsys.readouterr()
+    assert output.out == "" and "application: is required" in output.err
 
 
-def test_the_schema_is_json_schema_of_the_file(capsys: pytest.CaptureFixture[str]) -> None:
+def test_schema_prints_the_json_schema_of_the_file(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["schema"]) == 0
     schema = json.loads(capsys.readouterr().out)
     assert set(schema["required"]) == {"version", "application", "tier", "listener", "class", "route"}
     assert schema["$defs"]["Route"]["properties"]["repeat"]["default"] is None
 
 
-def test_the_node_in_service_imports_nothing_of_the_tool() -> None:
+def test_a_running_node_imports_nothing_of_the_tool() -> None:
     code = (
         "import sys, leadrudder.__main__;"
         "print([m for m in sys.modules if m.split('.')[0] in ('click', 'pydantic', 'tree_sitter')"
@@ -129,7 +131,7 @@
     assert done.stdout == "[]\n"
 
 
-def test_the_reference_of_fields_is_current() -> None:
+def test_the_field_reference_is_current() -> None:
     page = ROOT / "docs" / "operators" / "fields.md"
     assert (
         page.read_text() == fields_page()
@@ -142,7 +144,7 @@
     assert page.read_text() == capsys.readouterr().out, "run leadrudder schema > docs/operators/schema.json"
 
 
-def test_the_example_is_what_init_writes_and_passes_check() -> None:
+def test_the_example_equals_what_init_writes_and_passes_check() -> None:
     example = ROOT / "deploy" / "kampaamo.toml"
     assert example.read_text() == new_file_text(
         example.name, "kampaamo", "palvelu", "127.0.0.1:8100", "127.0.0.1:8500"
@@ -151,7 +153,7 @@
 
 
 @pytest.mark.parametrize("shell", ["bash", "fish", "zsh"])
-def test_completion_of_each_shell_asks_the_tool_itself(
+def test_the_completion_script_of_each_shell_calls_the_tool(
     shell: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert main(["completion", shell]) == 0
@@ -160,7 +162,7 @@
 
 def test_completion_knows_the_commands_and_their_options() -> None:
     def complete(line: str) -> list[str]:
-        told = {
+        environment = {
             "_LEADRUDDER_COMPLETE": "bash_complete",
             "COMP_WORDS": line,
             "COMP_CWORD": str(line.count(" ")),
@@ -170,7 +172,7 @@
             capture_output=True,
             text=True,
             check=False,
-            env={**os.environ, **told},
+            env={**os.environ, **environment},
         )
         return [answer.partition(",")[2] for answer in done.stdout.splitlines()]
 
@@ -179,6 +181,6 @@
     assert "--request" in complete("leadrudder explain --")
 
 
-def test_completion_of_another_shell_is_one_line(capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_unsupported_shell_gives_a_one_line_error(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["completion", "csh"]) == 2
     assert capsys.readouterr().err.count("\n") == 1
--- a/tests/tool/test_explain.py
+++ b/tests/tool/test_explain.py
@@ -21,7 +21,9 @@
     return done.files[0]
 
 
-def _explain(text: str, request: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> dict[str, str]:
+def _explain_lines(
+    text: str, request: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> dict[str, str]:
     path = tmp_path / "a.toml"
     path.write_text(text)
     assert main(["explain", str(path), "--request", request]) == 0
@@ -29,37 +31,39 @@
     return {line.partition(" ")[0]: line.partition(" ")[2].strip() for line in lines}
 
 
-def _line_of(text: str, what: str) -> int:
+def _line_number_of(text: str, what: str) -> int:
     return next(i for i, line in enumerate(text.splitlines(), 1) if line.startswith(what))
 
 
-def test_a_booking_is_explained_by_the_lines_of_the_file(
+def test_an_unsafe_request_is_explained_with_the_lines_of_the_file(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    told = _explain(BASE, "POST /varaus/17?x=1", tmp_path, capsys)
-    assert told["route"].startswith("1: POST /varaus/*")
-    assert told["class"] == f"varaus, unsafe (line {_line_of(BASE, 'effect = ')})"
-    assert told["repeat"] == "never, once it may have run (by default)"
-    assert told["attempts"] == f"up to 2 (line {_line_of(BASE, 'attempts')})"
-    assert "given up after 4000 ms" in told["aim"]
+    explanation = _explain_lines(BASE, "POST /varaus/17?x=1", tmp_path, capsys)
+    assert explanation["route"].startswith("1: POST /varaus/*")
+    assert explanation["class"] == f"varaus, unsafe (line {_line_number_of(BASE, 'effect = ')})"
+    assert explanation["repeat"] == "never, once it may have run (by default)"
+    assert explanation["attempts"] == f"up to 2 (line {_line_number_of(BASE, 'attempts')})"
+    assert "given up after 4000 ms" in explanation["aim"]
 
 
-def test_a_keyed_request_says_where_and_how_long(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    told = _explain(BASE, "POST /siirto/1", tmp_path, capsys)
-    line = _line_of(BASE, "repeat = true")
-    assert told["repeat"] == f"within its all, for 7500 ms from its first attempt (line {line})"
+def test_a_keyed_request_is_explained_with_its_group_and_window(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    explanation = _explain_lines(BASE, "POST /siirto/1", tmp_path, capsys)
+    line = _line_number_of(BASE, "repeat = true")
+    assert explanation["repeat"] == f"within its all, for 7500 ms from its first attempt (line {line})"
 
 
-def test_inheritance_is_told(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_inheritance_is_explained(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     text = BASE.replace('class = "haku"\nrepeat = true', 'class = "haku"')
     text = text.replace('class = "varaus"\n\n', 'class = "varaus"\nrepeat = false\n\n')
     text += "[defaults]\nrepeat = true\n"
-    told = _explain(text, "GET /", tmp_path, capsys)
-    assert told["repeat"] == f"at any server (inherited, line {text.count(chr(10))})"
-    assert _explain(text, "POST /varaus/1", tmp_path, capsys)["class"].startswith("varaus")
+    explanation = _explain_lines(text, "GET /", tmp_path, capsys)
+    assert explanation["repeat"] == f"at any server (inherited, line {text.count(chr(10))})"
+    assert _explain_lines(text, "POST /varaus/1", tmp_path, capsys)["class"].startswith("varaus")
 
 
-def test_a_request_that_no_route_takes(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_request_that_no_route_matches(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "a.toml"
     path.write_text(BASE)
     assert main(["explain", str(path), "--request", "POST /muu"]) == 0
@@ -79,13 +83,15 @@
         ("aim_ms = 1500", "aim_ms = 1000", "class varaus.aim_ms", "requests are shed", "restart"),
     ],
 )
-def test_a_change_is_told_with_what_it_means(old: str, new: str, field: str, means: str, needs: str) -> None:
+def test_a_change_is_reported_with_its_meaning(
+    old: str, new: str, field: str, means: str, needs: str
+) -> None:
     assert old in BASE
     (change,) = diff_files(_file(BASE), _file(BASE.replace(old, new)))
     assert change.field == field and means in change.means and change.needs == needs
 
 
-def test_what_only_the_tool_reads_needs_nothing() -> None:
+def test_a_field_that_only_the_tool_reads_needs_no_action() -> None:
     (change,) = diff_files(_file(BASE), _file(BASE + "[limits]\nrepeat_factor = 9\n"))
     assert change.needs.startswith("nothing")
 
