--- a/leadrudder/tool/checks.py
+++ b/leadrudder/tool/checks.py
@@ -311,11 +311,11 @@
 
 
 def addresses_are_valid(file: File) -> Iterator[Finding]:
-    places: list[tuple[FieldPath, str]] = [
+    addresses: list[tuple[FieldPath, str]] = [
         (("listener", i, "address"), x.address) for i, x in enumerate(file.listener)
     ]
-    places += [(("tier", i, "discovery"), x.discovery) for i, x in enumerate(file.tier)]
-    for path, address in places:
+    addresses += [(("tier", i, "discovery"), x.discovery) for i, x in enumerate(file.tier)]
+    for path, address in addresses:
         host, port = _host(address), _port(address)
         try:
             ipaddress.ip_address(host)
--- a/leadrudder/tool/render.py
+++ b/leadrudder/tool/render.py
@@ -35,9 +35,8 @@
         "name": name,
         "listen": listener.address,
         "discovery": tier.discovery,
-        "seed": blake2b(
-            name.encode(), digest_size=8
-        ).hexdigest(),  # the supervisor sets a new one at each start
+        # The supervisor replaces this seed at each start.
+        "seed": blake2b(name.encode(), digest_size=8).hexdigest(),
         "limits": {
             "cores": 1.0,
             "memory_mb": file.limits.memory_mb,
