--- a/bench/incidents.py
+++ b/bench/incidents.py
@@ -92,7 +92,7 @@
             cuts += whole
             if whole:
                 ack, apply = max(c.ack_max_s for c in whole), max(c.apply_max_s for c in whole)
-                orders = sum(c.orders for c in whole)
+                orders = sum(c.changes for c in whole)
                 print(f"{fault:45} orders {orders:6} ack {ack:.2f} s  apply {apply:.2f} s", flush=True)
         steps = [
             (s % 7, loss, SECOND_LOSS_STEP_S * s) for loss in FirstLoss for s in range(SECOND_LOSS_STEPS)
--- a/leadrudder/control_simulation/incidents.py
+++ b/leadrudder/control_simulation/incidents.py
@@ -104,33 +104,33 @@
 class UnreachableResult:
     """The effect of an unreachable control machine."""
 
-    orders: int
+    changes: int
     ack_max_s: float  # the longest time from a change to its confirmation
     apply_max_s: float  # the longest time from a confirmation until a node received the item
 
 
 def run_unreachable_machine(
-    seed: int, fault: Fault, span_s: float = 20.0, stations: int = 6
+    seed: int, fault: Fault, duration_s: float = 20.0, node_count: int = 6
 ) -> UnreachableResult:
     world = World(seed)
-    nodes = SimulatedNodes(world, stations)
+    nodes = SimulatedNodes(world, node_count)
     world.run_until(FIRST_CHANGE_S)
     operator = Operator(world)
     machine = list(world.machines.values())[seed % len(world.machines)]
     others = [m.address for m in world.machines.values() if m is not machine]
     if fault is Fault.STANDSTILL:
         world.call_at(6.0, lambda: world.freeze(machine))
-        world.call_at(6.0 + span_s, lambda: world.thaw(machine))
+        world.call_at(6.0 + duration_s, lambda: world.thaw(machine))
     elif fault is Fault.SLOW_DISK:
         world.call_at(6.0, lambda: setattr(machine, "sync_slowdown", 30.0))
-        world.call_at(6.0 + span_s, lambda: setattr(machine, "sync_slowdown", 1.0))
+        world.call_at(6.0 + duration_s, lambda: setattr(machine, "sync_slowdown", 1.0))
     else:
         ends = ([machine.address], others)
         senders, receivers = ends if fault is not Fault.NOTHING_IN else ends[::-1]
         world.call_at(6.0, lambda: world.partition(senders, receivers, one_way=fault is not Fault.CUT))
-        world.call_at(6.0 + span_s, world.heal)
-    operator.change_periodically(0.4, 6.0 + span_s)
-    world.run_until(6.0 + span_s + CALM_DURATION_S)
+        world.call_at(6.0 + duration_s, world.heal)
+    operator.change_periodically(0.4, 6.0 + duration_s)
+    world.run_until(6.0 + duration_s + CALM_DURATION_S)
     if operator.open_changes or operator.refused:
         world.fail(
             f"{operator.open_changes} changes unanswered after recovery, {operator.refused} were refused"
--- a/tests/mesh/test_incidents.py
+++ b/tests/mesh/test_incidents.py
@@ -23,7 +23,7 @@
             for seed in range(2):
                 with self.subTest(fault.value, seed=seed):
                     result = run_unreachable_machine(seed, fault)
-                    self.assertGreater(result.orders, 40)
+                    self.assertGreater(result.changes, 40)
                     self.assertLess(result.ack_max_s, ACK_S)
                     self.assertLess(result.apply_max_s, APPLY_S)
 
