--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -15,7 +15,7 @@
 import sys
 import time
 
-from leadrudder.experiment.plan import changed
+from leadrudder.experiment.plan import apply_changes
 from leadrudder.experiment.play import decider_of, play
 from leadrudder.experiment.reading import load
 
@@ -26,7 +26,7 @@
 def shape(model: str, seeds: range, length_s: float) -> tuple[float, float]:
     """Requests a CPU second, and the mean service, on the bookings shape."""
     source, _, _ = load("bookings")
-    file = changed(source.values, {"length_s": length_s})
+    file = apply_changes(source.values, {"length_s": length_s})
     requests, services = 0.0, []
     began = time.process_time()
     for seed in seeds:
@@ -67,7 +67,7 @@
             last = time.perf_counter()
             print(f"{100 * part:.0f}% after {last - began:.0f} s", file=sys.stderr)
 
-    result = play(changed(values, {}), 1, decider_of("leadrudder"), progress=tell)
+    result = play(apply_changes(values, {}), 1, decider_of("leadrudder"), progress=tell)
     return {
         "wall_s": time.perf_counter() - began,
         "memory_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0,
--- a/leadrudder/experiment/callers.py
+++ b/leadrudder/experiment/callers.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 
 from leadrudder.experiment.clock import Clock, Entry
-from leadrudder.experiment.draw import number, spread_of, work_of
-from leadrudder.experiment.figures import Figures
+from leadrudder.experiment.draw import as_float, sample_unit_mean, sample_work_ms
+from leadrudder.experiment.figures import FigureRecorder
 from leadrudder.experiment.fleet import Fleet
 from leadrudder.experiment.node import Answer, Ask, Door, Operation, Taken
 from leadrudder.experiment.spec import File
@@ -84,7 +84,7 @@
     """All of them. load_times: what troubles make of the rate."""
 
     def __init__(
-        self, clock: Clock, file: File, fleet: Fleet, figures: Figures, seed: str, trace: list[Asked]
+        self, clock: Clock, file: File, fleet: Fleet, figures: FigureRecorder, seed: str, trace: list[Asked]
     ) -> None:
         self._clock, self._file, self._fleet, self._figures = clock, file, fleet, figures
         self._arrivals = random.Random(f"{seed}/arrivals")
@@ -95,27 +95,27 @@
         self._count = 0
         self._classes = file.request_class
         self._class_parts = [c.part for c in file.request_class]
-        usage = [t.share * number(t.usage) for t in file.tenant] or [1.0]
+        usage = [t.share * as_float(t.usage) for t in file.tenant] or [1.0]
         self._usage = usage
         shape, load = fleet.shape, file.load
-        quota = shape.capacity_per_s * number(load.quota_of_capacity)
+        quota = shape.capacity_per_s * as_float(load.quota_of_capacity)
         self._shares = Shares([t.share * quota for t in file.tenant]) if file.tenant else None
         self._rate = self._rate_per_ms()
-        self._swing = number(load.swing)
+        self._swing = as_float(load.swing)
         self._bursts = list(self._plan_bursts(random.Random(f"{seed}/bursts")))
         self._burst_at = 0
-        self._client_ms = number(file.fleet.network.client_ms)
+        self._client_ms = as_float(file.fleet.network.client_ms)
         callers = file.callers
-        self._tries, self._patience = number(callers.tries), callers.patience
-        self._back_off, self._honour = number(callers.back_off_ms), number(callers.honour)
-        self._notice = 1000.0 * number(callers.notice_s)
+        self._tries, self._patience = as_float(callers.tries), callers.patience
+        self._back_off, self._honour = as_float(callers.back_off_ms), as_float(callers.honour)
+        self._notice = 1000.0 * as_float(callers.notice_s)
         self._shunned: dict[int, float] = {}  # front nodes that callers know to be gone, until when
         self._hot = self._weights(random.Random(f"{seed}/hot"))  # what each front node gets; empty: all alike
 
     def _weights(self, rng: random.Random) -> list[float]:
         nodes = len(self._fleet.front)
-        hot = round(number(self._file.fleet.hot) * nodes)
-        weights = [number(self._file.fleet.hot_times)] * hot + [1.0] * (nodes - hot)
+        hot = round(as_float(self._file.fleet.hot) * nodes)
+        weights = [as_float(self._file.fleet.hot_times)] * hot + [1.0] * (nodes - hot)
         rng.shuffle(weights)
         return weights if hot else []
 
@@ -124,7 +124,7 @@
         if load.per_s is not None:
             return load.per_s / 1000.0
         if load.of_capacity is not None:
-            return number(load.of_capacity) * self._fleet.shape.capacity_per_s / 1000.0
+            return as_float(load.of_capacity) * self._fleet.shape.capacity_per_s / 1000.0
         return 0.0
 
     def start(self) -> None:
@@ -198,9 +198,11 @@
         rng = self._works
         index = rng.choices(range(len(self._classes)), self._class_parts)[0]
         tenant = rng.choices(range(len(self._usage)), self._usage)[0]
-        work = work_of(rng, self._classes[index])
+        work = sample_work_ms(rng, self._classes[index])
         hints = self._file.load.hints
-        wrong = spread_of(rng, "lognormal", GOOD if hints == "good" else ROUGH) if hints != "none" else 1.0
+        wrong = (
+            sample_unit_mean(rng, "lognormal", GOOD if hints == "good" else ROUGH) if hints != "none" else 1.0
+        )
         return index, tenant, work, wrong
 
     # ------------------------------------------------------------ one operation
@@ -209,34 +211,34 @@
         index, tenant, work, wrong = drawn
         now, load, shape = self._clock.now, self._file.load, self._fleet.shape
         kind = self._classes[index]
-        units = work / number(kind.work_ms)
+        units = work / as_float(kind.work_ms)
         worth = kind.worth * (work / shape.mean_work_ms if load.worth_by_work else 1.0)
         if self._shares is not None and not self._shares.within(tenant, now, work / shape.mean_work_ms):
             worth *= load.over_share_worth
         self._count += 1
         operation = Operation(self._count, index, tenant, worth, now, units)
-        waits = number(kind.wait_ms)
-        wait = spread_of(self._works, "exponential", 1.0) * waits if waits else 0.0
+        waits = as_float(kind.wait_ms)
+        wait = sample_unit_mean(self._works, "exponential", 1.0) * waits if waits else 0.0
         ask = Ask(
             index,
             0.0,
             tenant,
             self._count,
             work * wrong if load.hints != "none" else None,
-            tuple(work * part for part in shape.works),
-            tuple(wait * part for part in shape.works),
+            tuple(work * part for part in shape.work_shares),
+            tuple(wait * part for part in shape.work_shares),
             operation,
         )
         extra = self._tries
         tries = int(extra) + (self._rng.random() < extra - int(extra))
-        self._figures.asked(operation)
+        self._figures.record_request(operation)
         self._try(ask, tries, self._rng.random() < self._honour)
 
     def _try(self, ask: Ask, left: int, honours: bool) -> None:
         kind = self._classes[ask.class_index]
         operation = ask.operation
         operation.tries += 1
-        patience = number(self._patience) * kind.deadline_ms
+        patience = as_float(self._patience) * kind.deadline_ms
         tried = _Try(self, ask, left, honours, patience)
         self._clock.after(self._client_ms, tried.reach)
 
@@ -265,7 +267,7 @@
         """A try has ended with an answer, or with none in its time."""
         ask, operation = tried.ask, tried.ask.operation
         if answer.what == "served":
-            self._figures.ended(operation, "served")
+            self._figures.record_end(operation, "served")
             self._after(operation)
             return
         kind = self._classes[ask.class_index]
@@ -277,7 +279,7 @@
                 wait = answer.retry_after_ms
             self._clock.after(wait, self._try, ask, tried.left - 1, tried.honours)
             return
-        self._figures.ended(operation, answer.what)
+        self._figures.record_end(operation, answer.what)
         self._after(operation)
 
     def _after(self, operation: Operation) -> None:
--- a/leadrudder/experiment/charts.py
+++ b/leadrudder/experiment/charts.py
@@ -165,7 +165,7 @@
         for place, value in zip(places, values, strict=True):
             rows = runs.of(side, {field: value})
             if rows:
-                mean, low, high = paired.interval([row.figures[name] for row in rows])
+                mean, low, high = paired.confidence_interval([row.figures[name] for row in rows])
                 points.append((place, mean, max(low, 0.0), high if math.isfinite(high) else mean))
         if points:
             xs, means, lows, highs = zip(*points, strict=True)
@@ -256,7 +256,7 @@
             after = [row.figures[name] for row in rows.values()]
             found = paired.compare(before, after, 0.0)
             place = len(names) - j - (k + 1) / (len(others) + 1)
-            half = found.half if math.isfinite(found.half) else 0.0
+            half = found.half_width if math.isfinite(found.half_width) else 0.0
             label = side if not j else None
             axes.errorbar(
                 found.difference,
--- a/leadrudder/experiment/command.py
+++ b/leadrudder/experiment/command.py
@@ -21,7 +21,7 @@
 from leadrudder.experiment import paired, reading
 from leadrudder.experiment.comparing import Comparison, FigureError, variant_name
 from leadrudder.experiment.paired import Verdict
-from leadrudder.experiment.plan import Case, FieldError, changed
+from leadrudder.experiment.plan import Case, FieldError, apply_changes
 from leadrudder.experiment.pool import Job, Pool
 from leadrudder.experiment.revisions import RevisionError, model_digest, present, unpacked
 from leadrudder.experiment.runner import Experiment, Progress, run
@@ -111,14 +111,14 @@
     values = dict(source.values)
     if sets:
         try:
-            file = changed(values, dict(_setting(text) for text in sets))
+            file = apply_changes(values, dict(_setting(text) for text in sets))
         except FieldError as error:
             raise click.ClickException(f"--set: {error}") from None
         values = file.model_dump(mode="json", by_alias=True, exclude_unset=True)
     if model is not None:
         sides = [{**side.model_dump(exclude_unset=True), "model": model} for side in file.side]
         values = {**values, "side": sides}
-        file = changed(values, {})
+        file = apply_changes(values, {})
     folder = Path(name).parent if Path(name).exists() else Path()
     return Experiment(values, file, folder.resolve(), _cache())
 
@@ -290,7 +290,7 @@
     for (variant, side), group in groups.items():
         cells = []
         for name in SHOWN:
-            mean, low, _ = paired.interval([row.figures[name] for row in group])
+            mean, low, _ = paired.confidence_interval([row.figures[name] for row in group])
             half = mean - low
             cells.append(f"{mean:8.3f} ±{half:5.3f}" if half < 1e3 else f"{mean:8.3f}       ")
         print(f"{variant:{variants}} {side:{sides}} {len(group):5} " + " ".join(f"{c:>15}" for c in cells))
@@ -329,7 +329,7 @@
             {**only.model_dump(exclude_unset=True), "name": "after"},
         ]
         values = {**loaded.values, "side": sides}
-        loaded = dataclasses.replace(loaded, values=values, file=changed(values, {}))
+        loaded = dataclasses.replace(loaded, values=values, file=apply_changes(values, {}))
     names = [side.name for side in loaded.file.side]
     first, second = before or names[0], after or names[min(1, len(names) - 1)]
     for name in (first, second):
@@ -341,7 +341,7 @@
     comparison = Comparison(first, second, figure, difference, loaded.file.runs.seeds)
     seed = loaded.file.runs.first_seed
     with _store(results) as store:
-        for look, count in enumerate(comparison.looks):
+        for look, count in enumerate(comparison.look_schedule):
             pool = Pool(playing.jobs)
             with _interruptible(pool):
                 wanted = comparison.wanted(_jobs(loaded, range(seed, seed + count)))
--- a/leadrudder/experiment/comparing.py
+++ b/leadrudder/experiment/comparing.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from leadrudder.experiment import paired
-from leadrudder.experiment.paired import Compared, Verdict
+from leadrudder.experiment.paired import PairedResult, Verdict
 from leadrudder.experiment.pool import Job
 from leadrudder.experiment.store import Row
 
@@ -23,10 +23,10 @@
     figure: str
     difference: float
     most: int
-    found: dict[str, Compared] = field(default_factory=dict)
+    found: dict[str, PairedResult] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.looks = paired.looks(self.most)
+        self.look_schedule = paired.look_schedule(self.most)
 
     def wanted(self, jobs: list[Job]) -> list[Job]:
         """The runs that a look needs: of the two sides, and of variants that are not told yet."""
@@ -58,7 +58,7 @@
                 pairs.setdefault(variant, []).append(both)
         for variant, values in pairs.items():
             before, after = [x[self.before] for x in values], [x[self.after] for x in values]
-            alpha = paired.spent(number, len(self.looks))
+            alpha = paired.alpha_at_look(number, len(self.look_schedule))
             self.found[variant] = paired.compare(before, after, self.difference, alpha)
         return bool(self.found) and all(self._told(variant) for variant in self.found)
 
@@ -73,7 +73,7 @@
         """A sentence for each variant."""
         lines = []
         for variant, one in self.found.items():
-            more = f" (some {one.more_pairs} more seeds would tell)" if one.more_pairs else ""
+            more = f" (some {one.additional_pairs} more seeds would tell)" if one.additional_pairs else ""
             lines.append(
                 f"{variant + ': ' if variant else ''}{self.figure}: {self.before} {one.before:.4f},"
                 f" {self.after} {one.after:.4f}, difference {one.difference:+.4f}"
--- a/leadrudder/experiment/draw.py
+++ b/leadrudder/experiment/draw.py
@@ -11,10 +11,10 @@
 
 from leadrudder.experiment.spec import File, Kind, RequestClass, Tier
 
-S = TypeVar("S", bound=BaseModel)
+SectionT = TypeVar("SectionT", bound=BaseModel)
 
 
-def drawn(section: S, seed: str) -> S:
+def sample_ranges(section: SectionT, seed: str) -> SectionT:
     """A copy in which each pair [low, high] is a figure between the two.
 
     A field's figure hangs on the seed and the field's path alone, so that a changed field changes no other.
@@ -24,14 +24,14 @@
         value = getattr(section, name)
         path = f"{seed}/{name}"
         if isinstance(value, BaseModel):
-            update[name] = drawn(value, path)
+            update[name] = sample_ranges(value, path)
         elif is_range(value):
             low, high = value
             rng = random.Random(path)
             whole = isinstance(low, int) and isinstance(high, int)
             update[name] = rng.randint(low, high) if whole else rng.uniform(low, high)
         elif isinstance(value, list) and value and isinstance(value[0], BaseModel):
-            update[name] = [drawn(item, f"{path}/{i}") for i, item in enumerate(value)]
+            update[name] = [sample_ranges(item, f"{path}/{i}") for i, item in enumerate(value)]
     return section.model_copy(update=update)
 
 
@@ -69,19 +69,21 @@
     plans = []
     for i, k in enumerate(kinds):
         kind = tier.kind[k]
-        spread = number(kind.speed_spread)
-        speed = number(kind.speed) * (spread_of(rng, "lognormal", spread) if spread else 1.0)
+        spread = as_float(kind.speed_spread)
+        speed = as_float(kind.speed) * (sample_unit_mean(rng, "lognormal", spread) if spread else 1.0)
         zone = i % zones
-        plans.append(ServerPlan(kind, k, zone, zones * (i // zones // int(number(tier.cell))) + zone, speed))
+        plans.append(
+            ServerPlan(kind, k, zone, zones * (i // zones // int(as_float(tier.cell))) + zone, speed)
+        )
     return plans
 
 
-def number(value: Any) -> float:
+def as_float(value: Any) -> float:
     """A field that has been drawn, as the number that it is by now."""
     return float(value)
 
 
-def spread_of(rng: random.Random, form: str, variation: float) -> float:
+def sample_unit_mean(rng: random.Random, form: str, variation: float) -> float:
     """A positive draw of mean 1 with this coefficient of variation (exponential has 1, whatever is asked)."""
     if form == "fixed" or variation <= 0.0:
         return 1.0
@@ -95,39 +97,39 @@
     return (a - 1.0) / a * rng.paretovariate(a)
 
 
-def work_of(rng: random.Random, kind: RequestClass) -> float:
+def sample_work_ms(rng: random.Random, kind: RequestClass) -> float:
     """Work of a request over all tiers, ms on a core of speed 1."""
-    return number(kind.work_ms) * spread_of(rng, kind.spread, number(kind.variation))
+    return as_float(kind.work_ms) * sample_unit_mean(rng, kind.spread, as_float(kind.variation))
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
+class FleetShape:
     """Sizes that follow from a drawn file."""
 
-    servers: tuple[int, ...]  # of each tier
-    calls: tuple[float, ...]  # mean calls of each tier for a request of the first
-    works: tuple[float, ...]  # part of a request's work in each call of a tier
+    servers_per_tier: tuple[int, ...]  # of each tier
+    calls_per_request: tuple[float, ...]  # mean calls of each tier for a request of the first
+    work_shares: tuple[float, ...]  # part of a request's work in each call of a tier
     mean_work_ms: float
     capacity_per_s: float  # requests a second that the narrowest tier can do, all its servers warm
 
 
-def shape_of(file: File) -> Shape:
+def fleet_shape_of(file: File) -> FleetShape:
     """The sizes of a drawn file."""
     tiers = file.fleet.tier
     servers: list[int] = []
     calls: list[float] = []
     for i, tier in enumerate(tiers):
         before = servers[i - 1] if i else 1
-        count = tier.servers if tier.servers is not None else round(before * number(tier.servers_each))
-        servers.append(max(1, int(number(count))))
-        calls.append(1.0 if i == 0 else calls[i - 1] * number(tier.calls))
-    total = sum(number(t.work) for t in tiers)
-    works = tuple(number(t.work) / total for t in tiers)
+        count = tier.servers if tier.servers is not None else round(before * as_float(tier.servers_each))
+        servers.append(max(1, int(as_float(count))))
+        calls.append(1.0 if i == 0 else calls[i - 1] * as_float(tier.calls))
+    total = sum(as_float(t.work) for t in tiers)
+    work_shares = tuple(as_float(t.work) / total for t in tiers)
     parts = sum(c.part for c in file.request_class) or 1.0
-    mean = sum(c.part * number(c.work_ms) for c in file.request_class) / parts
+    mean = sum(c.part * as_float(c.work_ms) for c in file.request_class) / parts
     capacity = math.inf
-    for tier, count, call, work in zip(tiers, servers, calls, works, strict=True):
+    for tier, count, call, work in zip(tiers, servers, calls, work_shares, strict=True):
         kinds = sum(k.part for k in tier.kind) or 1.0
-        speed = sum(k.part * number(k.speed) * k.cores for k in tier.kind) / kinds
+        speed = sum(k.part * as_float(k.speed) * k.cores for k in tier.kind) / kinds
         capacity = min(capacity, 1000.0 * count * speed / (mean * work * call))
-    return Shape(tuple(servers), tuple(calls), works, mean, capacity)
+    return FleetShape(tuple(servers), tuple(calls), work_shares, mean, capacity)
--- a/leadrudder/experiment/fleet.py
+++ b/leadrudder/experiment/fleet.py
@@ -9,7 +9,7 @@
 
 from leadrudder import interface as api
 from leadrudder.experiment.clock import Clock
-from leadrudder.experiment.draw import Shape, number, plan_servers, spread_of
+from leadrudder.experiment.draw import FleetShape, as_float, plan_servers, sample_unit_mean
 from leadrudder.experiment.lists import Registry
 from leadrudder.experiment.node import (
     Answer,
@@ -31,12 +31,14 @@
 HELD_MS = 1000.0  # a draining server is given so long for what it has
 
 
-def settings_of(file: File, shape: Shape, tier: int, nodes: int, ordinal: int, zone: int) -> api.Settings:
+def settings_of(
+    file: File, shape: FleetShape, tier: int, nodes: int, ordinal: int, zone: int
+) -> api.Settings:
     """What a node is told; fields that the module at hand does not know are left out."""
     node, load = file.fleet.node, file.load
     first = tier == 0
     reports = file.fleet.tier[tier].reports
-    quota = shape.capacity_per_s * number(load.quota_of_capacity)
+    quota = shape.capacity_per_s * as_float(load.quota_of_capacity)
     values = {
         "classes": classes_of(file),
         "tenants": tuple(api.Tenant(t.name, t.share, t.share * quota) for t in file.tenant if first),
@@ -59,8 +61,10 @@
         "passes_deadline": node.passes_deadline,
         "answer_slack_ms": 20.0,
         "drain_grace_ms": node.drain_grace_ms,
-        "cold_start_share": min((number(k.cold_from) for t in file.fleet.tier for k in t.kind), default=1.0),
-        "cold_ms": 1000.0 * max((number(k.cold_s) for t in file.fleet.tier for k in t.kind), default=0.0),
+        "cold_start_share": min(
+            (as_float(k.cold_from) for t in file.fleet.tier for k in t.kind), default=1.0
+        ),
+        "cold_ms": 1000.0 * max((as_float(k.cold_s) for t in file.fleet.tier for k in t.kind), default=0.0),
         "fall_multiple": node.fall_times,
         "fall_window_ms": 1000.0 * node.fall_s,
         "connect_timeout_ms": node.connect_ms,
@@ -90,7 +94,7 @@
 class Fleet:
     """The fleet of one run. front: its nodes, for callers to choose from."""
 
-    def __init__(self, clock: Clock, file: File, shape: Shape, seed: str, decider: MakeDecider) -> None:
+    def __init__(self, clock: Clock, file: File, shape: FleetShape, seed: str, decider: MakeDecider) -> None:
         self.clock, self.file, self.shape = clock, file, shape
         self._seed = seed
         self._make = decider
@@ -99,13 +103,13 @@
         self.zones = len(network.zones)
         self._way = jittered(
             random.Random(f"{seed}/network"),
-            number(network.same_ms),
-            number(network.cross_ms),
-            number(network.jitter),
+            as_float(network.same_ms),
+            as_float(network.cross_ms),
+            as_float(network.jitter),
         )
         self.counts = [Counts() for _ in file.fleet.tier]
         self._effects = Effects(classes_of(file), self.counts.__getitem__)
-        self._noises = [number(c.noise) for c in file.request_class]
+        self._noises = [as_float(c.noise) for c in file.request_class]
         self._noise_rng = random.Random(f"{seed}/noise")
         self._terms = [
             Terms(
@@ -113,8 +117,8 @@
                 1000.0 * node.fall_s,
                 self._slowing(tier),
                 tier.reports,
-                number(tier.connections),
-                number(tier.handshake_ms),
+                as_float(tier.connections),
+                as_float(tier.handshake_ms),
             )
             for i, tier in enumerate(file.fleet.tier)
         ]
@@ -127,12 +131,14 @@
         self.front: list[Door] = []
         self._inner: dict[bytes, Door] = {}
         self._ordinals: dict[Door, int] = {}
-        count = int(number(file.fleet.nodes))
+        count = int(as_float(file.fleet.nodes))
         for i in range(count):
             self.front.append(self._node(0, count, i, i % self.zones))
         for tier in range(len(self._tiers) - 1):
             for i, server in enumerate(self._tiers[tier].values()):
-                self._inner[server.name] = self._node(tier + 1, shape.servers[tier], i, server.plan.zone)
+                self._inner[server.name] = self._node(
+                    tier + 1, shape.servers_per_tier[tier], i, server.plan.zone
+                )
 
     def _registry(self, tier: int) -> Registry:
         told = self.file.fleet.node.capacity_hints
@@ -146,7 +152,9 @@
         return slowing
 
     def _servers(self, index: int, tier: Tier) -> dict[bytes, Server]:
-        plans = plan_servers(tier, self.shape.servers[index], self.zones, f"{self._seed}/{tier.name}")
+        plans = plan_servers(
+            tier, self.shape.servers_per_tier[index], self.zones, f"{self._seed}/{tier.name}"
+        )
         servers = {}
         for i, plan in enumerate(plans):
             name = b"%s-%d" % (tier.name.encode(), i)
@@ -178,7 +186,7 @@
     def _capped(self, tier: int) -> bool:
         """Whether connections count there."""
         spec = self.file.fleet.tier[tier]
-        return number(spec.connections) > 0.0 or number(spec.handshake_ms) > 0.0
+        return as_float(spec.connections) > 0.0 or as_float(spec.handshake_ms) > 0.0
 
     def close(self) -> None:
         """The run is over."""
@@ -193,7 +201,7 @@
 
     def noise(self, class_index: int) -> float:
         variation = self._noises[class_index]
-        return spread_of(self._noise_rng, "lognormal", variation) if variation else 1.0
+        return sample_unit_mean(self._noise_rng, "lognormal", variation) if variation else 1.0
 
     def behind(self, attempt: Asking, server: Server, done: Callable[[bool], None]) -> None:
         """The calls of a request to the tier behind, one after another, through the server's own node."""
@@ -201,7 +209,7 @@
         if tier >= len(self._tiers):
             done(True)
             return
-        mean = number(self.file.fleet.tier[tier].calls)
+        mean = as_float(self.file.fleet.tier[tier].calls)
         calls = int(mean) + (self._rng.random() < mean - int(mean))
         self._next_call(attempt, server, done, calls)
 
@@ -267,7 +275,7 @@
         server.start()
         old = self._inner.get(server.name)
         if old is not None:
-            nodes = self.shape.servers[server.tier]
+            nodes = self.shape.servers_per_tier[server.tier]
             self._inner[server.name] = self._node(old.tier, nodes, self._ordinals.pop(old), old.zone)
         self.registries[server.tier].changed(server, api.Readiness.READY)
 
@@ -281,7 +289,9 @@
         self._tiers[tier][name] = server
         self._listen(server)
         if tier + 1 < len(self._tiers):
-            self._inner[name] = self._node(tier + 1, self.shape.servers[tier], number_, like.plan.zone)
+            self._inner[name] = self._node(
+                tier + 1, self.shape.servers_per_tier[tier], number_, like.plan.zone
+            )
         server.start()
         self.registries[tier].changed(server, api.Readiness.READY)
         return server
--- a/leadrudder/experiment/lists.py
+++ b/leadrudder/experiment/lists.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 
 from leadrudder.experiment.clock import Clock
-from leadrudder.experiment.draw import number
+from leadrudder.experiment.draw import as_float
 from leadrudder.experiment.node import Node
 from leadrudder.experiment.server import Server
 from leadrudder.experiment.spec import Lists
@@ -21,11 +21,11 @@
 
     def __init__(self, clock: Clock, lists: Lists, rng: random.Random, *, told_capacity: bool) -> None:
         self._clock, self._rng, self._told_capacity = clock, rng, told_capacity
-        self._notice = 1000.0 * number(lists.notice_s)
-        self._silent = 1000.0 * number(lists.silent_notice_s)
-        self._add = 1000.0 * number(lists.add_s)
-        self._period = number(lists.period_ms)
-        self._spread = number(lists.spread_ms)
+        self._notice = 1000.0 * as_float(lists.notice_s)
+        self._silent = 1000.0 * as_float(lists.silent_notice_s)
+        self._add = 1000.0 * as_float(lists.add_s)
+        self._period = as_float(lists.period_ms)
+        self._spread = as_float(lists.spread_ms)
         self._asked = lists.asked
         self._version = 1
         self._published: dict[bytes, ServerEntry] = {}
--- a/leadrudder/experiment/paired.py
+++ b/leadrudder/experiment/paired.py
@@ -16,8 +16,8 @@
 from scipy.stats import t as student
 
 ALPHA = 0.05
-FIRST_LOOK = 8  # pairs; the interval of fewer says little
-GROWTH = 1.5  # of the number of pairs from look to look
+FIRST_LOOK_PAIRS = 8  # pairs; the interval of fewer says little
+LOOK_GROWTH = 1.5  # of the number of pairs from look to look
 
 
 class Verdict(Enum):
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True)
-class Compared:
+class PairedResult:
     """after less before: the mean over pairs, and the interval that holds it but for the error allowed."""
 
     verdict: Verdict
@@ -38,23 +38,23 @@
     difference: float
     low: float
     high: float
-    more_pairs: int = 0  # about as many more would tell
+    additional_pairs: int = 0  # about as many more would tell
 
     @property
-    def half(self) -> float:
+    def half_width(self) -> float:
         return (self.high - self.low) / 2.0
 
 
-def looks(most: int) -> list[int]:
+def look_schedule(most: int) -> list[int]:
     """After how many pairs one looks."""
-    found, count = [], FIRST_LOOK
+    found, count = [], FIRST_LOOK_PAIRS
     while count < most:
         found.append(count)
-        count = math.ceil(GROWTH * count)
+        count = math.ceil(LOOK_GROWTH * count)
     return [*found, most]
 
 
-def spent(look: int, of: int) -> float:
+def alpha_at_look(look: int, of: int) -> float:
     """The error allowed at a look: half of what is left, and all of it at the last."""
     left = ALPHA * 0.5**look
     return left if look == of - 1 else left / 2.0
@@ -62,7 +62,7 @@
 
 def compare(
     before: Sequence[float], after: Sequence[float], difference: float, alpha: float = ALPHA
-) -> Compared:
+) -> PairedResult:
     """Two sides on the same seeds. difference: what matters; a smaller one is as good as none."""
     if len(before) != len(after) or not before:
         raise ValueError(
@@ -72,11 +72,13 @@
     pairs, mean = len(gaps), statistics.fmean(gaps)
     first, second = statistics.fmean(before), statistics.fmean(after)
     if pairs == 1:
-        return Compared(Verdict.CANNOT_TELL, 1, first, second, mean, -math.inf, math.inf, FIRST_LOOK - 1)
+        return PairedResult(
+            Verdict.CANNOT_TELL, 1, first, second, mean, -math.inf, math.inf, FIRST_LOOK_PAIRS - 1
+        )
     deviation = statistics.stdev(gaps)
     factor = float(student.ppf(1.0 - alpha / 2.0, pairs - 1))
-    half = factor * deviation / math.sqrt(pairs)
-    low, high = mean - half, mean + half
+    half_width = factor * deviation / math.sqrt(pairs)
+    low, high = mean - half_width, mean + half_width
     if low > 0.0:
         verdict = Verdict.MORE
     elif high < 0.0:
@@ -88,16 +90,16 @@
     more = 0
     if verdict is Verdict.CANNOT_TELL:
         # The interval must become shorter than the difference, or than the mean that was found.
-        goal = max(difference, abs(mean)) or half
+        goal = max(difference, abs(mean)) or half_width
         more = max(1, math.ceil((factor * deviation / goal) ** 2) - pairs)
-    return Compared(verdict, pairs, first, second, mean, low, high, more)
+    return PairedResult(verdict, pairs, first, second, mean, low, high, more)
 
 
-def interval(values: Sequence[float], alpha: float = ALPHA) -> tuple[float, float, float]:
+def confidence_interval(values: Sequence[float], alpha: float = ALPHA) -> tuple[float, float, float]:
     """Mean, and the interval that holds it but for the error allowed."""
     mean = statistics.fmean(values)
     if len(values) < 2:
         return mean, -math.inf, math.inf
     factor = float(student.ppf(1.0 - alpha / 2.0, len(values) - 1))
-    half = factor * statistics.stdev(values) / math.sqrt(len(values))
-    return mean, mean - half, mean + half
+    half_width = factor * statistics.stdev(values) / math.sqrt(len(values))
+    return mean, mean - half_width, mean + half_width
--- a/leadrudder/experiment/play.py
+++ b/leadrudder/experiment/play.py
@@ -15,8 +15,8 @@
 from leadrudder.experiment.baselines import BASELINES
 from leadrudder.experiment.callers import Callers, read_trace
 from leadrudder.experiment.clock import Clock, Endless
-from leadrudder.experiment.draw import Shape, drawn, shape_of
-from leadrudder.experiment.figures import Figures, Result
+from leadrudder.experiment.draw import FleetShape, fleet_shape_of, sample_ranges
+from leadrudder.experiment.figures import FigureRecorder, Result
 from leadrudder.experiment.fleet import Fleet, MakeDecider
 from leadrudder.experiment.limits import LIMITS, Limited
 from leadrudder.experiment.node import Decider
@@ -62,8 +62,8 @@
     trace that cannot be played.
     """
     name = f"{seed}"
-    file = drawn(file, name)
-    shape = shape_of(file)
+    file = sample_ranges(file, name)
+    shape = fleet_shape_of(file)
     with _quiet(model):
         clock, fleet = _build(file, shape, name, decider, model)
         before = gc.get_threshold()
@@ -83,7 +83,7 @@
     return importlib.import_module("leadrudder.experiment.whole")  # real nodes: not every run needs them
 
 
-def _build(file: File, shape: Shape, name: str, decider: MakeDecider, model: str) -> tuple[Clock, Fleet]:
+def _build(file: File, shape: FleetShape, name: str, decider: MakeDecider, model: str) -> tuple[Clock, Fleet]:
     """The fleet at its begin.
 
     What is made here lives to the end, and is left out of all looks for garbage: in fleets of many nodes by
@@ -112,7 +112,7 @@
     folder: Path,
     progress: Callable[[float], None] | None,
 ) -> Result:
-    figures = Figures(clock, file)
+    figures = FigureRecorder(clock, file)
     trace = read_trace(folder / file.load.trace, file) if file.load.form == "trace" else []
     callers = Callers(clock, file, fleet, figures, name, trace)
     troubles = Troubles(file, fleet, callers, name)
@@ -126,7 +126,7 @@
                 progress(clock.now / length)
         longest = max(c.deadline_ms for c in file.request_class)
         last = length + 20.0 * (longest + file.fleet.node.most_retry_after_ms + 1000.0)
-        while figures.open and clock.now < last:
+        while figures.open_operations and clock.now < last:
             clock.run(clock.now + STRETCH_MS)
     except Endless as error:
         notes.append(str(error))
--- a/leadrudder/experiment/reading.py
+++ b/leadrudder/experiment/reading.py
@@ -10,8 +10,8 @@
 
 from pydantic import BaseModel, ValidationError
 
-from leadrudder.experiment.draw import drawn, is_range, shape_of
-from leadrudder.experiment.plan import FieldError, cases, changed, combinations
+from leadrudder.experiment.draw import fleet_shape_of, is_range, sample_ranges
+from leadrudder.experiment.plan import FieldError, apply_changes, count_combinations, expand_cases
 from leadrudder.experiment.spec import File
 from leadrudder.tool.checks import Finding
 from leadrudder.tool.problems import Problem
@@ -255,10 +255,10 @@
 
 def _expanded(source: Source, file: File) -> Iterator[Finding]:
     """What is wrong with the experiment as a whole: its size, and the fields that it varies."""
-    count = combinations(file)
+    count = count_combinations(file)
     runs = (file.runs.sample or count) * len(file.side) * file.runs.seeds
     if runs > file.runs.most_runs:
-        shape = shape_of(drawn(file, "1"))
+        shape = fleet_shape_of(sample_ranges(file, "1"))
         seconds = runs * estimate_s(file, shape.capacity_per_s)
         yield Finding(
             ("vary",),
@@ -272,7 +272,7 @@
     for i, vary in enumerate(file.vary):
         for j, value in enumerate(vary.values):
             try:
-                changed(source.values, {vary.field: value})
+                apply_changes(source.values, {vary.field: value})
             except FieldError as error:
                 yield Finding(
                     ("vary", i, "values", j),
@@ -284,12 +284,12 @@
                 return
     for i, side in enumerate(file.side):
         try:
-            changed(source.values, side.change)
+            apply_changes(source.values, side.change)
         except FieldError as error:
             yield Finding(("side", i, "change"), "field", f"{error}.", "It changes nothing.", "a field of it")
             return
-    for case in cases(source.values, file)[:: len(file.side) * file.runs.seeds]:
-        shape = shape_of(drawn(case.file, f"{case.seed}"))
+    for case in expand_cases(source.values, file)[:: len(file.side) * file.runs.seeds]:
+        shape = fleet_shape_of(sample_ranges(case.file, f"{case.seed}"))
         if not math.isfinite(shape.capacity_per_s):
             yield Finding(("fleet",), "load", "its capacity is not finite.", "No load follows.", "more work")
             return
--- a/leadrudder/experiment/report.py
+++ b/leadrudder/experiment/report.py
@@ -82,7 +82,7 @@
 
 
 def _cell(rows: list[Row], name: str) -> str:
-    mean, low, _ = paired.interval([row.figures[name] for row in rows])
+    mean, low, _ = paired.confidence_interval([row.figures[name] for row in rows])
     return f"{mean:.3f} ± {mean - low:.3f}" if len(rows) > 1 else f"{mean:.3f}"
 
 
--- a/leadrudder/experiment/runner.py
+++ b/leadrudder/experiment/runner.py
@@ -59,10 +59,10 @@
         """All runs with their keys."""
         model = model_digest()
         jobs = []
-        for case in plan.cases(self.values, self.file, seeds):
+        for case in plan.expand_cases(self.values, self.file, seeds):
             decisions = self.decisions(case.side.ref)
             digest = decisions.digest if case.side.policy == "leadrudder" else ""
-            key = plan.key(case, digest, model, self._trace(case))
+            key = plan.run_key(case, digest, model, self._trace(case))
             jobs.append(Job(key, case, decisions, model, self.folder))
         return jobs
 
--- a/leadrudder/experiment/server.py
+++ b/leadrudder/experiment/server.py
@@ -16,7 +16,7 @@
 from typing import Protocol
 
 from leadrudder.experiment.clock import Clock, Entry
-from leadrudder.experiment.draw import ServerPlan, number
+from leadrudder.experiment.draw import ServerPlan, as_float
 from leadrudder.experiment.spec import Reports, Slowing
 from leadrudder.interface import Outcome, ServerEntry
 
@@ -85,13 +85,13 @@
         self._rng = rng
         kind = plan.kind
         self.cores = kind.cores
-        self._slots = int(number(kind.slots)) * kind.cores
-        self._queue_most = int(number(kind.queue) * kind.cores)
+        self._slots = int(as_float(kind.slots)) * kind.cores
+        self._queue_most = int(as_float(kind.queue) * kind.cores)
         self.connections = 0  # that all nodes hold here
         self.connections_most = terms.connections * kind.cores or math.inf
         self.handshake_ms = terms.handshake_ms
-        self._thrash, self._thrash_at = number(kind.thrash), number(kind.thrash_at) * kind.cores
-        self._errors = number(kind.errors)
+        self._thrash, self._thrash_at = as_float(kind.thrash), as_float(kind.thrash_at) * kind.cores
+        self._errors = as_float(kind.errors)
         self._queue: deque[Job] = deque()
         self._jobs: dict[Call, Job] = {}
         self._held = 0
@@ -133,10 +133,10 @@
         self._past: deque[tuple[float, tuple[float, ...]]] = deque()
         self._busy_mean = _Mean()
         if terms.reports is not None:
-            self._period = number(terms.reports.period_ms)
+            self._period = as_float(terms.reports.period_ms)
             clock.after(rng.uniform(0.0, self._period), self._make_report)
-        every = 1000.0 * number(kind.pause_every_s)
-        if every > 0.0 and number(kind.pause_ms) > 0.0:
+        every = 1000.0 * as_float(kind.pause_every_s)
+        if every > 0.0 and as_float(kind.pause_ms) > 0.0:
             clock.after(rng.expovariate(1.0 / every), self._pause, every)
 
     # ------------------------------------------------------------ calls
@@ -259,11 +259,11 @@
 
     def warmth(self) -> float:
         """Its speed as a part of a warm one's."""
-        cold_ms = 1000.0 * number(self.plan.kind.cold_s)
+        cold_ms = 1000.0 * as_float(self.plan.kind.cold_s)
         age = self.clock.now - self.started_ms
         if self.started_ms <= 0.0 or age >= cold_ms:
             return 1.0
-        low = number(self.plan.kind.cold_from)
+        low = as_float(self.plan.kind.cold_from)
         return low + (1.0 - low) * age / cold_ms
 
     def _pace(self) -> float:
@@ -303,7 +303,7 @@
     def _pause(self, every_ms: float) -> None:
         self._pausing = True
         self.changed()
-        self.clock.after(number(self.plan.kind.pause_ms), self._resume, every_ms)
+        self.clock.after(as_float(self.plan.kind.pause_ms), self._resume, every_ms)
 
     def _resume(self, every_ms: float) -> None:
         self._pausing = False
@@ -341,7 +341,7 @@
 
     def _limit(self, slowing: Slowing) -> float:
         room = slowing.most_part * (self._slots + self._queue_most)
-        return min(room, self.cores + number(slowing.above) * math.sqrt(self.cores))
+        return min(room, self.cores + as_float(slowing.above) * math.sqrt(self.cores))
 
     def _look(self, slowing: Slowing) -> None:
         if not self.alive:
@@ -350,9 +350,9 @@
         if self.slow_times > 1.0:
             self._recover(slowing)
             return
-        mean = self._crowd.over(self.clock.now, 1000.0 * number(slowing.for_s))
+        mean = self._crowd.over(self.clock.now, 1000.0 * as_float(slowing.for_s))
         if mean is not None and mean > self._limit(slowing):
-            self.slow_times, self._slow_since, self._idle_ms = number(slowing.times), self.clock.now, 0.0
+            self.slow_times, self._slow_since, self._idle_ms = as_float(slowing.times), self.clock.now, 0.0
             self.changed()
             self._busy_mean.restart(self.clock.now, min(1.0, self._on_cores / self.cores))
         elif mean is not None and mean < 0.5 * self._limit(slowing):
@@ -362,10 +362,10 @@
 
     def _recover(self, slowing: Slowing) -> None:
         self._busy_mean.add(self.clock.now, min(1.0, self._on_cores / self.cores))
-        rest = 1000.0 * number(slowing.rest_s)
+        rest = 1000.0 * as_float(slowing.rest_s)
         busy = self._busy_mean.over(self.clock.now, rest)
-        over = self.clock.now - self._slow_since >= 1000.0 * number(slowing.most_s)
-        if over or (busy is not None and busy < number(slowing.busy_below)):
+        over = self.clock.now - self._slow_since >= 1000.0 * as_float(slowing.most_s)
+        if over or (busy is not None and busy < as_float(slowing.busy_below)):
             self.slow_ms += self.clock.now - self._slow_since
             self.slow_times = 1.0
             self.changed()
@@ -443,7 +443,7 @@
         plan = self.plan
         return ServerEntry(
             self.name,
-            capacity_hint=number(plan.kind.speed) * plan.kind.cores if told_capacity else 1.0,
+            capacity_hint=as_float(plan.kind.speed) * plan.kind.cores if told_capacity else 1.0,
             kind=plan.kind_index,
             zone=plan.zone,
             cell=plan.cell,
@@ -456,9 +456,9 @@
         now = self.clock.now
         self._busy_mean.add(now, min(1.0, self._on_cores / self.cores))
         busy = self._busy_mean.over(now, 1000.0) or 0.0
-        noise = number(reports.noise)
+        noise = as_float(reports.noise)
         told = tuple(max(0.0, x * (1.0 + self._rng.gauss(0.0, noise))) for x in (busy, float(self.present)))
-        self._past.append((now + number(reports.delay_ms) + self.report_late_ms, told))
+        self._past.append((now + as_float(reports.delay_ms) + self.report_late_ms, told))
         self.clock.after(self._period, self._make_report)
 
     def _told(self) -> tuple[float, ...]:
--- a/leadrudder/experiment/troubles.py
+++ b/leadrudder/experiment/troubles.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 
 from leadrudder.experiment.callers import Callers
-from leadrudder.experiment.draw import number
-from leadrudder.experiment.figures import Struck
+from leadrudder.experiment.draw import as_float
+from leadrudder.experiment.figures import TroubleInterval
 from leadrudder.experiment.fleet import Fleet
 from leadrudder.experiment.server import Server
 from leadrudder.experiment.spec import File, Trouble
@@ -33,7 +33,7 @@
         self._fleet, self._callers = fleet, callers
         self._clock = fleet.clock
         self._tiers = {tier.name: i for i, tier in enumerate(file.fleet.tier)}
-        self.struck: list[Struck] = []
+        self.struck: list[TroubleInterval] = []
         what: dict[str, Callable[[Trouble, random.Random, float], None]] = {
             "slow": self._each(lambda s, x: setattr(s, "trouble_slow", x), 1.0),
             "errors": self._each(lambda s, x: setattr(s, "trouble_errors", min(1.0, x)), 0.0),
@@ -48,15 +48,15 @@
             "node-restart": self._node_restart,
         }
         for trouble, rng in plan(file, seed):
-            at, length = number(trouble.at_s), number(trouble.length_s)
-            self.struck.append(Struck(trouble.what, at, at + length))
+            at, length = as_float(trouble.at_s), as_float(trouble.length_s)
+            self.struck.append(TroubleInterval(trouble.what, at, at + length))
             self._clock.after(1000.0 * at, what[trouble.what], trouble, rng, 1000.0 * length)
 
     def _some(self, trouble: Trouble, rng: random.Random) -> list[Server]:
         """The servers that are struck: a part of those that live, one at the least."""
         tier = self._tiers[trouble.tier] if trouble.tier is not None else 0
         alive = [s for s in self._fleet.servers_of(tier).values() if s.alive and not s.draining]
-        count = min(len(alive), max(1, round(number(trouble.part) * len(alive))))
+        count = min(len(alive), max(1, round(as_float(trouble.part) * len(alive))))
         return rng.sample(alive, count)
 
     def _each(
@@ -64,7 +64,7 @@
     ) -> Callable[[Trouble, random.Random, float], None]:
         def strike(trouble: Trouble, rng: random.Random, length: float) -> None:
             for server in self._some(trouble, rng):
-                change(server, number(trouble.times))
+                change(server, as_float(trouble.times))
                 server.changed()
                 self._clock.after(length, end, server)
 
@@ -92,7 +92,7 @@
             self._clock.after(length, self._fleet.start, server)
 
     def _burst(self, trouble: Trouble, _: random.Random, length: float) -> None:
-        times = number(trouble.times)
+        times = as_float(trouble.times)
         self._callers.load_times *= times
         self._clock.after(length, self._burst_over, times)
 
@@ -131,7 +131,7 @@
 
     def _node_restart(self, trouble: Trouble, rng: random.Random, length: float) -> None:
         """Part of the front's nodes end in turn; each is back after a moment and knows nothing."""
-        count = max(1, round(number(trouble.part) * len(self._fleet.front)))
+        count = max(1, round(as_float(trouble.part) * len(self._fleet.front)))
         for i, index in enumerate(rng.sample(range(len(self._fleet.front)), count)):
             self._clock.after(length * i / count, self._restart, index)
 
--- a/leadrudder/experiment/whole.py
+++ b/leadrudder/experiment/whole.py
@@ -19,7 +19,7 @@
 
 from leadrudder import interface as api
 from leadrudder.experiment.clock import Clock, Endless, Entry
-from leadrudder.experiment.draw import Shape
+from leadrudder.experiment.draw import FleetShape
 from leadrudder.experiment.fleet import Fleet, MakeDecider, settings_of
 from leadrudder.experiment.lists import Registry
 from leadrudder.experiment.node import FAILED, RESET, SERVED, Answer, Ask, Counts, Done, Effects, Node, Taken
@@ -350,7 +350,7 @@
     clock: ScheduledClock
 
     def __init__(
-        self, clock: ScheduledClock, file: File, shape: Shape, seed: str, decider: MakeDecider
+        self, clock: ScheduledClock, file: File, shape: FleetShape, seed: str, decider: MakeDecider
     ) -> None:
         self.scheduler = clock.scheduler
         self.asked: dict[str, Taken] = {}
@@ -520,7 +520,9 @@
         log.setLevel(before)
 
 
-def build(file: File, shape: Shape, seed: str, decider: MakeDecider) -> tuple[ScheduledClock, WholeFleet]:
+def build(
+    file: File, shape: FleetShape, seed: str, decider: MakeDecider
+) -> tuple[ScheduledClock, WholeFleet]:
     """The fleet of one run, its nodes up, and the clock that plays it."""
     clock = ScheduledClock(Scheduler(seed), file.runs.most_steps)
     fleet = WholeFleet(clock, file, shape, seed, decider)
--- a/tests/experiment/small.py
+++ b/tests/experiment/small.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from leadrudder.experiment.figures import Result
-from leadrudder.experiment.plan import changed
+from leadrudder.experiment.plan import apply_changes
 from leadrudder.experiment.play import decider_of, play
 from leadrudder.experiment.runner import Experiment
 from leadrudder.tool.source import parse
@@ -61,15 +61,15 @@
 
 def values(**change: Any) -> dict[str, Any]:
     """The file's values, with fields changed: dots are written as two underscores."""
-    file = changed(parse("small", TEXT).values, {k.replace("__", "."): v for k, v in change.items()})
+    file = apply_changes(parse("small", TEXT).values, {k.replace("__", "."): v for k, v in change.items()})
     return file.model_dump(mode="json", by_alias=True, exclude_unset=True)
 
 
 def experiment(cache: Path, made: dict[str, Any]) -> Experiment:
-    return Experiment(made, changed(made, {}), cache, cache)
+    return Experiment(made, apply_changes(made, {}), cache, cache)
 
 
 def played(seed: int = 1, policy: str = "leadrudder", **change: Any) -> Result:
     """One run, here."""
-    file = changed(values(**change), {})
+    file = apply_changes(values(**change), {})
     return play(file, seed, decider_of(policy, file.fleet.node.limit_each))
--- a/tests/experiment/test_compare.py
+++ b/tests/experiment/test_compare.py
@@ -19,18 +19,21 @@
 def test_equal_sides_are_told_apart_in_at_most_five_of_a_hundred_tries() -> None:
     """Two sides whose runs differ by chance alone, looked at again and again as seeds are added."""
     rng = random.Random(1)
-    looks = paired.looks(60)
+    look_schedule = paired.look_schedule(60)
     wrong = 0
     for _ in range(300):
         pairs = [(rng.gauss(0.8, 0.1), rng.gauss(0.8, 0.1)) for _ in range(60)]
-        for number, count in enumerate(looks):
+        for number, count in enumerate(look_schedule):
             before, after = zip(*pairs[:count], strict=True)
-            found = paired.compare(before, after, 0.02, paired.spent(number, len(looks)))
+            found = paired.compare(before, after, 0.02, paired.alpha_at_look(number, len(look_schedule)))
             if found.verdict in (Verdict.MORE, Verdict.LESS):
                 wrong += 1
                 break
     assert wrong <= 0.05 * 300
-    assert sum(paired.spent(i, len(looks)) for i in range(len(looks))) <= paired.ALPHA + 1e-12
+    assert (
+        sum(paired.alpha_at_look(i, len(look_schedule)) for i in range(len(look_schedule)))
+        <= paired.ALPHA + 1e-12
+    )
 
 
 def test_what_cannot_be_told_says_how_many_more_seeds_would() -> None:
@@ -38,7 +41,7 @@
     before = [rng.gauss(0.8, 0.1) for _ in range(8)]
     after = [x + rng.gauss(0.01, 0.1) for x in before]
     found = paired.compare(before, after, 0.01)
-    assert found.verdict is Verdict.CANNOT_TELL and found.more_pairs > 0
+    assert found.verdict is Verdict.CANNOT_TELL and found.additional_pairs > 0
     assert paired.compare(before, before, 0.01).verdict is Verdict.SAME
     assert paired.compare([0.5], [0.9], 0.01).verdict is Verdict.CANNOT_TELL
 
@@ -73,7 +76,7 @@
         progress = run(store, told, wanted, Pool(2))
         assert not progress.failed
         rows = {row.key: row for row in store.rows([job.key for job in wanted])}
-        comparison.look(len(comparison.looks) - 1, wanted, rows)
+        comparison.look(len(comparison.look_schedule) - 1, wanted, rows)
         verdicts[other] = comparison.found[""].verdict
     store.close()
     assert verdicts == {"slow": Verdict.MORE, "same": Verdict.SAME}
--- a/tests/experiment/test_connections.py
+++ b/tests/experiment/test_connections.py
@@ -7,7 +7,7 @@
 from leadrudder.experiment.clock import Clock
 from leadrudder.experiment.connections import Connections
 from leadrudder.experiment.draw import ServerPlan
-from leadrudder.experiment.plan import changed
+from leadrudder.experiment.plan import apply_changes
 from leadrudder.experiment.play import decider_of, play
 from leadrudder.experiment.server import Server, Terms
 from leadrudder.experiment.spec import Kind
@@ -57,7 +57,7 @@
     for cap in (0, 3):
         made = values(fleet__nodes=8, fleet__hot=0.25, fleet__hot_times=4.0)
         made["fleet"]["tier"][0].update(connections=cap, handshake_ms=1.0)
-        result = play(changed(made, {}), 1, decider_of("leadrudder"))
+        result = play(apply_changes(made, {}), 1, decider_of("leadrudder"))
         assert result.broken == {} and result.figures["service"] > 0.3
         full[cap] = result.figures.get("api.full", 0.0)
     assert full[0] == 0.0 < full[3], full
--- a/tests/experiment/test_queueing.py
+++ b/tests/experiment/test_queueing.py
@@ -10,7 +10,7 @@
 import pytest
 
 from leadrudder.experiment.clock import Clock
-from leadrudder.experiment.draw import ServerPlan, spread_of
+from leadrudder.experiment.draw import ServerPlan, sample_unit_mean
 from leadrudder.experiment.server import Server, Terms
 from leadrudder.experiment.spec import Kind
 from leadrudder.interface import Outcome
@@ -69,7 +69,7 @@
     rate = load * cores / MEAN_MS
 
     def come(left: int) -> None:
-        work = MEAN_MS * spread_of(rng, spread, variation)
+        work = MEAN_MS * sample_unit_mean(rng, spread, variation)
         drawn.work += work
         drawn.squares += work * work
         drawn.span = clock.now
--- a/tests/experiment/test_results.py
+++ b/tests/experiment/test_results.py
@@ -15,7 +15,7 @@
 
 from leadrudder.cli import main
 from leadrudder.experiment import command
-from leadrudder.experiment.plan import changed
+from leadrudder.experiment.plan import apply_changes
 from leadrudder.experiment.pool import Pool
 from leadrudder.experiment.reading import load, shipped
 from leadrudder.experiment.revisions import PACKAGE, Decisions, RevisionError, unpacked
@@ -269,7 +269,7 @@
     trace.write_text("at_ms,class,work_ms\n" + "".join(f"{i},look,5\n" for i in range(0, 1000, 10)))
     made = values(length_s=2)
     made["load"] = {"form": "trace", "trace": "day.csv"}
-    changed(made, {})
+    apply_changes(made, {})
     assert {state for _, state, _ in _made(tmp_path / "t.sqlite", tmp_path, made)} == {"done"}
     key, _, digest = _made(tmp_path / "t.sqlite", tmp_path, made)[0]
     results = ["--results", str(tmp_path / "t.sqlite")]
