--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -15,9 +15,9 @@
 import sys
 import time
 
+from leadrudder.experiment.loader import load
 from leadrudder.experiment.plan import apply_changes
 from leadrudder.experiment.play import decider_of, play
-from leadrudder.experiment.reading import load
 
 MEAN_WORK_MS = 50.0
 LOAD = 0.5  # of the large fleet's capacity
--- a/leadrudder/experiment/charts.py
+++ b/leadrudder/experiment/charts.py
@@ -20,17 +20,17 @@
 from leadrudder.experiment import paired  # noqa: E402
 from leadrudder.experiment.store import Row  # noqa: E402
 
-SIZE = (9.0, 4.8)  # inches
-DOTS = 110
-FONT = 14  # points: half of it can still be read
-COLOURS = (
+SIZE_INCHES = (9.0, 4.8)  # inches
+DPI = 110
+FONT_POINTS = 14  # points: half of it can still be read
+SIDE_COLOURS = (
     *("#0b6e99", "#d1495b", "#3b8132", "#8d5a97", "#c77f00"),
     *("#4d4d4d", "#17becf", "#e377c2", "#a6a832", "#7f3c1d"),
 )
-SHADED = 3  # more sides than this are drawn without what spreads about them
-SMOOTH = 5  # seconds
+MAX_SHADED_SIDES = 3  # more sides than this are drawn without what spreads about them
+SMOOTHING_S = 5  # seconds
 PERCENTILES = (0.0, 50.0, 75.0, 90.0, 95.0, 98.0, 99.0, 99.5, 99.8, 99.9)
-NAMES = {
+FIGURE_LABELS = {
     "service": "worth served in time, part of what was asked",
     "worst_10s": "worth served in time in the worst 10 s",
     "tipped": "part of the seeds that tip",
@@ -49,14 +49,14 @@
 
 
 @dataclass
-class Runs:
+class RunSet:
     """Runs of one experiment: sides in the order of the file, variants by the values of what varies."""
 
     rows: list[Row]
     sides: list[str]
     fields: list[str]
 
-    def of(self, side: str, variant: dict[str, Any] | None = None) -> list[Row]:
+    def runs_of(self, side: str, variant: dict[str, Any] | None = None) -> list[Row]:
         """The runs of a side, of one variant or of all."""
         return [
             row
@@ -64,7 +64,7 @@
             if row.side == side and row.state != "failed" and (variant is None or row.variant == variant)
         ]
 
-    def values(self, field: str) -> list[Any]:
+    def field_values(self, field: str) -> list[Any]:
         """Those that a field takes, in order."""
         found = list(dict.fromkeys(row.variant[field] for row in self.rows if field in row.variant))
         return sorted(found) if all(isinstance(x, int | float) for x in found) else found
@@ -77,15 +77,15 @@
         return found
 
 
-def draw(runs: Runs, folder: Path) -> list[Chart]:
+def draw_charts(runs: RunSet, folder: Path) -> list[Chart]:
     """All charts that these runs allow, as PNGs in the folder."""
-    with plt.rc_context({"font.size": FONT, "axes.spines.top": False, "axes.spines.right": False}):
+    with plt.rc_context({"font.size": FONT_POINTS, "axes.spines.top": False, "axes.spines.right": False}):
         charts = []
         if len(runs.fields) == 1:
             charts += [_sweep(runs, name, folder) for name in ("service", "tipped", "wasted")]
         elif len(runs.fields) >= 2:
             for side in runs.sides:
-                charts += [_heat(runs, side, name, folder) for name in ("service", "tipped")]
+                charts += [_heatmap(runs, side, name, folder) for name in ("service", "tipped")]
         if not runs.fields:
             charts.append(_course(runs, {}, folder))
             charts += _latencies(runs, {}, folder)
@@ -99,13 +99,13 @@
 
 def _save(figure: Any, folder: Path, name: str, title: str) -> Chart:
     path = folder / f"{name}.png"
-    figure.suptitle(title, x=0.01, ha="left", fontsize=FONT, fontweight="bold", wrap=True)
-    figure.savefig(path, dpi=DOTS, metadata={"Software": None})
+    figure.suptitle(title, x=0.01, ha="left", fontsize=FONT_POINTS, fontweight="bold", wrap=True)
+    figure.savefig(path, dpi=DPI, metadata={"Software": None})
     plt.close(figure)
     return Chart(path, title)
 
 
-def _axes(width: float = SIZE[0], height: float = SIZE[1]) -> tuple[Any, Any]:
+def _axes(width: float = SIZE_INCHES[0], height: float = SIZE_INCHES[1]) -> tuple[Any, Any]:
     figure, axes = plt.subplots(figsize=(width, height), layout="constrained")
     return figure, axes
 
@@ -113,23 +113,23 @@
 def _smooth(served: Sequence[float], asked: Sequence[float]) -> list[float]:
     parts = []
     for i in range(len(asked)):
-        low = max(0, i - SMOOTH + 1)
+        low = max(0, i - SMOOTHING_S + 1)
         total = sum(asked[low : i + 1])
         parts.append(sum(served[low : i + 1]) / total if total else math.nan)
     return parts
 
 
-def _at(variant: dict[str, Any]) -> str:
+def _title_suffix(variant: dict[str, Any]) -> str:
     """Which variant a chart is of, for its title."""
     return " at " + "; ".join(f"{name} = {value}" for name, value in variant.items()) if variant else ""
 
 
-def _course(runs: Runs, variant: dict[str, Any], folder: Path) -> Chart:
+def _course(runs: RunSet, variant: dict[str, Any], folder: Path) -> Chart:
     """Worth served over time: the mean of the seeds, and the worst tenth of them."""
     figure, axes = _axes()
     troubles: dict[tuple[str, float, float], None] = {}
-    for side, colour in zip(runs.sides, COLOURS * 9, strict=False):
-        rows = runs.of(side, variant)
+    for side, colour in zip(runs.sides, SIDE_COLOURS * 9, strict=False):
+        rows = runs.runs_of(side, variant)
         if not rows:
             continue
         warm_up = float(rows[0].file.get("warm_up_s", 0.0))
@@ -138,32 +138,32 @@
         middle = [statistics.fmean(at) for at in zip(*courses, strict=True)]
         low = [sorted(at)[len(at) // 10] for at in zip(*courses, strict=True)]
         axes.plot(times, middle, color=colour, linewidth=2.5, label=side)
-        if len(runs.sides) <= SHADED:
+        if len(runs.sides) <= MAX_SHADED_SIDES:
             axes.fill_between(times, low, middle, color=colour, alpha=0.15, linewidth=0)
         for row in rows[:1]:
             troubles.update(dict.fromkeys((str(w), float(a), float(b)) for w, a, b in row.course["troubles"]))
     for i, (what, begin, end) in enumerate(troubles):
         axes.axvspan(begin, end, color="#999999", alpha=0.15, linewidth=0)
-        axes.text(begin, 1.04 + 0.06 * (i % 2), what, fontsize=FONT - 3, color="#444444", va="bottom")
+        axes.text(begin, 1.04 + 0.06 * (i % 2), what, fontsize=FONT_POINTS - 3, color="#444444", va="bottom")
     axes.set_ylim(0.0, 1.18 if troubles else 1.05)
     axes.set_xlabel("time, s")
-    axes.set_ylabel(f"worth served in time,\npart of what was asked ({SMOOTH} s)")
+    axes.set_ylabel(f"worth served in time,\npart of what was asked ({SMOOTHING_S} s)")
     figure.legend(frameon=False, loc="outside lower center", ncols=4)
-    spread = ", shaded down to the worst tenth" if len(runs.sides) <= SHADED else ""
-    title = f"Service over time{_at(variant)}: mean of seeds{spread}"
+    spread = ", shaded down to the worst tenth" if len(runs.sides) <= MAX_SHADED_SIDES else ""
+    title = f"Service over time{_title_suffix(variant)}: mean of seeds{spread}"
     return _save(figure, folder, "course", title)
 
 
-def _sweep(runs: Runs, name: str, folder: Path) -> Chart:
+def _sweep(runs: RunSet, name: str, folder: Path) -> Chart:
     """A figure against the one field that varies."""
     figure, axes = _axes()
     (field,) = runs.fields
-    values = runs.values(field)
+    values = runs.field_values(field)
     places = values if all(isinstance(x, int | float) for x in values) else list(range(len(values)))
-    for side, colour in zip(runs.sides, COLOURS * 9, strict=False):
+    for side, colour in zip(runs.sides, SIDE_COLOURS * 9, strict=False):
         points = []
         for place, value in zip(places, values, strict=True):
-            rows = runs.of(side, {field: value})
+            rows = runs.runs_of(side, {field: value})
             if rows:
                 mean, low, high = paired.confidence_interval([row.figures[name] for row in rows])
                 points.append((place, mean, max(low, 0.0), high if math.isfinite(high) else mean))
@@ -174,22 +174,22 @@
     if places is not values:
         axes.set_xticks(places, [str(value) for value in values])
     axes.set_xlabel(field)
-    axes.set_ylabel("\n".join(_wrapped(NAMES.get(name, name))))
+    axes.set_ylabel("\n".join(_wrapped(FIGURE_LABELS.get(name, name))))
     axes.set_ylim(bottom=0.0)
     axes.legend(frameon=False)
-    title = f"{NAMES.get(name, name).capitalize()}, by {field}: means with 95% intervals"
+    title = f"{FIGURE_LABELS.get(name, name).capitalize()}, by {field}: means with 95% intervals"
     return _save(figure, folder, f"sweep-{name}", title)
 
 
-def _heat(runs: Runs, side: str, name: str, folder: Path) -> Chart:
+def _heatmap(runs: RunSet, side: str, name: str, folder: Path) -> Chart:
     """A figure against the first two fields that vary; what else varies is in the mean."""
     across, up = runs.fields[:2]
-    xs, ys = runs.values(across), runs.values(up)
+    xs, ys = runs.field_values(across), runs.field_values(up)
     cells = []
     for y in ys:
         line = []
         for x in xs:
-            rows = [r for r in runs.of(side) if r.variant[across] == x and r.variant[up] == y]
+            rows = [r for r in runs.runs_of(side) if r.variant[across] == x and r.variant[up] == y]
             line.append(statistics.fmean(r.figures[name] for r in rows) if rows else math.nan)
         cells.append(line)
     figure, axes = _axes(max(6.0, 1.1 * len(xs) + 3.0), max(4.2, 0.8 * len(ys) + 2.2))
@@ -205,20 +205,20 @@
     axes.set_xlabel(across)
     axes.set_ylabel(up)
     axes.spines[:].set_visible(False)
-    figure.colorbar(image, label="\n".join(_wrapped(NAMES.get(name, name))))
-    return _save(figure, folder, f"heat-{side}-{name}", f"{side}: {NAMES.get(name, name)}")
+    figure.colorbar(image, label="\n".join(_wrapped(FIGURE_LABELS.get(name, name))))
+    return _save(figure, folder, f"heat-{side}-{name}", f"{side}: {FIGURE_LABELS.get(name, name)}")
 
 
-def _latencies(runs: Runs, variant: dict[str, Any], folder: Path) -> list[Chart]:
+def _latencies(runs: RunSet, variant: dict[str, Any], folder: Path) -> list[Chart]:
     """Latency by percentile of all that was served, all seeds together."""
     charts = []
     classes = list(dict.fromkeys(name for row in runs.rows for name in row.latencies))
     for name in classes:
         figure, axes = _axes()
         drawn = False
-        for side, colour in zip(runs.sides, COLOURS * 9, strict=False):
+        for side, colour in zip(runs.sides, SIDE_COLOURS * 9, strict=False):
             total = HdrHistogram(1, 3_600_000_000, 3)
-            for row in runs.of(side, variant):
+            for row in runs.runs_of(side, variant):
                 total.add(HdrHistogram.decode(base64.b64decode(row.latencies[name])))
             if total.total_count:
                 values = [total.get_value_at_percentile(p) / 1000.0 for p in PERCENTILES]
@@ -229,26 +229,26 @@
         aims = [c["aim_ms"] for row in runs.rows[:1] for c in row.file["class"] if c["name"] == name]
         for aim in aims:
             axes.axhline(aim, color="#444444", linestyle="--", linewidth=1.2)
-            axes.text(0, aim, " aim", va="bottom", fontsize=FONT - 2, color="#444444")
+            axes.text(0, aim, " aim", va="bottom", fontsize=FONT_POINTS - 2, color="#444444")
         axes.set_xticks(range(len(PERCENTILES)), [f"{p:g}" for p in PERCENTILES])
         axes.set_xlabel("percentile of what was served")
         axes.set_ylabel("from the first try to the answer, ms")
         axes.set_yscale("log")
         if drawn:
             axes.legend(frameon=False, loc="upper left")
-        title = f"Latency of {name}{_at(variant)}"
+        title = f"Latency of {name}{_title_suffix(variant)}"
         charts.append(_save(figure, folder, f"latency-{name}", title))
     return charts
 
 
-def _differences(runs: Runs, folder: Path) -> Chart:
+def _differences(runs: RunSet, folder: Path) -> Chart:
     """Each side against the first, paired over seeds, with intervals."""
     names = ("service", "worst_10s", "worst_class", "worst_tenant", "tipped", "wasted")
     figure, axes = _axes(height=5.4)
-    base = {row.seed: row for row in runs.of(runs.sides[0], {})}
+    base = {row.seed: row for row in runs.runs_of(runs.sides[0], {})}
     others = runs.sides[1:]
-    for k, (side, colour) in enumerate(zip(others, COLOURS[1:] * 9, strict=False)):
-        rows = {row.seed: row for row in runs.of(side, {}) if row.seed in base}
+    for k, (side, colour) in enumerate(zip(others, SIDE_COLOURS[1:] * 9, strict=False)):
+        rows = {row.seed: row for row in runs.runs_of(side, {}) if row.seed in base}
         if not rows:
             continue
         for j, name in enumerate(names):
--- a/leadrudder/experiment/command.py
+++ b/leadrudder/experiment/command.py
@@ -18,21 +18,21 @@
 
 import click
 
-from leadrudder.experiment import paired, reading
-from leadrudder.experiment.comparing import Comparison, FigureError, variant_name
+from leadrudder.experiment import loader, paired
+from leadrudder.experiment.comparison import Comparison, UnknownFigureError, variant_label
 from leadrudder.experiment.paired import Verdict
 from leadrudder.experiment.plan import Case, FieldError, apply_changes
 from leadrudder.experiment.pool import Job, Pool
-from leadrudder.experiment.revisions import RevisionError, model_digest, present, unpacked
-from leadrudder.experiment.runner import Experiment, Progress, run
+from leadrudder.experiment.revisions import RevisionError, fetch_revision, model_digest, working_tree_policy
+from leadrudder.experiment.runner import Experiment, Progress, run_missing
 from leadrudder.experiment.spec import File, Side
 from leadrudder.experiment.store import Row, Store, StoreError
 from leadrudder.tool.problems import report as report_problems
 
-FINDINGS, UNUSABLE = 1, 2
-PROGRESS_S = 1.0
-SHOWN_WRONG = 10
-SHOWN = (
+EXIT_FINDINGS, EXIT_UNUSABLE = 1, 2
+PROGRESS_INTERVAL_S = 1.0
+MAX_BAD_RUNS_SHOWN = 10
+TABLE_FIGURES = (
     "service",
     "worst_10s",
     "worst_class",
@@ -56,7 +56,7 @@
         return float(found[1]) * {"s": 1.0, "m": 60.0, "h": 3600.0}[found[2]]
 
 
-def _results(function: Callable[..., Any]) -> Callable[..., Any]:
+def _results_option(function: Callable[..., Any]) -> Callable[..., Any]:
     option: Callable[[Callable[..., Any]], Callable[..., Any]] = click.option(
         "--results",
         type=click.Path(path_type=Path, dir_okay=False),
@@ -68,7 +68,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Playing:
+class RunOptions:
     """How runs are to be made: on how many cores, for how long (s), and what differs from the file."""
 
     jobs: int
@@ -78,13 +78,13 @@
     quiet: bool
 
 
-def _playing(function: Callable[..., Any]) -> Callable[..., Any]:
+def _run_options(function: Callable[..., Any]) -> Callable[..., Any]:
     """The options of all commands that make runs; they come as one argument, playing."""
 
     @functools.wraps(function)
     def gathered(**given: Any) -> Any:
-        taken = {field.name: given.pop(field.name) for field in dataclasses.fields(Playing)}
-        return function(**given, playing=Playing(**taken))
+        taken = {field.name: given.pop(field.name) for field in dataclasses.fields(RunOptions)}
+        return function(**given, options=RunOptions(**taken))
 
     command: Callable[..., Any] = gathered
     for option in (
@@ -102,16 +102,16 @@
     return command
 
 
-def _loaded(name: str, sets: tuple[str, ...], model: str | None = None) -> Experiment:
+def _load_experiment(name: str, sets: tuple[str, ...], model: str | None = None) -> Experiment:
     """A checked file with the fields that were set; ClickException with all that is wrong."""
-    source, file, problems = reading.load(name)
+    source, file, problems = loader.load(name)
     if file is None:
         print(report_problems(problems, "text"), file=sys.stderr)
         raise click.ClickException(f"{name} cannot be played: {len(problems)} problems")
     values = dict(source.values)
     if sets:
         try:
-            file = apply_changes(values, dict(_setting(text) for text in sets))
+            file = apply_changes(values, dict(_parse_assignment(text) for text in sets))
         except FieldError as error:
             raise click.ClickException(f"--set: {error}") from None
         values = file.model_dump(mode="json", by_alias=True, exclude_unset=True)
@@ -120,17 +120,17 @@
         values = {**values, "side": sides}
         file = apply_changes(values, {})
     folder = Path(name).parent if Path(name).exists() else Path()
-    return Experiment(values, file, folder.resolve(), _cache())
+    return Experiment(values, file, folder.resolve(), _revision_cache())
 
 
-def _cache() -> Path:
+def _revision_cache() -> Path:
     """Where other revisions' decisions are kept, unpacked and compiled."""
     cache = Path(tempfile.gettempdir()) / f"leadrudder-revisions-{os.getuid()}"
     cache.mkdir(mode=0o700, exist_ok=True)
     return cache
 
 
-def _setting(text: str) -> tuple[str, Any]:
+def _parse_assignment(text: str) -> tuple[str, Any]:
     field, equals, value = text.partition("=")
     if not equals:
         raise click.ClickException(f"--set: {text!r} is no FIELD=VALUE")
@@ -141,7 +141,7 @@
 
 
 @contextmanager
-def _store(path: Path) -> Iterator[Store]:
+def _open_store(path: Path) -> Iterator[Store]:
     try:
         store = Store(path)
     except StoreError as error:
@@ -155,7 +155,7 @@
 
 
 @contextmanager
-def _interruptible(pool: Pool) -> Iterator[None]:
+def _stop_on_sigterm(pool: Pool) -> Iterator[None]:
     """SIGTERM ends as an interrupt does: what is out is ended, and what was made is kept."""
 
     def stop(*_: object) -> None:
@@ -170,25 +170,25 @@
         signal.signal(signal.SIGTERM, before)
 
 
-def _teller(quiet: bool) -> Callable[[Progress], None]:
+def _progress_printer(quiet: bool) -> Callable[[Progress], None]:
     last = 0.0
 
-    def tell(progress: Progress) -> None:
+    def on_progress(progress: Progress) -> None:
         nonlocal last
-        if quiet or time.monotonic() - last < PROGRESS_S:
+        if quiet or time.monotonic() - last < PROGRESS_INTERVAL_S:
             return
         last = time.monotonic()
-        left = progress.left_s()
+        left = progress.remaining_s()
         remaining = "" if left is None else f", {left:.0f} s left"
         wrong = "".join(
             f", {count} {what}"
-            for count, what in ((progress.failed, "failed"), (progress.broken, "broke a rule"))
+            for count, what in ((progress.failed, "failed"), (progress.violating, "broke a rule"))
             if count
         )
-        done = progress.before + progress.made
+        done = progress.already_stored + progress.completed
         print(f"{done} of {progress.total} runs{wrong}{remaining}", file=sys.stderr)
 
-    return tell
+    return on_progress
 
 
 @click.group()
@@ -201,12 +201,12 @@
 @click.option("--format", "form", type=click.Choice(["text", "json", "github"]), default="text")
 def check(files: tuple[str, ...], form: str) -> int:
     """Check experiment FILES and tell all problems in one go. Exit code 0: clean, 1: there are problems."""
-    problems = [problem for name in files for problem in reading.load(name)[2]]
+    problems = [problem for name in files for problem in loader.load(name)[2]]
     if problems or form == "json":
         print(report_problems(problems, form))
     if form == "text" and not problems:
         print(f"{len(files)} {'file' if len(files) == 1 else 'files'}: no problems")
-    return FINDINGS if problems else 0
+    return EXIT_FINDINGS if problems else 0
 
 
 @experiment.command()
@@ -217,14 +217,14 @@
 
 
 @experiment.command("list")
-@_results
+@_results_option
 def list_(results: Path) -> int:
     """Tell the shipped experiments, and what the results file holds."""
-    for name, text in reading.shipped().items():
+    for name, text in loader.shipped_experiments().items():
         print(f"{name:20} {next((line[2:] for line in text.splitlines() if line.startswith('# ')), '')}")
     if not results.exists():
         return 0
-    with _store(results) as store:
+    with _open_store(results) as store:
         counts: dict[tuple[str, str], list[Row]] = {}
         for row in store.all():
             counts.setdefault((row.experiment, row.side), []).append(row)
@@ -238,7 +238,7 @@
 @click.argument("name")
 def show(name: str) -> int:
     """Print a shipped experiment, to begin a file of one's own with."""
-    texts = reading.shipped()
+    texts = loader.shipped_experiments()
     if name not in texts:
         raise click.ClickException(f"no experiment {name!r} is shipped; there are {', '.join(texts)}")
     print(texts[name], end="")
@@ -247,49 +247,51 @@
 
 @experiment.command("run")
 @click.argument("file")
-@_results
-@_playing
-def run_(file: str, results: Path, playing: Playing) -> int:
+@_results_option
+@_run_options
+def run_(file: str, results: Path, options: RunOptions) -> int:
     """Make the runs of FILE (a path, or the name of a shipped experiment) that are not there yet.
 
     What was made is kept at once: a call that was stopped goes on where it was. Exit code 0: all are there.
     1: a run failed or broke a rule, or the time was up first.
     """
-    loaded = _loaded(file, playing.sets, playing.model)
-    pool = Pool(playing.jobs)
-    with _store(results) as store, _interruptible(pool):
-        wanted = _jobs(loaded)
-        progress = run(store, loaded, wanted, pool, budget_s=playing.budget, tell=_teller(playing.quiet))
-        rows = _rows(store, wanted)
-    _table(rows)
+    loaded = _load_experiment(file, options.sets, options.model)
+    pool = Pool(options.jobs)
+    with _open_store(results) as store, _stop_on_sigterm(pool):
+        wanted = _jobs_of(loaded)
+        progress = run_missing(
+            store, loaded, wanted, pool, budget_s=options.budget, on_progress=_progress_printer(options.quiet)
+        )
+        rows = _rows_of(store, wanted)
+    _print_table(rows)
     wrong = [row for row in rows if row.state != "done"]
-    for row in wrong[:SHOWN_WRONG]:
+    for row in wrong[:MAX_BAD_RUNS_SHOWN]:
         what = row.note or ", ".join(f"{rule} {times}" for rule, times in row.broken.items())
         print(f"{row.state}: {row.side} seed {row.seed} {row.variant or ''}: {what}")
         print(f"  replay: leadrudder experiment replay {row.key[:12]} --results {results}")
-    if len(wrong) > SHOWN_WRONG:
-        print(f"and {len(wrong) - SHOWN_WRONG} more that failed or broke a rule")
+    if len(wrong) > MAX_BAD_RUNS_SHOWN:
+        print(f"and {len(wrong) - MAX_BAD_RUNS_SHOWN} more that failed or broke a rule")
     print(
-        f"runs={len(rows)} of={progress.total} made_now={progress.made} failed={progress.failed}"
+        f"runs={len(rows)} of={progress.total} made_now={progress.completed} failed={progress.failed}"
         f" broken={sum(row.state == 'broken' for row in rows)}"
     )
-    return FINDINGS if wrong or len(rows) < progress.total else 0
+    return EXIT_FINDINGS if wrong or len(rows) < progress.total else 0
 
 
-def _table(rows: list[Row]) -> None:
+def _print_table(rows: list[Row]) -> None:
     """Means with their intervals by variant and side."""
     groups: dict[tuple[str, str], list[Row]] = {}
     for row in rows:
         if row.state != "failed":
-            groups.setdefault((variant_name(row.variant), row.side), []).append(row)
+            groups.setdefault((variant_label(row.variant), row.side), []).append(row)
     if not groups:
         return
     variants = max(len(variant) for variant, _ in groups)
     sides = max(len(side) for _, side in groups)
-    print(f"{'':{variants}} {'':{sides}} seeds " + " ".join(f"{name:>15}" for name in SHOWN))
+    print(f"{'':{variants}} {'':{sides}} seeds " + " ".join(f"{name:>15}" for name in TABLE_FIGURES))
     for (variant, side), group in groups.items():
         cells = []
-        for name in SHOWN:
+        for name in TABLE_FIGURES:
             mean, low, _ = paired.confidence_interval([row.figures[name] for row in group])
             half = mean - low
             cells.append(f"{mean:8.3f} ±{half:5.3f}" if half < 1e3 else f"{mean:8.3f}       ")
@@ -305,8 +307,8 @@
 @click.option(
     "--difference", type=click.FloatRange(1e-9), default=0.01, show_default=True, help="What matters of it."
 )
-@_results
-@_playing
+@_results_option
+@_run_options
 def compare(
     file: str,
     before: str | None,
@@ -315,13 +317,13 @@
     figure: str,
     difference: float,
     results: Path,
-    playing: Playing,
+    options: RunOptions,
 ) -> int:
     """Compare two sides of FILE, paired over seeds, with as many seeds as it takes (at most runs.seeds).
 
     Exit code 0: told, one way or the other. 1: cannot tell, or a run is not there.
     """
-    loaded = _loaded(file, playing.sets, playing.model)
+    loaded = _load_experiment(file, options.sets, options.model)
     if ref is not None:
         only = loaded.file.side[0]
         sides = [
@@ -337,30 +339,34 @@
             raise click.ClickException(f"the file has no side {name!r}; it has {', '.join(names)}")
     if first == second:
         raise click.ClickException("it takes two sides to compare: --before, --after, or --ref")
-    until = None if playing.budget is None else time.monotonic() + playing.budget
+    until = None if options.budget is None else time.monotonic() + options.budget
     comparison = Comparison(first, second, figure, difference, loaded.file.runs.seeds)
     seed = loaded.file.runs.first_seed
-    with _store(results) as store:
+    with _open_store(results) as store:
         for look, count in enumerate(comparison.look_schedule):
-            pool = Pool(playing.jobs)
-            with _interruptible(pool):
-                wanted = comparison.wanted(_jobs(loaded, range(seed, seed + count)))
+            pool = Pool(options.jobs)
+            with _stop_on_sigterm(pool):
+                wanted = comparison.undecided_jobs(_jobs_of(loaded, range(seed, seed + count)))
                 left = None if until is None else max(0.0, until - time.monotonic())
-                run(store, loaded, wanted, pool, budget_s=left, tell=_teller(playing.quiet))
+                run_missing(
+                    store, loaded, wanted, pool, budget_s=left, on_progress=_progress_printer(options.quiet)
+                )
             rows = {row.key: row for row in store.rows([job.key for job in wanted])}
             try:
-                told = comparison.look(look, wanted, rows)
-            except FigureError as error:
+                told = comparison.evaluate_look(look, wanted, rows)
+            except UnknownFigureError as error:
                 raise click.ClickException(str(error)) from None
             if told or (until is not None and time.monotonic() >= until):
                 break
-    if not comparison.found:
+    if not comparison.results:
         raise click.ClickException("no pair of runs is there: none was made in time, or all failed")
-    print("\n".join(comparison.lines()))
-    return FINDINGS if any(one.verdict is Verdict.CANNOT_TELL for one in comparison.found.values()) else 0
+    print("\n".join(comparison.describe()))
+    return (
+        EXIT_FINDINGS if any(one.verdict is Verdict.CANNOT_TELL for one in comparison.results.values()) else 0
+    )
 
 
-def _rows(store: Store, jobs: list[Job]) -> list[Row]:
+def _rows_of(store: Store, jobs: list[Job]) -> list[Row]:
     """The runs that are there, under the names that this experiment has for them.
 
     A run is kept once, whoever asked for it first: another experiment may have called it otherwise.
@@ -374,7 +380,7 @@
     ]
 
 
-def _jobs(loaded: Experiment, seeds: range | None = None) -> list[Job]:
+def _jobs_of(loaded: Experiment, seeds: range | None = None) -> list[Job]:
     try:
         return loaded.jobs(seeds)
     except (RevisionError, FieldError) as error:
@@ -383,40 +389,40 @@
 
 @experiment.command()
 @click.argument("key")
-@_results
+@_results_option
 def replay(key: str, results: Path) -> int:
     """Play the run whose key begins with KEY again, by the decisions that made it, and tell its figures.
 
     Exit code 0: it came out as before. 1: it did not, as where the program has changed since.
     """
-    with _store(results) as store:
+    with _open_store(results) as store:
         row = store.find(key)
     try:
-        decisions = unpacked(row.ref, _cache()) if row.ref else present()
+        decisions = fetch_revision(row.ref, _revision_cache()) if row.ref else working_tree_policy()
     except RevisionError as error:
         raise click.ClickException(str(error)) from None
     side = Side.model_validate({"name": row.side, "policy": row.policy, "model": row.model, "ref": row.ref})
     case = Case(File.model_validate(row.file), side, row.seed, row.variant)
     pool = Pool(1)
-    with _interruptible(pool):
+    with _stop_on_sigterm(pool):
         job = Job(row.key, case, decisions, model_digest(), Path())
-        done = next((one for one in pool.play([job]) if one is not None), None)
+        done = next((one for one in pool.run_jobs([job]) if one is not None), None)
     if done is None or done.result is None:
-        failed = "it was stopped" if done is None else done.failed
+        failed = "it was stopped" if done is None else done.error
         print(f"failed: {failed}")
-        return 0 if row.state == "failed" and row.note == failed else FINDINGS
+        return 0 if row.state == "failed" and row.note == failed else EXIT_FINDINGS
     for name, value in done.result["figures"].items():
         print(f"{name}={value:.6g}")
     for rule, times in done.result["broken"].items():
         print(f"broken: {rule} {times} times")
     digest = done.result["digest"]
     print(f"digest={digest} as_before={str(digest == row.digest).lower()} decisions={decisions.digest}")
-    return 0 if digest == row.digest else FINDINGS
+    return 0 if digest == row.digest else EXIT_FINDINGS
 
 
 @experiment.command()
 @click.argument("file")
-@_results
+@_results_option
 @click.option("--set", "sets", multiple=True, metavar="FIELD=VALUE", help="As in the runs that are told of.")
 @click.option(
     "--to", type=click.Path(path_type=Path, file_okay=False), default=Path("report"), show_default=True
@@ -426,19 +432,21 @@
 
     Exit code 0: of all its runs. 1: some are not there yet.
     """
-    from leadrudder.experiment import report as page  # matplotlib takes a while, and nothing else needs it
-    from leadrudder.experiment.charts import Runs
+    from leadrudder.experiment import (
+        report as report_page,
+    )  # matplotlib takes a while, and nothing else needs it
+    from leadrudder.experiment.charts import RunSet
 
-    loaded = _loaded(file, sets)
+    loaded = _load_experiment(file, sets)
     if not results.exists():
         raise click.ClickException(f"there is no results file {results}: experiment run makes it")
-    with _store(results) as store:
-        keys = _jobs(loaded)
-        rows = _rows(store, keys)
+    with _open_store(results) as store:
+        keys = _jobs_of(loaded)
+        rows = _rows_of(store, keys)
     if not any(row.state != "failed" for row in rows):
         raise click.ClickException(f"{results} holds no run of this file as it stands")
     sides = [side.name for side in loaded.file.side]
     fields = [vary.field for vary in loaded.file.vary]
-    written = page.write(Runs(rows, sides, fields), loaded.file.name, loaded.file.about, to)
+    written = report_page.write_report(RunSet(rows, sides, fields), loaded.file.name, loaded.file.about, to)
     print(f"{len(rows)} of {len(keys)} runs; " + " ".join(str(path) for path in written))
-    return 0 if len(rows) == len(keys) else FINDINGS
+    return 0 if len(rows) == len(keys) else EXIT_FINDINGS
--- a/leadrudder/experiment/reading.py
+++ b/leadrudder/experiment/loader.py
@@ -19,15 +19,15 @@
 from leadrudder.tool.source import Source, Unreadable, parse, read
 from leadrudder.tool.typed import field_name, type_problems
 
-MOST_REQUESTS = 50_000_000  # of one run: days of waiting
-_WHY = "A run with it would not be the experiment that the file says."
+MAX_REQUESTS = 50_000_000  # of one run: days of waiting
+_TYPE_PROBLEM_REASON = "A run with it would not be the experiment that the file says."
 
 
 class NoSuchFileError(Exception):
     """Neither a file nor one of the shipped experiments."""
 
 
-def shipped() -> dict[str, str]:
+def shipped_experiments() -> dict[str, str]:
     """The shipped experiments: their texts by name."""
     folder = resources.files("leadrudder.experiment") / "shipped"
     return {
@@ -40,7 +40,7 @@
 def load(name: str) -> tuple[Source, File | None, list[Problem]]:
     """A file, or a shipped experiment of that name; no File where there are problems."""
     try:
-        if not Path(name).exists() and name in (texts := shipped()):
+        if not Path(name).exists() and name in (texts := shipped_experiments()):
             source = parse(f"{name} (shipped)", texts[name])
         else:
             source = read(name)
@@ -52,52 +52,52 @@
         )
         return Source(name, {}, {}), None, [problem]
     try:
-        source = _based(source, Path(name).parent, [])
-    except _BaseError as error:
+        source = _with_base(source, Path(name).parent, [])
+    except _BaseFileError as error:
         line, column = source.place(("base",))
         why = "What it leaves unsaid is nowhere said."
-        right = f"a file, or one of {', '.join(shipped())}"
+        right = f"a file, or one of {', '.join(shipped_experiments())}"
         problem = Problem(source.name, line, column, "base", "base", f"{error}.", why, right)
         return source, None, [problem]
     try:
         file = File.model_validate(source.values)
     except ValidationError as error:
-        return source, None, list(type_problems(source, error, File, _WHY))
-    problems = [_problem(source, finding) for finding in _findings(file)]
+        return source, None, list(type_problems(source, error, File, _TYPE_PROBLEM_REASON))
+    problems = [_problem(source, finding) for finding in _semantic_findings(file)]
     if not problems:
-        problems = [_problem(source, finding) for finding in _expanded(source, file)]
+        problems = [_problem(source, finding) for finding in _grid_findings(source, file)]
     problems.sort(key=lambda problem: (problem.line, problem.column))
     return source, None if problems else file, problems
 
 
-class _BaseError(Exception):
+class _BaseFileError(Exception):
     """A base that cannot be had."""
 
 
-def _based(source: Source, folder: Path, above: list[str]) -> Source:
+def _with_base(source: Source, folder: Path, above: list[str]) -> Source:
     """The file with what its base says of the rest; tables are merged, everything else is replaced."""
     name = source.values.get("base", "")
     if not name or not isinstance(name, str):
         return source
     if name in above:
-        raise _BaseError(f"{name!r} is its own base")
-    path, texts = folder / name, shipped()
+        raise _BaseFileError(f"{name!r} is its own base")
+    path, texts = folder / name, shipped_experiments()
     try:
         base = read(str(path)) if path.exists() else parse(name, texts[name])
     except KeyError:
-        raise _BaseError(f"there is no {name!r}") from None
+        raise _BaseFileError(f"there is no {name!r}") from None
     except Unreadable as error:
-        raise _BaseError(f"{name!r} {error}") from None
-    base = _based(base, path.parent, [*above, name])
-    return Source(source.name, _merged(base.values, source.values), source.places)
+        raise _BaseFileError(f"{name!r} {error}") from None
+    base = _with_base(base, path.parent, [*above, name])
+    return Source(source.name, _merge_tables(base.values, source.values), source.places)
 
 
-def _merged(base: dict[str, Any], own: dict[str, Any]) -> dict[str, Any]:
+def _merge_tables(base: dict[str, Any], own: dict[str, Any]) -> dict[str, Any]:
     merged = dict(base)
     for name, value in own.items():
         below = merged.get(name)
         if isinstance(value, dict) and isinstance(below, dict):
-            value = _merged(below, value)
+            value = _merge_tables(below, value)
         merged[name] = value
     return merged
 
@@ -108,10 +108,10 @@
     return Problem(source.name, line, column, field, finding.rule, finding.what, finding.why, finding.right)
 
 
-def _findings(file: File) -> Iterator[Finding]:
-    yield from _ranges(file, ())
-    yield from _names(file)
-    yield from _load(file)
+def _semantic_findings(file: File) -> Iterator[Finding]:
+    yield from _range_findings(file, ())
+    yield from _duplicate_name_findings(file)
+    yield from _load_findings(file)
     for i, kind in enumerate(file.request_class):
         if kind.aim_ms > kind.deadline_ms:
             yield Finding(
@@ -166,16 +166,16 @@
         )
 
 
-def _ranges(section: BaseModel, path: Field) -> Iterator[Finding]:
+def _range_findings(section: BaseModel, path: Field) -> Iterator[Finding]:
     """Pairs [low, high] whose low is above their high."""
     for name, info in type(section).model_fields.items():
         value = getattr(section, name)
         here: Field = (*path, info.alias or name)
         if isinstance(value, BaseModel):
-            yield from _ranges(value, here)
+            yield from _range_findings(value, here)
         elif isinstance(value, list) and value and isinstance(value[0], BaseModel):
             for i, item in enumerate(value):
-                yield from _ranges(item, (*here, i))
+                yield from _range_findings(item, (*here, i))
         elif is_range(value) and name != "values" and value[0] > value[1]:
             yield Finding(
                 here,
@@ -186,7 +186,7 @@
             )
 
 
-def _names(file: File) -> Iterator[Finding]:
+def _duplicate_name_findings(file: File) -> Iterator[Finding]:
     named: list[tuple[Field, list[str]]] = [
         (("fleet", "tier"), [t.name for t in file.fleet.tier]),
         (("class",), [c.name for c in file.request_class]),
@@ -205,7 +205,7 @@
                 )
 
 
-def _load(file: File) -> Iterator[Finding]:
+def _load_findings(file: File) -> Iterator[Finding]:
     load, nothing = file.load, "Nothing would be asked."
     told_once = (load.of_capacity is None) != (load.per_s is None)
     found: list[tuple[bool, tuple[str | int, ...], str, str, str]] = [
@@ -253,7 +253,7 @@
             )
 
 
-def _expanded(source: Source, file: File) -> Iterator[Finding]:
+def _grid_findings(source: Source, file: File) -> Iterator[Finding]:
     """What is wrong with the experiment as a whole: its size, and the fields that it varies."""
     count = count_combinations(file)
     runs = (file.runs.sample or count) * len(file.side) * file.runs.seeds
@@ -293,19 +293,19 @@
         if not math.isfinite(shape.capacity_per_s):
             yield Finding(("fleet",), "load", "its capacity is not finite.", "No load follows.", "more work")
             return
-        requests = _requests(case.file, shape.capacity_per_s)
-        if requests > MOST_REQUESTS:
+        requests = _estimate_requests(case.file, shape.capacity_per_s)
+        if requests > MAX_REQUESTS:
             yield Finding(
                 ("load",),
                 "too-much",
-                f"{requests:.3g} requests in a run; at most {MOST_REQUESTS:.0e} are played.",
+                f"{requests:.3g} requests in a run; at most {MAX_REQUESTS:.0e} are played.",
                 f"That is some {estimate_s(case.file, shape.capacity_per_s) / 3600.0:,.0f} hours.",
                 "a smaller load, a shorter run or a smaller fleet",
             )
             return
 
 
-def _requests(file: File, capacity_per_s: float) -> float:
+def _estimate_requests(file: File, capacity_per_s: float) -> float:
     load = file.load
     if load.form == "closed":
         shortest = min(float(c.aim_ms) for c in file.request_class)
@@ -323,4 +323,4 @@
         value = tier.calls if i else 1.0
         calls *= sum(value) / 2.0 if isinstance(value, list) else value
         attempts += calls
-    return 0.3 + 0.0002 * attempts * _requests(file, capacity_per_s)
+    return 0.3 + 0.0002 * attempts * _estimate_requests(file, capacity_per_s)
--- a/leadrudder/experiment/pool.py
+++ b/leadrudder/experiment/pool.py
@@ -15,11 +15,11 @@
 from typing import Any
 
 from leadrudder.experiment.plan import Case
-from leadrudder.experiment.revisions import Decisions
+from leadrudder.experiment.revisions import PolicyRevision
 
-WORKER = Path(__file__).parent / "worker.py"
-SPARE_MB = 512  # address space that an interpreter takes before it plays anything
-LOOK_S = 0.2
+WORKER_SCRIPT = Path(__file__).parent / "worker.py"
+INTERPRETER_ADDRESS_SPACE_MB = 512  # address space that an interpreter takes before it plays anything
+RESULT_POLL_S = 0.2
 
 
 @dataclass(frozen=True)
@@ -28,25 +28,25 @@
 
     key: str
     case: Case
-    decisions: Decisions
+    decisions: PolicyRevision
     model: str  # digest of the model's sources
     folder: Path
 
 
 @dataclass
-class Done:
+class JobOutcome:
     """What came of it: a result, or why there is none."""
 
     job: Job
     result: dict[str, Any] | None
-    failed: str = ""
+    error: str = ""
     wall_s: float = 0.0
 
 
 @dataclass
 class _Worker:
     process: subprocess.Popen[str]
-    decisions: Decisions
+    decisions: PolicyRevision
     most_mb: int
     part: float = 0.0
 
@@ -56,18 +56,18 @@
     """At most so many runs at once; plays once. parts: how far each that is out has come, for progress."""
 
     jobs: int
-    parts: dict[str, float] = field(default_factory=dict)
+    progress_by_key: dict[str, float] = field(default_factory=dict)
     _stopped: threading.Event = field(default_factory=threading.Event)
     _workers: dict[int, _Worker] = field(default_factory=dict)
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
-    def play(self, jobs: Iterable[Job]) -> Iterator[Done | None]:
+    def run_jobs(self, jobs: Iterable[Job]) -> Iterator[JobOutcome | None]:
         """Results as they come; None now and then, so that the caller can look at the time.
 
         Jobs are taken one by one as a worker is free. Closing the iterator stops all that is out.
         """
         waiting, source_lock = iter(jobs), threading.Lock()
-        done: queue.Queue[Done | None] = queue.Queue()
+        done: queue.Queue[JobOutcome | None] = queue.Queue()
 
         def serve(slot: int) -> None:
             try:
@@ -78,7 +78,7 @@
                         return
                     done.put(self._run(slot, job))
             finally:
-                self._end(slot)
+                self._end_worker(slot)
                 done.put(None)
 
         threads = [threading.Thread(target=serve, args=(i,), daemon=True) for i in range(self.jobs)]
@@ -88,7 +88,7 @@
         try:
             while left:
                 try:
-                    item = done.get(timeout=LOOK_S)
+                    item = done.get(timeout=RESULT_POLL_S)
                 except queue.Empty:
                     yield None
                     continue
@@ -112,11 +112,11 @@
             for worker in self._workers.values():
                 worker.process.kill()
 
-    def _run(self, slot: int, job: Job) -> Done:
+    def _run(self, slot: int, job: Job) -> JobOutcome:
         began = time.monotonic()
-        worker = self._worker(slot, job)
+        worker = self._worker_for(slot, job)
         if worker is None:
-            return Done(job, None, "stopped")
+            return JobOutcome(job, None, "stopped")
         case = job.case
         line = json.dumps(
             {
@@ -134,33 +134,35 @@
             for text in worker.process.stdout:
                 answer = json.loads(text)
                 if "part" in answer:
-                    self.parts[job.key] = answer["part"]
+                    self.progress_by_key[job.key] = answer["part"]
                     continue
                 took = time.monotonic() - began
                 if "failed" in answer:
-                    self._end(slot)  # after a failure its memory is no guide to what the next run needs
-                return Done(job, answer.get("result"), answer.get("failed", ""), took)
+                    self._end_worker(
+                        slot
+                    )  # after a failure its memory is no guide to what the next run needs
+                return JobOutcome(job, answer.get("result"), answer.get("failed", ""), took)
         except (OSError, ValueError):
             pass  # it died while it was spoken to
         finally:
-            self.parts.pop(job.key, None)
+            self.progress_by_key.pop(job.key, None)
         code = worker.process.wait()
-        self._end(slot)
-        return Done(job, None, f"its process ended with {code}", time.monotonic() - began)
+        self._end_worker(slot)
+        return JobOutcome(job, None, f"its process ended with {code}", time.monotonic() - began)
 
-    def _worker(self, slot: int, job: Job) -> _Worker | None:
+    def _worker_for(self, slot: int, job: Job) -> _Worker | None:
         """The slot's process, if it plays these decisions; else a new one."""
-        most_mb = job.case.file.runs.most_mb + SPARE_MB
+        most_mb = job.case.file.runs.most_mb + INTERPRETER_ADDRESS_SPACE_MB
         worker = self._workers.get(slot)
         if worker is not None and worker.decisions == job.decisions and worker.most_mb == most_mb:
             return worker
-        self._end(slot)
+        self._end_worker(slot)
         tree, prefix = job.decisions.tree, job.decisions.compiled
         expected = f"{job.decisions.digest if tree is None else ''}/{job.model}"
         words = [
             sys.executable,
             "-P",
-            str(WORKER),
+            str(WORKER_SCRIPT),
             str(tree or "-"),
             str(prefix or "-"),
             str(most_mb),
@@ -173,7 +175,7 @@
             worker = self._workers[slot] = _Worker(process, job.decisions, most_mb)
         return worker
 
-    def _end(self, slot: int) -> None:
+    def _end_worker(self, slot: int) -> None:
         with self._lock:
             worker = self._workers.pop(slot, None)
         if worker is None:
--- a/leadrudder/experiment/report.py
+++ b/leadrudder/experiment/report.py
@@ -8,11 +8,11 @@
 from pathlib import Path
 
 from leadrudder.experiment import charts, paired
-from leadrudder.experiment.charts import Chart, Runs
-from leadrudder.experiment.comparing import variant_name
+from leadrudder.experiment.charts import Chart, RunSet
+from leadrudder.experiment.comparison import variant_label
 from leadrudder.experiment.store import Row
 
-SUMMARY = (
+SUMMARY_FIGURES = (
     "service", "worst_10s", "worst_class", "worst_tenant", "tipped", "jam_s", "recover_s", "wasted", "late",
     "tries_a_request", "attempts_a_request", "ended_refused", "ended_failed", "ended_none",
 )  # fmt: skip
@@ -26,21 +26,21 @@
 """
 
 
-def write(runs: Runs, name: str, about: str, folder: Path) -> list[Path]:
+def write_report(runs: RunSet, name: str, about: str, folder: Path) -> list[Path]:
     """Write the report into the folder; returns what was written, the page first."""
     folder.mkdir(parents=True, exist_ok=True)
-    drawn = charts.draw(runs, folder)
-    every = _every(runs, folder / "runs.csv")
-    summary = _summary(runs)
+    drawn = charts.draw_charts(runs, folder)
+    every = _write_runs_csv(runs, folder / "runs.csv")
+    summary = _summary_rows(runs)
     short = folder / "summary.csv"
     with short.open("w", newline="", encoding="utf-8") as file:
         csv.writer(file).writerows(summary)
     page = folder / "report.html"
-    page.write_text(_page(runs, name, about, drawn, summary), encoding="utf-8")
+    page.write_text(_html_page(runs, name, about, drawn, summary), encoding="utf-8")
     return [page, short, every, *(chart.path for chart in drawn)]
 
 
-def _every(runs: Runs, path: Path) -> Path:
+def _write_runs_csv(runs: RunSet, path: Path) -> Path:
     """A line a run, all figures."""
     figures = list(dict.fromkeys(name for row in runs.rows for name in row.figures))
     head = ["key", "side", "policy", "ref", *runs.fields, "seed", "state", "broken", "digest", *figures]
@@ -68,16 +68,16 @@
     return path
 
 
-def _summary(runs: Runs) -> list[list[str]]:
+def _summary_rows(runs: RunSet) -> list[list[str]]:
     """A line for each variant and side: means with the halves of their intervals."""
-    lines = [["variant", "side", "seeds", *SUMMARY, "broke a rule"]]
+    lines = [["variant", "side", "seeds", *SUMMARY_FIGURES, "broke a rule"]]
     for variant in runs.variants():
         for side in runs.sides:
-            rows = runs.of(side, variant)
+            rows = runs.runs_of(side, variant)
             if rows:
                 broken = sum(row.state == "broken" for row in rows)
-                cells = [_cell(rows, name) for name in SUMMARY]
-                lines.append([variant_name(variant), side, str(len(rows)), *cells, str(broken)])
+                cells = [_cell(rows, name) for name in SUMMARY_FIGURES]
+                lines.append([variant_label(variant), side, str(len(rows)), *cells, str(broken)])
     return lines
 
 
@@ -86,7 +86,7 @@
     return f"{mean:.3f} ± {mean - low:.3f}" if len(rows) > 1 else f"{mean:.3f}"
 
 
-def _page(runs: Runs, name: str, about: str, drawn: list[Chart], summary: list[list[str]]) -> str:
+def _html_page(runs: RunSet, name: str, about: str, drawn: list[Chart], summary: list[list[str]]) -> str:
     failed = [row for row in runs.rows if row.state == "failed"]
     parts = [
         f"<!doctype html><html lang='en'><meta charset='utf-8'><title>{html.escape(name)}</title>",
--- a/leadrudder/experiment/revisions.py
+++ b/leadrudder/experiment/revisions.py
@@ -14,19 +14,19 @@
 from pathlib import Path
 
 PACKAGE = Path(__file__).parent.parent
-ROOT = PACKAGE.parent
+REPOSITORY = PACKAGE.parent
 # What the module is made of; older revisions have looks.py for selection_context.py.
-DECISIONS = ("interface.py", "looks.py", "selection_context.py", "policy", "recovery", "state")
-MODEL = tuple(
+POLICY_SOURCES = ("interface.py", "looks.py", "selection_context.py", "policy", "recovery", "state")
+MODEL_SOURCES = tuple(
     f"experiment/{name}.py"
     for name in (
         "baselines", "callers", "clock", "draw", "figures", "fleet", "limits", "lists", "node", "play",
         "server", "spec", "troubles", "whole",
     )
 )  # fmt: skip
-NEEDED = "leadrudder/policy/decide.py"
+REQUIRED_MODULE = "leadrudder/policy/decide.py"
 
-_COMPILE = """
+_COMPILE_SCRIPT = """
 import sys
 from pathlib import Path
 sys.path.insert(0, sys.argv[1])
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True)
-class Decisions:
+class PolicyRevision:
     """Where the sources of the decisions are, and what tells them from others; tree None: as they stand."""
 
     digest: str
@@ -48,7 +48,7 @@
     compiled: Path | None = None
 
 
-def digest_of(package: Path, names: tuple[str, ...]) -> str:
+def digest_sources(package: Path, names: tuple[str, ...]) -> str:
     """Of the Python sources below these names."""
     total = hashlib.blake2b(digest_size=16)
     for name in names:
@@ -60,17 +60,17 @@
     return total.hexdigest()
 
 
-def present() -> Decisions:
+def working_tree_policy() -> PolicyRevision:
     """The decisions as they stand here."""
-    return Decisions(digest_of(PACKAGE, DECISIONS))
+    return PolicyRevision(digest_sources(PACKAGE, POLICY_SOURCES))
 
 
 def model_digest() -> str:
     """What tells this model from others: its own sources."""
-    return digest_of(PACKAGE, MODEL)
+    return digest_sources(PACKAGE, MODEL_SOURCES)
 
 
-def unpacked(ref: str, cache: Path) -> Decisions:
+def fetch_revision(ref: str, cache: Path) -> PolicyRevision:
     """The decisions of a git revision, below the cache; RevisionError for what cannot be had."""
     if ref.startswith("-"):
         raise RevisionError(f"{ref!r} is no revision")
@@ -84,22 +84,22 @@
         (part / "whole").touch()
         with contextlib.suppress(OSError):  # another run of the tool was quicker
             part.rename(tree)
-    if not (tree / NEEDED).is_file():
+    if not (tree / REQUIRED_MODULE).is_file():
         raise RevisionError(
-            f"revision {ref} has no {NEEDED}: its decisions are older than this tool can play"
+            f"revision {ref} has no {REQUIRED_MODULE}: its decisions are older than this tool can play"
         )
     compiled = cache / f"{commit}.prefix" / "leadrudder-compiled"
     if (tree / "leadrudder" / "compile.py").is_file() and not compiled.exists():
         compiled.parent.mkdir(exist_ok=True)
         # What cannot be compiled is interpreted: slower, and the same.
-        arguments = [sys.executable, "-c", _COMPILE, str(tree), str(compiled)]
+        arguments = [sys.executable, "-c", _COMPILE_SCRIPT, str(tree), str(compiled)]
         subprocess.run(arguments, cwd=tree, check=False, capture_output=True)
     found = compiled.parent if compiled.exists() else None
-    return Decisions(digest_of(tree / "leadrudder", DECISIONS), tree, found)
+    return PolicyRevision(digest_sources(tree / "leadrudder", POLICY_SOURCES), tree, found)
 
 
 def _git(*words: str, ref: str) -> bytes:
     try:
-        return subprocess.run(["git", *words], cwd=ROOT, check=True, capture_output=True).stdout
+        return subprocess.run(["git", *words], cwd=REPOSITORY, check=True, capture_output=True).stdout
     except (OSError, subprocess.CalledProcessError):
-        raise RevisionError(f"there is no revision {ref!r} in {ROOT.name}'s history") from None
+        raise RevisionError(f"there is no revision {ref!r} in {REPOSITORY.name}'s history") from None
--- a/leadrudder/experiment/runner.py
+++ b/leadrudder/experiment/runner.py
@@ -11,12 +11,12 @@
 
 from leadrudder.experiment import plan
 from leadrudder.experiment.plan import Case
-from leadrudder.experiment.pool import Done, Job, Pool
-from leadrudder.experiment.revisions import Decisions, model_digest, present, unpacked
+from leadrudder.experiment.pool import Job, JobOutcome, Pool
+from leadrudder.experiment.revisions import PolicyRevision, fetch_revision, model_digest, working_tree_policy
 from leadrudder.experiment.spec import File
 from leadrudder.experiment.store import Row, Store
 
-POLL_S = 0.5  # between looks at what another process of the tool is making
+CLAIM_POLL_S = 0.5  # between looks at what another process of the tool is making
 
 
 @dataclass
@@ -24,19 +24,19 @@
     """How far it is: runs in all, made before, made now, and how many failed or broke a rule."""
 
     total: int
-    before: int = 0
-    made: int = 0
+    already_stored: int = 0
+    completed: int = 0
     failed: int = 0
-    broken: int = 0
-    out: float = 0.0  # parts of runs that are out, summed
-    began: float = field(default_factory=time.monotonic)
+    violating: int = 0
+    in_progress: float = 0.0  # sum of the fractions done of the runs in progress
+    started_at: float = field(default_factory=time.monotonic)
 
-    def left_s(self) -> float | None:
+    def remaining_s(self) -> float | None:
         """Seconds that remain at the pace so far; None while there is none."""
-        done = self.made + self.out
+        done = self.completed + self.in_progress
         if done <= 0.2:
             return None
-        return (time.monotonic() - self.began) * (self.total - self.before - done) / done
+        return (time.monotonic() - self.started_at) * (self.total - self.already_stored - done) / done
 
 
 @dataclass
@@ -47,20 +47,20 @@
     file: File
     folder: Path
     cache: Path
-    _decisions: dict[str, Decisions] = field(default_factory=dict)
+    _policy_revisions: dict[str, PolicyRevision] = field(default_factory=dict)
 
-    def decisions(self, ref: str) -> Decisions:
+    def policy_revision(self, ref: str) -> PolicyRevision:
         """Of a side; RevisionError for one that cannot be had."""
-        if ref not in self._decisions:
-            self._decisions[ref] = unpacked(ref, self.cache) if ref else present()
-        return self._decisions[ref]
+        if ref not in self._policy_revisions:
+            self._policy_revisions[ref] = fetch_revision(ref, self.cache) if ref else working_tree_policy()
+        return self._policy_revisions[ref]
 
     def jobs(self, seeds: range | None = None) -> list[Job]:
         """All runs with their keys."""
         model = model_digest()
         jobs = []
         for case in plan.expand_cases(self.values, self.file, seeds):
-            decisions = self.decisions(case.side.ref)
+            decisions = self.policy_revision(case.side.ref)
             digest = decisions.digest if case.side.policy == "leadrudder" else ""
             key = plan.run_key(case, digest, model, self._trace(case))
             jobs.append(Job(key, case, decisions, model, self.folder))
@@ -75,14 +75,14 @@
             return ""  # the run itself tells what is wrong
 
 
-def run(
+def run_missing(
     store: Store,
     experiment: Experiment,
     jobs: list[Job],
     pool: Pool,
     *,
     budget_s: float | None = None,
-    tell: Callable[[Progress], None] = lambda _: None,
+    on_progress: Callable[[Progress], None] = lambda _: None,
 ) -> Progress:
     """Make the runs that are missing, until all are there or the time is up.
 
@@ -90,7 +90,7 @@
     """
     progress = Progress(len(jobs))
     missing = {job.key: job for job in jobs if not store.has(job.key)}
-    progress.before = sum(job.key not in missing for job in jobs)
+    progress.already_stored = sum(job.key not in missing for job in jobs)
 
     def claimed() -> Iterator[Job]:
         """Each as it is this process's turn to make it; taken by the pool's threads, one at a time."""
@@ -101,29 +101,29 @@
                     yield job
                 elif store.has(key):
                     del missing[key]
-                    progress.before += 1
+                    progress.already_stored += 1
             if missing:
-                time.sleep(POLL_S)  # the rest is out with others
+                time.sleep(CLAIM_POLL_S)  # the rest is out with others
 
-    until = None if budget_s is None else progress.began + budget_s
-    results = pool.play(claimed())
+    until = None if budget_s is None else progress.started_at + budget_s
+    results = pool.run_jobs(claimed())
     for done in results:
         if done is not None:
-            _keep(store, experiment, done, progress)
-        progress.out = sum(pool.parts.copy().values())
-        tell(progress)
+            _store_outcome(store, experiment, done, progress)
+        progress.in_progress = sum(pool.progress_by_key.copy().values())
+        on_progress(progress)
         if until is not None and time.monotonic() > until:
             pool.stop()
     return progress
 
 
-def _keep(store: Store, experiment: Experiment, done: Done, progress: Progress) -> None:
+def _store_outcome(store: Store, experiment: Experiment, done: JobOutcome, progress: Progress) -> None:
     case, result = done.job.case, done.result
-    progress.made += 1
+    progress.completed += 1
     if result is None:
         progress.failed += 1
     elif result["broken"]:
-        progress.broken += 1
+        progress.violating += 1
     found = result or {}
     store.add(
         Row(
@@ -143,13 +143,13 @@
             digest=found.get("digest", ""),
             steps=found.get("steps", 0),
             wall_s=done.wall_s,
-            note=done.failed or "; ".join(found.get("notes", [])),
-            file=_kept(case.file, experiment.folder),
+            note=done.error or "; ".join(found.get("notes", [])),
+            file=_replayable_file(case.file, experiment.folder),
         )
     )
 
 
-def _kept(file: File, folder: Path) -> dict[str, Any]:
+def _replayable_file(file: File, folder: Path) -> dict[str, Any]:
     """The file as a replay needs it, wherever that is asked for: with its trace's whole path."""
     kept = file.model_dump(mode="json", by_alias=True)
     if file.load.form == "trace":
--- a/leadrudder/experiment/spec.py
+++ b/leadrudder/experiment/spec.py
@@ -11,67 +11,69 @@
 
 from leadrudder.tool.model import Name, Section
 
-VERSION = 1
+FORMAT_VERSION = 1
 
 Amount = Annotated[float, Field(ge=0, le=1e6, allow_inf_nan=False)]
 Positive = Annotated[float, Field(gt=0, le=1e6, allow_inf_nan=False)]
-Part = Annotated[float, Field(ge=0, le=1, allow_inf_nan=False)]
+Fraction = Annotated[float, Field(ge=0, le=1, allow_inf_nan=False)]
 
 
 Count = Annotated[int, Field(ge=1, le=20_000)]
-Times = Annotated[float, Field(ge=1, le=1000, allow_inf_nan=False)]
+Factor = Annotated[float, Field(ge=1, le=1000, allow_inf_nan=False)]
 
 # A figure, or the pair [low, high] that a seed draws from.
-AmountDrawn = Amount | Annotated[list[Amount], Field(min_length=2, max_length=2)]
-PositiveDrawn = Positive | Annotated[list[Positive], Field(min_length=2, max_length=2)]
-PartDrawn = Part | Annotated[list[Part], Field(min_length=2, max_length=2)]
-CountDrawn = Count | Annotated[list[Count], Field(min_length=2, max_length=2)]
-TimesDrawn = Times | Annotated[list[Times], Field(min_length=2, max_length=2)]
-LoadDrawn = (
+AmountOrRange = Amount | Annotated[list[Amount], Field(min_length=2, max_length=2)]
+PositiveOrRange = Positive | Annotated[list[Positive], Field(min_length=2, max_length=2)]
+FractionOrRange = Fraction | Annotated[list[Fraction], Field(min_length=2, max_length=2)]
+CountOrRange = Count | Annotated[list[Count], Field(min_length=2, max_length=2)]
+FactorOrRange = Factor | Annotated[list[Factor], Field(min_length=2, max_length=2)]
+LoadOrRange = (
     Annotated[float, Field(gt=0, le=10, allow_inf_nan=False)]
     | Annotated[
         list[Annotated[float, Field(gt=0, le=10, allow_inf_nan=False)]], Field(min_length=2, max_length=2)
     ]
 )
 
-Spread = Literal["fixed", "exponential", "lognormal", "pareto"]
+Distribution = Literal["fixed", "exponential", "lognormal", "pareto"]
 
 
 class Slowing(Section):
     """Servers that turn slow once crowded and stay so until they are nearly idle: what makes jams last."""
 
-    part: Part = Field(default=1.0, description="of all seeds have such servers")
-    above: AmountDrawn = Field(description="requests held beyond the cores, in roots of the cores")
+    part: Fraction = Field(default=1.0, description="of all seeds have such servers")
+    above: AmountOrRange = Field(description="requests held beyond the cores, in roots of the cores")
     counts: Literal["working", "held"] = Field(
         default="working", description="those on cores or in the queue, or all that it holds"
     )
-    most_part: Part = Field(
+    most_part: Fraction = Field(
         default=1.0, description="of slots and queue that need to be taken at the most, however many cores"
     )
-    for_s: PositiveDrawn = Field(description="of which the mean over so long must be above that")
-    times: TimesDrawn = Field(description="slower, from then on")
-    busy_below: PartDrawn = Field(description="part of its cores that is busy at most while it recovers")
-    rest_s: PositiveDrawn = Field(description="for so long on end")
-    most_s: PositiveDrawn = Field(default=1e6, description="and it recovers after this long at the latest")
+    for_s: PositiveOrRange = Field(description="of which the mean over so long must be above that")
+    times: FactorOrRange = Field(description="slower, from then on")
+    busy_below: FractionOrRange = Field(
+        description="part of its cores that is busy at most while it recovers"
+    )
+    rest_s: PositiveOrRange = Field(description="for so long on end")
+    most_s: PositiveOrRange = Field(default=1e6, description="and it recovers after this long at the latest")
 
 
 class Kind(Section):
     """Servers that are alike."""
 
     name: Name
-    part: Part = Field(default=1.0, description="of the tier's servers; parts are scaled to sum to 1")
+    part: Fraction = Field(default=1.0, description="of the tier's servers; parts are scaled to sum to 1")
     cores: int = Field(default=1, ge=1, le=1024)
-    speed: PositiveDrawn = Field(default=1.0, description="of a core; 1 does a millisecond of work in one")
-    speed_spread: AmountDrawn = Field(default=0.0, description="coefficient of variation over servers")
-    slots: CountDrawn = Field(default=1, description="requests in service, for each core")
-    queue: AmountDrawn = Field(default=1000.0, description="requests that may wait, for each core")
-    thrash: AmountDrawn = Field(default=0.0, description="longer by this part, for each further thrash_at")
-    thrash_at: PositiveDrawn = Field(default=1000.0, description="requests in service for each core")
-    cold_from: PartDrawn = Field(default=1.0, description="part of its speed that a server starts with")
-    cold_s: AmountDrawn = Field(default=0.0, description="until it is warm")
-    errors: PartDrawn = Field(default=0.0, description="part of the requests that end in an error")
-    pause_every_s: AmountDrawn = Field(default=0.0, description="mean between pauses; 0: none")
-    pause_ms: AmountDrawn = 0.0
+    speed: PositiveOrRange = Field(default=1.0, description="of a core; 1 does a millisecond of work in one")
+    speed_spread: AmountOrRange = Field(default=0.0, description="coefficient of variation over servers")
+    slots: CountOrRange = Field(default=1, description="requests in service, for each core")
+    queue: AmountOrRange = Field(default=1000.0, description="requests that may wait, for each core")
+    thrash: AmountOrRange = Field(default=0.0, description="longer by this part, for each further thrash_at")
+    thrash_at: PositiveOrRange = Field(default=1000.0, description="requests in service for each core")
+    cold_from: FractionOrRange = Field(default=1.0, description="part of its speed that a server starts with")
+    cold_s: AmountOrRange = Field(default=0.0, description="until it is warm")
+    errors: FractionOrRange = Field(default=0.0, description="part of the requests that end in an error")
+    pause_every_s: AmountOrRange = Field(default=0.0, description="mean between pauses; 0: none")
+    pause_ms: AmountOrRange = 0.0
     cancels: Literal["none", "queued", "all"] = Field(
         default="none", description="which requests stop when their node gives them up"
     )
@@ -80,24 +82,24 @@
 class Reports(Section):
     """Load that servers tell in their answers."""
 
-    period_ms: PositiveDrawn = 1000.0
-    delay_ms: AmountDrawn = 0.0
-    noise: PartDrawn = 0.0
+    period_ms: PositiveOrRange = 1000.0
+    delay_ms: AmountOrRange = 0.0
+    noise: FractionOrRange = 0.0
 
 
 class Tier(Section):
     """Servers of one tier, and how the tier before calls it."""
 
     name: Name
-    servers: CountDrawn | None = Field(default=None, description="left out: by servers_each")
-    servers_each: PositiveDrawn = Field(default=1.0, description="servers for each one of the tier before")
-    work: PositiveDrawn = Field(default=1.0, description="part of a request's work; scaled to sum to 1")
-    calls: AmountDrawn = Field(default=1.0, description="mean calls of a request of the tier before")
-    cell: CountDrawn = Field(default=4, description="servers that form a cell")
-    connections: AmountDrawn = Field(
+    servers: CountOrRange | None = Field(default=None, description="left out: by servers_each")
+    servers_each: PositiveOrRange = Field(default=1.0, description="servers for each one of the tier before")
+    work: PositiveOrRange = Field(default=1.0, description="part of a request's work; scaled to sum to 1")
+    calls: AmountOrRange = Field(default=1.0, description="mean calls of a request of the tier before")
+    cell: CountOrRange = Field(default=4, description="servers that form a cell")
+    connections: AmountOrRange = Field(
         default=0.0, description="that a server holds, for each core; 0: any number"
     )
-    handshake_ms: AmountDrawn = Field(default=0.0, description="work of a new connection")
+    handshake_ms: AmountOrRange = Field(default=0.0, description="work of a new connection")
     idle_s: Positive = Field(default=30.0, description="after which a server closes an idle one")
     kind: list[Kind] = Field(min_length=1)
     slowing: Slowing | None = None
@@ -108,16 +110,16 @@
     """Requests that are alike, and what an answer to one is worth."""
 
     name: Name
-    part: Part = Field(default=1.0, description="of the requests; parts are scaled to sum to 1")
-    work_ms: PositiveDrawn = Field(description="mean, over all tiers, on a core of speed 1")
-    spread: Spread = "exponential"
-    variation: AmountDrawn = Field(default=1.0, description="coefficient of variation of the work")
-    wait_ms: AmountDrawn = Field(default=0.0, description="mean time on other services; a slot, no core")
-    noise: AmountDrawn = Field(default=0.0, description="coefficient of variation from attempt to attempt")
+    part: Fraction = Field(default=1.0, description="of the requests; parts are scaled to sum to 1")
+    work_ms: PositiveOrRange = Field(description="mean, over all tiers, on a core of speed 1")
+    spread: Distribution = "exponential"
+    variation: AmountOrRange = Field(default=1.0, description="coefficient of variation of the work")
+    wait_ms: AmountOrRange = Field(default=0.0, description="mean time on other services; a slot, no core")
+    noise: AmountOrRange = Field(default=0.0, description="coefficient of variation from attempt to attempt")
     aim_ms: Positive
     deadline_ms: Positive
     worth: Amount = 1.0
-    late_share: Part = 0.0
+    late_share: Fraction = 0.0
     effect: Literal["safe", "keyed", "unsafe"] = "safe"
     group: Literal["cell", "zone", "all"] = "all"
     window_ms: Amount = 0.0
@@ -127,15 +129,15 @@
     """One of those who share the service."""
 
     name: Name
-    share: Part
-    usage: PositiveDrawn = Field(default=1.0, description="of its share; scaled to the load over all")
+    share: Fraction
+    usage: PositiveOrRange = Field(default=1.0, description="of its share; scaled to the load over all")
 
 
 class Load(Section):
     """What is asked of the fleet."""
 
     form: Literal["open", "closed", "trace"] = "open"
-    of_capacity: LoadDrawn | None = Field(
+    of_capacity: LoadOrRange | None = Field(
         default=None, description="work asked, as a part of what the narrowest tier can do"
     )
     per_s: Annotated[float, Field(gt=0, le=200_000)] | None = Field(
@@ -145,42 +147,42 @@
     think_ms: Amount = Field(default=0.0, description="mean between a closed loop's requests")
     trace: str = Field(default="", max_length=4096, description="a CSV of at_ms,class,work_ms,tenant")
     shape: Literal["steady", "wave", "bursty"] = "steady"
-    swing: PartDrawn = Field(default=0.0, description="of a wave or of bursts, about the mean")
+    swing: FractionOrRange = Field(default=0.0, description="of a wave or of bursts, about the mean")
     period_s: Positive = 20.0
     hints: Literal["none", "rough", "good"] = "none"
     worth_by_work: bool = False
-    over_share_worth: Part = 1.0
-    quota_of_capacity: PartDrawn = 1.0
+    over_share_worth: Fraction = 1.0
+    quota_of_capacity: FractionOrRange = 1.0
 
 
 class Callers(Section):
     """What callers do who are refused or get no answer."""
 
-    tries: AmountDrawn = Field(default=0.0, description="more after the first; a fraction is a chance")
-    patience: PartDrawn = Field(default=1.0, description="part of the deadline that a try waits")
-    back_off_ms: AmountDrawn = 100.0
+    tries: AmountOrRange = Field(default=0.0, description="more after the first; a fraction is a chance")
+    patience: FractionOrRange = Field(default=1.0, description="part of the deadline that a try waits")
+    back_off_ms: AmountOrRange = 100.0
     doubles: bool = Field(default=True, description="whether the wait doubles from try to try")
-    honour: PartDrawn = Field(default=1.0, description="part of them that honours the time told")
-    notice_s: AmountDrawn = Field(default=0.0, description="until callers notice a node that is gone")
+    honour: FractionOrRange = Field(default=1.0, description="part of them that honours the time told")
+    notice_s: AmountOrRange = Field(default=0.0, description="until callers notice a node that is gone")
 
 
 class Network(Section):
     zones: list[str] = Field(default=["zone-1"], min_length=1, max_length=64)
-    same_ms: AmountDrawn = Field(default=0.2, description="one way within a zone")
-    cross_ms: AmountDrawn = Field(default=2.0, description="one way between zones")
-    client_ms: AmountDrawn = 0.5
-    jitter: PartDrawn = Field(default=0.0, description="of each way, up to this part longer")
+    same_ms: AmountOrRange = Field(default=0.2, description="one way within a zone")
+    cross_ms: AmountOrRange = Field(default=2.0, description="one way between zones")
+    client_ms: AmountOrRange = 0.5
+    jitter: FractionOrRange = Field(default=0.0, description="of each way, up to this part longer")
 
 
 class Lists(Section):
     """How the list of servers lags."""
 
     asked: bool = False
-    notice_s: AmountDrawn = Field(default=0.0, description="from a change to the list")
-    silent_notice_s: AmountDrawn = Field(default=5.0, description="the same for servers that vanish")
-    add_s: AmountDrawn = Field(default=0.0, description="more for a server that is new")
-    period_ms: AmountDrawn = Field(default=0.0, description="the list is renewed so often")
-    spread_ms: AmountDrawn = Field(default=0.0, description="from node to node")
+    notice_s: AmountOrRange = Field(default=0.0, description="from a change to the list")
+    silent_notice_s: AmountOrRange = Field(default=5.0, description="the same for servers that vanish")
+    add_s: AmountOrRange = Field(default=0.0, description="more for a server that is new")
+    period_ms: AmountOrRange = Field(default=0.0, description="the list is renewed so often")
+    spread_ms: AmountOrRange = Field(default=0.0, description="from node to node")
 
 
 class Node(Section):
@@ -205,11 +207,11 @@
 
 
 class Fleet(Section):
-    nodes: CountDrawn = Field(default=1, description="before the first tier")
-    hot: PartDrawn = Field(
+    nodes: CountOrRange = Field(default=1, description="before the first tier")
+    hot: FractionOrRange = Field(
         default=0.0, description="part of them that callers bring more to than to the others"
     )
-    hot_times: TimesDrawn = Field(default=4.0, description="so many times as much")
+    hot_times: FactorOrRange = Field(default=4.0, description="so many times as much")
     tier: list[Tier] = Field(min_length=1, max_length=8)
     network: Network = Network()
     lists: Lists = Lists()
@@ -223,12 +225,12 @@
         "slow", "hang", "vanish", "errors", "neighbour", "burst", "release", "replace", "zone",
         "late-reports", "node-restart",
     ]  # fmt: skip
-    at_s: AmountDrawn
-    length_s: AmountDrawn = 10.0
-    part: PartDrawn = Field(default=0.1, description="of the servers, nodes or zones")
-    times: AmountDrawn = Field(default=2.0, description="how much slower or more")
+    at_s: AmountOrRange
+    length_s: AmountOrRange = 10.0
+    part: FractionOrRange = Field(default=0.1, description="of the servers, nodes or zones")
+    times: AmountOrRange = Field(default=2.0, description="how much slower or more")
     tier: Name | None = Field(default=None, description="left out: the first")
-    chance: Part = Field(default=1.0, description="part of the seeds that have it")
+    chance: Fraction = Field(default=1.0, description="part of the seeds that have it")
 
 
 class Vary(Section):
--- a/leadrudder/experiment/store.py
+++ b/leadrudder/experiment/store.py
@@ -17,9 +17,9 @@
 from pathlib import Path
 from typing import Any
 
-VERSION = 1
-APPLICATION = 0x4C524558  # in the file's header, so that another program's database is not taken for ours
-BUSY_S = 30.0
+SCHEMA_VERSION = 1
+APPLICATION_ID = 0x4C524558  # in the file's header, so that another program's database is not taken for ours
+BUSY_TIMEOUT_S = 30.0
 
 _SCHEMA = """
 CREATE TABLE runs (
@@ -79,7 +79,7 @@
     "key, experiment, side, policy, model, ref, variant, seed, state, figures, course, latencies, broken,"
     " digest, steps, wall_s, note, file"
 )
-_JSON = ("variant", "figures", "course", "latencies", "broken", "file")
+_JSON_COLUMNS = ("variant", "figures", "course", "latencies", "broken", "file")
 
 
 class Store:
@@ -89,13 +89,15 @@
         self.path = path
         self._lock = threading.RLock()  # the pool's threads claim, and the main one keeps
         try:
-            self._db = sqlite3.connect(path, timeout=BUSY_S, isolation_level=None, check_same_thread=False)
+            self._db = sqlite3.connect(
+                path, timeout=BUSY_TIMEOUT_S, isolation_level=None, check_same_thread=False
+            )
             self._open()
             self._db.execute("PRAGMA journal_mode = WAL")
             self._db.execute("PRAGMA synchronous = NORMAL")
         except sqlite3.Error as error:
             raise StoreError(f"{path}: is no results file, or is damaged: {error}") from None
-        self._pid, self._born = os.getpid(), _born(os.getpid())
+        self._pid, self._born = os.getpid(), _process_start_time(os.getpid())
 
     def _open(self) -> None:
         with self._transaction():
@@ -105,12 +107,14 @@
             if not tables and not application:
                 for statement in _SCHEMA.split(";"):
                     self._db.execute(statement)
-                self._db.execute(f"PRAGMA application_id = {APPLICATION}")
-                self._db.execute(f"PRAGMA user_version = {VERSION}")
-            elif application != APPLICATION:
+                self._db.execute(f"PRAGMA application_id = {APPLICATION_ID}")
+                self._db.execute(f"PRAGMA user_version = {SCHEMA_VERSION}")
+            elif application != APPLICATION_ID:
                 raise StoreError(f"{self.path}: is another program's database")
-            elif version != VERSION:
-                raise StoreError(f"{self.path}: is of version {version}; this tool reads version {VERSION}")
+            elif version != SCHEMA_VERSION:
+                raise StoreError(
+                    f"{self.path}: is of version {version}; this tool reads version {SCHEMA_VERSION}"
+                )
         (state,) = self._db.execute("PRAGMA quick_check(1)").fetchone()
         if state != "ok":
             raise StoreError(f"{self.path}: is damaged: {state}")
@@ -147,7 +151,7 @@
             if self.has(key):
                 return False
             owner = self._db.execute("SELECT pid, born FROM claims WHERE key = ?", (key,)).fetchone()
-            if owner is not None and _born(owner[0]) == owner[1]:
+            if owner is not None and _process_start_time(owner[0]) == owner[1]:
                 return False
             self._db.execute("INSERT OR REPLACE INTO claims VALUES (?, ?, ?)", (key, self._pid, self._born))
             return True
@@ -155,7 +159,7 @@
     def add(self, row: Row) -> None:
         """Keep a run; its claim ends with the same commit."""
         values = [
-            json.dumps(getattr(row, name), sort_keys=True) if name in _JSON else getattr(row, name)
+            json.dumps(getattr(row, name), sort_keys=True) if name in _JSON_COLUMNS else getattr(row, name)
             for name in _COLUMNS.split(", ")
         ]
         marks = ", ".join("?" * (len(values) + 1))
@@ -196,10 +200,10 @@
 
 def _row(values: tuple[Any, ...]) -> Row:
     names = _COLUMNS.split(", ")
-    return Row(**{n: json.loads(v) if n in _JSON else v for n, v in zip(names, values, strict=True)})
+    return Row(**{n: json.loads(v) if n in _JSON_COLUMNS else v for n, v in zip(names, values, strict=True)})
 
 
-def _born(pid: int) -> str:
+def _process_start_time(pid: int) -> str:
     """When a process was started, in its kernel's own count: a number used again is another process."""
     try:
         text = Path(f"/proc/{pid}/stat").read_text()
--- a/leadrudder/experiment/worker.py
+++ b/leadrudder/experiment/worker.py
@@ -16,13 +16,13 @@
 from pathlib import Path
 from typing import Any
 
-HERE = Path(__file__).resolve().parent.parent  # the package of the tool
+TOOL_PACKAGE = Path(__file__).resolve().parent.parent  # the package of the tool
 
 
-def prepare(tree: str, prefix: str) -> None:
+def install_policy_revision(tree: str, prefix: str) -> None:
     """Have leadrudder's decisions found in that tree, and everything else in the tool's own package."""
     if tree == "-":
-        sys.path.insert(0, str(HERE.parent))
+        sys.path.insert(0, str(TOOL_PACKAGE.parent))
         return
     sys.path.insert(0, tree)
     own_prefix = sys.prefix
@@ -32,9 +32,9 @@
         import leadrudder
     finally:
         sys.prefix = own_prefix
-    leadrudder.__path__.append(str(HERE))
+    leadrudder.__path__.append(str(TOOL_PACKAGE))
     for name in ("tool", "experiment"):
-        place = HERE / name / "__init__.py"
+        place = TOOL_PACKAGE / name / "__init__.py"
         spec = importlib.util.spec_from_file_location(
             f"leadrudder.{name}", place, submodule_search_locations=[str(place.parent)]
         )
@@ -48,10 +48,10 @@
 def main(arguments: list[str]) -> int:
     """Play until standard input ends."""
     tree, prefix, most_mb, expected = arguments
-    prepare(tree, prefix)
-    from leadrudder.experiment.revisions import model_digest, present
+    install_policy_revision(tree, prefix)
+    from leadrudder.experiment.revisions import model_digest, working_tree_policy
 
-    own = f"{present().digest if tree == '-' else ''}/{model_digest()}"
+    own = f"{working_tree_policy().digest if tree == '-' else ''}/{model_digest()}"
     out = os.fdopen(os.dup(1), "w", buffering=1)
     os.dup2(2, 1)  # what anything prints must not be taken for a result
     most = int(most_mb) * 1024 * 1024
--- a/tests/experiment/test_compare.py
+++ b/tests/experiment/test_compare.py
@@ -7,11 +7,11 @@
 from pathlib import Path
 
 from leadrudder.experiment import paired
-from leadrudder.experiment.comparing import Comparison
+from leadrudder.experiment.comparison import Comparison
 from leadrudder.experiment.paired import Verdict
 from leadrudder.experiment.pool import Pool
-from leadrudder.experiment.revisions import PACKAGE, Decisions
-from leadrudder.experiment.runner import run
+from leadrudder.experiment.revisions import PACKAGE, PolicyRevision
+from leadrudder.experiment.runner import run_missing
 from leadrudder.experiment.store import Store
 from tests.experiment.small import experiment, values
 
@@ -46,7 +46,7 @@
     assert paired.compare([0.5], [0.9], 0.01).verdict is Verdict.CANNOT_TELL
 
 
-def _copied(tree: Path, held: float) -> Decisions:
+def _copied(tree: Path, held: float) -> PolicyRevision:
     """The decisions as they stand, but that each request is held back for this part of what calls take."""
     shutil.copytree(PACKAGE, tree / "leadrudder", ignore=shutil.ignore_patterns("__pycache__"))
     path = tree / "leadrudder" / "policy" / "decide.py"
@@ -57,7 +57,7 @@
         f"        if not last_resort and self._turn.now < request.arrived_at + {held} * self._latency.mean:\n"
     )
     path.write_text(text.replace(place, f"{wait}            return False\n{place}"))
-    return Decisions(f"held {held}", tree)
+    return PolicyRevision(f"held {held}", tree)
 
 
 def test_a_slowdown_of_five_percent_in_the_policy_is_found_and_none_where_there_is_none(
@@ -66,17 +66,17 @@
     made = values(runs__seeds=12, load__of_capacity=0.4)
     made["side"] = [{"name": "now"}, {"name": "same", "ref": "same"}, {"name": "slow", "ref": "slow"}]
     told = experiment(tmp_path, made)
-    told._decisions["same"] = _copied(tmp_path / "same", 0.0)
-    told._decisions["slow"] = _copied(tmp_path / "slow", 0.05)
+    told._policy_revisions["same"] = _copied(tmp_path / "same", 0.0)
+    told._policy_revisions["slow"] = _copied(tmp_path / "slow", 0.05)
     store = Store(tmp_path / "results.sqlite")
     verdicts = {}
     for other in ("slow", "same"):
         comparison = Comparison("now", other, "look.p50_ms", 0.5, 12)
-        wanted = comparison.wanted(told.jobs())
-        progress = run(store, told, wanted, Pool(2))
+        wanted = comparison.undecided_jobs(told.jobs())
+        progress = run_missing(store, told, wanted, Pool(2))
         assert not progress.failed
         rows = {row.key: row for row in store.rows([job.key for job in wanted])}
-        comparison.look(len(comparison.look_schedule) - 1, wanted, rows)
-        verdicts[other] = comparison.found[""].verdict
+        comparison.evaluate_look(len(comparison.look_schedule) - 1, wanted, rows)
+        verdicts[other] = comparison.results[""].verdict
     store.close()
     assert verdicts == {"slow": Verdict.MORE, "same": Verdict.SAME}
--- a/tests/experiment/test_results.py
+++ b/tests/experiment/test_results.py
@@ -15,11 +15,11 @@
 
 from leadrudder.cli import main
 from leadrudder.experiment import command
+from leadrudder.experiment.loader import load, shipped_experiments
 from leadrudder.experiment.plan import apply_changes
 from leadrudder.experiment.pool import Pool
-from leadrudder.experiment.reading import load, shipped
-from leadrudder.experiment.revisions import PACKAGE, Decisions, RevisionError, unpacked
-from leadrudder.experiment.runner import run
+from leadrudder.experiment.revisions import PACKAGE, PolicyRevision, RevisionError, fetch_revision
+from leadrudder.experiment.runner import run_missing
 from leadrudder.experiment.store import Store, StoreError
 from tests.experiment.small import TEXT, experiment, played, values
 
@@ -31,7 +31,7 @@
     """Play what is missing; key, state and digest of each run."""
     store = Store(path)
     told = experiment(cache, made)
-    run(store, told, told.jobs(), Pool(jobs))
+    run_missing(store, told, told.jobs(), Pool(jobs))
     rows = store.rows([job.key for job in told.jobs()])
     store.close()
     return [(row.key, row.state, row.digest) for row in rows]
@@ -228,16 +228,16 @@
 
 
 def test_the_shipped_experiments_are_sound() -> None:
-    assert {"bookings", "games"} <= set(shipped())
-    for name in shipped():
+    assert {"bookings", "games"} <= set(shipped_experiments())
+    for name in shipped_experiments():
         assert load(name)[2] == []
 
 
 def test_a_revision_that_cannot_be_played_is_told(tmp_path: Path) -> None:
     with pytest.raises(RevisionError, match="no revision 'none-such'"):
-        unpacked("none-such", tmp_path)
+        fetch_revision("none-such", tmp_path)
     with pytest.raises(RevisionError, match="no revision"):
-        unpacked("--upload-pack=x", tmp_path)
+        fetch_revision("--upload-pack=x", tmp_path)
 
 
 def test_a_run_of_another_revision_is_played_again_by_its_decisions(
@@ -249,17 +249,17 @@
     text, condition = place.read_text(), "calls == fewest"
     assert text.count(condition) == 1
     place.write_text(text.replace(condition, "True"))
-    other = Decisions("another", tree)
+    other = PolicyRevision("another", tree)
     made = values(length_s=2, runs__seeds=1, load__of_capacity=0.9)
     made["side"] = [{"name": "then", "ref": "then"}]
     told = experiment(tmp_path, made)
-    told._decisions["then"] = other
+    told._policy_revisions["then"] = other
     store = Store(tmp_path / "r.sqlite")
-    run(store, told, told.jobs(), Pool(1))
+    run_missing(store, told, told.jobs(), Pool(1))
     (row,) = store.all()
     store.close()
     assert row.digest != played(length_s=2, load__of_capacity=0.9).digest
-    monkeypatch.setattr(command, "unpacked", lambda ref, cache: other if ref == "then" else None)
+    monkeypatch.setattr(command, "fetch_revision", lambda ref, cache: other if ref == "then" else None)
     assert main(["experiment", "replay", row.key, "--results", str(tmp_path / "r.sqlite")]) == 0
     assert f"digest={row.digest} as_before=true" in capsys.readouterr().out
 
