--- a/bench/soak/__init__.py
+++ b/bench/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The mesh's own processes under overlapping troubles, on real sockets, with every invariant on."""
+"""The mesh's own processes under overlapping faults, on real sockets, with all invariant checks enabled."""
--- a/bench/soak/__main__.py
+++ b/bench/soak/__main__.py
@@ -1,8 +1,8 @@
 """A soak: python -m bench.soak [--seeds A:B] [--seconds S] [--jobs N] [--sides N] [--keep FOLDER].
 
-Three control machines, four stations or as many as asked for, a server beside each, clients and operators:
-real processes, real sockets, troubles that overlap, and every invariant on. The last line has all figures;
-exit code 1 if an invariant was broken.
+Three control machines, four data-plane nodes (--sides) with a server beside each, clients and operators:
+real processes, real sockets, overlapping faults, and all invariant checks enabled. The last line has the
+figures; the exit code is 1 if an invariant was violated.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 from pathlib import Path
 from random import Random
 
-from bench.soak.checks import judge
-from bench.soak.faults import Troublemaker, overlapping, plan
+from bench.soak.checks import check_invariants
+from bench.soak.faults import FaultInjector, count_overlapping, plan_faults
 from bench.soak.operators import Operators
 from bench.soak.world import InvariantError, World
 
-READY_S = 20.0
-CALM_S = 6.0  # after the last trouble, before all must be whole
+READY_TIMEOUT_S = 20.0
+RECOVERY_TIME_S = 6.0  # after the last fault, for the mesh to recover before the final checks
 
 
 @dataclass(frozen=True, slots=True)
-class Played:
-    """One seed.  broken: the invariant that did not hold, if any."""
+class SeedResult:
+    """Results of one seed; the summary prints the fields by name.  broken: the violated invariant, if any."""
 
     seed: int
     troubles: int = 0
@@ -47,80 +47,95 @@
     broken: str = ""
 
 
-async def _ready(world: World) -> None:
-    async with asyncio.timeout(READY_S):
-        for machine in world.side:
-            while (answer := await world.ask(machine, "GET", "/ready")) is None or answer.status != 200:
+async def _wait_until_ready(world: World) -> None:
+    async with asyncio.timeout(READY_TIMEOUT_S):
+        for machine in world.node_machines:
+            while (
+                answer := await world.call_control_api(machine, "GET", "/ready")
+            ) is None or answer.status != 200:
                 await asyncio.sleep(0.05)
 
 
-async def _play(seed: int, span_s: float, world: World) -> Played:
+async def _run_seed(seed: int, duration_s: float, world: World) -> SeedResult:
     loop = asyncio.get_running_loop()
     operators = Operators(world, Random(f"operators/{seed}"))
     await world.start()
     try:
         await operators.configure()
-        await _ready(world)
-        end = loop.time() + span_s
+        await _wait_until_ready(world)
+        end = loop.time() + duration_s
         world.start_clients(end + 2.0)
-        hosts = [machine.host for machine in world.core], [machine.host for machine in world.side]
-        troubles = plan(Random(f"troubles/{seed}"), *hosts, span_s)
-        changing = [asyncio.ensure_future(operators.change_until(end)) for _ in range(2)]
-        reading = asyncio.ensure_future(operators.read_until(end))
-        came = await Troublemaker(world, operators).play(troubles)
-        await asyncio.gather(*changing, reading)
-        await asyncio.sleep(CALM_S)
-        figures = await judge(world, operators)
+        hosts = (
+            [machine.host for machine in world.control_machines],
+            [machine.host for machine in world.node_machines],
+        )
+        faults = plan_faults(Random(f"troubles/{seed}"), *hosts, duration_s)
+        change_tasks = [asyncio.ensure_future(operators.change_until(end)) for _ in range(2)]
+        read_task = asyncio.ensure_future(operators.read_until(end))
+        injected = await FaultInjector(world, operators).run(faults)
+        await asyncio.gather(*change_tasks, read_task)
+        await asyncio.sleep(RECOVERY_TIME_S)
+        totals = await check_invariants(world, operators)
     finally:
-        wrong = [*await world.end(), *world.faults()]
-    if wrong:
-        raise InvariantError("; ".join(wrong))
-    asked, kept = world.asked(), world.kept_requests()
-    return Played(
+        errors = [*await world.shut_down(), *world.logged_errors()]
+    if errors:
+        raise InvariantError("; ".join(errors))
+    sent, keep_alive_requests = world.sent_requests(), world.keep_alive_requests()
+    return SeedResult(
         seed,
-        came,
-        overlapping(troubles),
-        operators.acks,
+        injected,
+        count_overlapping(faults),
+        operators.acknowledged_changes,
         operators.reads,
-        len(asked),
-        sum(bool(each.served) for each in asked),
-        len(kept),
-        sum(bool(each.cut_at) for _, each in kept),
-        figures.shed,
-        figures.checks,
+        len(sent),
+        sum(bool(each.served) for each in sent),
+        len(keep_alive_requests),
+        sum(bool(each.lost_at) for _, each in keep_alive_requests),
+        totals.shed,
+        totals.checks,
         operators.slowest_ack_s,
-        figures.lag_max_s,
+        totals.lag_max_s,
     )
 
 
-def play(seed: int, span_s: float, keep: str, plant: str = "", *, cores: int = 3, sides: int = 4) -> Played:
-    """A whole play in a folder of its own, which is kept where an invariant was broken."""
+def run_seed(
+    seed: int,
+    duration_s: float,
+    keep: str,
+    planted_fault: str = "",
+    *,
+    control_count: int = 3,
+    node_count: int = 4,
+) -> SeedResult:
+    """Run one seed in a temporary folder, which is copied to `keep` if an invariant was violated."""
     folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
     world: World | None = None
 
-    async def within() -> Played:
+    async def run_in_loop() -> SeedResult:
         nonlocal world
-        world = World(seed, folder, cores=cores, sides=sides, plant=plant)
-        return await _play(seed, span_s, world)
+        world = World(
+            seed, folder, control_count=control_count, node_count=node_count, planted_fault=planted_fault
+        )
+        return await _run_seed(seed, duration_s, world)
 
     try:
-        return asyncio.run(within())
+        return asyncio.run(run_in_loop())
     except (InvariantError, TimeoutError) as error:
         if keep and world is not None:
             (folder / "story.txt").write_text("\n".join([*world.log.lines, repr(error)]) + "\n")
             shutil.copytree(folder, Path(keep) / folder.name, ignore=shutil.ignore_patterns("disk-*"))
-        return Played(seed, broken=str(error) or type(error).__name__)
+        return SeedResult(seed, broken=str(error) or type(error).__name__)
     finally:
         shutil.rmtree(folder, ignore_errors=True)
 
 
-def told(played: Iterable[Played]) -> tuple[str, int]:
-    """The last line, and how many seeds were broken."""
-    every = list(played)
-    broken = sum(bool(each.broken) for each in every)
-    parts = [f"seeds={len(every)}"]
-    for each in fields(Played)[1:-1]:
-        values = [getattr(one, each.name) for one in every]
+def summary_line(results: Iterable[SeedResult]) -> tuple[str, int]:
+    """The summary line, and how many seeds violated an invariant."""
+    all_results = list(results)
+    broken = sum(bool(each.broken) for each in all_results)
+    parts = [f"seeds={len(all_results)}"]
+    for each in fields(SeedResult)[1:-1]:
+        values = [getattr(result, each.name) for result in all_results]
         most = each.name.endswith("_s")
         parts.append(f"{each.name}={max(values):.2f}" if most else f"{each.name}={sum(values)}")
     return " ".join([*parts, f"broken={broken}"]), broken
@@ -128,25 +143,30 @@
 
 def main(arguments: Sequence[str] | None = None) -> int:
     parser = argparse.ArgumentParser(prog="python -m bench.soak", description=__doc__)
-    parser.add_argument("--seeds", default="1:2", help="A:B, from A to before B")
-    parser.add_argument("--seconds", type=float, default=20.0, help="of troubles, a seed")
-    parser.add_argument("--jobs", type=int, default=1, help="seeds at once")
+    parser.add_argument("--seeds", default="1:2", help="A:B, from A up to but not including B")
+    parser.add_argument("--seconds", type=float, default=20.0, help="seconds of faults for each seed")
+    parser.add_argument("--jobs", type=int, default=1, help="seeds run in parallel")
     parser.add_argument("--cores", type=int, default=3, help="control machines")
-    parser.add_argument("--sides", type=int, default=4, help="stations, with a server beside each")
-    parser.add_argument("--keep", default="", help="where to keep outputs of seeds that broke an invariant")
-    parser.add_argument("--plant", default="", help="a fault of bench.soak.planted_faults that is put in")
-    given = parser.parse_args(arguments)
-    first, _, last = given.seeds.partition(":")
+    parser.add_argument("--sides", type=int, default=4, help="data-plane nodes, with a server beside each")
+    parser.add_argument(
+        "--keep", default="", help="folder for the outputs of seeds that violated an invariant"
+    )
+    parser.add_argument("--plant", default="", help="a fault of bench.soak.planted_faults to run with")
+    options = parser.parse_args(arguments)
+    first, _, last = options.seeds.partition(":")
     seeds = range(int(first), int(last or int(first) + 1))
-    with ProcessPoolExecutor(given.jobs) as pool:
-        size = {"cores": given.cores, "sides": given.sides}
-        futures = [pool.submit(play, seed, given.seconds, given.keep, given.plant, **size) for seed in seeds]
-        played = []
+    with ProcessPoolExecutor(options.jobs) as pool:
+        fleet_size = {"control_count": options.cores, "node_count": options.sides}
+        futures = [
+            pool.submit(run_seed, seed, options.seconds, options.keep, options.plant, **fleet_size)
+            for seed in seeds
+        ]
+        results = []
         for future in futures:
-            one = future.result()
-            print(f"seed {one.seed}: {one.broken or 'no invariant broken'}", flush=True)
-            played.append(one)
-    line, broken = told(played)
+            result = future.result()
+            print(f"seed {result.seed}: {result.broken or 'no invariant broken'}", flush=True)
+            results.append(result)
+    line, broken = summary_line(results)
     print(line)
     return 1 if broken else 0
 
--- a/bench/soak/checks.py
+++ b/bench/soak/checks.py
@@ -1,4 +1,4 @@
-"""What must hold after a soak, in calm: by what servers ran, clients were told, and processes count."""
+"""The invariants checked at the end of a soak: from the servers' runs, the responses and the metrics."""
 
 from __future__ import annotations
 
@@ -6,128 +6,138 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
 
-from bench.soak.clients import PROMISES, KeptRequest
-from bench.soak.operators import Held, Operators
+from bench.soak.clients import NOT_RUN_STATUSES, KeepAliveRequest
+from bench.soak.operators import AcknowledgedRoute, Operators
 from bench.soak.world import InvariantError, Machine, World
 from leadrudder.control_plane.feeds import MAX_UNSENT_BYTES
 from leadrudder.emulation.standins import Asked, call, request
 
-READ_TRIES = 100
-UNSENT_BOUND = MAX_UNSENT_BYTES + 1024 * 1024  # a whole book may be written beside what waits
-OPEN_FIGURES = ("requests_open", "calls_running", "operator_calls_open")  # none of these in calm
-SERVED_LEAST = 0.3  # of requests, over the whole soak
-ENDS_AFTER_S = 1.5  # a process that has closed its connections, at most: it may stand still in a dial
-END_SEEN_S = 0.5  # a connection's end after that of its process
+MAX_READ_ATTEMPTS = 100
+# Room for a whole snapshot besides the queued bytes.
+MAX_UNSENT_BYTES_OF_SESSION = MAX_UNSENT_BYTES + 1024 * 1024
+# These must be 0 once the clients have stopped.
+OPEN_REQUEST_METRICS = ("requests_open", "calls_running", "operator_calls_open")
+MIN_SERVED_FRACTION = 0.3  # of all requests of the soak
+MAX_EXIT_DELAY_S = 1.5  # exit of a process after it closed its connections; a blocking dial may delay it
+CLOSE_NOTICE_DELAY_S = 0.5  # a client notices the close of a connection this long after the process exited
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class MetricTotals:
     shed: int
-    checks: int  # machines whose counts were read
+    checks: int  # machines whose metrics were read
     lag_max_s: float
 
 
-async def judge(world: World, operators: Operators) -> Figures:
-    """InvariantError where an invariant does not hold."""
-    if world.ended:
-        raise InvariantError("; ".join(world.ended))
-    await _read_back(world, operators)
-    await _in_force_everywhere(world, operators)
-    judge_requests(world.runs(), world.asked())
-    judge_kept(world.runs(), world.kept_requests())
-    _enough_served(world.asked())
-    return await _counted(world)
+async def check_invariants(world: World, operators: Operators) -> MetricTotals:
+    """InvariantError if an invariant is violated."""
+    if world.unexpected_exits:
+        raise InvariantError("; ".join(world.unexpected_exits))
+    await _check_reads(world, operators)
+    await _check_nodes_apply_changes(world, operators)
+    check_requests(world.runs_by_attempt(), world.sent_requests())
+    check_keep_alive_requests(world.runs_by_attempt(), world.keep_alive_requests())
+    _check_served_fraction(world.sent_requests())
+    return await _check_metrics(world)
 
 
-async def _read_back(world: World, operators: Operators) -> None:
-    """Every control machine answers in calm, with what was acknowledged."""
-    for machine in world.core:
-        for _ in range(READ_TRIES):
-            if await operators.read(machine):
+async def _check_reads(world: World, operators: Operators) -> None:
+    """Every control machine answers reads once the faults are over, with all acknowledged changes."""
+    for machine in world.control_machines:
+        for _ in range(MAX_READ_ATTEMPTS):
+            if await operators.read_and_check(machine):
                 break
             await asyncio.sleep(0.1)
         else:
-            raise InvariantError(f"{machine.host} answers no read in calm")
+            raise InvariantError(f"{machine.host} answers no read after the faults ended")
 
 
-async def _in_force_everywhere(world: World, operators: Operators) -> None:
-    """Every station handles requests as the newest acknowledged configuration says."""
-    for machine in world.side:
-        for name, held in operators.acked.items():
+async def _check_nodes_apply_changes(world: World, operators: Operators) -> None:
+    """Every data-plane node applies the newest acknowledged configuration to requests."""
+    for machine in world.node_machines:
+        for name, expected in operators.acknowledged.items():
             if name.startswith("idle-"):
-                await _probe((machine.host, world.base + 2), name, held)
+                await _check_route_applied((machine.host, world.base_port + 2), name, expected)
 
 
-async def _probe(address: tuple[str, int], name: str, held: Held) -> None:
+async def _check_route_applied(address: tuple[str, int], name: str, expected: AcknowledgedRoute) -> None:
     fields = f"Attempt-Id: probe-{name}\r\nTime-Left: 2000\r\n"
     answer = await call(address, request("GET", "/probe", f"{name}.example", fields), 2.5)
     if answer is None:
-        raise InvariantError(f"{address[0]} gives no answer on {name}")
-    if (answer.status == 404) != (held.content is None):
+        raise InvariantError(f"{address[0]} does not answer a request of route {name}")
+    if (answer.status == 404) != (expected.content is None):
         raise InvariantError(
-            f"{address[0]} answers {answer.status} on {name}, acknowledged {held.version:08x}"
+            f"{address[0]} answers {answer.status} on {name}, acknowledged version {expected.version:08x}"
         )
 
 
-def judge_requests(runs: Mapping[str, int], asked: Collection[Asked]) -> None:
-    """Bookings run once at most; what was refused never ran; what was told as served ran.
+def check_requests(runs: Mapping[str, int], sent: Collection[Asked]) -> None:
+    """A booking runs at most once; a refused request never ran; a request that got a success did run.
 
-    runs: how often each try ran, by its id.
+    runs: how often each attempt ran, by its id.
     """
-    for each in asked:
-        if each.served and not runs.get(each.served):
-            raise InvariantError(f"{each.served} was told as served, and no server ran it")
-        if not each.once:
+    for sent_request in sent:
+        if sent_request.served and not runs.get(sent_request.served):
+            raise InvariantError(f"{sent_request.served} got a success, but no server ran it")
+        if not sent_request.once:
             continue
-        for name in each.ids:
+        for name in sent_request.ids:
             if runs.get(name, 0) > 1:
                 raise InvariantError(f"booking {name} ran {runs[name]} times")
-        for name in each.ids[:-1]:  # a booking is tried again only after a promise that it did not run
+        # A booking is retried only after a response that says it did not run.
+        for name in sent_request.ids[:-1]:
             if runs.get(name):
-                raise InvariantError(f"booking {name} was told as not run, and ran")
-
-
-def judge_kept(runs: Mapping[str, int], kept: Collection[tuple[Machine, KeptRequest]]) -> None:
-    """On connections that were kept: the same, and none ends without its answer but with its process."""
-    for machine, asked in kept:
-        ran = runs.get(asked.id, 0)
-        if asked.once and ran > 1:
-            raise InvariantError(f"booking {asked.id} ran {ran} times")
-        if 200 <= asked.status < 300 and not ran:
-            raise InvariantError(f"{asked.id} was told as served, and no server ran it")
-        if asked.once and asked.status in PROMISES and ran:
-            raise InvariantError(f"booking {asked.id} was told as not run, and ran")
-        with_process = any(-END_SEEN_S <= end - asked.cut_at <= ENDS_AFTER_S for end in machine.ends)
-        if asked.cut_at and not with_process and not (asked.crossed and not ran):
-            after_s = [round(end - asked.cut_at, 2) for end in machine.ends]
+                raise InvariantError(f"booking {name} ran although a response said that it did not")
+
+
+def check_keep_alive_requests(
+    runs: Mapping[str, int], kept: Collection[tuple[Machine, KeepAliveRequest]]
+) -> None:
+    """The same on keep-alive connections; and one closes without a response only when its process exits."""
+    for machine, sent in kept:
+        run_count = runs.get(sent.id, 0)
+        if sent.once and run_count > 1:
+            raise InvariantError(f"booking {sent.id} ran {run_count} times")
+        if 200 <= sent.status < 300 and not run_count:
+            raise InvariantError(f"{sent.id} got a success, but no server ran it")
+        if sent.once and sent.status in NOT_RUN_STATUSES and run_count:
+            raise InvariantError(f"booking {sent.id} ran although a response said that it did not")
+        process_exited = any(
+            -CLOSE_NOTICE_DELAY_S <= exit_at - sent.lost_at <= MAX_EXIT_DELAY_S
+            for exit_at in machine.exit_times
+        )
+        if sent.lost_at and not process_exited and not (sent.raced_with_close and not run_count):
+            after_s = [round(exit_at - sent.lost_at, 2) for exit_at in machine.exit_times]
             raise InvariantError(
-                f"{asked.id} got no answer in {asked.cut_at - asked.sent_at:.2f} s, and its connection "
-                f"ended; ends of the machine's processes, in seconds after that: {after_s}"
+                f"{sent.id} got no response within {sent.lost_at - sent.sent_at:.2f} s, when its connection "
+                f"closed; exits of the machine's processes, in seconds after that: {after_s}"
             )
 
 
-def _enough_served(asked: Collection[Asked]) -> None:
-    served = sum(bool(each.served) for each in asked)
-    if served < SERVED_LEAST * len(asked):
-        raise InvariantError(f"{served} of {len(asked)} requests were served")
+def _check_served_fraction(sent: Collection[Asked]) -> None:
+    served = sum(bool(sent_request.served) for sent_request in sent)
+    if served < MIN_SERVED_FRACTION * len(sent):
+        raise InvariantError(f"{served} of {len(sent)} requests were served")
 
 
-async def _counted(world: World) -> Figures:
-    """No process counts a violation, and none keeps more waiting than its bounds allow."""
+async def _check_metrics(world: World) -> MetricTotals:
+    """No process counts a violation, has open requests, or holds more unsent bytes than its bound."""
     shed, checks, lag = 0, 0, 0.0
     for machine in world.machines:
-        figures = await world.metrics(machine)
-        violated = {name for name in figures if name.startswith("invariant_violations_total")}
-        if violated:
-            raise InvariantError(f"{machine.role} {machine.host}: {', '.join(sorted(violated))}")
-        for name in OPEN_FIGURES:
-            if figures.get(name):
-                raise InvariantError(f"{machine.role} {machine.host}: {name} is {figures[name]:.0f} in calm")
-        if figures.get("session_unsent_bytes", 0.0) > UNSENT_BOUND:
+        metrics = await world.fetch_metrics(machine)
+        violations = {name for name in metrics if name.startswith("invariant_violations_total")}
+        if violations:
+            raise InvariantError(f"{machine.role} {machine.host}: {', '.join(sorted(violations))}")
+        for name in OPEN_REQUEST_METRICS:
+            if metrics.get(name):
+                raise InvariantError(
+                    f"{machine.role} {machine.host}: {name} is {metrics[name]:.0f} after the clients stopped"
+                )
+        if metrics.get("session_unsent_bytes", 0.0) > MAX_UNSENT_BYTES_OF_SESSION:
             raise InvariantError(
-                f"{machine.host} keeps {figures['session_unsent_bytes']:.0f} bytes for a station"
+                f"{machine.host} holds {metrics['session_unsent_bytes']:.0f} unsent bytes for a node"
             )
-        shed += int(figures.get("requests_shed_total", 0) + figures.get("calls_shed_total", 0))
-        lag = max(lag, figures["loop_lag_highest_seconds"])
+        shed += int(metrics.get("requests_shed_total", 0) + metrics.get("calls_shed_total", 0))
+        lag = max(lag, metrics["loop_lag_highest_seconds"])
         checks += 1
-    return Figures(shed, checks, lag)
+    return MetricTotals(shed, checks, lag)
--- a/bench/soak/clients.py
+++ b/bench/soak/clients.py
@@ -1,7 +1,7 @@
-"""Clients that keep their connections: each asks again on the one it has until the node ends it.
+"""Clients with keep-alive: each sends its requests on one connection until the node closes it.
 
-The other clients of a soak open a connection for each request, and so never meet a process that is about to
-end with connections open.
+The other clients of a soak open a connection for each request, and so never reach a process that is shutting
+down with connections open.
 """
 
 from __future__ import annotations
@@ -13,39 +13,42 @@
 
 from leadrudder.emulation.standins import Wish, request
 
-REOPEN_S = 0.05  # after a connection that did not come up, or has ended
-CROSSED_S = 0.05  # a close that was on its way already when the request was sent is seen within that time
-GIVE_UP_S = 1.0  # after its deadline, that an answer is waited for: a process may stand still
-PROMISES = (408, 421, 429, 503)  # a request with such an answer has not run, and never will
+RECONNECT_DELAY_S = 0.05  # after a connection that failed or was closed
+CLOSE_RACE_S = 0.05  # a close that the node sent before the request reached it is seen within this time
+RESPONSE_GRACE_S = 1.0  # wait for a response past the request's deadline, as a process may be paused
+NOT_RUN_STATUSES = (408, 421, 429, 503)  # a request with such a response has not run, and never will
 
 
 @dataclass(slots=True)
-class KeptRequest:
-    """A request on a connection that was kept.  cut_at: when the connection ended without its answer."""
+class KeepAliveRequest:
+    """A request on a keep-alive connection.
+
+    lost_at: when the connection closed without a response; 0 if it did not.
+    """
 
     id: str
     once: bool
     sent_at: float
     status: int = 0
-    cut_at: float = 0.0
+    lost_at: float = 0.0
 
     @property
-    def crossed(self) -> bool:
-        """The node had closed the connection, as one that was idle, before the request could reach it."""
-        return 0.0 < self.cut_at <= self.sent_at + CROSSED_S
+    def raced_with_close(self) -> bool:
+        """Whether the node had closed the idle connection before the request could reach it."""
+        return 0.0 < self.lost_at <= self.sent_at + CLOSE_RACE_S
 
 
 @dataclass(eq=False)
-class KeptConnection:
-    """One client of a machine's, with one connection at a time.  pause_s: between requests, in the mean."""
+class KeepAliveClient:
+    """A client of one machine, with one connection at a time.  mean_pause_s: between two requests."""
 
     name: str
     address: tuple[str, int]
-    wishes: Sequence[Wish]
+    request_kinds: Sequence[Wish]
     until: float
-    pause_s: float
+    mean_pause_s: float
     rng: Random
-    requests: list[KeptRequest] = field(default_factory=list)
+    requests: list[KeepAliveRequest] = field(default_factory=list)
 
     async def run(self) -> None:
         loop = asyncio.get_running_loop()
@@ -53,38 +56,38 @@
             try:
                 reader, writer = await asyncio.open_connection(*self.address)
             except OSError:
-                await asyncio.sleep(REOPEN_S)
+                await asyncio.sleep(RECONNECT_DELAY_S)
                 continue
             try:
-                await self._use(reader, writer)
+                await self._send_requests(reader, writer)
             finally:
                 writer.close()
-            await asyncio.sleep(REOPEN_S)
+            await asyncio.sleep(RECONNECT_DELAY_S)
 
-    async def _use(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Ask until the connection ends, or its end was announced."""
+    async def _send_requests(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Send requests until the connection closes or a response announces its close."""
         loop = asyncio.get_running_loop()
         while loop.time() < self.until and not reader.at_eof():
-            wish = self.rng.choice(self.wishes)
-            asked = KeptRequest(f"{self.name}-{len(self.requests)}", wish.once, loop.time())
-            self.requests.append(asked)
-            fields = f"Attempt-Id: {asked.id}\r\nTime-Left: {int(1000 * wish.deadline_s)}\r\n"
-            writer.write(request("POST", "/a", wish.host, fields))
+            kind = self.rng.choice(self.request_kinds)
+            sent = KeepAliveRequest(f"{self.name}-{len(self.requests)}", kind.once, loop.time())
+            self.requests.append(sent)
+            fields = f"Attempt-Id: {sent.id}\r\nTime-Left: {int(1000 * kind.deadline_s)}\r\n"
+            writer.write(request("POST", "/a", kind.host, fields))
             try:
-                async with asyncio.timeout(wish.deadline_s + GIVE_UP_S):
-                    asked.status, closes = await read_answer(reader)
+                async with asyncio.timeout(kind.deadline_s + RESPONSE_GRACE_S):
+                    sent.status, connection_closes = await read_response(reader)
             except TimeoutError:
                 return
             except (OSError, asyncio.IncompleteReadError):
-                asked.cut_at = loop.time()
+                sent.lost_at = loop.time()
                 return
-            if closes:
+            if connection_closes:
                 return
-            await asyncio.sleep(self.rng.uniform(0.0, 2.0 * self.pause_s))
+            await asyncio.sleep(self.rng.uniform(0.0, 2.0 * self.mean_pause_s))
 
 
-async def read_answer(reader: asyncio.StreamReader) -> tuple[int, bool]:
-    """The status of a whole answer, and whether the connection is closed after it."""
+async def read_response(reader: asyncio.StreamReader) -> tuple[int, bool]:
+    """Read one whole response; returns its status and whether the connection closes after it."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
     length = int(head.partition("content-length:")[2].split("\r\n", 1)[0])
     await reader.readexactly(length)
--- a/bench/soak/faults.py
+++ b/bench/soak/faults.py
@@ -1,7 +1,7 @@
-"""The troubles of a soak: drawn from the seed before the play, so that a seed brings the same ones again.
+"""The faults of a soak, drawn from the seed before the run, so that a seed always gives the same ones.
 
-Two to four are under way at any time. Machines with a disk are troubled one at a time, as that is what the
-deployment is to bear; stations are troubled in any number.
+Two to four are active at any time. Control machines, which have a disk, fail one at a time, as the deployment
+is specified to tolerate one; any number of data-plane nodes may fail at once.
 """
 
 from __future__ import annotations
@@ -15,178 +15,187 @@
 from bench.soak.operators import Operators
 from bench.soak.world import Machine, World
 
-AT_ONCE = 4
-SETTLE_S = 4.0  # between two troubles of machines with a disk: the time that one has to be whole again
-
-
-class Kind(StrEnum):
-    KILL = "kill"  # SIGKILL, and a start soon after
-    WIPE = "wipe"  # the same, and the disk is lost
-    TERMINATE = "terminate"  # SIGTERM, in part after a series of SIGHUP, and a start at once
-    HANG_UPS = "hang-ups"  # a series of SIGHUP
-    PAUSE = "pause"  # SIGSTOP for a while
-    CUT = "cut"  # from all other machines
-    CUT_ONE_WAY = "cut one way"
-    RESET = "reset"  # of all connections
-    LOST_ANSWERS = "lost answers"  # of servers, and on the way to operators
-
-
-CORE_KINDS = (
-    Kind.KILL,
-    Kind.WIPE,
-    Kind.TERMINATE,
-    Kind.HANG_UPS,
-    Kind.PAUSE,
-    Kind.CUT,
-    Kind.CUT_ONE_WAY,
+CONCURRENT_FAULTS = 4
+RECOVERY_GAP_S = 4.0  # between two faults of control machines, for the first one to recover
+
+
+class FaultKind(StrEnum):
+    KILL = "kill"  # SIGKILL, restarted after the fault's duration
+    WIPE = "wipe"  # the same with the disk lost
+    TERMINATE = "terminate"  # SIGHUP, SIGTERM and an immediate restart, repeatedly
+    SIGHUPS = "hang-ups"  # a series of SIGHUP
+    PAUSE = "pause"  # SIGSTOP, later SIGCONT
+    PARTITION = "cut"  # network partition from all other machines
+    ONE_WAY_PARTITION = "cut one way"  # the same in one direction only
+    RESET = "reset"  # of all connections of a machine
+    DROPPED_RESPONSES = "lost answers"  # of servers to requests, and of control machines to operators
+
+
+CONTROL_FAULT_KINDS = (
+    FaultKind.KILL,
+    FaultKind.WIPE,
+    FaultKind.TERMINATE,
+    FaultKind.SIGHUPS,
+    FaultKind.PAUSE,
+    FaultKind.PARTITION,
+    FaultKind.ONE_WAY_PARTITION,
 )
-SIDE_KINDS = (
-    Kind.KILL,
-    Kind.TERMINATE,
-    Kind.HANG_UPS,
-    Kind.PAUSE,
-    Kind.CUT,
-    Kind.CUT_ONE_WAY,
-    Kind.RESET,
+NODE_FAULT_KINDS = (
+    FaultKind.KILL,
+    FaultKind.TERMINATE,
+    FaultKind.SIGHUPS,
+    FaultKind.PAUSE,
+    FaultKind.PARTITION,
+    FaultKind.ONE_WAY_PARTITION,
+    FaultKind.RESET,
 )
-HANG_UP_GAP_S = 0.05  # between two signals of a series
-TERMINATED_S = 6.0  # twice the grace, after which a process that was told to end is a fault
+SIGHUP_INTERVAL_S = 0.05  # between two signals of a series
+TERMINATION_TIMEOUT_S = 6.0  # twice the configured grace; a process that needs longer violates an invariant
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
-    """kind at a host, from `at` for `span_s`; an empty host: everywhere."""
+class Fault:
+    """A fault of one host, `start_s` after the start of the run; an empty host: everywhere."""
 
-    at: float
-    kind: Kind
+    start_s: float
+    kind: FaultKind
     host: str
-    span_s: float
+    duration_s: float
 
     @property
-    def end(self) -> float:
-        return self.at + self.span_s
+    def end_s(self) -> float:
+        return self.start_s + self.duration_s
 
 
-def plan(rng: Random, core: Sequence[str], sides: Sequence[str], span_s: float) -> list[Trouble]:
-    """Troubles for the whole span, in lanes that overlap: one of the core, the others of the rest."""
-    troubles = _lane(rng, span_s, SETTLE_S, lambda: (rng.choice(CORE_KINDS), rng.choice(core)))
-    for _ in range(AT_ONCE - 2):
-        troubles += _lane(rng, span_s, 0.5, lambda: (rng.choice(SIDE_KINDS), rng.choice(sides)))
-    troubles += _lane(rng, span_s, 1.0, lambda: (Kind.LOST_ANSWERS, ""))
-    return sorted(troubles, key=lambda trouble: trouble.at)
-
-
-def _lane(rng: Random, span_s: float, pause_s: float, draw: Callable[[], tuple[Kind, str]]) -> list[Trouble]:
-    lane = []
-    at = rng.uniform(0.0, 1.0)
-    while at < span_s:
-        kind, host = draw()
-        lane.append(Trouble(at, kind, host, rng.uniform(0.3, 3.0)))
-        at = lane[-1].end + pause_s * rng.uniform(1.0, 1.5)
-    return lane
-
-
-def overlapping(troubles: Sequence[Trouble]) -> int:
-    """How many begin while another is under way."""
+def plan_faults(
+    rng: Random, control_hosts: Sequence[str], node_hosts: Sequence[str], duration_s: float
+) -> list[Fault]:
+    """Faults of the whole run in overlapping sequences: one of control machines, two of nodes, one global."""
+    faults = _draw_sequence(
+        rng, duration_s, RECOVERY_GAP_S, lambda: (rng.choice(CONTROL_FAULT_KINDS), rng.choice(control_hosts))
+    )
+    for _ in range(CONCURRENT_FAULTS - 2):
+        faults += _draw_sequence(
+            rng, duration_s, 0.5, lambda: (rng.choice(NODE_FAULT_KINDS), rng.choice(node_hosts))
+        )
+    faults += _draw_sequence(rng, duration_s, 1.0, lambda: (FaultKind.DROPPED_RESPONSES, ""))
+    return sorted(faults, key=lambda fault: fault.start_s)
+
+
+def _draw_sequence(
+    rng: Random, duration_s: float, min_gap_s: float, draw_kind_and_host: Callable[[], tuple[FaultKind, str]]
+) -> list[Fault]:
+    sequence = []
+    start_s = rng.uniform(0.0, 1.0)
+    while start_s < duration_s:
+        kind, host = draw_kind_and_host()
+        sequence.append(Fault(start_s, kind, host, rng.uniform(0.3, 3.0)))
+        start_s = sequence[-1].end_s + min_gap_s * rng.uniform(1.0, 1.5)
+    return sequence
+
+
+def count_overlapping(faults: Sequence[Fault]) -> int:
+    """How many begin while another one is active."""
     return sum(
-        any(other.at <= one.at < other.end for other in troubles if other is not one) for one in troubles
+        any(other.start_s <= fault.start_s < other.end_s for other in faults if other is not fault)
+        for fault in faults
     )
 
 
-class Troublemaker:
-    """Brings troubles about, each in a task of its own."""
+class FaultInjector:
+    """Injects the planned faults, each in a task of its own."""
 
     def __init__(self, world: World, operators: Operators) -> None:
         self._world, self._operators = world, operators
         self._by_host = {machine.host: machine for machine in world.machines}
-        self._busy: set[str] = set()  # hosts with a trouble under way
-        self._do: dict[Kind, Callable[[Machine, float], Awaitable[None]]] = {
-            Kind.KILL: self._kill,
-            Kind.WIPE: self._wipe,
-            Kind.TERMINATE: self._terminate,
-            Kind.HANG_UPS: self._hang_up,
-            Kind.PAUSE: self._pause,
-            Kind.CUT: self._cut,
-            Kind.CUT_ONE_WAY: self._cut_one_way,
-            Kind.RESET: self._reset,
+        self._busy_hosts: set[str] = set()  # hosts with an active fault
+        self._injectors: dict[FaultKind, Callable[[Machine, float], Awaitable[None]]] = {
+            FaultKind.KILL: self._kill,
+            FaultKind.WIPE: self._wipe,
+            FaultKind.TERMINATE: self._terminate,
+            FaultKind.SIGHUPS: self._send_sighups,
+            FaultKind.PAUSE: self._pause,
+            FaultKind.PARTITION: self._partition,
+            FaultKind.ONE_WAY_PARTITION: self._partition_one_way,
+            FaultKind.RESET: self._reset_connections,
         }
 
-    async def play(self, troubles: Sequence[Trouble]) -> int:
-        """Returns how many came about: a machine has one at a time."""
-        done = await asyncio.gather(*(self._bring(trouble) for trouble in troubles))
-        return sum(done)
+    async def run(self, faults: Sequence[Fault]) -> int:
+        """Returns how many were injected: one that falls on a host with an active fault is skipped."""
+        injected = await asyncio.gather(*(self._inject(fault) for fault in faults))
+        return sum(injected)
 
-    async def _bring(self, trouble: Trouble) -> bool:
-        await asyncio.sleep(trouble.at)
-        if trouble.host in self._busy:
+    async def _inject(self, fault: Fault) -> bool:
+        await asyncio.sleep(fault.start_s)
+        if fault.host in self._busy_hosts:
             return False
-        self._busy.add(trouble.host)
-        self._world.log.add(f"{trouble.kind} {trouble.host} for {trouble.span_s:.2f} s")
-        if trouble.host:
-            await self._do[trouble.kind](self._by_host[trouble.host], trouble.span_s)
+        self._busy_hosts.add(fault.host)
+        self._world.log.add(f"{fault.kind} {fault.host} for {fault.duration_s:.2f} s")
+        if fault.host:
+            await self._injectors[fault.kind](self._by_host[fault.host], fault.duration_s)
         else:
-            await self._lose_answers(trouble.span_s)
-        self._world.log.add(f"{trouble.kind} {trouble.host} is over")
-        self._busy.discard(trouble.host)
+            await self._drop_responses(fault.duration_s)
+        self._world.log.add(f"{fault.kind} {fault.host} ended")
+        self._busy_hosts.discard(fault.host)
         return True
 
-    async def _kill(self, machine: Machine, span_s: float) -> None:
+    async def _kill(self, machine: Machine, duration_s: float) -> None:
         self._world.kill(machine)
-        await asyncio.sleep(span_s)
+        await asyncio.sleep(duration_s)
         await self._world.start_process(machine)
 
-    async def _wipe(self, machine: Machine, span_s: float) -> None:
+    async def _wipe(self, machine: Machine, duration_s: float) -> None:
         self._world.kill(machine)
-        await asyncio.sleep(span_s)
-        self._world.wipe(machine)
+        await asyncio.sleep(duration_s)
+        self._world.wipe_disk(machine)
         await self._world.start_process(machine)
 
-    async def _terminate(self, machine: Machine, span_s: float) -> None:
-        """Restarted in series, one right after the other, for about so long."""
-        end = asyncio.get_running_loop().time() + span_s
-        again = True
-        while again:
-            self._world.hang_up(machine)
-            await self._world.terminate(machine, TERMINATED_S)
+    async def _terminate(self, machine: Machine, duration_s: float) -> None:
+        """Restarts the process repeatedly, each time at once, until the duration is over."""
+        end = asyncio.get_running_loop().time() + duration_s
+        repeat = True
+        while repeat:
+            self._world.reload_settings(machine)
+            await self._world.terminate(machine, TERMINATION_TIMEOUT_S)
             await self._world.start_process(machine)
-            again = asyncio.get_running_loop().time() < end
+            repeat = asyncio.get_running_loop().time() < end
 
-    async def _hang_up(self, machine: Machine, span_s: float) -> None:
-        for _ in range(int(span_s / HANG_UP_GAP_S / 10) + 1):
-            self._world.hang_up(machine)
-            await asyncio.sleep(HANG_UP_GAP_S)
+    async def _send_sighups(self, machine: Machine, duration_s: float) -> None:
+        for _ in range(int(duration_s / SIGHUP_INTERVAL_S / 10) + 1):
+            self._world.reload_settings(machine)
+            await asyncio.sleep(SIGHUP_INTERVAL_S)
 
-    async def _pause(self, machine: Machine, span_s: float) -> None:
+    async def _pause(self, machine: Machine, duration_s: float) -> None:
         self._world.pause(machine)
-        await asyncio.sleep(span_s)
+        await asyncio.sleep(duration_s)
         self._world.resume(machine)
 
-    async def _cut(self, machine: Machine, span_s: float) -> None:
-        await self._cut_paths(self._paths(machine, True) | self._paths(machine, False), span_s)
+    async def _partition(self, machine: Machine, duration_s: float) -> None:
+        await self._block(self._directions(machine, True) | self._directions(machine, False), duration_s)
 
-    async def _cut_one_way(self, machine: Machine, span_s: float) -> None:
-        await self._cut_paths(self._paths(machine, span_s < 1.5), span_s)
+    async def _partition_one_way(self, machine: Machine, duration_s: float) -> None:
+        await self._block(self._directions(machine, duration_s < 1.5), duration_s)
 
-    def _paths(self, machine: Machine, out: bool) -> set[tuple[str, str]]:
+    def _directions(self, machine: Machine, outgoing: bool) -> set[tuple[str, str]]:
         others = [other.host for other in self._world.machines if other is not machine]
-        return {(machine.host, other) if out else (other, machine.host) for other in others}
+        return {(machine.host, other) if outgoing else (other, machine.host) for other in others}
 
-    async def _cut_paths(self, paths: set[tuple[str, str]], span_s: float) -> None:
-        added = paths - self._world.relay.cut
-        self._world.relay.cut |= added
-        await asyncio.sleep(span_s)
-        self._world.relay.cut -= added
+    async def _block(self, directions: set[tuple[str, str]], duration_s: float) -> None:
+        added = directions - self._world.relay.blocked
+        self._world.relay.blocked |= added
+        await asyncio.sleep(duration_s)
+        self._world.relay.blocked -= added
 
-    async def _reset(self, machine: Machine, span_s: float) -> None:
+    async def _reset_connections(self, machine: Machine, duration_s: float) -> None:
         self._world.relay.reset(machine.host)
-        await asyncio.sleep(min(span_s, 0.5))
+        await asyncio.sleep(min(duration_s, 0.5))
 
-    async def _lose_answers(self, span_s: float) -> None:
-        servers = [machine.server for machine in self._world.side if machine.server is not None]
-        self._operators.losing = True
+    async def _drop_responses(self, duration_s: float) -> None:
+        servers = [machine.server for machine in self._world.node_machines if machine.server is not None]
+        self._operators.dropping_responses = True
         for server in servers:
-            server.losing = 0.1
-        await asyncio.sleep(span_s)
-        self._operators.losing = False
+            server.drop_fraction = 0.1
+        await asyncio.sleep(duration_s)
+        self._operators.dropping_responses = False
         for server in servers:
-            server.losing = 0.0
+            server.drop_fraction = 0.0
--- a/bench/soak/planted_faults.py
+++ b/bench/soak/planted_faults.py
@@ -1,4 +1,4 @@
-"""Faults planted in the programs, to see that a soak finds them."""
+"""Faults planted in the programs; a soak must detect each of them."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 @contextmanager
 def dead_links() -> Iterator[None]:
-    """A dial that is given up says so to nobody, and a write that fails ends nothing: as before issue 48."""
+    """A timed-out dial is not reported, and a failed write does not close the link: the fault of issue 48."""
 
-    async def connect(make: Callable[[], Any], host: str, port: int, within_s: float) -> Any:
+    async def connect(protocol_factory: Callable[[], Any], host: str, port: int, within_s: float) -> Any:
         async with asyncio.timeout(within_s):
-            _, protocol = await asyncio.get_running_loop().create_connection(make, host, port)
+            _, protocol = await asyncio.get_running_loop().create_connection(protocol_factory, host, port)
         return protocol
 
     def send_encoded(link: Link, data: bytes) -> bool:
@@ -35,9 +35,9 @@
         yield
 
 
-PLANTS: dict[str, Callable[[], Any]] = {
-    plant.__name__: plant
-    for plant in (
+PLANTED_FAULTS: dict[str, Callable[[], Any]] = {
+    fault.__name__: fault
+    for fault in (
         dead_links,
         planted_faults.read_by_one,
         planted_faults.one_copy_is_enough,
--- a/bench/soak/process.py
+++ b/bench/soak/process.py
@@ -1,8 +1,7 @@
-"""One of the mesh's programs, as it runs in service, but for its connections to other machines.
+"""One of the mesh's programs as deployed, but its connections to other machines pass the relay of the soak.
 
-Those go through the relay of the soak, which can cut, hold up and reset them. Now and then the process stands
-still while it dials, as one does that is behind. Run by bench.soak.world:
-python -m bench.soak.process station|signalbox
+The relay can partition, delay and reset these connections. Some dials block the whole process for a moment,
+as on an overloaded machine. Started by bench.soak.world: python -m bench.soak.process station|signalbox
 """
 
 from __future__ import annotations
@@ -18,7 +17,8 @@
 from contextlib import AbstractContextManager, nullcontext
 from typing import Any
 
-signal.signal(signal.SIGHUP, signal.SIG_IGN)  # as both programs do
+# As both programs do at their start: until the handler is installed, SIGHUP would end the process.
+signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 import uvloop  # noqa: E402
 from absl import logging  # noqa: E402
@@ -27,31 +27,31 @@
 from leadrudder.control_plane.program import ControlPlaneNode  # noqa: E402
 from leadrudder.data_plane.program import DataPlaneNode  # noqa: E402
 
-RELAY_VARIABLE = "LEADRUDDER_SOAK_RELAY"  # IP:PORT
-HOST_VARIABLE = "LEADRUDDER_SOAK_HOST"  # the machine's own address
+RELAY_ENV_VARIABLE = "LEADRUDDER_SOAK_RELAY"  # IP:PORT of the relay
+HOST_ENV_VARIABLE = "LEADRUDDER_SOAK_HOST"  # IP address of the machine that the process belongs to
 ACCEPTED = b"+"
-STALL_PART = 0.1  # of dials, while which the process does nothing else
-STALL_S = 0.75  # for so long: more than a dial may take
+STALL_FRACTION = 0.1  # of dials, during which the process does nothing else
+STALL_S = 0.75  # longer than the timeout of a dial
 
 
 class RelayedLoop(uvloop.Loop):
-    """An event loop whose connections to other machines are made by the relay."""
+    """An event loop that opens connections to other machines through the relay."""
 
-    async def create_connection(  # type: ignore[override]  # both forms of it in one
-        self, factory: Any, host: Any = None, port: Any = None, **given: Any
+    async def create_connection(  # type: ignore[override]  # covers both overloads
+        self, factory: Any, host: Any = None, port: Any = None, **options: Any
     ) -> Any:
-        if host is None or host == os.environ[HOST_VARIABLE]:
-            return await super().create_connection(factory, host, port, **given)
-        relay_host, _, relay_port = os.environ[RELAY_VARIABLE].rpartition(":")
+        if host is None or host == os.environ[HOST_ENV_VARIABLE]:
+            return await super().create_connection(factory, host, port, **options)
+        relay_host, _, relay_port = os.environ[RELAY_ENV_VARIABLE].rpartition(":")
         sock = socket.socket()
         sock.setblocking(False)
         try:
             await self.sock_connect(sock, (relay_host, int(relay_port)))
-            preamble = f"{os.environ[HOST_VARIABLE]} {host} {port}\n"
+            preamble = f"{os.environ[HOST_ENV_VARIABLE]} {host} {port}\n"
             await self.sock_sendall(sock, preamble.encode())
             if await self.sock_recv(sock, 1) != ACCEPTED:
                 raise ConnectionRefusedError
-            if random.random() < STALL_PART:
+            if random.random() < STALL_FRACTION:
                 self.call_soon(time.sleep, STALL_S)
             return await super().create_connection(factory, sock=sock)
         except BaseException:
@@ -59,17 +59,17 @@
             raise
 
 
-def planted(name: str) -> AbstractContextManager[Any]:
-    from bench.soak.planted_faults import PLANTS  # what they need is no part of a program in service
+def planted_fault(name: str) -> AbstractContextManager[Any]:
+    from bench.soak.planted_faults import PLANTED_FAULTS  # imports test code, only when a fault is asked for
 
-    context: AbstractContextManager[Any] = PLANTS[name]()
+    context: AbstractContextManager[Any] = PLANTED_FAULTS[name]()
     return context
 
 
-async def serve(role: str, plant: str) -> None:
-    """plant: a fault of bench.soak.planted_faults that is put in, to see that the soak finds it."""
+async def serve(role: str, planted_fault_name: str) -> None:
+    """planted_fault_name: a fault of bench.soak.planted_faults to run with, or empty."""
     settings = load_settings().unwrap()
-    with planted(plant) if plant else nullcontext():
+    with planted_fault(planted_fault_name) if planted_fault_name else nullcontext():
         program = DataPlaneNode(settings) if role == "station" else ControlPlaneNode(settings)
         await program.run()
 
@@ -78,11 +78,11 @@
     parser = argparse.ArgumentParser(prog="python -m bench.soak.process")
     parser.add_argument("role", choices=["station", "signalbox"])
     parser.add_argument("--plant", default="")
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO)
     with asyncio.Runner(loop_factory=RelayedLoop) as runner:
-        runner.run(serve(given.role, given.plant))
+        runner.run(serve(arguments.role, arguments.plant))
     return 0
 
 
--- a/bench/soak/relay.py
+++ b/bench/soak/relay.py
@@ -1,6 +1,7 @@
-"""The network between the machines of a soak: every connection passes here, and can be cut or reset.
+"""The network between the machines of a soak: a relay that can block directions and reset connections.
 
-Bytes on a path that is cut wait, as they would on a real network, and go on when it is joined again.
+Bytes in a blocked direction are held back, as retransmission does on a real network, and delivered once it
+is open again.
 """
 
 from __future__ import annotations
@@ -11,18 +12,18 @@
 
 from bench.soak.process import ACCEPTED
 
-CHUNK = 64 * 1024
-CHECK_S = 0.02  # how often a cut path is looked at again
+CHUNK_BYTES = 64 * 1024
+BLOCKED_POLL_S = 0.02  # between checks whether a blocked direction is open again
 
-Path = tuple[str, str]  # hosts: from, to
+Direction = tuple[str, str]  # hosts: source, destination
 
 
 @dataclass(eq=False)
-class Pipe:
-    """A connection between two machines: who dialled, who was dialled."""
+class RelayedConnection:
+    """A connection between two machines, opened by the client host."""
 
-    dialler: str
-    dialled: str
+    client_host: str
+    server_host: str
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
 
     def abort(self) -> None:
@@ -31,12 +32,12 @@
 
 
 class Relay:
-    """cut: paths, each in one direction, on which nothing passes now."""
+    """blocked: the directions in which no bytes pass at present."""
 
     def __init__(self) -> None:
-        self.cut: set[Path] = set()
+        self.blocked: set[Direction] = set()
         self.address = ""
-        self._pipes: set[Pipe] = set()
+        self._connections: set[RelayedConnection] = set()
         self._server: asyncio.Server | None = None
 
     async def start(self, host: str) -> None:
@@ -46,39 +47,50 @@
 
     def reset(self, host: str) -> None:
         """Reset all connections of one machine."""
-        for pipe in [pipe for pipe in self._pipes if host in (pipe.dialler, pipe.dialled)]:
-            pipe.abort()
+        for connection in [
+            connection
+            for connection in self._connections
+            if host in (connection.client_host, connection.server_host)
+        ]:
+            connection.abort()
 
     def close(self) -> None:
         if self._server is not None:
             self._server.close()
-        for pipe in list(self._pipes):
-            pipe.abort()
+        for connection in list(self._connections):
+            connection.abort()
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError, ValueError, asyncio.IncompleteReadError):
             preamble = (await reader.readuntil(b"\n")).decode().split()
-            pipe = Pipe(preamble[0], preamble[1], [writer])
-            self._pipes.add(pipe)
+            connection = RelayedConnection(preamble[0], preamble[1], [writer])
+            self._connections.add(connection)
             try:
-                await self._carry(pipe, reader, writer, int(preamble[2]))
+                await self._forward(connection, reader, writer, int(preamble[2]))
             finally:
-                self._pipes.discard(pipe)
-                pipe.abort()
+                self._connections.discard(connection)
+                connection.abort()
         writer.transport.abort()
 
-    async def _carry(
-        self, pipe: Pipe, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, port: int
+    async def _forward(
+        self,
+        connection: RelayedConnection,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        port: int,
     ) -> None:
-        out, back = (pipe.dialler, pipe.dialled), (pipe.dialled, pipe.dialler)
-        await self._joined(out)
-        await self._joined(back)
-        far_reader, far_writer = await asyncio.open_connection(pipe.dialled, port)
-        pipe.writers.append(far_writer)
+        to_server, to_client = (
+            (connection.client_host, connection.server_host),
+            (connection.server_host, connection.client_host),
+        )
+        await self._wait_until_open(to_server)
+        await self._wait_until_open(to_client)
+        server_reader, server_writer = await asyncio.open_connection(connection.server_host, port)
+        connection.writers.append(server_writer)
         writer.write(ACCEPTED)
         tasks = [
-            asyncio.ensure_future(self._copy(reader, far_writer, out)),
-            asyncio.ensure_future(self._copy(far_reader, writer, back)),
+            asyncio.ensure_future(self._copy_bytes(reader, server_writer, to_server)),
+            asyncio.ensure_future(self._copy_bytes(server_reader, writer, to_client)),
         ]
         try:
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
@@ -87,13 +99,15 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _joined(self, path: Path) -> None:
-        while path in self.cut:
-            await asyncio.sleep(CHECK_S)
+    async def _wait_until_open(self, direction: Direction) -> None:
+        while direction in self.blocked:
+            await asyncio.sleep(BLOCKED_POLL_S)
 
-    async def _copy(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, path: Path) -> None:
-        while data := await reader.read(CHUNK):
-            await self._joined(path)
+    async def _copy_bytes(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, direction: Direction
+    ) -> None:
+        while data := await reader.read(CHUNK_BYTES):
+            await self._wait_until_open(direction)
             writer.write(data)
             await writer.drain()
-        await self._joined(path)
+        await self._wait_until_open(direction)
--- a/bench/soak/world.py
+++ b/bench/soak/world.py
@@ -1,6 +1,6 @@
-"""The machines of a soak on loopback: our processes, servers beside them, clients, and operators.
+"""The machines of a soak on loopback addresses: the mesh's processes, their servers and the clients.
 
-Times are seconds on the loop's clock of the soak's own process, which is never troubled.
+Times are seconds on the event loop's clock of the soak's own process, into which no fault is injected.
 """
 
 from __future__ import annotations
@@ -19,28 +19,28 @@
 from random import Random
 from typing import Any
 
-from bench.soak.clients import KeptConnection, KeptRequest
-from bench.soak.process import HOST_VARIABLE, RELAY_VARIABLE
+from bench.soak.clients import KeepAliveClient, KeepAliveRequest
+from bench.soak.process import HOST_ENV_VARIABLE, RELAY_ENV_VARIABLE
 from bench.soak.relay import Relay
 from leadrudder.emulation.standins import Asked, Clients, Server, Wish, call, request
 from leadrudder.mesh.demo import free_port
 from leadrudder.transport.http import BufferedHttpMessage
 
 SERVICES = ("kal", "var")
-WISHES = (
+REQUEST_KINDS = (
     Wish("luku.example", once=False, per_s=8.0, deadline_s=1.5),
     Wish("varaus.example", once=True, per_s=5.0, deadline_s=1.5),
 )
-IDLE_ROUTES = 120
+IDLE_ROUTE_COUNT = 120
 RELAY_HOST = "127.0.9.1"
-SLOTS, WORK_S = 9, 0.03
-KEPT_EACH = 2  # connections that clients of one machine keep
-KEPT_PAUSE_S = 0.25  # between two requests on one of them
-USUAL_SIDES = 4  # more machines ask less each, as all clients and servers share one process
-STARTS_S = 2.0  # of an interpreter, on a busy machine
-CALL_S = 1.0
-APPLY_S = 2.5
-SETTINGS = """nodeName = "{name}"
+SERVER_SLOTS, SERVER_WORK_S = 9, 0.03
+KEEP_ALIVE_CLIENTS_PER_NODE = 2  # with one keep-alive connection each
+KEEP_ALIVE_MEAN_PAUSE_S = 0.25  # between two requests on one of these connections
+FULL_RATE_NODES = 4  # beyond these, each machine's rate falls: all clients and servers share one process
+INTERPRETER_START_S = 2.0  # of a Python interpreter on a busy machine
+CALL_TIMEOUT_S = 1.0
+APPLY_TIMEOUT_S = 2.5
+SETTINGS_TEMPLATE = """nodeName = "{name}"
 zone = "z{zone}"
 ip = "{host}"
 sparePorts = [{links}, {last}]
@@ -62,34 +62,34 @@
 
 
 class InvariantError(Exception):
-    """An invariant of the soak does not hold."""
+    """An invariant of the soak is violated."""
 
 
-class AnswerLosingServer(Server):
-    """A server that runs some requests and never answers them while `losing` is set."""
+class ResponseDroppingServer(Server):
+    """A server that runs a part of its requests without ever responding, while `drop_fraction` is set."""
 
-    losing = 0.0  # the part of requests
+    drop_fraction = 0.0  # of requests
 
     def _run(self, message: BufferedHttpMessage, answer: Callable[[bytes], None]) -> None:
-        lost = self.rng.random() < self.losing
-        super()._run(message, (lambda data: None) if lost else answer)
+        dropped = self.rng.random() < self.drop_fraction
+        super()._run(message, (lambda data: None) if dropped else answer)
 
 
 @dataclass(eq=False)
 class Machine:
-    """A machine with one of our processes.  service: empty on a control machine."""
+    """A machine with one process of the mesh.  service: empty on a control machine."""
 
     host: str
     zone: int
     service: str = ""
     process: asyncio.subprocess.Process | None = None
-    killed: bool = False  # its process is down on purpose
+    stopped_on_purpose: bool = False  # its process was stopped on purpose
     paused: bool = False
-    server: AnswerLosingServer | None = None
+    server: ResponseDroppingServer | None = None
     clients: Clients | None = None
-    kept: list[KeptConnection] = field(default_factory=list)
-    ends: list[float] = field(default_factory=list)  # when its processes ended, however
-    starts: int = 0
+    keep_alive_clients: list[KeepAliveClient] = field(default_factory=list)
+    exit_times: list[float] = field(default_factory=list)  # when its processes exited, for whatever reason
+    start_count: int = 0
     started_at: float = 0.0
 
     @property
@@ -99,34 +99,38 @@
 
 @dataclass(slots=True)
 class Log:
-    """What happened, for whoever looks for the cause of a broken invariant."""
+    """The injected faults with their times, to find the cause of a violated invariant."""
 
-    began: float
+    started_at: float
     lines: list[str] = field(default_factory=list)
 
     def add(self, text: str) -> None:
-        now = asyncio.get_running_loop().time() - self.began
+        now = asyncio.get_running_loop().time() - self.started_at
         self.lines.append(f"{now:8.3f} s  {text}")
 
 
 class World:
-    """seed: of all that is drawn here; folder: for settings, disks and outputs."""
+    """seed: of all random draws here; folder: for settings files, disks and process logs."""
 
-    def __init__(self, seed: int, folder: Path, *, cores: int = 3, sides: int = 4, plant: str = "") -> None:
-        self._plant = plant
+    def __init__(
+        self, seed: int, folder: Path, *, control_count: int = 3, node_count: int = 4, planted_fault: str = ""
+    ) -> None:
+        self._planted_fault = planted_fault
         self.rng = Random(f"soak/{seed}")
         self.folder = folder
-        self.base = free_port()
+        self.base_port = free_port()
         self.relay = Relay()
         self.log = Log(asyncio.get_running_loop().time())
-        self.core = [Machine(f"127.0.1.{i + 1}", i % 3) for i in range(cores)]
-        self.side = [Machine(f"127.0.2.{i + 1}", i % 3, SERVICES[i % len(SERVICES)]) for i in range(sides)]
-        self.ended: list[str] = []  # processes that ended by themselves
-        self._watchers: set[asyncio.Task[None]] = set()
+        self.control_machines = [Machine(f"127.0.1.{i + 1}", i % 3) for i in range(control_count)]
+        self.node_machines = [
+            Machine(f"127.0.2.{i + 1}", i % 3, SERVICES[i % len(SERVICES)]) for i in range(node_count)
+        ]
+        self.unexpected_exits: list[str] = []  # processes that exited although nothing stopped them
+        self._tasks: set[asyncio.Task[None]] = set()
 
     @property
     def machines(self) -> list[Machine]:
-        return [*self.core, *self.side]
+        return [*self.control_machines, *self.node_machines]
 
     # ------------------------------------------------------------ processes
 
@@ -134,98 +138,109 @@
         await self.relay.start(RELAY_HOST)
         for machine in self.machines:
             await self.start_process(machine, first=True)
-        for machine in self.side:
-            server = AnswerLosingServer(
+        for machine in self.node_machines:
+            server = ResponseDroppingServer(
                 f"i-{machine.host}",
                 machine.service,
                 f"z{machine.zone}",
-                (machine.host, self.base + 1),
-                (machine.host, self.base),
-                SLOTS,
-                WORK_S,
+                (machine.host, self.base_port + 1),
+                (machine.host, self.base_port),
+                SERVER_SLOTS,
+                SERVER_WORK_S,
                 Random(self.rng.random()),
             )
             machine.server = server
             await server.start()
 
     async def start_process(self, machine: Machine, *, first: bool = False) -> None:
-        machine.starts += 1
+        machine.start_count += 1
         machine.started_at = asyncio.get_running_loop().time()
-        machine.killed = machine.paused = False
+        machine.stopped_on_purpose = machine.paused = False
         path = self.folder / f"{machine.host}.toml"
         path.write_text(self._settings(machine, first=first))
         environment = {
             **os.environ,
             "LEADRUDDER_NODE_FILE": str(path),
-            RELAY_VARIABLE: self.relay.address,
-            HOST_VARIABLE: machine.host,
+            RELAY_ENV_VARIABLE: self.relay.address,
+            HOST_ENV_VARIABLE: machine.host,
         }
         with open(self.folder / f"{machine.host}.log", "ab") as output:
-            command = [sys.executable, "-m", "bench.soak.process", machine.role, "--plant", self._plant]
+            command = [
+                sys.executable,
+                "-m",
+                "bench.soak.process",
+                machine.role,
+                "--plant",
+                self._planted_fault,
+            ]
             machine.process = await asyncio.create_subprocess_exec(*command, env=environment, stderr=output)
-        watcher = asyncio.ensure_future(self._watch(machine, machine.process))
-        self._watchers.add(watcher)
-        watcher.add_done_callback(self._watchers.discard)
+        watch_task = asyncio.ensure_future(self._watch(machine, machine.process))
+        self._tasks.add(watch_task)
+        watch_task.add_done_callback(self._tasks.discard)
 
     async def _watch(self, machine: Machine, process: asyncio.subprocess.Process) -> None:
         code = await process.wait()
-        machine.ends.append(asyncio.get_running_loop().time())
-        if not machine.killed and machine.process is process:
-            self.ended.append(f"{machine.role} {machine.host} ended by itself with {code}")
+        machine.exit_times.append(asyncio.get_running_loop().time())
+        if not machine.stopped_on_purpose and machine.process is process:
+            self.unexpected_exits.append(
+                f"{machine.role} {machine.host} exited unexpectedly with code {code}"
+            )
 
     def _settings(self, machine: Machine, *, first: bool) -> str:
-        side = bool(machine.service)
-        outbound = f'outboundPort = "{machine.host}:{self.base + 2}"'
-        readiness = f'readiness = "{machine.host}:{self.base + 3}"'
-        return SETTINGS.format(
+        has_service = bool(machine.service)
+        outbound = f'outboundPort = "{machine.host}:{self.base_port + 2}"'
+        readiness = f'readiness = "{machine.host}:{self.base_port + 3}"'
+        return SETTINGS_TEMPLATE.format(
             name=f"{machine.role}-{machine.host}",
             zone=machine.zone,
             host=machine.host,
-            links=self.base + 4,
-            last=self.base + 9,
-            seeds=", ".join(f'"{core.host}:{self.base}"' for core in self.core),
+            links=self.base_port + 4,
+            last=self.base_port + 9,
+            seeds=", ".join(f'"{core.host}:{self.base_port}"' for core in self.control_machines),
             first="true" if first else "false",
-            folder="" if side else self.folder / f"disk-{machine.host}",
-            app=self.base + 1,
+            folder="" if has_service else self.folder / f"disk-{machine.host}",
+            app=self.base_port + 1,
             service=machine.service,
-            control=self.base,
-            more=f"{outbound}\n{readiness}" if side else "",
+            control=self.base_port,
+            more=f"{outbound}\n{readiness}" if has_service else "",
         )
 
     def kill(self, machine: Machine) -> None:
-        """SIGKILL; what was synced stays."""
+        """SIGKILL; synced data stays on the disk."""
         assert machine.process is not None
-        machine.killed = True
+        machine.stopped_on_purpose = True
         with contextlib.suppress(ProcessLookupError):
             machine.process.kill()
 
-    async def terminate(self, machine: Machine, within_s: float) -> None:
-        """SIGTERM, and the process's own end; one that does not end in time, or not well, is a fault."""
+    async def terminate(self, machine: Machine, timeout_s: float) -> None:
+        """SIGTERM, then wait; records a violation if the process exits too late or with an error code."""
         process = machine.process
         assert process is not None
         starting = self._starting(machine)
-        machine.killed = True
+        machine.stopped_on_purpose = True
         self._send(process, signal.SIGTERM)
         try:
-            code = await asyncio.wait_for(process.wait(), within_s)
+            code = await asyncio.wait_for(process.wait(), timeout_s)
         except TimeoutError:
             process.kill()
             code = await process.wait()
         if code and not (starting and code == -signal.SIGTERM):
-            self.ended.append(f"{machine.role} {machine.host} ended with {code} after SIGTERM")
+            self.unexpected_exits.append(
+                f"{machine.role} {machine.host} exited with code {code} after SIGTERM"
+            )
 
     @staticmethod
     def _starting(machine: Machine) -> bool:
-        """Whether its interpreter may not have come to our code yet, which knows signals."""
-        return asyncio.get_running_loop().time() - machine.started_at < STARTS_S
+        """Whether its interpreter may not have reached the code that handles signals yet."""
+        return asyncio.get_running_loop().time() - machine.started_at < INTERPRETER_START_S
 
-    def hang_up(self, machine: Machine) -> None:
-        """SIGHUP: its settings are to be read again.  Not while its interpreter starts: it would end."""
-        if machine.process is not None and not machine.killed and not self._starting(machine):
+    def reload_settings(self, machine: Machine) -> None:
+        """SIGHUP: reload the settings.  Not while the interpreter starts, as the signal would end it."""
+        if machine.process is not None and not machine.stopped_on_purpose and not self._starting(machine):
             self._send(machine.process, signal.SIGHUP)
 
-    def wipe(self, machine: Machine) -> None:
-        """The disk of a machine whose process is down is empty from now on."""
+    def wipe_disk(self, machine: Machine) -> None:
+        """Delete the disk of a machine whose process is down."""
         shutil.rmtree(self.folder / f"disk-{machine.host}", ignore_errors=True)
 
     def pause(self, machine: Machine) -> None:
@@ -236,24 +251,24 @@
         self._signal(machine, signal.SIGCONT)
         machine.paused = False
 
-    def _signal(self, machine: Machine, number: signal.Signals) -> None:
-        if machine.process is not None and not machine.killed:
-            self._send(machine.process, number)
+    def _signal(self, machine: Machine, signal_number: signal.Signals) -> None:
+        if machine.process is not None and not machine.stopped_on_purpose:
+            self._send(machine.process, signal_number)
 
     @staticmethod
-    def _send(process: asyncio.subprocess.Process, number: signal.Signals) -> None:
+    def _send(process: asyncio.subprocess.Process, signal_number: signal.Signals) -> None:
         with contextlib.suppress(ProcessLookupError):
-            process.send_signal(number)
+            process.send_signal(signal_number)
 
-    async def end(self) -> list[str]:
-        """SIGTERM to all; returns the machines whose processes did not end well."""
+    async def shut_down(self) -> list[str]:
+        """SIGTERM to all; describes the processes that exited with an error code or too late."""
         for machine in self.machines:
-            machine.killed = True
+            machine.stopped_on_purpose = True
             if machine.process is not None:
                 with contextlib.suppress(ProcessLookupError):
                     machine.process.send_signal(signal.SIGCONT)
                     machine.process.terminate()
-        wrong = []
+        errors = []
         for machine in self.machines:
             if machine.process is not None:
                 try:
@@ -262,64 +277,71 @@
                     machine.process.kill()
                     code = await machine.process.wait()
                 if code:
-                    wrong.append(f"{machine.role} {machine.host} ended with {code}")
+                    errors.append(f"{machine.role} {machine.host} exited with code {code} on shutdown")
         self.relay.close()
-        return wrong
+        return errors
 
-    def faults(self) -> list[str]:
-        """Machines whose processes have written of a fault of their own."""
-        outputs = {machine: self.folder / f"{machine.host}.log" for machine in self.machines}
-        wrong = [m for m, path in outputs.items() if "Traceback" in path.read_text(errors="replace")]
-        return [f"{machine.role} {machine.host} has written of a fault of its own" for machine in wrong]
+    def logged_errors(self) -> list[str]:
+        """Describes the processes that logged a traceback."""
+        log_paths = {machine: self.folder / f"{machine.host}.log" for machine in self.machines}
+        errors = [m for m, path in log_paths.items() if "Traceback" in path.read_text(errors="replace")]
+        return [f"{machine.role} {machine.host} logged a traceback" for machine in errors]
 
-    # ------------------------------------------------------------ calls
+    # ------------------------------------------------------------ requests
 
-    async def ask(
-        self, machine: Machine, method: str, path: str, body: Any = None, within_s: float = CALL_S
+    async def call_control_api(
+        self, machine: Machine, method: str, path: str, body: Any = None, timeout_s: float = CALL_TIMEOUT_S
     ) -> BufferedHttpMessage | None:
-        """One call to a machine's control interface, by whoever is not on the network that is troubled."""
+        """One request to a machine's control interface, past the relay and so free of network faults."""
         data = b"" if body is None else json.dumps(body).encode()
-        address = (machine.host, self.base)
-        return await call(address, request(method, path, "control", body=data), within_s)
+        address = (machine.host, self.base_port)
+        return await call(address, request(method, path, "control", body=data), timeout_s)
 
-    async def metrics(self, machine: Machine) -> dict[str, float]:
-        answer = await self.ask(machine, "GET", "/metrics", within_s=3.0)
+    async def fetch_metrics(self, machine: Machine) -> dict[str, float]:
+        answer = await self.call_control_api(machine, "GET", "/metrics", timeout_s=3.0)
         if answer is None or answer.status != 200:
-            raise InvariantError(f"{machine.role} {machine.host} tells no metrics")
-        pairs = (line.rsplit(" ", 1) for line in answer.body.decode().splitlines())
-        return {name: float(value) for name, value in pairs}
-
-    def start_clients(self, until: float) -> None:
-        part = min(1.0, USUAL_SIDES / len(self.side))
-        wishes = tuple(replace(wish, per_s=wish.per_s * part) for wish in WISHES)
-        for machine in self.side:
-            address = machine.host, self.base + 2
-            machine.clients = Clients(f"c-{machine.host}", address, wishes, until, Random(self.rng.random()))
+            raise InvariantError(f"{machine.role} {machine.host} returned no metrics")
+        samples = (line.rsplit(" ", 1) for line in answer.body.decode().splitlines())
+        return {name: float(value) for name, value in samples}
+
+    def start_clients(self, end: float) -> None:
+        rate_factor = min(1.0, FULL_RATE_NODES / len(self.node_machines))
+        request_kinds = tuple(replace(kind, per_s=kind.per_s * rate_factor) for kind in REQUEST_KINDS)
+        for machine in self.node_machines:
+            address = machine.host, self.base_port + 2
+            machine.clients = Clients(
+                f"c-{machine.host}", address, request_kinds, end, Random(self.rng.random())
+            )
             machine.clients.start()
-            for i in range(KEPT_EACH):
-                kept = KeptConnection(
+            for i in range(KEEP_ALIVE_CLIENTS_PER_NODE):
+                client = KeepAliveClient(
                     f"k-{machine.host}-{i}",
                     address,
-                    wishes,
-                    until,
-                    KEPT_PAUSE_S / part,
+                    request_kinds,
+                    end,
+                    KEEP_ALIVE_MEAN_PAUSE_S / rate_factor,
                     Random(self.rng.random()),
                 )
-                machine.kept.append(kept)
-                task = asyncio.ensure_future(kept.run())
-                self._watchers.add(task)
-                task.add_done_callback(self._watchers.discard)
-
-    def kept_requests(self) -> list[tuple[Machine, KeptRequest]]:
-        return [(m, asked) for m in self.side for kept in m.kept for asked in kept.requests]
-
-    def asked(self) -> list[Asked]:
-        return [asked for machine in self.side if machine.clients for asked in machine.clients.asked]
-
-    def runs(self) -> Counter[str]:
-        """How often each try ran, at all servers."""
+                machine.keep_alive_clients.append(client)
+                task = asyncio.ensure_future(client.run())
+                self._tasks.add(task)
+                task.add_done_callback(self._tasks.discard)
+
+    def keep_alive_requests(self) -> list[tuple[Machine, KeepAliveRequest]]:
+        return [
+            (m, sent)
+            for m in self.node_machines
+            for client in m.keep_alive_clients
+            for sent in client.requests
+        ]
+
+    def sent_requests(self) -> list[Asked]:
+        return [sent for machine in self.node_machines if machine.clients for sent in machine.clients.asked]
+
+    def runs_by_attempt(self) -> Counter[str]:
+        """How often each attempt ran, at all servers together."""
         total: Counter[str] = Counter()
-        for machine in self.side:
+        for machine in self.node_machines:
             if machine.server is not None:
                 total.update(machine.server.runs)
         return total
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak's own parts: its plan, its relay, and what it holds answers against."""
+"""The parts of the soak: its fault plan, its relay and its invariant checks."""
 
 from __future__ import annotations
 
@@ -10,46 +10,48 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
-from bench.soak.checks import judge_kept, judge_requests
-from bench.soak.clients import KeptRequest, read_answer
-from bench.soak.faults import CORE_KINDS, SETTLE_S, Kind, overlapping, plan
-from bench.soak.operators import Held, Operators, idle_name, route
+from bench.soak.checks import check_keep_alive_requests, check_requests
+from bench.soak.clients import KeepAliveRequest, read_response
+from bench.soak.faults import CONTROL_FAULT_KINDS, RECOVERY_GAP_S, FaultKind, count_overlapping, plan_faults
+from bench.soak.operators import AcknowledgedRoute, Operators, idle_route_name, route_record
 from bench.soak.relay import Relay
 from bench.soak.world import InvariantError
 from leadrudder.emulation.standins import Asked
 
-CORE, SIDES = ["127.0.1.1", "127.0.1.2", "127.0.1.3"], ["127.0.2.1", "127.0.2.2"]
-NAME = idle_name(0)
+CONTROL_HOSTS, NODE_HOSTS = ["127.0.1.1", "127.0.1.2", "127.0.1.3"], ["127.0.2.1", "127.0.2.2"]
+ROUTE_NAME = idle_route_name(0)
 
 
-class ThePlan(unittest.TestCase):
-    def test_a_seed_brings_the_same_troubles_again(self) -> None:
-        first, again, other = (plan(Random(seed), CORE, SIDES, 30.0) for seed in (1, 1, 2))
+class FaultPlanTest(unittest.TestCase):
+    def test_a_seed_gives_the_same_faults_again(self) -> None:
+        first, again, other = (
+            plan_faults(Random(seed), CONTROL_HOSTS, NODE_HOSTS, 30.0) for seed in (1, 1, 2)
+        )
         self.assertEqual(first, again)
         self.assertNotEqual(first, other)
 
-    def test_troubles_overlap_and_machines_with_a_disk_come_one_at_a_time(self) -> None:
+    def test_faults_overlap_and_control_machines_fail_one_at_a_time(self) -> None:
         kinds = set()
         for seed in range(20):
-            troubles = plan(Random(seed), CORE, SIDES, 30.0)
-            self.assertGreater(overlapping(troubles), 0.8 * len(troubles))
-            core = [trouble for trouble in troubles if trouble.host in CORE]
+            faults = plan_faults(Random(seed), CONTROL_HOSTS, NODE_HOSTS, 30.0)
+            self.assertGreater(count_overlapping(faults), 0.8 * len(faults))
+            core = [fault for fault in faults if fault.host in CONTROL_HOSTS]
             for one, two in zip(core, core[1:], strict=False):
-                self.assertGreaterEqual(two.at - one.end, SETTLE_S)
-            kinds |= {trouble.kind for trouble in troubles}
-        self.assertEqual(kinds, set(Kind))
-        self.assertNotIn(Kind.LOST_ANSWERS, CORE_KINDS)
+                self.assertGreaterEqual(two.start_s - one.end_s, RECOVERY_GAP_S)
+            kinds |= {fault.kind for fault in faults}
+        self.assertEqual(kinds, set(FaultKind))
+        self.assertNotIn(FaultKind.DROPPED_RESPONSES, CONTROL_FAULT_KINDS)
 
 
-class TheRelay(unittest.TestCase):
-    def test_a_path_that_is_cut_holds_bytes_up_and_loses_none(self) -> None:
-        asyncio.run(self.over_relay(self.cut))
+class RelayTest(unittest.TestCase):
+    def test_a_blocked_direction_delays_bytes_and_loses_none(self) -> None:
+        asyncio.run(self.run_over_relay(self.check_blocked_direction))
 
-    def test_a_reset_ends_connections(self) -> None:
-        asyncio.run(self.over_relay(self.reset))
+    def test_a_reset_closes_connections(self) -> None:
+        asyncio.run(self.run_over_relay(self.check_reset))
 
-    async def over_relay(
-        self, play: Callable[[Relay, asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+    async def run_over_relay(
+        self, check: Callable[[Relay, asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
     ) -> None:
         async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while data := await reader.read(100):
@@ -63,107 +65,111 @@
         reader, writer = await asyncio.open_connection(host, int(relay_port))
         writer.write(f"127.9.9.9 127.0.0.1 {port}\n".encode())
         self.assertEqual(await reader.readexactly(1), b"+")
-        await play(relay, reader, writer)
+        await check(relay, reader, writer)
         writer.transport.abort()
         relay.close()
         server.close()
 
-    async def cut(self, relay: Relay, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        relay.cut.add(("127.0.0.1", "127.9.9.9"))  # the way back
+    async def check_blocked_direction(
+        self, relay: Relay, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        relay.blocked.add(("127.0.0.1", "127.9.9.9"))  # from the server to the client
         writer.write(b"hello")
         with self.assertRaises(TimeoutError):
             await asyncio.wait_for(reader.readexactly(5), 0.1)
-        relay.cut.clear()
+        relay.blocked.clear()
         self.assertEqual(await asyncio.wait_for(reader.readexactly(5), 2.0), b"hello")
 
-    async def reset(self, relay: Relay, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def check_reset(
+        self, relay: Relay, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         relay.reset("127.0.0.1")
         with self.assertRaises((ConnectionResetError, asyncio.IncompleteReadError)):
             await asyncio.wait_for(reader.readexactly(1), 2.0)
 
 
-class WhatIsHeld(unittest.TestCase):
+class ReadBackTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.content = route("h", "/", "kal", once=False, give_up_ms=1000, version=5)
-        self.told: dict[str, Any] = {}
-        self.world = SimpleNamespace(ask=self.ask)
+        self.content = route_record("h", "/", "kal", once=False, give_up_ms=1000, version=5)
+        self.found: dict[str, Any] = {}
+        self.world = SimpleNamespace(call_control_api=self.call_control_api)
         self.operators = Operators(cast(Any, self.world), Random(1))
-        self.operators.acked[NAME] = Held(5, self.content)
+        self.operators.acknowledged[ROUTE_NAME] = AcknowledgedRoute(5, self.content)
 
-    async def ask(self, *given: Any, **named: Any) -> Any:
-        return SimpleNamespace(status=200, body=json.dumps({"routes": self.told}).encode())
+    async def call_control_api(self, *args: Any, **kwargs: Any) -> Any:
+        return SimpleNamespace(status=200, body=json.dumps({"routes": self.found}).encode())
 
-    def read(self, **told: Any) -> bool:
-        self.told = told
-        return asyncio.run(self.operators.read(cast(Any, SimpleNamespace(host="c"))))
+    def read(self, **found: Any) -> bool:
+        self.found = found
+        return asyncio.run(self.operators.read_and_check(cast(Any, SimpleNamespace(host="c"))))
 
-    def test_what_was_acknowledged_or_is_newer_is_right(self) -> None:
-        self.assertTrue(self.read(**{NAME: self.content}))
-        self.assertTrue(self.read(**{NAME: {**self.content, "version": "00000006"}}))
+    def test_the_acknowledged_version_or_a_newer_one_is_accepted(self) -> None:
+        self.assertTrue(self.read(**{ROUTE_NAME: self.content}))
+        self.assertTrue(self.read(**{ROUTE_NAME: {**self.content, "version": "00000006"}}))
 
-    def test_older_other_or_missing_is_wrong(self) -> None:
-        for told in (
+    def test_an_older_altered_or_missing_route_is_rejected(self) -> None:
+        for found in (
             {},
-            {NAME: {**self.content, "version": "00000004"}},
-            {NAME: {**self.content, "tries": 9}},
+            {ROUTE_NAME: {**self.content, "version": "00000004"}},
+            {ROUTE_NAME: {**self.content, "tries": 9}},
         ):
-            with self.subTest(told), self.assertRaises(InvariantError):
-                self.read(**told)
+            with self.subTest(found), self.assertRaises(InvariantError):
+                self.read(**found)
 
-    def test_missing_is_right_where_a_later_removal_was_sent(self) -> None:
-        self.operators.removals[NAME] = 7
+    def test_a_missing_route_is_accepted_if_a_later_removal_was_sent(self) -> None:
+        self.operators.sent_removals[ROUTE_NAME] = 7
         self.assertTrue(self.read())
 
-    def test_a_removed_route_does_not_come_back(self) -> None:
-        self.operators.acked[NAME] = Held(6, None)
+    def test_a_removed_route_must_not_come_back(self) -> None:
+        self.operators.acknowledged[ROUTE_NAME] = AcknowledgedRoute(6, None)
         self.assertTrue(self.read())
         with self.assertRaises(InvariantError):
-            self.read(**{NAME: self.content})
+            self.read(**{ROUTE_NAME: self.content})
 
 
-class Requests(unittest.TestCase):
-    def judge(self, runs: dict[str, int], *ids: str, served: str = "") -> None:
-        judge_requests({"x": 0, **runs}, [Asked(0.0, "h", True, list(ids), served)])
+class RequestInvariantsTest(unittest.TestCase):
+    def check_invariants(self, runs: dict[str, int], *ids: str, served: str = "") -> None:
+        check_requests({"x": 0, **runs}, [Asked(0.0, "h", True, list(ids), served)])
 
-    def test_a_booking_runs_once_and_never_after_a_promise(self) -> None:
-        self.judge({"a": 0, "b": 1}, "a", "b", served="b")
+    def test_a_booking_runs_once_and_never_after_a_not_run_response(self) -> None:
+        self.check_invariants({"a": 0, "b": 1}, "a", "b", served="b")
         for runs, ids, served in (
             ({"a": 2}, ["a"], "a"),
             ({"a": 1, "b": 1}, ["a", "b"], "b"),
             ({"a": 0}, ["a"], "a"),
         ):
             with self.subTest(runs), self.assertRaises(InvariantError):
-                self.judge(runs, *ids, served=served)
+                self.check_invariants(runs, *ids, served=served)
 
 
-class Kept(unittest.TestCase):
-    def judge(self, ran: int, *ends: float, **told: Any) -> None:
-        machine = cast(Any, SimpleNamespace(ends=list(ends)))
-        judge_kept({"a": ran}, [(machine, KeptRequest("a", True, 1.0, **told))])
+class KeepAliveInvariantsTest(unittest.TestCase):
+    def check_invariants(self, run_count: int, *exit_times: float, **found: Any) -> None:
+        machine = cast(Any, SimpleNamespace(exit_times=list(exit_times)))
+        check_keep_alive_requests({"a": run_count}, [(machine, KeepAliveRequest("a", True, 1.0, **found))])
 
-    def test_a_connection_ends_without_its_answer_only_with_its_process(self) -> None:
-        self.judge(1, 5.1, cut_at=5.0)
+    def test_a_connection_closes_without_a_response_only_with_its_process(self) -> None:
+        self.check_invariants(1, 5.1, lost_at=5.0)
         with self.assertRaises(InvariantError):
-            self.judge(1, 9.0, cut_at=5.0)
+            self.check_invariants(1, 9.0, lost_at=5.0)
 
-    def test_a_close_that_crossed_the_request_is_none_of_it_unless_it_ran(self) -> None:
-        self.judge(0, cut_at=1.01)
+    def test_a_close_that_raced_with_the_request_is_allowed_unless_it_ran(self) -> None:
+        self.check_invariants(0, lost_at=1.01)
         with self.assertRaises(InvariantError):
-            self.judge(1, cut_at=1.01)
+            self.check_invariants(1, lost_at=1.01)
 
-    def test_what_is_told_of_a_booking_holds(self) -> None:
-        self.judge(1, status=200)
-        self.judge(0, status=503)
-        for ran, status in ((0, 200), (1, 503), (2, 200)):
+    def test_a_response_to_a_booking_agrees_with_its_runs(self) -> None:
+        self.check_invariants(1, status=200)
+        self.check_invariants(0, status=503)
+        for run_count, status in ((0, 200), (1, 503), (2, 200)):
             with self.subTest(status), self.assertRaises(InvariantError):
-                self.judge(ran, status=status)
+                self.check_invariants(run_count, status=status)
 
-    def test_an_answer_is_read_whole_and_its_close_is_seen(self) -> None:
+    def test_a_response_is_read_whole_and_its_close_is_noticed(self) -> None:
         async def read(text: bytes) -> tuple[int, bool]:
             reader = asyncio.StreamReader()
             reader.feed_data(text)
             reader.feed_eof()
-            return await read_answer(reader)
+            return await read_response(reader)
 
         whole = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok"
         self.assertEqual(asyncio.run(read(whole)), (200, True))
