--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,2 +1,4 @@
-"""Measurements: run as `python -m bench.NAME`; each compares within one run and ends with one line of
-figures."""
+"""Benchmarks, run as `python -m bench.NAME`.
+
+Each compares within one run and prints its figures as the last line.
+"""
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,10 +1,10 @@
-"""What each role costs by the number of nodes and of items: python -m bench.capacity [--nodes 4,12,36,108].
+"""The cost of each role by the number of nodes and items: python -m bench.capacity [--nodes 4,12,36,108].
 
-Hollow nodes: the programs that run, in virtual time, each beside a stand-in server that beats, with sessions,
-news and subscriptions but no requests. Processor time is real, of the steps of each process; bytes are what
-it hands to its connections. Every figure is fitted by a straight line over the sizes; one that is further
-than a fifth from its line at any size is marked, and nothing is worked out from it. Items: the interlockings
-of three control machines in virtual time.
+Nodes: the real programs in virtual time, each beside an emulated server that sends heartbeats, with sessions,
+updates and subscriptions but no requests. Processor time is real, of the steps of each process; bytes are
+those written to its connections. A straight line is fitted to each figure over the sizes; if any size
+deviates by more than a fifth, nothing is extrapolated from it. Items: the state machines of three control
+machines in virtual time.
 
     --write puts the tables between the marks in docs/CAPACITY.md
 """
@@ -33,14 +33,14 @@
 PAGE = Path(__file__).resolve().parent.parent / "docs/CAPACITY.md"
 BEGIN_MARK, END_MARK = "<!-- bench.capacity -->", "<!-- end -->"
 TARGET_NODES = 12_000
-NODES_A_SERVICE = 24
-SETTLED_S, WATCHED_S = 8.0, 10.0  # virtual seconds before figures count, and that they are counted for
-SIZES_LEAST = 4  # of a slope from which anything is worked out
-OFF_LINE = 0.2  # part by which a point may be off its line
+NODES_PER_SERVICE = 24
+SETTLE_S, MEASURED_S = 8.0, 10.0  # virtual times: before the measurement, and of it
+MIN_SIZES_FOR_FIT = 4  # for an extrapolation
+MAX_RELATIVE_DEVIATION = 0.2  # relative deviation of any size for a fit to count as linear
 
 
-class ByteTap(Untapped):
-    """Counts what each process hands to its connections."""
+class ByteCounter(Untapped):
+    """Counts the bytes that each process writes to its connections."""
 
     def __init__(self) -> None:
         self.by_process: Counter[str] = Counter()
@@ -50,8 +50,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
-    """Of one size. cpu: per cent of a core; bytes: a second; apply_s: from an order to the last node."""
+class NodeFigures:
+    """The figures of one size.
+
+    cpu: per cent of a core; bytes: per second; apply_s: from a change's acknowledgement to the last node.
+    """
 
     nodes: int
     control_cpu: float
@@ -62,40 +65,40 @@
     informed_s: float
 
 
-def plan(nodes: int) -> Plan:
-    count = max(1, nodes // NODES_A_SERVICE)
+def fleet_plan(nodes: int) -> Plan:
+    count = max(1, nodes // NODES_PER_SERVICE)
     services = {f"s{i}": nodes // count for i in range(count)}
     routes = {f"r{name}": route(f"{name}.example", name, once=False) for name in services}
     return Plan(services, (), routes, traffic=(1e6, 1e6))
 
 
-def measure(nodes: int) -> Figures:
-    """One mesh of so many nodes in calm, then one change."""
-    spent: Counter[str] = Counter()
-    enter = VirtualLoop.enter
+def measure(nodes: int) -> NodeFigures:
+    """A mesh of so many nodes without traffic, then one change."""
+    cpu_s_by_process: Counter[str] = Counter()
+    run_step = VirtualLoop.enter
 
     def timed(loop: VirtualLoop, step: Step) -> None:
-        began = time.process_time()
-        enter(loop, step)
-        spent[loop.name] += time.process_time() - began  # type: ignore[assignment]
+        started_at = time.process_time()
+        run_step(loop, step)
+        cpu_s_by_process[loop.name] += time.process_time() - started_at  # type: ignore[assignment]
 
-    tap = ByteTap()
+    byte_counter = ByteCounter()
     with mock.patch.object(VirtualLoop, "enter", timed):
-        fleet = Fleet(1, plan(nodes))
-        fleet.network.tap = tap
-        informed_s = _until(fleet, lambda: all(m.station and m.station.ready() for m in fleet.side))
-        fleet.play(max(SETTLED_S, fleet.now))
-        spent.clear()
-        tap.by_process.clear()
-        fleet.play(fleet.now + WATCHED_S)
-        cpu, sent = dict(spent), dict(tap.by_process)
-        apply_s = _apply(fleet)
-
-    def mean(of: dict[str, float] | dict[str, int], kind: str) -> float:
-        values = [value for name, value in of.items() if f".{kind}." in name]
-        return sum(values) / max(1, len(values)) / WATCHED_S
-
-    return Figures(
+        fleet = Fleet(1, fleet_plan(nodes))
+        fleet.network.tap = byte_counter
+        informed_s = _run_until(fleet, lambda: all(m.station and m.station.ready() for m in fleet.side))
+        fleet.play(max(SETTLE_S, fleet.now))
+        cpu_s_by_process.clear()
+        byte_counter.by_process.clear()
+        fleet.play(fleet.now + MEASURED_S)
+        cpu, sent = dict(cpu_s_by_process), dict(byte_counter.by_process)
+        apply_s = _measure_apply_s(fleet)
+
+    def mean(totals: dict[str, float] | dict[str, int], role: str) -> float:
+        values = [value for name, value in totals.items() if f".{role}." in name]
+        return sum(values) / max(1, len(values)) / MEASURED_S
+
+    return NodeFigures(
         nodes,
         100.0 * mean(cpu, "signalbox"),
         mean(sent, "signalbox"),
@@ -106,19 +109,22 @@
     )
 
 
-def _until(fleet: Fleet, done: Callable[[], bool], most_s: float = 60.0) -> float:
-    while not done() and fleet.now < most_s:
+def _run_until(fleet: Fleet, is_done: Callable[[], bool], timeout_s: float = 60.0) -> float:
+    while not is_done() and fleet.now < timeout_s:
         fleet.play(fleet.now + 0.02)
     return fleet.now
 
 
-def _apply(fleet: Fleet) -> float:
-    """Seconds from the acknowledgement of a change until the last node has it in force."""
-    name, text = next(iter(fleet.plan.routes.items()))
+def _measure_apply_s(fleet: Fleet) -> float:
+    """Seconds from the acknowledgement of a change until the last node has applied it."""
+    name, route_settings = next(iter(fleet.plan.routes.items()))
     acknowledged: list[float] = []
 
     async def operate() -> None:
-        body = {"addOrReplace": {"routes": {name: {**text, "version": "0000000f"}}}, "remove": {"routes": []}}
+        body = {
+            "addOrReplace": {"routes": {name: {**route_settings, "version": "0000000f"}}},
+            "remove": {"routes": []},
+        }
         status, _ = await fleet.ask("PATCH", "/config", body)
         if status == 200:
             acknowledged.append(fleet.now)
@@ -126,41 +132,45 @@
     fleet.operate(operate)
     key = f"routes/{name}"
 
-    def everywhere() -> bool:
+    def applied_everywhere() -> bool:
         items = [m.station.state.book.items.get(key) for m in fleet.side if m.station is not None]
         return bool(acknowledged) and all(item is not None and item.version == 15 for item in items)
 
-    return max(0.0, _until(fleet, everywhere, fleet.now + 20.0) - (acknowledged or [fleet.now])[0])
+    return max(
+        0.0, _run_until(fleet, applied_everywhere, fleet.now + 20.0) - (acknowledged or [fleet.now])[0]
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
-    """A straight line through points, and how far the furthest is off it, as a part of its value."""
+class LinearFit:
+    """A least-squares line, and the largest deviation of a point from it, relative to the point's value."""
 
-    start: float
+    intercept: float
     slope: float
-    off: float
+    max_deviation: float
 
     @classmethod
-    def fit(cls, xs: Sequence[float], ys: Sequence[float]) -> Line:
+    def fit(cls, xs: Sequence[float], ys: Sequence[float]) -> LinearFit:
         mean_x, mean_y = sum(xs) / len(xs), sum(ys) / len(ys)
         spread = sum((x - mean_x) ** 2 for x in xs)
         slope = sum((x - mean_x) * (y - mean_y) for x, y in zip(xs, ys, strict=True)) / spread
-        start = mean_y - slope * mean_x
-        off = max(abs(start + slope * x - y) / max(y, 1e-12) for x, y in zip(xs, ys, strict=True))
-        return cls(start, slope, off)
+        intercept = mean_y - slope * mean_x
+        max_deviation = max(
+            abs(intercept + slope * x - y) / max(y, 1e-12) for x, y in zip(xs, ys, strict=True)
+        )
+        return cls(intercept, slope, max_deviation)
 
-    def at(self, x: float) -> float:
-        return self.start + self.slope * x
+    def value_at(self, x: float) -> float:
+        return self.intercept + self.slope * x
 
     @property
-    def straight(self) -> bool:
-        return self.off <= OFF_LINE
+    def is_linear(self) -> bool:
+        return self.max_deviation <= MAX_RELATIVE_DEVIATION
 
 
 @dataclass(frozen=True, slots=True)
 class ItemFigures:
-    """read_bytes: of one reply to a read; order_ms: real processor time of an order at all three."""
+    """read_bytes: size of one read response; order_ms: processor time of one change at all three machines."""
 
     items: int
     read_bytes: int
@@ -169,7 +179,7 @@
 
 
 def measure_items(count: int) -> ItemFigures:
-    """Three control machines that hold so many items."""
+    """Three control machines with so many items."""
     tracemalloc.start()
     world = World(1)
     world.events_most = 10**8
@@ -187,15 +197,15 @@
     world.read(first, lambda answer: None)
     world.play(world.now + 0.5)
     read_bytes = world.largest_frame
-    began, orders = time.process_time(), 10
+    started_at, orders = time.process_time(), 10
     for i in range(orders):
         world.call(first, [Item(key=f"routes/r{i}", version=2, value=value)], lambda answer: None)
         world.play(world.now + 0.1)
-    order_ms = 1000.0 * (time.process_time() - began) / orders
+    order_ms = 1000.0 * (time.process_time() - started_at) / orders
     return ItemFigures(count, read_bytes, order_ms, memory / count / len(world.machines))
 
 
-def tables(nodes: Sequence[Figures], items: Sequence[ItemFigures]) -> list[str]:
+def table_rows(nodes: Sequence[NodeFigures], items: Sequence[ItemFigures]) -> list[str]:
     rows = [
         "| nodes | control: % of a core | control: bytes/s sent | node: % of a core | node: bytes/s sent |"
     ]
@@ -214,23 +224,29 @@
     ]
     xs = [float(f.nodes) for f in nodes]
     for name in ("control_cpu", "control_bytes", "node_cpu", "node_bytes"):
-        line = Line.fit(xs, [getattr(f, name) for f in nodes])
-        enough = len(nodes) >= SIZES_LEAST
-        told = f"{line.at(TARGET_NODES):.4g}" if line.straight and enough else "not worked out"
+        fit = LinearFit.fit(xs, [getattr(f, name) for f in nodes])
+        enough_sizes = len(nodes) >= MIN_SIZES_FOR_FIT
+        extrapolated = (
+            f"{fit.value_at(TARGET_NODES):.4g}" if fit.is_linear and enough_sizes else "not worked out"
+        )
         rows.append(
-            f"| {name} | {line.start:.4g} + {line.slope:.4g} a node | {100 * line.off:.0f}% | {told} |"
+            f"| {name} | {fit.intercept:.4g} + {fit.slope:.4g} a node "
+            f"| {100 * fit.max_deviation:.0f}% | {extrapolated} |"
         )
     rows += [
         "",
         "| items | one reply to a read, bytes | one order, ms of processor | memory an item, bytes |",
     ]
     rows.append("| --- | --- | --- | --- |")
-    for each in items:
-        rows.append(f"| {each.items} | {each.read_bytes} | {each.order_ms:.1f} | {each.memory_bytes:.0f} |")
+    for item_figures in items:
+        rows.append(
+            f"| {item_figures.items} | {item_figures.read_bytes} "
+            f"| {item_figures.order_ms:.1f} | {item_figures.memory_bytes:.0f} |"
+        )
     return rows
 
 
-def write(rows: Sequence[str]) -> None:
+def write_tables(rows: Sequence[str]) -> None:
     page = PAGE.read_text()
     block = re.compile(re.escape(BEGIN_MARK) + r".*?" + re.escape(END_MARK), re.DOTALL)
     PAGE.write_text(block.sub(lambda _: "\n".join([BEGIN_MARK, *rows, END_MARK]), page))
@@ -244,19 +260,19 @@
     arguments = parser.parse_args(argv)
     nodes = [measure(int(size)) for size in arguments.nodes.split(",")]
     items = [measure_items(int(size)) for size in arguments.items.split(",")]
-    rows = tables(nodes, items)
+    rows = table_rows(nodes, items)
     print("\n".join(rows))
     if arguments.write:
-        write(rows)
+        write_tables(rows)
     xs = [float(f.nodes) for f in nodes]
-    cpu = Line.fit(xs, [f.control_cpu for f in nodes])
-    sent = Line.fit(xs, [f.control_bytes for f in nodes])
+    cpu = LinearFit.fit(xs, [f.control_cpu for f in nodes])
+    sent = LinearFit.fit(xs, [f.control_bytes for f in nodes])
     print(
-        f"nodes={nodes[-1].nodes} services={len(plan(nodes[-1].nodes).services)} "
+        f"nodes={nodes[-1].nodes} services={len(fleet_plan(nodes[-1].nodes).services)} "
         f"control_cpu={nodes[-1].control_cpu:.2f}% control_bytes_s={nodes[-1].control_bytes:.0f} "
         f"node_cpu={nodes[-1].node_cpu:.3f}% node_bytes_s={nodes[-1].node_bytes:.0f} "
         f"apply_s={max(f.apply_s for f in nodes):.3f} "
-        f"straight_cpu={cpu.straight} straight_bytes={sent.straight}"
+        f"straight_cpu={cpu.is_linear} straight_bytes={sent.is_linear}"
     )
     return 0
 
--- a/bench/change_cost.py
+++ b/bench/change_cost.py
@@ -1,10 +1,10 @@
-"""What a change costs a data-plane process, by how much else it knows.
+"""The cost of one configuration change in a data-plane process, by the size of its state.
 
     python -m bench.change_cost [--rounds N]
 
-Processor time of one change of a route, by the number of routes, and of one station's news, by the number of
-stations, of which a quarter serve each service; a balancer for each tenth route. The last line has the growth
-from the smallest size to the largest: 1 where a change costs what it changes.
+Processor time of one change of a route, by the number of routes, and of an update of one node's servers, by
+the number of nodes. A quarter of the nodes serve each service, and every tenth route has a load balancer. The
+last line has the growth from the smallest size to the largest; 1 means that the size does not matter.
 """
 
 from __future__ import annotations
@@ -27,38 +27,38 @@
 from leadrudder.protocol.mesh_pb2 import Item, Node
 
 SIZES = (30, 100, 300, 1000, 3000)
-SERVICES = 4
-BALANCERS_PART = 10  # one of so many routes has been asked for
+SERVICE_COUNT = 4
+ROUTES_PER_BALANCER = 10  # one of so many routes has a load balancer
 SETTINGS = {"nodeName": "n", "zone": "z0", "ip": "10.0.0.1", "sparePorts": [1, 9], "seedNodes": []}
 
 
-def route(i: int, version: int) -> Item:
+def route_item(i: int, version: int) -> Item:
     raw = {
         "host": f"h{i}.example",
         "pathStart": "/",
         "kind": "safe",
         "giveUp": "1s",
-        "service": f"s{i % SERVICES}",
+        "service": f"s{i % SERVICE_COUNT}",
         "version": f"{version:08x}",
     }
     return Item(key=f"routes/r{i:05d}", version=version, value=json.dumps(raw).encode())
 
 
-def station(i: int, number: int) -> Node:
-    node = Node(name=f"n{i}", zone=f"z{i % 3}", address=f"10.0.1.{i}:1", life=1, number=number)
-    node.service = f"s{i % SERVICES}"
-    node.servers.add(id=f"i{i}-{number}", service=node.service, zone=node.zone, capacity=9)
+def node_record(i: int, report_number: int) -> Node:
+    node = Node(name=f"n{i}", zone=f"z{i % 3}", address=f"10.0.1.{i}:1", life=1, number=report_number)
+    node.service = f"s{i % SERVICE_COUNT}"
+    node.servers.add(id=f"i{i}-{report_number}", service=node.service, zone=node.zone, capacity=9)
     return node
 
 
-def state(routes: int, stations: int) -> MeshState:
-    """What a process knows of so many, with some balancers in use."""
+def build_state(route_count: int, node_count: int) -> MeshState:
+    """The state of a process with so many routes and nodes, and some load balancers in use."""
     settings = parse_settings(SETTINGS).unwrap()
-    made = MeshState(
+    mesh_state = MeshState(
         settings,
         AdmissionController(settings.bounds),
         Invariants(print),
-        carry=lambda *given: lambda client_left: None,
+        carry=lambda *ignored: lambda client_left: None,
         on_applied=lambda: None,
         subscribe=lambda services: None,
         session_established=lambda: True,
@@ -68,50 +68,54 @@
         monotonic=time.monotonic,
         machine_drains_enabled=False,
     )
-    nodes = [station(i, 1) for i in range(stations)]
-    made.apply_news(wire.StateUpdate(items=[route(i, 1) for i in range(routes)], nodes=nodes, served=nodes))
-    made.changes.flush()
-    for known in list(made.routing.routes.values())[::BALANCERS_PART]:
-        made.upstreams.load_balancer_for(known, known.service_shares[0][0])
-    return made
+    nodes = [node_record(i, 1) for i in range(node_count)]
+    mesh_state.apply_news(
+        wire.StateUpdate(items=[route_item(i, 1) for i in range(route_count)], nodes=nodes, served=nodes)
+    )
+    mesh_state.changes.flush()
+    for route in list(mesh_state.routing.routes.values())[::ROUTES_PER_BALANCER]:
+        mesh_state.upstreams.load_balancer_for(route, route.service_shares[0][0])
+    return mesh_state
 
 
-def cost_us(made: MeshState, news: Callable[[int], wire.StateUpdate], rounds: int) -> float:
-    """Microseconds of processor time of one piece of news and the pass that follows, the median."""
+def median_cost_us(
+    mesh_state: MeshState, make_update: Callable[[int], wire.StateUpdate], rounds: int
+) -> float:
+    """Median microseconds of processor time of one update and the batch that applies it."""
     costs = []
     for i in range(rounds):
-        told = news(2 + i)
-        began = time.thread_time()
-        made.apply_news(told)
-        made.changes.flush()
-        costs.append(1e6 * (time.thread_time() - began))
+        update = make_update(2 + i)
+        started_at = time.thread_time()
+        mesh_state.apply_news(update)
+        mesh_state.changes.flush()
+        costs.append(1e6 * (time.thread_time() - started_at))
     return median(costs)
 
 
 async def measure(rounds: int) -> dict[str, list[float]]:
     table: dict[str, list[float]] = {"a route changes": [], "servers of a station change": []}
     for size in SIZES:
-        made = state(size, 30)
+        mesh_state = build_state(size, 30)
         table["a route changes"].append(
-            cost_us(made, lambda v: wire.StateUpdate(items=[route(7, v)]), rounds)
+            median_cost_us(mesh_state, lambda v: wire.StateUpdate(items=[route_item(7, v)]), rounds)
         )
-        made = state(30, size)
-        told = cost_us(made, lambda v: wire.StateUpdate(served=[station(0, v)]), rounds)
-        table["servers of a station change"].append(told)
+        mesh_state = build_state(30, size)
+        cost_us = median_cost_us(mesh_state, lambda v: wire.StateUpdate(served=[node_record(0, v)]), rounds)
+        table["servers of a station change"].append(cost_us)
     return table
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
     parser = argparse.ArgumentParser(prog="python -m bench.change_cost", description=__doc__)
     parser.add_argument("--rounds", type=int, default=200)
-    given: Any = parser.parse_args(arguments)
-    table = asyncio.run(measure(given.rounds))
+    options: Any = parser.parse_args(arguments)
+    table = asyncio.run(measure(options.rounds))
     print("| microseconds, of | " + " | ".join(f"{size:,}" for size in SIZES) + " |")
     print("| --- |" + " --- |" * len(SIZES))
-    for what, costs in table.items():
-        print(f"| {what} | " + " | ".join(f"{cost:.0f}" for cost in costs) + " |")
-    growth = {what: costs[-1] / costs[0] for what, costs in table.items()}
-    print(" ".join(f"{what.replace(' ', '_')}_growth={by:.2f}" for what, by in growth.items()))
+    for change, costs in table.items():
+        print(f"| {change} | " + " | ".join(f"{cost:.0f}" for cost in costs) + " |")
+    growth = {change: costs[-1] / costs[0] for change, costs in table.items()}
+    print(" ".join(f"{change.replace(' ', '_')}_growth={factor:.2f}" for change, factor in growth.items()))
     return 0
 
 
--- a/bench/mesh.py
+++ b/bench/mesh.py
@@ -1,11 +1,10 @@
-"""What a request costs over both nodes of the mesh, and how soon a change is everywhere: python -m
-bench.mesh.
-
-Processor time: three signalboxes, two stations and bench/relay.py run on loopback; the same client asks
-station and relay in turn, and the server stands beside the other station, so that each request passes two
-nodes. Counted is what the kernel charged to the processes. Time to the last node: the interlockings that
-run, in virtual time; each signalbox tells its part of the stations one after the other, at what packing and
-writing the news costs here, over links of 2 Mbit/s and 4 ms.
+"""The cost of a request through two mesh nodes, and the delay of a change: python -m bench.mesh.
+
+Cost: three control machines, two data-plane nodes and bench/relay.py run on loopback; the same client sends
+to node and relay in turn. The server is beside the other node, so each request passes two nodes. Measured is
+the processor time that the kernel charged to the processes. Delay until the last node has a change: the real
+state machines in virtual time; each control machine sends the update to its share of the nodes one after
+another, at the measured cost of encoding it, over links of 2 Mbit/s and 4 ms.
 """
 
 from __future__ import annotations
@@ -25,10 +24,10 @@
 from leadrudder.transport.http import BufferedHttpMessage, HttpReader, render_response
 from leadrudder.transport.link import encode_frame
 
-ROUNDS, REQUESTS, CLIENTS = 5, 600, 8
-BARE_TIMES = 10  # as many requests to the relay
-LINK_S, LINK_BITS_S = 0.004, 2e6
-_TICKS = os.sysconf("SC_CLK_TCK")
+ROUND_COUNT, REQUESTS_PER_ROUND, CLIENT_COUNT = 5, 600, 8
+RELAY_REQUEST_FACTOR = 10  # factor of requests to the relay
+LINK_DELAY_S, LINK_BITS_PER_S = 0.004, 2e6
+_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 class _Server(asyncio.Protocol):
@@ -49,24 +48,24 @@
 
 
 async def _client(address: tuple[str, int], numbers: range) -> None:
-    """So many requests, one after the other, on one connection."""
+    """Send the numbered requests one after another on one connection."""
     incoming, outgoing = await asyncio.open_connection(*address)
-    found: list[int] = []
-    reader = HttpReader(lambda message: found.append(message.status), requests=False)
+    statuses: list[int] = []
+    reader = HttpReader(lambda message: statuses.append(message.status), requests=False)
     for number in numbers:
         head = b"GET /haku/%d HTTP/1.1\r\nHost: demo.example\r\nAttempt-Id: %d\r\nTime-Left: 2000\r\n\r\n"
         outgoing.write(head % (number, number))
-        while not found:
+        while not statuses:
             reader.feed(await incoming.read(65536))
-        if found.pop() != 200:
+        if statuses.pop() != 200:
             raise SystemExit("leadrudder: a request of the measurement was not served")
     outgoing.close()
 
 
-def _spent(pid: int) -> float:
+def _cpu_s(pid: int) -> float:
     """Processor seconds of a process so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / _TICKS
+    return (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
 
 
 def _peak_mb(pid: int) -> float:
@@ -74,21 +73,23 @@
     return next(int(line.split()[1]) / 1024 for line in lines if line.startswith("VmHWM"))
 
 
-async def _load(address: tuple[str, int], pids: list[int], first: int, requests: int = REQUESTS) -> float:
-    """Microseconds a request of these processes."""
-    before = sum(map(_spent, pids))
-    each = requests // CLIENTS
-    parts = [range(first + i * each, first + (i + 1) * each) for i in range(CLIENTS)]
-    await asyncio.gather(*(_client(address, part) for part in parts))
-    return 1e6 * (sum(map(_spent, pids)) - before) / requests
+async def _cpu_us_per_request(
+    address: tuple[str, int], pids: list[int], first: int, requests: int = REQUESTS_PER_ROUND
+) -> float:
+    """Microseconds of processor time of these processes for each request."""
+    before = sum(map(_cpu_s, pids))
+    per_client = requests // CLIENT_COUNT
+    number_ranges = [range(first + i * per_client, first + (i + 1) * per_client) for i in range(CLIENT_COUNT)]
+    await asyncio.gather(*(_client(address, numbers) for numbers in number_ranges))
+    return 1e6 * (sum(map(_cpu_s, pids)) - before) / requests
 
 
-async def _cost(folder: Path) -> tuple[float, float]:
-    """Processor time of both stations against one relay, and the larger peak of memory, MB."""
+async def _measure_cost(folder: Path) -> tuple[float, float]:
+    """Ratio of both nodes' processor time to the relay's, and the larger peak memory in MB."""
     fleet = LoopbackFleet(free_port(), folder)
-    origin, gate = fleet.data_plane_ips
+    client_ip, upstream_ip = fleet.data_plane_ips
     loop = asyncio.get_running_loop()
-    for ip in (gate, "127.0.0.1"):
+    for ip in (upstream_ip, "127.0.0.1"):
         await loop.create_server(_Server, ip, fleet.app_port)
     relay = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "bench.relay", str(fleet.app_port), stderr=asyncio.subprocess.PIPE
@@ -98,48 +99,55 @@
         relay_port = int((await relay.stderr.readline()).rpartition(b":")[2])
         await fleet.start()
         await fleet.configure()
-        await fleet.send_heartbeat(gate)
+        await fleet.send_heartbeat(upstream_ip)
         await fleet.wait_ready()
         pids = [fleet.processes[ip].pid for ip in fleet.data_plane_ips]
-        meshes, bares = 0.0, 0.0
-        for turn in range(ROUNDS):
-            await fleet.send_heartbeat(gate, 2 + turn)
-            mesh = await _load((origin, fleet.outbound_port), pids, 10_000 * turn)
-            # Many more, as the kernel counts in ticks of 10 ms and a relay's request takes some 20 us.
-            bare = await _load(("127.0.0.1", relay_port), [relay.pid], 0, BARE_TIMES * REQUESTS)
-            print(f"round {turn}: {mesh:.0f} us over both nodes, {bare:.0f} us by a bare relay")
-            if turn:  # the first warms up
-                meshes, bares = meshes + mesh, bares + bare
-        return meshes / max(bares, 1.0), max(map(_peak_mb, pids))
+        mesh_us, relay_us = 0.0, 0.0
+        for round_number in range(ROUND_COUNT):
+            await fleet.send_heartbeat(upstream_ip, 2 + round_number)
+            mesh_request_us = await _cpu_us_per_request(
+                (client_ip, fleet.outbound_port), pids, 10_000 * round_number
+            )
+            # Far more requests, as the kernel counts ticks of 10 ms and a relay spends about 20 us on each.
+            relay_request_us = await _cpu_us_per_request(
+                ("127.0.0.1", relay_port), [relay.pid], 0, RELAY_REQUEST_FACTOR * REQUESTS_PER_ROUND
+            )
+            print(
+                f"round {round_number}: {mesh_request_us:.0f} us over both nodes, "
+                f"{relay_request_us:.0f} us by a bare relay"
+            )
+            if round_number:  # round 0 is the warm-up
+                mesh_us, relay_us = mesh_us + mesh_request_us, relay_us + relay_request_us
+        return mesh_us / max(relay_us, 1.0), max(map(_peak_mb, pids))
     finally:
         relay.terminate()
         await relay.wait()
         await fleet.stop()
 
 
-class _Watched(World):
-    """When each signalbox has heard that an item stands."""
+class _RecordingWorld(World):
+    """Records when each control machine has learned that an item is committed."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
-        self.heard: dict[str, float] = {}
+        self.learned_at: dict[str, float] = {}
 
     def _stood(self, machine: Machine, item: Item) -> None:
         super()._stood(machine, item)
         if item.version == 2:
-            self.heard.setdefault(machine.address, self.now)
+            self.learned_at.setdefault(machine.address, self.now)
 
 
 def _apply_ms(nodes: int, item: Item) -> float:
-    """From the acknowledgement of a change until the last of so many stations has it."""
+    """Milliseconds from the acknowledgement of a change until the last node has it."""
     data = encode_frame(Frame(news=StateUpdate(items=[item])))
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     for _ in range(200):
         encode_frame(Frame(news=StateUpdate(items=[item])))
-    each_s = (time.perf_counter() - began) / 200
-    worst = []
+    encode_s = (time.perf_counter() - started_at) / 200
+    delays_ms = []
     for seed in range(10):
-        world = _Watched(seed)
+        world = _RecordingWorld(seed)
         world.play(4.0)
         first = next(iter(world.machines.values()))
         world.call(first, [Item(key=item.key, version=1, value=b"old")], lambda answer: None)
@@ -152,23 +160,26 @@
         world.call(first, [item], answered)
         world.play(8.0)
         rng = Random(seed)
-        last = 0.0
-        for address in world.heard:
-            told = world.heard[address]
+        applied_at = 0.0
+        for address in world.learned_at:
+            sent_at = world.learned_at[address]
             for _ in range(-(-nodes // len(world.machines))):
-                told += each_s
-                last = max(last, told + LINK_S * (0.5 + 0.5 * rng.random()) + 8 * len(data) / LINK_BITS_S)
-        worst.append(1000.0 * (last - acknowledged[0]))
-    return max(0.0, max(worst))
+                sent_at += encode_s
+                applied_at = max(
+                    applied_at,
+                    sent_at + LINK_DELAY_S * (0.5 + 0.5 * rng.random()) + 8 * len(data) / LINK_BITS_PER_S,
+                )
+        delays_ms.append(1000.0 * (applied_at - acknowledged[0]))
+    return max(0.0, max(delays_ms))
 
 
 def main() -> int:
     with tempfile.TemporaryDirectory(prefix="leadrudder-bench-") as folder:
-        ratio, megabytes = asyncio.run(_cost(Path(folder)))
+        ratio, megabytes = asyncio.run(_measure_cost(Path(folder)))
     item = Item(key="routes/r", version=2, epoch=300, value=b"x" * 300)
     applied = {nodes: _apply_ms(nodes, item) for nodes in (12, 76, 300)}
-    told = " ".join(f"apply_ms_{nodes}={ms:.1f}" for nodes, ms in applied.items())
-    print(f"cpu_ratio={ratio:.2f} mb={megabytes:.1f} {told}")
+    applied_fields = " ".join(f"apply_ms_{nodes}={ms:.1f}" for nodes, ms in applied.items())
+    print(f"cpu_ratio={ratio:.2f} mb={megabytes:.1f} {applied_fields}")
     return 0
 
 
--- a/bench/node_cost.py
+++ b/bench/node_cost.py
@@ -1,12 +1,11 @@
-"""What a request costs a node in service, now against another revision: python -m bench.node_cost --against
-REV.
-
-Two nodes, one from this tree and one from a checkout of REV, and a bare relay (bench/relay.py) take the same
-load in turn over loopback, A B C A B C; in front of each a plain client, behind each a plain server of this
-file. Counted is the processor time that the kernel charged to the node's process, so that the load's own cost
-and the machine's other work do not enter. The last line gives the median microseconds a request of each, the
-ratio of the nodes in pairs, what the node serves for a processor second against the relay (1 would be as
-much), and the nodes' peak memories.
+"""The cost of a request in a node, compared with another revision: python -m bench.node_cost --against REV.
+
+Two nodes, one from this tree and one from a checkout of REV, and a bare relay (bench/relay.py) get the same
+load in turn over loopback, from a minimal client and with minimal servers of this file. Measured is the
+processor time that the kernel charged to the node's process, so that the cost of the load and of other work
+on the machine does not count. The last line has the median microseconds per request of each, the median
+ratio of the two nodes by round, the node's requests per processor second relative to the relay's (1 would be
+equal), and the peak memories of the nodes.
 """
 
 from __future__ import annotations
@@ -28,23 +27,23 @@
 from bench.revision import ROOT, unpack
 
 HOST = "127.0.0.1"
-CLIENTS = 16
-WARM_UP = 2000
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\n" + b"x" * 64
+CLIENT_COUNT = 16
+WARM_UP_REQUESTS = 2000
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\n" + b"x" * 64
 
 
 class _Server(asyncio.Protocol):
-    """Answers every head with the same bytes."""
+    """Answers every request head with the same bytes."""
 
     def connection_made(self, transport: Any) -> None:
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        self._transport.write(ANSWER * data.count(b"\r\n\r\n"))
+        self._transport.write(RESPONSE * data.count(b"\r\n\r\n"))
 
 
 class _Discovery(asyncio.Protocol):
-    """A watch in which nothing changes."""
+    """A discovery watch with an empty, constant list."""
 
     def connection_made(self, transport: Any) -> None:
         self._transport = transport
@@ -57,24 +56,24 @@
 
 
 class _Client(asyncio.Protocol):
-    """Asks again as soon as it has its answer, so many times in all."""
+    """Sends the next request as soon as it has a response, until the shared count is used up."""
 
-    def __init__(self, left: list[int], done: asyncio.Future[None]) -> None:
-        self._left = left
+    def __init__(self, remaining: list[int], done: asyncio.Future[None]) -> None:
+        self._remaining = remaining
         self._done = done
         self._number = 0
 
     def connection_made(self, transport: Any) -> None:
         self._transport = transport
-        self._ask()
+        self._send_request()
 
-    def _ask(self) -> None:
-        if self._left[0] <= 0:
+    def _send_request(self) -> None:
+        if self._remaining[0] <= 0:
             self._transport.close()
             if not self._done.done():
                 self._done.set_result(None)
             return
-        self._left[0] -= 1
+        self._remaining[0] -= 1
         self._number += 1
         self._transport.write(
             b"GET /api/haku HTTP/1.1\r\nHost: x\r\nX-Class: haku\r\nX-Deadline: 3.0\r\n"
@@ -83,29 +82,29 @@
 
     def data_received(self, data: bytes) -> None:
         if not data.startswith(b"HTTP/1.1 200") and not self._done.done():
-            self._done.set_exception(RuntimeError(f"an answer that is none: {data[:60]!r}"))
+            self._done.set_exception(RuntimeError(f"unexpected response: {data[:60]!r}"))
             return
-        self._ask()
+        self._send_request()
 
 
 @dataclass
 class _Node:
-    """A node's process and where it listens."""
+    """The process of a node and the port at which it listens."""
 
     process: asyncio.subprocess.Process
     port: int
 
     def cpu_s(self) -> float:
-        fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
+        stat_fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
+        return (int(stat_fields[11]) + int(stat_fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def peak_mb(self) -> float:
         text = Path(f"/proc/{self.process.pid}/status").read_text()
-        found = re.search(r"VmHWM:\s+(\d+)", text)
-        return int(found[1]) / 1024 if found else 0.0
+        match = re.search(r"VmHWM:\s+(\d+)", text)
+        return int(match[1]) / 1024 if match else 0.0
 
 
-def _config(servers: list[int]) -> dict[str, Any]:
+def _node_config(servers: list[int]) -> dict[str, Any]:
     rows = [
         {
             "instanceId": f"s{port}",
@@ -131,38 +130,38 @@
     }
 
 
-async def _start(tree: Path, words: list[str], config: Path, discovery: int) -> _Node:
+async def _start(tree: Path, module_and_arguments: list[str], config: Path, discovery_port: int) -> _Node:
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        *words,
+        *module_and_arguments,
         cwd=tree,
         env={
             "PATH": os.environ.get("PATH", ""),
             "PYTHONPATH": str(tree),
             "NODE_NAME": "n",
             "NODE_LISTEN": f"{HOST}:0",
-            "NODE_DISCOVERY": f"{HOST}:{discovery}",
+            "NODE_DISCOVERY": f"{HOST}:{discovery_port}",
             "NODE_CONFIG": str(config),
         },
         stderr=asyncio.subprocess.PIPE,
     )
     assert process.stderr is not None
     line = (await process.stderr.readline()).decode()
-    found = re.search(r"listens on [\d.]+:(\d+)", line)
-    if found is None:
+    match = re.search(r"listens on [\d.]+:(\d+)", line)
+    if match is None:
         raise RuntimeError(f"the node of {tree.name} does not listen: {line}")
-    return _Node(process, int(found[1]))
+    return _Node(process, int(match[1]))
 
 
-async def _load(node: _Node, requests: int) -> float:
-    """Microseconds of the node's processor time a request."""
+async def _cpu_us_per_request(node: _Node, requests: int) -> float:
+    """Microseconds of the node's processor time per request."""
     loop = asyncio.get_running_loop()
     before = node.cpu_s()
     done: asyncio.Future[None] = loop.create_future()
-    left = [requests]
-    for _ in range(CLIENTS):
-        await loop.create_connection(lambda: _Client(left, done), HOST, node.port)
+    remaining = [requests]
+    for _ in range(CLIENT_COUNT):
+        await loop.create_connection(lambda: _Client(remaining, done), HOST, node.port)
     await done
     return 1e6 * (node.cpu_s() - before) / requests
 
@@ -175,22 +174,22 @@
     discovery = await loop.create_server(_Discovery, HOST, 0)
     ports = [server.sockets[0].getsockname()[1] for server in listeners]
     with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
-        json.dump(_config(ports), file)
+        json.dump(_node_config(ports), file)
         file.flush()
-        agent = discovery.sockets[0].getsockname()[1]
-        nodes = [await _start(tree, [package], Path(file.name), agent) for tree, package in trees]
-        relay = ["bench.relay", *map(str, ports)]
-        nodes.append(await _start(ROOT, relay, Path(file.name), agent))
+        discovery_port = discovery.sockets[0].getsockname()[1]
+        nodes = [await _start(tree, [package], Path(file.name), discovery_port) for tree, package in trees]
+        relay_arguments = ["bench.relay", *map(str, ports)]
+        nodes.append(await _start(ROOT, relay_arguments, Path(file.name), discovery_port))
         costs: list[list[float]] = [[] for _ in nodes]
         try:
             for node in nodes:
-                await _load(node, WARM_UP)
-            for turn in range(rounds):
-                for node, found in zip(nodes, costs, strict=True):
-                    found.append(await _load(node, requests))
-                pair = ", ".join(f"{found[-1]:.1f}" for found in costs)
-                print(f"round {turn + 1} of {rounds}: {pair} us a request", file=sys.stderr)
-            return [(found, node.peak_mb()) for node, found in zip(nodes, costs, strict=True)]
+                await _cpu_us_per_request(node, WARM_UP_REQUESTS)
+            for round_number in range(rounds):
+                for node, node_costs in zip(nodes, costs, strict=True):
+                    node_costs.append(await _cpu_us_per_request(node, requests))
+                round_costs = ", ".join(f"{node_costs[-1]:.1f}" for node_costs in costs)
+                print(f"round {round_number + 1} of {rounds}: {round_costs} us a request", file=sys.stderr)
+            return [(node_costs, node.peak_mb()) for node, node_costs in zip(nodes, costs, strict=True)]
         finally:
             for node in nodes:
                 node.process.kill()
@@ -198,24 +197,27 @@
 
 
 def main() -> int:
-    """Exit code 0 when both were measured."""
+    """Exit code 0 if all were measured."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else None)
     parser.add_argument("--against", default="HEAD", help="a revision of this repository")
-    parser.add_argument("--requests", type=int, default=10_000, help="of each round")
+    parser.add_argument("--requests", type=int, default=10_000, help="requests of each round")
     parser.add_argument("--rounds", type=int, default=7)
-    chosen = parser.parse_args()
+    options = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder:
-        (now, now_mb), (then, then_mb), (relay, _) = uvloop.run(
+        (this_us, this_mb), (other_us, other_mb), (relay_us, _) = uvloop.run(
             _measure(
-                [(ROOT, "leadrudder"), unpack(chosen.against, Path(folder))], chosen.requests, chosen.rounds
+                [(ROOT, "leadrudder"), unpack(options.against, Path(folder))],
+                options.requests,
+                options.rounds,
             )
         )
-    ratio = statistics.median(a / b for a, b in zip(now, then, strict=True))
-    of_relay = statistics.median(a / b for a, b in zip(relay, now, strict=True))
+    ratio = statistics.median(a / b for a, b in zip(this_us, other_us, strict=True))
+    relative_to_relay = statistics.median(a / b for a, b in zip(relay_us, this_us, strict=True))
     print(
-        f"now_us={statistics.median(now):.1f} against_us={statistics.median(then):.1f} ratio={ratio:.3f}"
-        f" relay_us={statistics.median(relay):.1f} node_of_relay={of_relay:.3f}"
-        f" now_mb={now_mb:.1f} against_mb={then_mb:.1f} against={chosen.against} rounds={chosen.rounds}"
+        f"now_us={statistics.median(this_us):.1f} against_us={statistics.median(other_us):.1f} "
+        f"ratio={ratio:.3f}"
+        f" relay_us={statistics.median(relay_us):.1f} node_of_relay={relative_to_relay:.3f}"
+        f" now_mb={this_mb:.1f} against_mb={other_mb:.1f} against={options.against} rounds={options.rounds}"
     )
     return 0
 
--- a/bench/revision.py
+++ b/bench/revision.py
@@ -1,4 +1,4 @@
-"""Another revision of this repository, unpacked to be measured against."""
+"""Unpacks another revision of this repository, to compare measurements with it."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def unpack(revision: str, folder: Path) -> tuple[Path, str]:
-    """Its tree, below the folder, and the name that its package had.
+    """Unpack a revision below the folder; returns its tree and the name of its package.
 
-    subprocess.CalledProcessError where there is no such revision.
+    Raises subprocess.CalledProcessError if there is no such revision.
     """
     tree = folder / "other"
     tree.mkdir()
--- a/bench/simulation.py
+++ b/bench/simulation.py
@@ -1,13 +1,13 @@
-"""How fast the simulation plays, and whether it plays alike: python -m bench.simulation.
+"""The speed and reproducibility of the simulation: python -m bench.simulation.
 
-One long play on one core, then many short ones on all cores, twice. The last line gives
+One long run on one core, then many short ones on all cores, twice. The last line has
 
-    steps, steps_per_s        of the long play on one core
-    virtual_ratio             virtual seconds to real ones of that play
-    all_steps_per_s           of the short plays on all cores, start of the processes included
-    same_digests              whether the digest of all short plays was equal in both rounds
-    peak_mb                   greatest memory of the process of the long play, after its last step
-    peak_mb_tenth             and after the first tenth of it: what is the same does not grow with the play
+    steps, steps_per_s        of the long run on one core
+    virtual_ratio             virtual seconds per real second of that run
+    all_steps_per_s           of the short runs on all cores, including the start of the processes
+    same_digests              whether both rounds of the short runs had equal digests
+    peak_mb                   peak memory of the process after the long run
+    peak_mb_tenth             the same after a tenth of it, to show whether memory grows with the run's length
 """
 
 from __future__ import annotations
@@ -20,62 +20,62 @@
 
 from leadrudder.simulation.play import Result, Setup, digest_of, play, play_many
 
-PROGRESS_S = 5.0
+PROGRESS_INTERVAL_S = 5.0
 
 
 def _peak_mb() -> float:
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0
 
 
-def _long(steps: int) -> tuple[Result, float]:
-    told = time.monotonic()
-    tenth = 0.0
+def _run_long(steps: int) -> tuple[Result, float]:
+    last_print_at = time.monotonic()
+    peak_mb_at_tenth = 0.0
 
-    def progress(done: int, virtual_s: float) -> None:
-        nonlocal told, tenth
-        if not tenth and done >= steps / 10:
-            tenth = _peak_mb()
-        if time.monotonic() - told >= PROGRESS_S:
-            told = time.monotonic()
-            print(f"one core: {done} of {steps} steps, {virtual_s:.0f} virtual s", file=sys.stderr)
+    def progress(done_steps: int, virtual_s: float) -> None:
+        nonlocal last_print_at, peak_mb_at_tenth
+        if not peak_mb_at_tenth and done_steps >= steps / 10:
+            peak_mb_at_tenth = _peak_mb()
+        if time.monotonic() - last_print_at >= PROGRESS_INTERVAL_S:
+            last_print_at = time.monotonic()
+            print(f"one core: {done_steps} of {steps} steps, {virtual_s:.0f} virtual s", file=sys.stderr)
 
-    return play(Setup("bench", steps), progress=progress), tenth
+    return play(Setup("bench", steps), progress=progress), peak_mb_at_tenth
 
 
-def _short(seeds: int, steps: int, jobs: int) -> tuple[str, float, int]:
-    began = time.monotonic()
+def _run_short(seeds: int, steps: int, jobs: int) -> tuple[str, float, int]:
+    started_at = time.monotonic()
     results = []
     for result in play_many([Setup(str(seed), steps) for seed in range(seeds)], jobs):
         results.append(result)
         if len(results) % 25 == 0:
             print(f"{jobs} cores: {len(results)} of {seeds} seeds", file=sys.stderr)
-    bad = sum(bool(result.violations) for result in results)
-    total = sum(result.steps for result in results)
-    return digest_of(results), total / (time.monotonic() - began), bad
+    violating_runs = sum(bool(result.violations) for result in results)
+    step_count = sum(result.steps for result in results)
+    return digest_of(results), step_count / (time.monotonic() - started_at), violating_runs
 
 
 def main() -> int:
-    """Exit code 1 if a rule was broken or two equal rounds were not alike."""
+    """Exit code 1 if an invariant was violated or the two equal rounds had different digests."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else None)
-    parser.add_argument("--steps", type=int, default=1_000_000, help="of the long play")
-    parser.add_argument("--seeds", type=int, default=100, help="short plays")
-    parser.add_argument("--short", type=int, default=10_000, help="steps of a short play")
+    parser.add_argument("--steps", type=int, default=1_000_000, help="steps of the long run")
+    parser.add_argument("--seeds", type=int, default=100, help="number of short runs")
+    parser.add_argument("--short", type=int, default=10_000, help="steps of a short run")
     parser.add_argument("--jobs", type=int, default=os.cpu_count() or 1)
-    chosen = parser.parse_args()
-    long, tenth = _long(chosen.steps)
-    peak = _peak_mb()
-    first = _short(chosen.seeds, chosen.short, chosen.jobs)
-    second = _short(chosen.seeds, chosen.short, chosen.jobs)
-    same = first[0] == second[0]
-    violations = len(long.violations) + first[2] + second[2]
+    options = parser.parse_args()
+    long_run, peak_mb_at_tenth = _run_long(options.steps)
+    peak_mb = _peak_mb()
+    first = _run_short(options.seeds, options.short, options.jobs)
+    second = _run_short(options.seeds, options.short, options.jobs)
+    same_digests = first[0] == second[0]
+    violations = len(long_run.violations) + first[2] + second[2]
     print(
-        f"steps={long.steps} steps_per_s={long.steps_per_s:.0f}"
-        f" virtual_ratio={long.virtual_s / long.wall_s:.2f}"
-        f" all_steps_per_s={max(first[1], second[1]):.0f} jobs={chosen.jobs} seeds={chosen.seeds}"
-        f" same_digests={'yes' if same else 'no'} violations={violations}"
-        f" peak_mb={peak:.0f} peak_mb_tenth={tenth:.0f}"
+        f"steps={long_run.steps} steps_per_s={long_run.steps_per_s:.0f}"
+        f" virtual_ratio={long_run.virtual_s / long_run.wall_s:.2f}"
+        f" all_steps_per_s={max(first[1], second[1]):.0f} jobs={options.jobs} seeds={options.seeds}"
+        f" same_digests={'yes' if same_digests else 'no'} violations={violations}"
+        f" peak_mb={peak_mb:.0f} peak_mb_tenth={peak_mb_at_tenth:.0f}"
     )
-    return 0 if same and not violations else 1
+    return 0 if same_digests and not violations else 1
 
 
 if __name__ == "__main__":
--- a/bench/soak/planted_faults.py
+++ b/bench/soak/planted_faults.py
@@ -16,8 +16,8 @@
 def dead_links() -> Iterator[None]:
     """A timed-out dial is not reported, and a failed write does not close the link: the fault of issue 48."""
 
-    async def connect(protocol_factory: Callable[[], Any], host: str, port: int, within_s: float) -> Any:
-        async with asyncio.timeout(within_s):
+    async def connect(protocol_factory: Callable[[], Any], host: str, port: int, timeout_s: float) -> Any:
+        async with asyncio.timeout(timeout_s):
             _, protocol = await asyncio.get_running_loop().create_connection(protocol_factory, host, port)
         return protocol
 
--- a/bench/window.py
+++ b/bench/window.py
@@ -1,9 +1,9 @@
-"""A maintenance window on live traffic, measured: python -m bench.window [--pairs N] [--jobs N].
+"""A maintenance window under traffic, measured: python -m bench.window [--pairs N] [--jobs N].
 
-Each pair plays one seed twice on the whole mesh in virtual time, at 70% of what its servers can do: an
-ordinary day, and one on which a machine of the busiest service is lent out of its tenants' traffic for a
-quarter of a minute. In every second pair the signalbox that holds the duty dies while the machine is out. A
-third play of some seeds asks for a window that the contracts do not approve.
+Each pair runs one seed twice on the whole mesh in virtual time, at 70% of its servers' capacity: without a
+window, and with one that drains a machine of the busiest service of its tenants' traffic for about 12 s. In
+every second pair the control machine that holds the maintenance lease is killed while the machine is drained.
+Further runs request a window outside the hours that the contracts approve.
 """
 
 from __future__ import annotations
@@ -24,10 +24,13 @@
 
 SLOTS, WORK_S, LOAD = 6, 0.1, 0.7
 SERVICES = {"kal": 8, "var": 4}
-BEGIN_S, LENT_S, END_S, LAST_S = 8.0, 14.0, 52.0, 56.0  # traffic, the window, end of traffic, end of the play
-HELD_S = 1.5  # giveUp of all routes
-WORKS_S, RETURN_S = 12.0, 8.0
-LOOKED = (LENT_S - 1.0, LENT_S + HELD_S + WORKS_S + RETURN_S)  # look-ups of these seconds are compared
+TRAFFIC_START_S, WINDOW_START_S, TRAFFIC_END_S, RUN_END_S = 8.0, 14.0, 52.0, 56.0  # virtual times
+ROUTE_TIMEOUT_S = 1.5  # giveUp of all routes
+WORKS_DURATION_S, RETURN_DURATION_S = 12.0, 8.0
+COMPARED_PERIOD_S = (
+    WINDOW_START_S - 1.0,
+    WINDOW_START_S + ROUTE_TIMEOUT_S + WORKS_DURATION_S + RETURN_DURATION_S,
+)  # look-ups sent in this period are compared
 
 
 def route(host: str, service: str, *, once: bool) -> dict[str, Any]:
@@ -35,7 +38,7 @@
         "host": host,
         "pathStart": "/",
         "kind": "unsafe" if once else "safe",
-        "giveUp": f"{HELD_S}s",
+        "giveUp": f"{ROUTE_TIMEOUT_S}s",
         "target": "300ms",
         "priority": 1,
         "service": service,
@@ -45,33 +48,35 @@
 
 
 def plan() -> Plan:
-    """Two tenants: look-ups of one service, bookings of the other."""
+    """Two tenants: one with look-ups and bookings of one service, one with bookings of the other."""
     machines = sum(SERVICES.values())
     rates = {s: LOAD * n * SLOTS / WORK_S / machines for s, n in SERVICES.items()}
     wishes = (
-        Wish("luku.example", once=False, per_s=0.8 * rates["kal"], deadline_s=HELD_S),
-        Wish("ajat.example", once=True, per_s=0.2 * rates["kal"], deadline_s=HELD_S),
-        Wish("varaus.example", once=True, per_s=rates["var"], deadline_s=HELD_S),
+        Wish("luku.example", once=False, per_s=0.8 * rates["kal"], deadline_s=ROUTE_TIMEOUT_S),
+        Wish("ajat.example", once=True, per_s=0.2 * rates["kal"], deadline_s=ROUTE_TIMEOUT_S),
+        Wish("varaus.example", once=True, per_s=rates["var"], deadline_s=ROUTE_TIMEOUT_S),
     )
     routes = {
         "luku": route("luku.example", "kal", once=False),
         "ajat": route("ajat.example", "kal", once=True),
         "varaus": route("varaus.example", "var", once=True),
     }
-    return Plan(SERVICES, wishes, routes, slots=SLOTS, work_s=WORK_S, traffic=(BEGIN_S, END_S))
+    return Plan(
+        SERVICES, wishes, routes, slots=SLOTS, work_s=WORK_S, traffic=(TRAFFIC_START_S, TRAFFIC_END_S)
+    )
 
 
-LOOKUPS = read_route("luku", route("luku.example", "kal", once=False))
+LOOKUP_ROUTE = read_route("luku", route("luku.example", "kal", once=False))
 
 
 def contracts(*, approved: bool) -> dict[str, Any]:
-    """Of one tenant for each service; not approved: its hours are twelve hours away."""
+    """One contract for each tenant; not approved: the approved hours are twelve hours away."""
     hour = int(EPOCH_S // 3600) % 24
-    far = f"{(hour + 12) % 24:02d}:00", f"{(hour + 13) % 24:02d}:00"
-    begin, end = ("00:00", "24:00") if approved else far
+    other_hours = f"{(hour + 12) % 24:02d}:00", f"{(hour + 13) % 24:02d}:00"
+    begin, end = ("00:00", "24:00") if approved else other_hours
     days = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"]
 
-    def of(*hosts: str) -> dict[str, Any]:
+    def contract(*hosts: str) -> dict[str, Any]:
         return {
             "hosts": list(hosts),
             "timeZone": "UTC",
@@ -81,14 +86,19 @@
             "version": "00000001",
         }
 
-    made = {"kampaamo": of("luku.example", "ajat.example"), "korjaamo": of("varaus.example")}
-    return {"addOrReplace": {"contracts": made}}
+    contracts_by_tenant = {
+        "kampaamo": contract("luku.example", "ajat.example"),
+        "korjaamo": contract("varaus.example"),
+    }
+    return {"addOrReplace": {"contracts": contracts_by_tenant}}
 
 
 @dataclass(frozen=True, slots=True)
-class Day:
-    """What one play came to.  lookups: seconds, while the window of the pair stands; out: requests of the
-    tenants that ran at the machine while it was out; stages: of the window, with their times.
+class DayResult:
+    """The result of one run.
+
+    lookups: durations in seconds during the window of the pair; out: requests of the tenants that ran at the
+    machine while it was drained; stages: of the window, with their times.
     """
 
     bookings: Bookings
@@ -97,81 +107,93 @@
     answer: int = 0
     out: int = 0
     stages: tuple[tuple[float, str], ...] = ()
-    late: int = 0  # stations that held the machine as lent after the loan's end
-    touched: int = 0  # that ever held any machine as lent
-    back_share: float = 0.0  # of requests, against the mean of its like, from the end of its return on
+    late: int = 0  # checks after the window's end at which a node still had the machine drained
+    touched: int = 0  # checks at which any node had the machine drained
+    back_share: float = 0.0  # requests it ran after its return, relative to the mean of the other servers
 
 
-def ordinary(seed: int) -> Day:
+def run_ordinary_day(seed: int) -> DayResult:
     fleet = Fleet(seed, plan(), possession=True)
-    fleet.play(LAST_S)
-    return _day(fleet)
+    fleet.play(RUN_END_S)
+    return _day_result(fleet)
 
 
-def _day(fleet: Fleet, **more: Any) -> Day:
-    took = [a.took_s for a in fleet.asked() if a.served and not a.once and LOOKED[0] <= a.at <= LOOKED[1]]
-    return Day(Bookings.of(fleet), took, fleet.faults, **more)
+def _day_result(fleet: Fleet, **more: Any) -> DayResult:
+    durations_s = [
+        a.took_s
+        for a in fleet.asked()
+        if a.served and not a.once and COMPARED_PERIOD_S[0] <= a.at <= COMPARED_PERIOD_S[1]
+    ]
+    return DayResult(Bookings.of(fleet), durations_s, fleet.faults, **more)
 
 
-def lent(fleet: Fleet, machine: Machine) -> int:
-    """How many stations hold a machine as lent out of the look-ups just now."""
+def count_draining_nodes(fleet: Fleet, machine: Machine) -> int:
+    """How many nodes have the machine drained of look-ups at present."""
     return sum(
-        m.station.state.machine_drains.is_drained(machine.name, LOOKUPS)
+        m.station.state.machine_drains.is_drained(machine.name, LOOKUP_ROUTE)
         for m in fleet.side
         if m.station is not None
     )
 
 
-def window(seed: int, *, approved: bool = True, lose_holder: bool = False) -> Day:
+def run_window_day(seed: int, *, approved: bool = True, kill_lease_holder: bool = False) -> DayResult:
     fleet = Fleet(seed, plan(), possession=True)
     machine = fleet.side[seed % SERVICES["kal"]]
-    order = {
-        "from": EPOCH_S + LENT_S - 3.0,
-        "to": EPOCH_S + LENT_S + HELD_S + WORKS_S + RETURN_S + 8.0,
+    window_request = {
+        "from": EPOCH_S + WINDOW_START_S - 3.0,
+        "to": EPOCH_S + WINDOW_START_S + ROUTE_TIMEOUT_S + WORKS_DURATION_S + RETURN_DURATION_S + 8.0,
         "machines": [machine.name],
-        "works": f"{WORKS_S}s",
-        "return": f"{RETURN_S}s",
+        "works": f"{WORKS_DURATION_S}s",
+        "return": f"{RETURN_DURATION_S}s",
     }
-    answers: list[tuple[int, bytes]] = []
+    responses: list[tuple[int, bytes]] = []
     stages: list[tuple[float, str]] = []
     touched: set[float] = set()
-    before: dict[str, int] = {}  # what servers of the service had run when the machine was back
+    runs_at_return: dict[str, int] = {}  # runs of the service's servers when the machine was back
     late = out = 0
 
     async def operate() -> None:
-        answers.append(await fleet.ask("PATCH", "/contracts", contracts(approved=approved)))
-        answers.append(await fleet.ask("POST", "/maintenance/huolto", order))
+        responses.append(await fleet.ask("PATCH", "/contracts", contracts(approved=approved)))
+        responses.append(await fleet.ask("POST", "/maintenance/huolto", window_request))
 
-    fleet.at(BEGIN_S + 1.0, lambda: fleet.operate(operate))
-    lost: Machine | None = None
+    fleet.at(TRAFFIC_START_S + 1.0, lambda: fleet.operate(operate))
+    killed: Machine | None = None
     assert machine.server is not None
-    while fleet.now < LAST_S:
+    while fleet.now < RUN_END_S:
         fleet.play(fleet.now + 0.25)
-        box = next((m.signalbox for m in fleet.core if m.signalbox is not None), None)
-        windows = box._maintenance.situation().windows if box is not None and box._maintenance else {}
+        control_node = next((m.signalbox for m in fleet.core if m.signalbox is not None), None)
+        windows = (
+            control_node._maintenance.situation().windows
+            if control_node is not None and control_node._maintenance
+            else {}
+        )
         step = windows["huolto"].steps[0] if "huolto" in windows else None
         stage = str(step.stage) if step is not None else ""
         if stage and (not stages or stages[-1][1] != stage):
             stages.append((fleet.now, stage))
-        if stage == "back" and not before:
-            before = _runs(fleet)
-        if lent(fleet, machine):
+        if stage == "back" and not runs_at_return:
+            runs_at_return = _runs_by_server(fleet)
+        if count_draining_nodes(fleet, machine):
             touched.add(fleet.now)
             late += step is not None and fleet.wall > step.back + 0.25
         if stage == "out" and stages[-1][0] < fleet.now:
             out += sum(machine.server.hosts.values())
         machine.server.hosts.clear()
-        if lose_holder and lost is None and stage == "out" and fleet.now > stages[-1][0] + 2.0:
-            lost = next((m for m in fleet.core if _holds(m, fleet.now)), None)
-            if lost is not None:
-                fleet.kill(lost, "signalbox")
-                fleet.at(fleet.now + 6.0, lambda m=lost: fleet.start_signalbox(m))  # type: ignore[misc]
-    since = {name: ran - before.get(name, 0) for name, ran in _runs(fleet).items()}
-    others = [ran for name, ran in since.items() if name != machine.name]
-    return _day(
+        if kill_lease_holder and killed is None and stage == "out" and fleet.now > stages[-1][0] + 2.0:
+            killed = next((m for m in fleet.core if _holds_maintenance_lease(m, fleet.now)), None)
+            if killed is not None:
+                fleet.kill(killed, "signalbox")
+                fleet.at(fleet.now + 6.0, lambda m=killed: fleet.start_signalbox(m))  # type: ignore[misc]
+    runs_since_return = {
+        name: ran - runs_at_return.get(name, 0) for name, ran in _runs_by_server(fleet).items()
+    }
+    others = [ran for name, ran in runs_since_return.items() if name != machine.name]
+    return _day_result(
         fleet,
-        back_share=since[machine.name] / max(1.0, sum(others) / len(others)) if before else 0.0,
-        answer=answers[-1][0] if len(answers) == 2 else 0,
+        back_share=runs_since_return[machine.name] / max(1.0, sum(others) / len(others))
+        if runs_at_return
+        else 0.0,
+        answer=responses[-1][0] if len(responses) == 2 else 0,
         out=out,
         stages=tuple(stages),
         late=late,
@@ -179,24 +201,24 @@
     )
 
 
-def _runs(fleet: Fleet) -> dict[str, int]:
-    """What each server of the look-ups' service has run."""
+def _runs_by_server(fleet: Fleet) -> dict[str, int]:
+    """The number of runs of each server of the look-ups' service."""
     return {
         m.name: sum(m.server.runs.values()) for m in fleet.side if m.service == "kal" and m.server is not None
     }
 
 
-def _holds(machine: Machine, now: float) -> bool:
-    box = machine.signalbox
-    return box is not None and box.state_machine.leases.holds(MAINTENANCE, now)
+def _holds_maintenance_lease(machine: Machine, now: float) -> bool:
+    control_node = machine.signalbox
+    return control_node is not None and control_node.state_machine.leases.holds(MAINTENANCE, now)
 
 
-def pair(seed: int) -> tuple[Day, Day]:
-    return ordinary(seed), window(seed, lose_holder=seed % 2 == 1)
+def run_pair(seed: int) -> tuple[DayResult, DayResult]:
+    return run_ordinary_day(seed), run_window_day(seed, kill_lease_holder=seed % 2 == 1)
 
 
-def refused(seed: int) -> Day:
-    return window(seed, approved=False)
+def run_unapproved_window(seed: int) -> DayResult:
+    return run_window_day(seed, approved=False)
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
@@ -204,15 +226,15 @@
     parser.add_argument("--pairs", type=int, default=30)
     parser.add_argument("--refused", type=int, default=4)
     parser.add_argument("--jobs", type=int, default=8)
-    told = parser.parse_args(arguments)
-    with ProcessPoolExecutor(told.jobs) as pool:
-        pairs = list(pool.map(pair, range(told.pairs)))
-        outside = list(pool.map(refused, range(told.refused)))
-    wrong = 0
-    for seed, (before, day) in enumerate(pairs):
+    options = parser.parse_args(arguments)
+    with ProcessPoolExecutor(options.jobs) as pool:
+        pairs = list(pool.map(run_pair, range(options.pairs)))
+        unapproved = list(pool.map(run_unapproved_window, range(options.refused)))
+    failed = 0
+    for seed, (ordinary, day) in enumerate(pairs):
         names = [stage for _, stage in day.stages]
         ok = names[-1:] == ["back"] and day.answer == 200 and not day.out and not day.late
-        wrong += not ok or bool(before.faults or day.faults)
+        failed += not ok or bool(ordinary.faults or day.faults)
         if not ok or day.faults:
             print(f"seed {seed}: {day.answer}, {day.stages}, {day.out} ran while out, {day.faults[:2]}")
     days = [day for _, day in pairs]
@@ -223,23 +245,26 @@
         "lost": sum(d.bookings.lost for d in days),
         "twice": sum(d.bookings.twice for d in days),
     }
-    doubt = [sum(b.bookings.in_doubt + b.bookings.refused for b in side) for side in zip(*pairs, strict=True)]
-    print(f"not landed, ordinary and with a window: {doubt[0]}, {doubt[1]}")
+    not_landed = [
+        sum(b.bookings.in_doubt + b.bookings.refused for b in side) for side in zip(*pairs, strict=True)
+    ]
+    print(f"not landed, ordinary and with a window: {not_landed[0]}, {not_landed[1]}")
     print(json.dumps({"stages": days[0].stages}))
-    plain = sorted(t for before, _ in pairs for t in before.lookups)
-    with_window = sorted(t for day in days for t in day.lookups)
+    durations_without = sorted(t for ordinary, _ in pairs for t in ordinary.lookups)
+    durations_with = sorted(t for day in days for t in day.lookups)
     line = " ".join(f"{name}={value}" for name, value in figures.items())
     print(
-        f"{line} lookup_p50_ratio={_ratio(with_window, plain, 0.5):.3f} "
-        f"lookup_p99_ratio={_ratio(with_window, plain, 0.99):.3f} "
+        f"{line} lookup_p50_ratio={_quantile_ratio(durations_with, durations_without, 0.5):.3f} "
+        f"lookup_p99_ratio={_quantile_ratio(durations_with, durations_without, 0.99):.3f} "
         f"back_share={sum(d.back_share for d in days) / len(days):.2f} "
-        f"outside_hours_touched={sum(d.touched for d in outside)} put_back_late={sum(d.late for d in days)}"
+        f"outside_hours_touched={sum(d.touched for d in unapproved)} "
+        f"put_back_late={sum(d.late for d in days)}"
     )
-    return 1 if wrong or any(d.answer != 409 for d in outside) else 0
+    return 1 if failed or any(d.answer != 409 for d in unapproved) else 0
 
 
-def _ratio(one: list[float], other: list[float], part: float) -> float:
-    return one[int(part * len(one))] / other[int(part * len(other))]
+def _quantile_ratio(one: list[float], other: list[float], fraction: float) -> float:
+    return one[int(fraction * len(one))] / other[int(fraction * len(other))]
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_emulation.py
+++ b/tests/mesh/test_emulation.py
@@ -6,7 +6,7 @@
 import unittest
 from typing import Any
 
-from bench.window import LOOKUPS, contracts, route
+from bench.window import LOOKUP_ROUTE, contracts, route
 from leadrudder.consensus.lease import MAINTENANCE
 from leadrudder.emulation.fleet import COLD_PER_S, Bookings, Fleet, Machine, Plan
 from leadrudder.emulation.standins import Wish
@@ -63,7 +63,7 @@
         return [
             m.name
             for m in holds
-            if m.station and m.station.state.machine_drains.is_drained("side-0", LOOKUPS)
+            if m.station and m.station.state.machine_drains.is_drained("side-0", LOOKUP_ROUTE)
         ]
 
     def landed(self, fleet: Fleet, doubt: int = 0) -> None:
