--- a/tests/mesh/test_emulation.py
+++ b/tests/mesh/test_emulation.py
@@ -6,7 +6,7 @@
 import unittest
 from typing import Any
 
-from bench.window import LOOKUPS, contracts, route
+from bench.window import LOOKUP_ROUTE, contracts, route
 from leadrudder.consensus.lease import MAINTENANCE
 from leadrudder.emulation.fleet import COLD_REQUESTS_PER_S, BookingOutcomes, Fleet, FleetPlan, Machine
 from leadrudder.emulation.standins import RequestKind
@@ -60,7 +60,9 @@
     def nodes_that_drain(self, fleet: Fleet) -> list[str]:
         """Names of the nodes that treat the first machine as drained for maintenance."""
         holds = [m for m in fleet.node_machines if m.node is not None]
-        return [m.name for m in holds if m.node and m.node.state.machine_drains.is_drained("side-0", LOOKUPS)]
+        return [
+            m.name for m in holds if m.node and m.node.state.machine_drains.is_drained("side-0", LOOKUP_ROUTE)
+        ]
 
     def check_bookings(self, fleet: Fleet, doubt: int = 0) -> None:
         """Every booking ran once, apart from at most `doubt` whose clients got no answer of success."""
