--- a/leadrudder/data_plane/outbound.py
+++ b/leadrudder/data_plane/outbound.py
@@ -80,7 +80,7 @@
         except HttpMessageError as error:
             self._reject(error.status, str(error))
         if not self._outbound.hold_body(self, self._reader.body_size) and not self._input_ended:
-            self._reject(503, "not enough memory for the request body", RETRY_AFTER_HEADER)
+            self._reject(503, "no memory for the body now", RETRY_AFTER_HEADER)
 
     def _reject(self, status: int, text: str, fields: bytes = b"") -> None:
         """Answer invalid or excess input once and read nothing more."""
@@ -181,7 +181,7 @@
             if elapsed_ms > max(
                 limits.header_timeout_ms, limits.idle_timeout_ms if self._reader.in_message else 0.0
             ):
-                self._reject(408, "request was not received completely in time")
+                self._reject(408, "the request did not come in whole")
         elif elapsed_ms > limits.idle_timeout_ms or self._outbound.closing:
             self._transport.close()
 
--- a/leadrudder/rpc/framing.py
+++ b/leadrudder/rpc/framing.py
@@ -277,11 +277,11 @@
             return False
         first_byte = self._buffer[self._message_start]
         if _header_format(first_byte)[2] != _ITEMS:
-            raise FramingError("message is not an array")
+            raise FramingError("a message is an array")
         length = self._buffer[self._message_start + 1 : self._message_start + size]
         self._field_count = int.from_bytes(length, "big") if size > 1 else _inline_length(first_byte)
         if self._field_count not in (3, 4):
-            raise FramingError("message is not an array of three or four elements")
+            raise FramingError("a message is an array of three or four")
         self._scanner = _ValueScanner(self._limits, size, 1)
         return True
 
@@ -296,12 +296,12 @@
         if field == 0:
             kind = self._decode_field(scanner)
             if type(kind) is not int or kind not in self._kinds or FIELD_COUNTS[kind] != self._field_count:
-                raise FramingError("message type and length are not accepted here")
+                raise FramingError("no message of this type and length is taken here")
             self._kind = kind
         elif field == 1 and self._kind != NOTIFICATION:
             msgid = self._decode_field(scanner)
             if type(msgid) is not int or not 0 <= msgid <= MAX_MSGID:
-                raise FramingError("msgid is not an unsigned 32-bit integer")
+                raise FramingError("the msgid is no number of 32 bits")
             self._msgid = msgid
         elif self._kind != RESPONSE and field == self._field_count - 2:
             if not isinstance(self._decode_field(scanner), str):
--- a/leadrudder/rpc/mapping.py
+++ b/leadrudder/rpc/mapping.py
@@ -160,7 +160,7 @@
             return ask.call
         method = self._method_by_class.get(ask.class_index)
         if method is None:
-            raise CallRejected(UNKNOWN_METHOD, "no method is mapped to this class")
+            raise CallRejected(UNKNOWN_METHOD, "no method is mapped for this class")
         call = ask.call
         metadata: dict[str, Any] = {"id": ask.id.decode("ascii"), "deadline": ask.budget_ms / 1000.0}
         if call.key is not None:
