--- a/leadrudder/rpc/attach.py
+++ b/leadrudder/rpc/attach.py
@@ -32,17 +32,17 @@
     call_mapper: CallMapper
 
     def attempt(
-        self, server: bytes, ask: ClientRequest, timeout_s: float, done: AttemptCallback
+        self, server: bytes, client_request: ClientRequest, timeout_s: float, done: AttemptCallback
     ) -> HttpAttempt:
-        call: HttpRequest = self.call_mapper.to_http(ask)
+        call: HttpRequest = self.call_mapper.to_http(client_request)
         http_ask = ClientRequest(
-            ask.id,
-            ask.class_index,
-            ask.tenant,
-            ask.key,
-            ask.budget_ms,
-            ask.cost_hint_ms,
-            ask.is_repeat,
+            client_request.id,
+            client_request.class_index,
+            client_request.tenant,
+            client_request.key,
+            client_request.budget_ms,
+            client_request.cost_hint_ms,
+            client_request.is_repeat,
             call,
         )
         return super().attempt(server, http_ask, timeout_s, done)
--- a/leadrudder/rpc/mapping.py
+++ b/leadrudder/rpc/mapping.py
@@ -154,26 +154,29 @@
 
     # Calls to a server.
 
-    def to_rpc(self, ask: ClientRequest) -> RpcCall:
+    def to_rpc(self, client_request: ClientRequest) -> RpcCall:
         """For an RPC server: an RPC call unchanged, an HTTP request as [target, body, metadata map]."""
-        if isinstance(ask.call, RpcCall):
-            return ask.call
-        method = self._method_by_class.get(ask.class_index)
+        if isinstance(client_request.call, RpcCall):
+            return client_request.call
+        method = self._method_by_class.get(client_request.class_index)
         if method is None:
             raise CallRejected(UNKNOWN_METHOD, "no method is mapped for this class")
-        call = ask.call
-        metadata: dict[str, Any] = {"id": ask.id.decode("ascii"), "deadline": ask.budget_ms / 1000.0}
+        call = client_request.call
+        metadata: dict[str, Any] = {
+            "id": client_request.id.decode("ascii"),
+            "deadline": client_request.budget_ms / 1000.0,
+        }
         if call.key is not None:
             metadata["key"] = call.key.decode("ascii")
         return RpcCall(method.name, pack([call.target.decode("latin-1"), call.body, metadata]))
 
-    def to_http(self, ask: ClientRequest) -> HttpRequest:
+    def to_http(self, client_request: ClientRequest) -> HttpRequest:
         """For an HTTP server: params as the request body, or in the query of a GET, which has no body."""
-        if isinstance(ask.call, HttpRequest):
-            return ask.call
-        call = ask.call
+        if isinstance(client_request.call, HttpRequest):
+            return client_request.call
+        call = client_request.call
         target = self._methods[call.method].target or b"/api/" + call.method.encode()
-        if self._settings.classes[ask.class_index].effect is Effect.SAFE:
+        if self._settings.classes[client_request.class_index].effect is Effect.SAFE:
             return HttpRequest(b"GET", target + b"?params=" + urlsafe_b64encode(call.params).rstrip(b"="))
         key = None if call.key is None else call.key.encode()
         return HttpRequest(b"POST", target, key, MSGPACK_CONTENT_TYPE, call.params)
--- a/leadrudder/rpc/upstream.py
+++ b/leadrudder/rpc/upstream.py
@@ -53,17 +53,21 @@
     error_format: ErrorFormat = field(default_factory=ErrorFormat)
 
 
-class UpstreamCall:
+class RpcUpstreamCall:
     """One call to a server; finishes exactly once."""
 
-    __slots__ = ("_on_done", "_timer", "connection", "finished", "make_frame", "msgid", "peer", "written")
+    __slots__ = ("_on_done", "_timer", "connection", "endpoint", "finished", "make_frame", "msgid", "written")
 
     def __init__(
-        self, peer: Peer | None, make_frame: Callable[[int], bytes], timeout_s: float, done: AttemptCallback
+        self,
+        endpoint: RpcEndpoint | None,
+        make_frame: Callable[[int], bytes],
+        timeout_s: float,
+        done: AttemptCallback,
     ) -> None:
-        self.peer = peer
+        self.endpoint = endpoint
         self.make_frame = make_frame  # encodes the call for a msgid
-        self.connection: UpstreamConnection | None = None
+        self.connection: RpcUpstreamConnection | None = None
         self.msgid = -1
         self.written = False
         self.finished = False
@@ -84,8 +88,8 @@
             return
         if self.connection is not None:
             self.connection.abandon_call(self)
-        elif self.peer is not None:
-            self.peer.waiting.remove(self)
+        elif self.endpoint is not None:
+            self.endpoint.waiting.remove(self)
         self.finish(outcome)
 
     def _time_out(self) -> None:
@@ -93,31 +97,31 @@
 
 
 @dataclass(slots=True, eq=False)
-class Peer:
+class RpcEndpoint:
     """A listed server process and the connections to it."""
 
     name: str
     address: Address
     started_ms: float
     current: bool = True
-    connections: list[UpstreamConnection] = field(default_factory=list)
+    connections: list[RpcUpstreamConnection] = field(default_factory=list)
     connecting: int = 0
-    waiting: deque[UpstreamCall] = field(default_factory=deque)
+    waiting: deque[RpcUpstreamCall] = field(default_factory=deque)
 
 
-class UpstreamConnection(asyncio.Protocol):
+class RpcUpstreamConnection(asyncio.Protocol):
     """One connection: open calls by msgid, answered in any order."""
 
-    def __init__(self, peer: Peer, servers: RpcUpstream) -> None:
-        self.peer = peer
-        self.calls: dict[int, UpstreamCall] = {}
+    def __init__(self, endpoint: RpcEndpoint, servers: RpcUpstream) -> None:
+        self.endpoint = endpoint
+        self.calls: dict[int, RpcUpstreamCall] = {}
         self.late_msgids: set[int] = set()  # msgids of written calls that were abandoned before their answer
         self.last_received_s = 0.0  # loop time of the last byte, or of a call sent while none was open
         self.last_used_s = 0.0  # loop time at which a call last started or finished
         self._servers = servers
         self._loop = asyncio.get_running_loop()
         self._reader = MessageReader(servers.config.limits, frozenset({RESPONSE}))
-        self._queue: deque[UpstreamCall] = deque()
+        self._queue: deque[RpcUpstreamCall] = deque()
         self._write_paused = False
         self._last_msgid = 0
         self._transport: asyncio.Transport | None = None
@@ -147,7 +151,7 @@
             return 0
         return config.window - len(self.calls)
 
-    def send_call(self, call: UpstreamCall) -> None:
+    def send_call(self, call: RpcUpstreamCall) -> None:
         """Assign an unused msgid to a call, and write it as soon as the socket accepts data."""
         self._last_msgid = self._last_msgid % MAX_MSGID + 1
         while self._last_msgid in self.calls or self._last_msgid in self.late_msgids:
@@ -174,7 +178,7 @@
         self._write_paused = False
         self._flush()
 
-    def abandon_call(self, call: UpstreamCall) -> None:
+    def abandon_call(self, call: RpcUpstreamCall) -> None:
         """Drop a call whose caller no longer waits."""
         del self.calls[call.msgid]
         if call.written:
@@ -192,7 +196,7 @@
         if self._reader.failure is not None:
             log.warning(
                 "server %s sent an invalid message; closing the connection: %s",
-                self.peer.name,
+                self.endpoint.name,
                 self._reader.failure,
             )
             self.fail(Outcome.SPOILT)
@@ -211,7 +215,7 @@
         if call is None or not call.written:
             log.warning(
                 "server %s answered msgid %d, which is not open; closing the connection",
-                self.peer.name,
+                self.endpoint.name,
                 message.msgid,
             )
             self.fail(Outcome.SPOILT)
@@ -226,8 +230,8 @@
     def _call_finished(self) -> None:
         """Use the free window slot, or close the connection after the last call of a removed server."""
         self.last_used_s = self._loop.time()
-        if self.peer.current:
-            self._servers.dispatch_waiting(self.peer)
+        if self.endpoint.current:
+            self._servers.dispatch_waiting(self.endpoint)
         elif not self.calls:
             self.abort()
 
@@ -267,7 +271,7 @@
             if now - self.last_received_s > config.silence_s:
                 log.warning(
                     "server %s: nothing received for %.1f s; closing the connection",
-                    self.peer.name,
+                    self.endpoint.name,
                     config.silence_s,
                 )
                 self.fail(Outcome.TIMEOUT)
@@ -289,8 +293,8 @@
         self._to_rpc = to_rpc
         self._to_http_body = to_http_body
         self._loop = asyncio.get_running_loop()
-        self._table: EndpointTable[Peer] = EndpointTable(Peer, self._peer_removed)
-        self._connections: dict[UpstreamConnection, None] = {}
+        self._table: EndpointTable[RpcEndpoint] = EndpointTable(RpcEndpoint, self._on_endpoint_dropped)
+        self._connections: dict[RpcUpstreamConnection, None] = {}
         self._connect_tasks: dict[asyncio.Task[None], None] = {}
         self._timeout_timer = self._loop.call_later(TIMEOUT_CHECK_INTERVAL_S, self._check_timeouts)
 
@@ -300,11 +304,11 @@
         """Apply a server list; returns the servers whose address now belongs to another server."""
         return self._table.update(listing)
 
-    def _peer_removed(self, _: ServerId, peer: Peer) -> None:
-        waiting, peer.waiting = list(peer.waiting), deque()
+    def _on_endpoint_dropped(self, _: ServerId, endpoint: RpcEndpoint) -> None:
+        waiting, endpoint.waiting = list(endpoint.waiting), deque()
         for call in waiting:
             call.finish(Outcome.MOOT)
-        for connection in list(peer.connections):
+        for connection in list(endpoint.connections):
             connection.drain()
 
     def has_endpoints(self) -> bool:
@@ -316,11 +320,11 @@
     # Calls.
 
     def attempt(
-        self, server: ServerId, ask: ClientRequest, timeout_s: float, done: AttemptCallback
-    ) -> UpstreamCall:
+        self, server: ServerId, client_request: ClientRequest, timeout_s: float, done: AttemptCallback
+    ) -> RpcUpstreamCall:
         """Start one attempt of a request. A notification counts as served once it is written."""
-        call = self._to_rpc(ask)
-        if isinstance(ask.call, HttpRequest):
+        call = self._to_rpc(client_request)
+        if isinstance(client_request.call, HttpRequest):
             on_done = done
 
             def done(outcome: Outcome, answer: UpstreamResponse | None, report: LoadReport = (), /) -> None:
@@ -334,7 +338,7 @@
 
     def _send_notification(
         self, server: ServerId, call: RpcCall, timeout_s: float, done: AttemptCallback
-    ) -> UpstreamCall:
+    ) -> RpcUpstreamCall:
         """Send a notification, which has no response: it finishes once its bytes are passed to the socket."""
 
         def make_frame(msgid: int) -> bytes:
@@ -345,111 +349,113 @@
         return started  # noqa: RET504 - make_frame refers to it
 
     @staticmethod
-    def _notification_sent(call: UpstreamCall) -> None:
+    def _notification_sent(call: RpcUpstreamCall) -> None:
         if not call.finished and call.connection is not None:
             call.connection.calls.pop(call.msgid, None)
             call.finish(Outcome.OK, UpstreamResponse(b"\xc0", packed=True))
 
-    def probe(self, server: ServerId, timeout_s: float, done: AttemptCallback) -> UpstreamCall:
+    def probe(self, server: ServerId, timeout_s: float, done: AttemptCallback) -> RpcUpstreamCall:
         """Check the health of a server: by the configured method, otherwise by opening a connection."""
         if self.config.probe:
             method = self.config.probe
             return self._start_call(
                 server, lambda msgid: encode_request(msgid, method, b"\x90"), timeout_s, done
             )
-        peer = self._table.endpoints.get(server)
-        call = UpstreamCall(None, lambda _: b"", timeout_s, done)
-        if peer is None:
+        endpoint = self._table.endpoints.get(server)
+        call = RpcUpstreamCall(None, lambda _: b"", timeout_s, done)
+        if endpoint is None:
             self._loop.call_soon(call.finish, Outcome.CONNECT_FAILED)
         else:
-            self._open_connection(peer, call)
+            self._open_connection(endpoint, call)
         return call
 
     def _start_call(
         self, server: ServerId, make_frame: Callable[[int], bytes], timeout_s: float, done: AttemptCallback
-    ) -> UpstreamCall:
-        peer = self._table.endpoints.get(server)
-        call = UpstreamCall(peer, make_frame, timeout_s, done)
+    ) -> RpcUpstreamCall:
+        endpoint = self._table.endpoints.get(server)
+        call = RpcUpstreamCall(endpoint, make_frame, timeout_s, done)
         max_waiting = MAX_WAITING_WINDOWS * self.config.window * self.config.connections
-        if peer is None or len(peer.waiting) >= max_waiting:
-            call.peer = None
+        if endpoint is None or len(endpoint.waiting) >= max_waiting:
+            call.endpoint = None
             self._loop.call_soon(call.finish, Outcome.CONNECT_FAILED)
             return call
-        peer.waiting.append(call)
+        endpoint.waiting.append(call)
         # Deferred: the outcome must not be reported before this returns, and a write may fail at once.
-        self._loop.call_soon(self.dispatch_waiting, peer)
+        self._loop.call_soon(self.dispatch_waiting, endpoint)
         return call
 
-    def dispatch_waiting(self, peer: Peer) -> None:
+    def dispatch_waiting(self, endpoint: RpcEndpoint) -> None:
         """Assign waiting calls to free slots, and open another connection if some would still wait."""
-        while peer.waiting:
-            best = max(peer.connections, key=UpstreamConnection.free_slots, default=None)
+        while endpoint.waiting:
+            best = max(endpoint.connections, key=RpcUpstreamConnection.free_slots, default=None)
             if best is None or best.free_slots() <= 0:
                 break
-            best.send_call(peer.waiting.popleft())
-        expected_slots = peer.connecting * self.config.window
+            best.send_call(endpoint.waiting.popleft())
+        expected_slots = endpoint.connecting * self.config.window
         if (
-            len(peer.waiting) > expected_slots
-            and len(peer.connections) + peer.connecting < self.config.connections
+            len(endpoint.waiting) > expected_slots
+            and len(endpoint.connections) + endpoint.connecting < self.config.connections
         ):
-            self._open_connection(peer, None)
+            self._open_connection(endpoint, None)
 
-    def _open_connection(self, peer: Peer, probe: UpstreamCall | None) -> None:
+    def _open_connection(self, endpoint: RpcEndpoint, probe: RpcUpstreamCall | None) -> None:
         if (
             len(self._connections) + len(self._connect_tasks) >= self.config.most_open
             and not self._close_longest_idle()
         ):
-            log.warning("connection limit reached; cannot connect to server %s", peer.name)
-            self._connect_failed(peer, probe)
+            log.warning("connection limit reached; cannot connect to server %s", endpoint.name)
+            self._connect_failed(endpoint, probe)
             return
-        peer.connecting += 1
-        task = self._loop.create_task(self._connect(peer, probe))
+        endpoint.connecting += 1
+        task = self._loop.create_task(self._connect(endpoint, probe))
         self._connect_tasks[task] = None
         task.add_done_callback(lambda done: self._connect_tasks.pop(done, None))
 
-    async def _connect(self, peer: Peer, probe: UpstreamCall | None) -> None:
-        host, port = peer.address
+    async def _connect(self, endpoint: RpcEndpoint, probe: RpcUpstreamCall | None) -> None:
+        host, port = endpoint.address
         try:
-            await open_connection(lambda: UpstreamConnection(peer, self), host, port, self.config.connect_s)
+            await open_connection(
+                lambda: RpcUpstreamConnection(endpoint, self), host, port, self.config.connect_s
+            )
         except (OSError, TimeoutError):
-            peer.connecting -= 1
-            self._connect_failed(peer, probe)
+            endpoint.connecting -= 1
+            self._connect_failed(endpoint, probe)
             return
-        peer.connecting -= 1
+        endpoint.connecting -= 1
         if probe is not None:
             probe.finish(Outcome.OK)
-        if peer.current:
-            self.dispatch_waiting(peer)
+        if endpoint.current:
+            self.dispatch_waiting(endpoint)
 
-    def _connect_failed(self, peer: Peer, probe: UpstreamCall | None) -> None:
+    def _connect_failed(self, endpoint: RpcEndpoint, probe: RpcUpstreamCall | None) -> None:
         """A connect failed; if no other connection is open or in progress, waiting calls fail unsent."""
         if probe is not None:
             probe.finish(Outcome.CONNECT_FAILED)
-        elif not any(c.usable() for c in peer.connections) and not peer.connecting:
-            waiting, peer.waiting = list(peer.waiting), deque()
+        elif not any(c.usable() for c in endpoint.connections) and not endpoint.connecting:
+            waiting, endpoint.waiting = list(endpoint.waiting), deque()
             for call in waiting:
                 call.finish(Outcome.CONNECT_FAILED)
 
     # Connections.
 
-    def connection_opened(self, connection: UpstreamConnection) -> None:
+    def connection_opened(self, connection: RpcUpstreamConnection) -> None:
         self._connections[connection] = None
-        connection.peer.connections.append(connection)
-        if not connection.peer.current:
+        connection.endpoint.connections.append(connection)
+        if not connection.endpoint.current:
             connection.abort()
 
-    def connection_closed(self, connection: UpstreamConnection) -> None:
+    def connection_closed(self, connection: RpcUpstreamConnection) -> None:
         """Unregister a connection; waiting calls may need another one."""
         self._connections.pop(connection, None)
-        peer = connection.peer
-        if connection in peer.connections:
-            peer.connections.remove(connection)
-            if peer.current and peer.waiting:
-                self._loop.call_soon(self.dispatch_waiting, peer)
+        endpoint = connection.endpoint
+        if connection in endpoint.connections:
+            endpoint.connections.remove(connection)
+            if endpoint.current and endpoint.waiting:
+                self._loop.call_soon(self.dispatch_waiting, endpoint)
 
     def close_idle(self, server: ServerId) -> None:
-        peer = self._table.endpoints.get(server)
-        for connection in list(peer.connections) if peer is not None else ():
+        endpoint = self._table.endpoints.get(server)
+        for connection in list(endpoint.connections) if endpoint is not None else ():
             if not connection.calls:
                 connection.abort()
 
@@ -472,8 +478,8 @@
         self._timeout_timer.cancel()
         for task in list(self._connect_tasks):
             task.cancel()
-        for peer in self._table.endpoints.values():
-            waiting, peer.waiting = list(peer.waiting), deque()
+        for endpoint in self._table.endpoints.values():
+            waiting, endpoint.waiting = list(endpoint.waiting), deque()
             for call in waiting:
                 call.finish(Outcome.CONNECT_FAILED)
         for connection in list(self._connections):
