--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -127,7 +127,7 @@
     key = f"routes/{name}"
 
     def everywhere() -> bool:
-        items = [m.station.state.book.items.get(key) for m in fleet.side if m.station is not None]
+        items = [m.station.state.item_store.items.get(key) for m in fleet.side if m.station is not None]
         return bool(acknowledged) and all(item is not None and item.version == 15 for item in items)
 
     return max(0.0, _until(fleet, everywhere, fleet.now + 20.0) - (acknowledged or [fleet.now])[0])
--- a/leadrudder/backup/snapshot.py
+++ b/leadrudder/backup/snapshot.py
@@ -35,17 +35,17 @@
     """The content of a snapshot or of a machine's disk.  taken_s: seconds since 1970; 0: unknown."""
 
     item_store: ItemStore = field(default_factory=ItemStore)
-    seats: list[tuple[int, str, int]] = field(default_factory=list)  # index, holder, incarnation
+    voter_slots: list[tuple[int, str, int]] = field(default_factory=list)  # index, holder, incarnation
     promised: dict[int, int] = field(default_factory=dict)
     taken_s: float = 0.0
 
     def merge(self, other: Snapshot) -> None:
         """Merge another snapshot: the highest version of each item, the highest incarnations and epochs."""
         self.item_store.merge(other.item_store.items.values())
-        known = {index: (incarnation, holder) for index, holder, incarnation in self.seats}
-        for index, holder, incarnation in other.seats:
+        known = {index: (incarnation, holder) for index, holder, incarnation in self.voter_slots}
+        for index, holder, incarnation in other.voter_slots:
             known[index] = max(known.get(index, (0, "")), (incarnation, holder))
-        self.seats = [(index, holder, n) for index, (n, holder) in sorted(known.items())]
+        self.voter_slots = [(index, holder, n) for index, (n, holder) in sorted(known.items())]
         for section, epoch in other.promised.items():
             self.promised[section] = max(epoch, self.promised.get(section, 0))
         self.taken_s = max(self.taken_s, other.taken_s)
@@ -55,12 +55,12 @@
         deleted = sum(item.dropped for item in self.item_store.items.values())
         when = time.strftime("%Y-%m-%d %H:%M:%S UTC", time.gmtime(self.taken_s)) if self.taken_s else "a disk"
         live = len(self.item_store.items) - deleted
-        return f"{when}: {live} items, {deleted} dropped, {len(self.seats)} seats"
+        return f"{when}: {live} items, {deleted} dropped, {len(self.voter_slots)} seats"
 
 
 def pack(
     items: Iterable[Item],
-    seats: Iterable[tuple[int, str, int]],
+    voter_slots: Iterable[tuple[int, str, int]],
     promised: Mapping[int, int],
     taken_s: float,
 ) -> bytes:
@@ -69,7 +69,7 @@
     records |= {
         f"{PROMISED_RECORD_PREFIX}{section}": str(epoch).encode() for section, epoch in promised.items()
     }
-    records[VOTERS_RECORD] = json.dumps({"seats": list(map(list, seats)), "full": False}).encode()
+    records[VOTERS_RECORD] = json.dumps({"seats": list(map(list, voter_slots)), "full": False}).encode()
     records[META_RECORD] = json.dumps({"taken_s": taken_s}).encode()
     return encode_batch(records)
 
@@ -101,7 +101,9 @@
             elif name.startswith(PROMISED_RECORD_PREFIX):
                 snapshot.promised[int(name[len(PROMISED_RECORD_PREFIX) :])] = int(value)
             elif name == VOTERS_RECORD:
-                snapshot.seats = [(int(i), str(h), int(n)) for i, h, n, *_ in json.loads(value)["seats"]]
+                snapshot.voter_slots = [
+                    (int(i), str(h), int(n)) for i, h, n, *_ in json.loads(value)["seats"]
+                ]
             elif name == META_RECORD:
                 snapshot.taken_s = float(json.loads(value)["taken_s"])
     except (ValueError, KeyError, TypeError, DecodeError):
@@ -161,7 +163,7 @@
         (*snapshot.promised.values(), *(item.epoch for item in snapshot.item_store.items.values()), 0)
     )
     epoch = ((highest_epoch >> 8) + RESTORE_HEADROOM) << 8
-    incarnation = max((n for _, _, n in snapshot.seats), default=0) + RESTORE_HEADROOM
+    incarnation = max((n for _, _, n in snapshot.voter_slots), default=0) + RESTORE_HEADROOM
     records = {}
     for key, item in snapshot.item_store.items.items():
         renewed = Item()
--- a/leadrudder/control_plane/maintenance.py
+++ b/leadrudder/control_plane/maintenance.py
@@ -79,15 +79,15 @@
         committed_items: Callable[[], ItemStore],
         list_members: Callable[[], Iterable[Node]],
         commit: Commit,
-        ring: LogBuffer,
+        log_buffer: LogBuffer,
         wall: Callable[[], float],
         monotonic: Callable[[], float],
     ) -> None:
-        self._committed_items, self._list_members, self._commit, self._ring = (
+        self._committed_items, self._list_members, self._commit, self._log_buffer = (
             committed_items,
             list_members,
             commit,
-            ring,
+            log_buffer,
         )
         self._wall, self._monotonic = wall, monotonic
         self._keeper = MaintenanceController()
@@ -101,8 +101,8 @@
     # ------------------------------------------------------------ current state
 
     def situation(self) -> FleetState:
-        book = self._committed_items()
-        routing = RoutingTable(book)
+        item_store = self._committed_items()
+        routing = RoutingTable(item_store)
         machines = {}
         for node in self._list_members():
             for server in node.servers:
@@ -110,13 +110,13 @@
                     node.name, server.zone, server.service, server.capacity, not server.draining
                 )
         used: dict[str, dict[int, float]] = {}
-        for service, item in book.live_items(USAGE_PREFIX).items():
+        for service, item in item_store.live_items(USAGE_PREFIX).items():
             used[service] = {int(hour): float(n) for hour, n in json.loads(item.value).items()}
         return FleetState(
-            contract.read_contracts(book.live_items(CONTRACT_PREFIX).items()),
+            contract.read_contracts(item_store.live_items(CONTRACT_PREFIX).items()),
             routing.routes,
             machines,
-            window.read_windows(book.live_items(WINDOW_PREFIX).items()),
+            window.read_windows(item_store.live_items(WINDOW_PREFIX).items()),
             used,
         )
 
@@ -170,7 +170,7 @@
         self._keeper.step_answered(changed.name)
         if code is ResultCode.DONE:
             stages = ", ".join(f"{s.machine} {s.stage}{': ' + s.why if s.why else ''}" for s in changed.steps)
-            self._ring.record(f"window {changed.name}: {stages}")
+            self._log_buffer.record(f"window {changed.name}: {stages}")
 
     def _next_version(self, name: str) -> int:
         """The version after the one known now: a step derived from an older version gets a conflict."""
--- a/leadrudder/control_plane/operator_api.py
+++ b/leadrudder/control_plane/operator_api.py
@@ -43,7 +43,7 @@
         commit: Commit,
         read_items: ReadItems,
         zones: Iterable[str],
-        ring: LogBuffer,
+        log_buffer: LogBuffer,
         pack_snapshot: PackSnapshot = lambda items: b"",
         list_replica_lag: Callable[[], list[ReplicaLag]] = list,
         describe_voters: Callable[[], dict[str, Any]] = dict,
@@ -56,7 +56,7 @@
         self._pack_snapshot, self._list_replica_lag = pack_snapshot, list_replica_lag
         self._committed_items, self._commit, self._read_items = committed_items, commit, read_items
         self._zones = frozenset(zones)
-        self._ring = ring
+        self._log_buffer = log_buffer
 
     async def dispatch(self, call: ApiRequest) -> ApiResponse:
         try:
@@ -80,7 +80,7 @@
                     case "POST", ("core", voters):
                         return await self._resize_core(voters)
                     case "GET", ("ring",):
-                        return ApiResponse(200, "\n".join(self._ring.lines()).encode() + b"\n")
+                        return ApiResponse(200, "\n".join(self._log_buffer.lines()).encode() + b"\n")
                     case "GET", ("metrics",):
                         return ApiResponse(200, self._metrics_text(), PLAIN_TEXT)
                     case (
@@ -107,9 +107,9 @@
             answer = await self._read_items()
             if answer.code is not ResultCode.DONE:
                 return ApiResponse(503, b"no majority answered in time\n", _RETRY_AFTER)
-            book = ItemStore()
-            book.merge(answer.items)
-            findings = validation.unknown_services(patch, book.live_items(SERVICE_PREFIX))
+            item_store = ItemStore()
+            item_store.merge(answer.items)
+            findings = validation.unknown_services(patch, item_store.live_items(SERVICE_PREFIX))
             if findings:
                 return self._reject(findings)
         items = [
@@ -120,21 +120,21 @@
         if answer.code is ResultCode.DONE:
             return ApiResponse(200, b"{}", _JSON_FIELDS)
         if answer.code is ResultCode.CONFLICT:
-            self._ring.record(f"409: {[c.key for c in patch.changes][:3]}")
+            self._log_buffer.record(f"409: {[c.key for c in patch.changes][:3]}")
             return ApiResponse(409, b"an item's version has another value already\n")
         return ApiResponse(503, b"no majority answered in time\n", _RETRY_AFTER)
 
     def _reject(self, findings: list[validation.Finding]) -> ApiResponse:
-        self._ring.record(f"400: {findings[0]}")
+        self._log_buffer.record(f"400: {findings[0]}")
         return ApiResponse(400, "".join(f"{finding}\n" for finding in findings[:20]).encode())
 
     async def _get_config(self) -> ApiResponse:
         answer = await self._read_items()
         if answer.code is not ResultCode.DONE:
             return ApiResponse(503, b"no majority answered in time\n", _RETRY_AFTER)
-        book = ItemStore()
-        book.merge(answer.items)
-        return ApiResponse(200, json.dumps(book.as_configuration()).encode(), _JSON_FIELDS)
+        item_store = ItemStore()
+        item_store.merge(answer.items)
+        return ApiResponse(200, json.dumps(item_store.as_configuration()).encode(), _JSON_FIELDS)
 
     async def _get_snapshot(self) -> ApiResponse:
         answer = await self._read_items()
--- a/leadrudder/control_plane/program.py
+++ b/leadrudder/control_plane/program.py
@@ -64,8 +64,8 @@
         self._rng = rng or Random()
         self._maintenance: MaintenanceCoordinator | None = None
         self.address = f"{settings.ip}:{settings.control_link_port}"
-        self.ring = LogBuffer(settings.name)
-        self.invariants = Invariants(self.ring.log_warning)
+        self.log_buffer = LogBuffer(settings.name)
+        self.invariants = Invariants(self.log_buffer.log_warning)
         self._loop_lag = LoopLag(time.monotonic if monotonic is None else monotonic)
         self._loop = asyncio.get_running_loop()
         self._store: Store = store or (
@@ -91,9 +91,11 @@
         records = await self._open_store()
         corruption = getattr(self._store, "corrupt", "")
         if corruption:
-            self.ring.log_warning(f"disk is corrupt and treated as lost: {corruption}")
-        self.ring.log_info(f"starting with {len(records)} records, first run: {self.settings.first_run}")
-        self._writer = self._writer_factory(self._store, self.ring.log_warning)
+            self.log_buffer.log_warning(f"disk is corrupt and treated as lost: {corruption}")
+        self.log_buffer.log_info(
+            f"starting with {len(records)} records, first run: {self.settings.first_run}"
+        )
+        self._writer = self._writer_factory(self._store, self.log_buffer.log_warning)
         self.state_machine = ControlStateMachine(
             self.address,
             self.settings.zone,
@@ -111,7 +113,7 @@
                 self._committed_items,
                 self._registry.members,
                 self._commit,
-                self.ring,
+                self.log_buffer,
                 self._wall,
                 self._loop.time,
             )
@@ -120,7 +122,7 @@
             self._commit,
             self._read_items,
             (),
-            self.ring,
+            self.log_buffer,
             self._pack_snapshot,
             self.state_machine.anti_entropy.replica_lag,
             self.state_machine.describe_voters,
@@ -130,7 +132,7 @@
         )
         self._api_server = ApiServer(
             operator_api.dispatch,
-            lambda e: self.ring.log_warning(f"unhandled exception in an operator request: {e!r}"),
+            lambda e: self.log_buffer.log_warning(f"unhandled exception in an operator request: {e!r}"),
         )
         host, port = self.address.rsplit(":", 1)
         self._listener = await self._loop.create_server(
@@ -163,7 +165,7 @@
             try:
                 return self._store.open()
             except DiskError as error:
-                self.ring.record(f"disk cannot be read, retrying: {error}")
+                self.log_buffer.record(f"disk cannot be read, retrying: {error}")
                 await asyncio.sleep(DISK_OPEN_RETRY_S)
         return self._store.open()
 
@@ -189,7 +191,7 @@
                 if future is not None and not future.done():
                     future.set_result(output)
             elif isinstance(output, LogLine):
-                self.ring.record(output.text)
+                self.log_buffer.record(output.text)
 
     def _send_to_peer(self, output: Send) -> None:
         if output.to == self.address:
@@ -405,7 +407,7 @@
         """Handles SIGTERM: hands over and exits as soon as the remaining voters no longer need this node."""
         if self._resign_by < float("inf"):
             return
-        self.ring.log_info("received SIGTERM")
+        self.log_buffer.log_info("received SIGTERM")
         now = self._loop.time()
         self._resign_by = now + max(0.0, self.settings.bounds.grace / 1000.0 - EXIT_MARGIN_S - HANDOVER_S)
         self._resign_when_safe(now)
@@ -419,7 +421,7 @@
             return
         if not self.state_machine.may_leave() and now < self._resign_by:
             return
-        self.ring.log_info("shutting down: handing over owned sections")
+        self.log_buffer.log_info("shutting down: handing over owned sections")
         self._api_server.closing = True
         self._apply_outputs(self.state_machine.resign(now))
         for link in self._feeds.links():
--- a/leadrudder/data_plane/machine_drains.py
+++ b/leadrudder/data_plane/machine_drains.py
@@ -40,11 +40,11 @@
     def any(self) -> bool:
         return bool(self._drains.by_machine)
 
-    def update(self, book: ItemStore) -> None:
+    def update(self, item_store: ItemStore) -> None:
         """Update the drains from the configuration."""
-        windows = window.read_windows(book.live_items(WINDOW_PREFIX).items())
+        windows = window.read_windows(item_store.live_items(WINDOW_PREFIX).items())
         self._drains = DrainSchedule.from_windows(
-            windows, window.read_tenant_traffic(book.live_items(CONTRACT_PREFIX).items())
+            windows, window.read_tenant_traffic(item_store.live_items(CONTRACT_PREFIX).items())
         )
         # The drain must end on time even if the wall clock is set back meanwhile.
         offset = self._monotonic() - self._wall()
--- a/leadrudder/data_plane/mesh_state.py
+++ b/leadrudder/data_plane/mesh_state.py
@@ -54,7 +54,7 @@
         monotonic: Callable[[], float],
         machine_drains_enabled: bool,
     ) -> None:
-        self.book = ItemStore()
+        self.item_store = ItemStore()
         self.routing = RoutingTable()
         self.members = MemberRegistry("")
         self.endpoints = EndpointTable()
@@ -79,7 +79,7 @@
         self._candidates_by_service: dict[str, Candidates] = {}  # a cache, cleared by changes
 
     def register_metrics(self, metrics: Metrics) -> None:
-        metrics.add("items", lambda: len(self.book.items))
+        metrics.add("items", lambda: len(self.item_store.items))
         metrics.add("routes", lambda: len(self.routing.routes))
         metrics.add("balancers", lambda: len(self.upstreams))
         metrics.add("members", lambda: len(self._member_list))
@@ -118,7 +118,7 @@
 
     def _apply_items(self, items: Iterable[Item]) -> None:
         """Put routes in force at once; dependent changes are applied with the next pass."""
-        accepted = self.book.merge(items)
+        accepted = self.item_store.merge(items)
         if not accepted:
             return
         read_before = self.routing.items_read
@@ -137,7 +137,7 @@
         kinds = {kind_of(item.key) for item in accepted}
         pending.evacuations |= EVACUATION_PREFIX in kinds
         if self._machine_drains_enabled and kinds & {WINDOW_PREFIX, CONTRACT_PREFIX}:
-            self.machine_drains.update(self.book)
+            self.machine_drains.update(self.item_store)
             pending.machine_drains = True
 
     def _remove_members(self, listed: set[str]) -> set[str]:
@@ -193,7 +193,7 @@
 
     def _evacuate(self) -> set[str]:
         """Returns the services that may have servers in zones whose evacuation began or ended."""
-        evacuated = self.book.evacuated_zones()
+        evacuated = self.item_store.evacuated_zones()
         if evacuated == self._evacuated:
             return set()
         self._evacuated = evacuated
@@ -221,10 +221,10 @@
 
     def _update_cold_rate(self, changes: PendingChanges) -> None:
         """Take the request rate of the local server while it is cold from its service's settings."""
-        life = self._admission.instance
-        if life is None or (life.service not in changes.services and self._name not in changes.nodes):
+        instance = self._admission.instance
+        if instance is None or (instance.service not in changes.services and self._name not in changes.nodes):
             return
-        service = self.routing.services.get(life.service)
+        service = self.routing.services.get(instance.service)
         if service is not None:
             self._admission.cold_per_s = service.cold_start_requests_per_s
 
--- a/leadrudder/mesh/__main__.py
+++ b/leadrudder/mesh/__main__.py
@@ -208,18 +208,18 @@
         "check", help="check bodies of PATCH /config and PATCH /contracts before they are sent"
     )
     check.add_argument("file", nargs="+", help="the body of a request, JSON")
-    rehearse = commands.add_parser(
+    simulate = commands.add_parser(
         "rehearse", help="simulate the control plane in virtual time with random faults"
     )
-    rehearse.add_argument("--seeds", type=_parse_seeds, default=range(100), metavar="A:B")
-    rehearse.add_argument("--machines", type=int, default=3, choices=range(1, 10))
-    rehearse.add_argument("--faults", type=int, default=6)
-    rehearse.add_argument(
+    simulate.add_argument("--seeds", type=_parse_seeds, default=range(100), metavar="A:B")
+    simulate.add_argument("--machines", type=int, default=3, choices=range(1, 10))
+    simulate.add_argument("--faults", type=int, default=6)
+    simulate.add_argument(
         "--stations", type=int, default=0, help="data-plane nodes that subscribe to the state"
     )
-    rehearse.add_argument("--shrink", action="store_true", help="reduce a failing run to the fewest faults")
-    rehearse.add_argument("--resize", action="store_true", help="also add and remove voters")
-    rehearse.add_argument("--kinds", default=",".join(FAULTS), help="of faults, separated by commas")
+    simulate.add_argument("--shrink", action="store_true", help="reduce a failing run to the fewest faults")
+    simulate.add_argument("--resize", action="store_true", help="also add and remove voters")
+    simulate.add_argument("--kinds", default=",".join(FAULTS), help="of faults, separated by commas")
     prove = commands.add_parser(
         "prove", help="explore small models of the control plane in every order of events"
     )
--- a/leadrudder/model_checker/machine_states.py
+++ b/leadrudder/model_checker/machine_states.py
@@ -297,8 +297,8 @@
 
 def _voter_rows(voters: VoterTable) -> tuple[VoterRow, ...]:
     return tuple(
-        (i, CLOSED_SLOT if seat.settled else seat.holder, seat.incarnation)
-        for i, seat in sorted(voters.slots.items())
+        (i, CLOSED_SLOT if slot.settled else slot.holder, slot.incarnation)
+        for i, slot in sorted(voters.slots.items())
     )
 
 
--- a/leadrudder/model_checker/maintenance.py
+++ b/leadrudder/model_checker/maintenance.py
@@ -222,12 +222,12 @@
     def _check_invariants(self, state: State) -> None:
         window = decode_window("w", state.window)
         away_steps = [s for s in window.steps if s.stage in AWAY_STAGES]
-        loans = DrainSchedule.from_windows({"w": window})
+        drain_schedule = DrainSchedule.from_windows({"w": window})
         approved = Interval(0.0, 60.0 * APPROVED_MINUTES)
         for step in away_steps:
             for clock_offset_s in (-MAX_CLOCK_SKEW_S / 2, MAX_CLOCK_SKEW_S / 2):  # of proxies
                 wall = WINDOW_START_S + state.now_s + clock_offset_s
-                if loans.is_drained(step.machine, "r", "t.example", wall) and not (
+                if drain_schedule.is_drained(step.machine, "r", "t.example", wall) and not (
                     approved.begin <= state.now_s < approved.end
                 ):
                     raise InvariantViolation(f"{step.machine} is out of service outside its hours")
--- a/tests/mesh/planted_faults.py
+++ b/tests/mesh/planted_faults.py
@@ -242,8 +242,8 @@
 def wiped_counts_at_once() -> Any:
     """A voter with an empty disk votes as soon as it learns of its slot."""
 
-    def learn(self: VoterTable, told: Iterable[VoterSlot], teller: str = "") -> bool:
-        new = original(self, told, teller)
+    def learn(self: VoterTable, slots: Iterable[VoterSlot], teller: str = "") -> bool:
+        new = original(self, slots, teller)
         self.full = self.full or self.own_slot() is not None
         return new
 
@@ -312,7 +312,7 @@
     """The quorum size follows only from the requester's own view of the voter table."""
 
     def reached(self: Quorum, table: Mapping[int, VoterSlot]) -> bool:
-        return len(self.members()) >= quorum.majority(sum(not seat.settled for seat in table.values()))
+        return len(self.members()) >= quorum.majority(sum(not slot.settled for slot in table.values()))
 
     return patch_attribute(Quorum, "reached", reached)
 
@@ -326,7 +326,7 @@
     original = Quorum.reached
 
     def reached(self: Quorum, table: Mapping[int, VoterSlot]) -> bool:
-        half = any(seat.closed and not seat.settled for seat in table.values())
+        half = any(slot.closed and not slot.settled for slot in table.values())
         return (half and len(self) > 0) or original(self, table)
 
     return reached
@@ -337,7 +337,7 @@
     return patch_attribute(VoterTable, "closing_slot", lambda self: None)
 
 
-def new_seat_by_one() -> Any:
+def new_slot_by_one() -> Any:
     """An additional voter slot is granted by a single voter."""
 
     def grants_needed(self: VoterTable, index: int) -> int:
@@ -354,14 +354,14 @@
 def restart_not_noticed() -> Any:
     """A restarted process is mistaken for its predecessor."""
 
-    def on_greeting(self: ControlStateMachine, peer: str, greeting: wire.PeerStatus) -> None:
+    def on_peer_status(self: ControlStateMachine, peer: str, status: wire.PeerStatus) -> None:
         same = wire.PeerStatus()
-        same.CopyFrom(greeting)
+        same.CopyFrom(status)
         same.life = 1
         original(self, peer, same)
 
     original = ControlStateMachine._on_peer_status
-    return patch_attribute(ControlStateMachine, "_on_peer_status", on_greeting)
+    return patch_attribute(ControlStateMachine, "_on_peer_status", on_peer_status)
 
 
 def new_link_not_told() -> Any:
@@ -474,7 +474,7 @@
         size_not_told,
         closed_without_filling,
         two_closed_at_once,
-        new_seat_by_one,
+        new_slot_by_one,
         restart_not_noticed,
         new_link_not_told,
         grants_to_all,
@@ -558,7 +558,7 @@
     "found_is_not_copied": ("handed", 120_000),
 }
 # Detected by a test of its own in tests/mesh/test_concurrent_operators.py or test_control_simulation.py.
-FOUND_BY_DIRECTED_TESTS = ("reserved_in_no_order", "links_believed", "new_seat_by_one")
+FOUND_BY_DIRECTED_TESTS = ("reserved_in_no_order", "links_believed", "new_slot_by_one")
 FOUND_AT_START = ("older_overwrites_newer",)  # frames are exchanged without end before the first fault
 
 # Simulations that detect faults which few seeds detect.
--- a/tests/mesh/test_backup.py
+++ b/tests/mesh/test_backup.py
@@ -24,7 +24,7 @@
 from leadrudder.storage import store as store_module
 from leadrudder.storage.store import DbmStore, DiskError
 
-SEATS = [(i, f"10.{i}.0.1:1", 1) for i in range(3)]
+VOTER_SLOTS = [(i, f"10.{i}.0.1:1", 1) for i in range(3)]
 
 
 def item(key: str, version: int, value: bytes = b"v", *, epoch: int = 256, dropped: bool = False) -> Item:
@@ -32,7 +32,7 @@
 
 
 def packed_and_unpacked(*items: Item, taken_s: float = 5.0) -> Snapshot:
-    snapshot: Snapshot = unpack(pack(items, SEATS, {0: 768}, taken_s)).unwrap()
+    snapshot: Snapshot = unpack(pack(items, VOTER_SLOTS, {0: 768}, taken_s)).unwrap()
     return snapshot
 
 
@@ -46,10 +46,10 @@
     def test_a_snapshot_survives_a_round_trip(self) -> None:
         found = packed_and_unpacked(item("routes/a", 3), item("routes/b", 2, dropped=True))
         self.assertEqual(found.item_store.items["routes/b"], item("routes/b", 2, dropped=True))
-        self.assertEqual((found.seats, found.promised, found.taken_s), (SEATS, {0: 768}, 5.0))
+        self.assertEqual((found.voter_slots, found.promised, found.taken_s), (VOTER_SLOTS, {0: 768}, 5.0))
 
     def test_any_truncation_or_bit_flip_is_detected(self) -> None:
-        data = pack([item("routes/a", 3, b"value"), item("limits", 1)], SEATS, {0: 768}, 5.0)
+        data = pack([item("routes/a", 3, b"value"), item("limits", 1)], VOTER_SLOTS, {0: 768}, 5.0)
         for at in range(len(data)):
             self.assertIsInstance(unpack(data[:at]), Failure, f"cut at {at}")
             for bit in range(8):
@@ -72,7 +72,7 @@
     def test_only_the_newest_snapshots_are_kept(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             for taken_s in (10.0, 20.0, 20.0, 30.0):
-                last = save_snapshot(folder, pack([], SEATS, {}, taken_s), taken_s, 2)
+                last = save_snapshot(folder, pack([], VOTER_SLOTS, {}, taken_s), taken_s, 2)
             left = sorted(os.listdir(folder))
             self.assertEqual(len(left), 2)
             self.assertEqual(left[-1], os.path.basename(last))
@@ -102,7 +102,7 @@
         before = packed_and_unpacked(item("routes/a", 3), item("routes/b", 7, b"new"), item("limits", 1))
         after = packed_and_unpacked(item("routes/a", 4, dropped=True), item("routes/b", 6, b"old"))
         for sources in ([before, after], [after, before]):
-            records = restored_records(sources, [holder for _, holder, _ in SEATS])
+            records = restored_records(sources, [holder for _, holder, _ in VOTER_SLOTS])
             item_store = ItemStore()
             item_store.merge(Item.FromString(v) for k, v in records.items() if k.startswith("item/"))
             self.assertTrue(item_store.items["routes/a"].dropped)
@@ -120,7 +120,7 @@
         # One disk is from before the loss: another voter has its place, and its items are of an older epoch.
         old.disk = {
             "item/routes/a": item("routes/a", 3, b"lost").SerializeToString(),
-            "seats": json.dumps({"seats": SEATS, "full": True}).encode(),
+            "seats": json.dumps({"seats": VOTER_SLOTS, "full": True}).encode(),
         }
         world.play(5.0)
         answers: list[Answer] = []
@@ -135,7 +135,7 @@
 
     def test_the_command_writes_a_disk_for_each_machine(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            path = save_snapshot(folder, pack([item("routes/a", 3)], SEATS, {}, 9.0), 9.0, 8)
+            path = save_snapshot(folder, pack([item("routes/a", 3)], VOTER_SLOTS, {}, 9.0), 9.0, 8)
             into = os.path.join(folder, "new")
             arguments = ["restore", path, "--holders", "10.0.0.1:5,10.0.0.2:5,10.0.0.3:5", "--into", into]
             with redirect_stdout(io.StringIO()), redirect_stderr(io.StringIO()):
--- a/tests/mesh/test_control.py
+++ b/tests/mesh/test_control.py
@@ -137,7 +137,7 @@
 
 class ApiTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.book = ItemStore()
+        self.item_store = ItemStore()
         self.changes: list[list[Item]] = []
         self.answers: list[Answer] = []
 
@@ -146,10 +146,10 @@
         return self.answers.pop(0)
 
     async def _read(self) -> Answer:
-        return Answer(0, ResultCode.DONE, tuple(self.book.items.values()))
+        return Answer(0, ResultCode.DONE, tuple(self.item_store.items.values()))
 
     def call(self, method: str, *segments: str, body: bytes = b"") -> ApiResponse:
-        api = OperatorApi(lambda: self.book, self._change, self._read, ("z",), LogBuffer("r"))
+        api = OperatorApi(lambda: self.item_store, self._change, self._read, ("z",), LogBuffer("r"))
         return run(api.dispatch(ApiRequest(method, segments, body)))
 
     def test_unknown_paths_methods_and_bodies_are_rejected(self) -> None:
@@ -178,7 +178,7 @@
         self.assertEqual([(i.version, i.value) for (i,) in self.changes], [(1, b"1"), (5, b"1")])
 
     def test_config_reads_back_as_it_was_written(self) -> None:
-        self.book.merge(
+        self.item_store.merge(
             [
                 Item(key="routes/r", version=2, value=b'{"host":"h"}'),
                 Item(key="routes/gone", version=3, dropped=True),
@@ -211,11 +211,11 @@
         self.assertEqual(run(api.dispatch(ApiRequest("GET", ("ready",), b""))).status, 503)
 
     def test_log_buffer_is_bounded(self) -> None:
-        ring = LogBuffer("r", now=lambda: 0.0)
+        log_buffer = LogBuffer("r", now=lambda: 0.0)
         for i in range(CAPACITY_LINES + 50):
-            ring.record(str(i))
-        self.assertEqual(len(ring.lines()), CAPACITY_LINES)
-        self.assertIn(str(CAPACITY_LINES + 49), ring.lines()[-1])
+            log_buffer.record(str(i))
+        self.assertEqual(len(log_buffer.lines()), CAPACITY_LINES)
+        self.assertIn(str(CAPACITY_LINES + 49), log_buffer.lines()[-1])
 
 
 if __name__ == "__main__":
--- a/tests/mesh/test_control_simulation.py
+++ b/tests/mesh/test_control_simulation.py
@@ -20,7 +20,7 @@
 }
 
 
-class Rehearsal(unittest.TestCase):
+class ControlSimulation(unittest.TestCase):
     def test_three_machines_keep_every_rule(self) -> None:
         for seed in range(60):
             with self.subTest(seed=seed):
@@ -73,7 +73,7 @@
     def test_a_seat_more_is_granted_by_a_majority(self) -> None:
         shown = (90, 110, 113, 315)  # of 0 to 399: both must hold it before either hears of the other
         self.assertFalse(any(map(self._one_seat_with_two_holders, (*range(16), *shown))))
-        with PLANTED_FAULTS["new_seat_by_one"]():
+        with PLANTED_FAULTS["new_slot_by_one"]():
             self.assertTrue(any(map(self._one_seat_with_two_holders, shown)))
 
     def test_two_closings_that_began_at_once_are_both_settled(self) -> None:
