--- a/leadrudder/data_plane/admission_control.py
+++ b/leadrudder/data_plane/admission_control.py
@@ -128,50 +128,51 @@
 
     def admit(
         self,
-        waybill: ForwardRequest,
+        forward_request: ForwardRequest,
         now: float,
         start: Callable[[], None],
         refuse: Callable[[RequestFailure], None],
     ) -> QueuedCall | None:
         """Start a call, refuse it, or queue it; returns the queued call."""
-        verdict = self._refusal(waybill, now)
+        verdict = self._refusal(forward_request, now)
         if verdict is not None:
             refuse(verdict)
             return None
-        if waybill.once:
-            if waybill.attempt_id in self._seen_ids:
+        if forward_request.once:
+            if forward_request.attempt_id in self._seen_ids:
                 refuse(RequestFailure(Executed.MAYBE, "seen"))
                 return None
-            self._remember_id(waybill.attempt_id)
-        if self._service_times.is_short(waybill.target_ms):
+            self._remember_id(forward_request.attempt_id)
+        if self._service_times.is_short(forward_request.target_ms):
             self._short_call_rate.observe(now)
-        if self._has_free_slot(waybill, now) and not self._is_rate_limited(now):
+        if self._has_free_slot(forward_request, now) and not self._is_rate_limited(now):
             self._start_call(start, now)
             return None
-        rank, wait_ms = self._rank_and_wait(waybill, now)
-        may_wait = waybill.may_wait or not rank.late
+        rank, wait_ms = self._rank_and_wait(forward_request, now)
+        may_wait = forward_request.may_wait or not rank.late
         if (
             not may_wait
-            or wait_ms > MAX_WAIT_FRACTION * waybill.left_ms
+            or wait_ms > MAX_WAIT_FRACTION * forward_request.left_ms
             or not self._make_room_in_queue(rank)
         ):
-            self._forget_id(waybill)
+            self._forget_id(forward_request)
             refuse(RequestFailure(Executed.NEVER, "full", wait_ms))
             return None
         min_remaining_ms = max(
-            MIN_REMAINING_MS, MIN_REMAINING_FRACTION * self._service_times.expected_ms(waybill.target_ms)
+            MIN_REMAINING_MS,
+            MIN_REMAINING_FRACTION * self._service_times.expected_ms(forward_request.target_ms),
         )
-        expires_at = now + (waybill.left_ms - min_remaining_ms) / 1000.0
+        expires_at = now + (forward_request.left_ms - min_remaining_ms) / 1000.0
         return self._queue.push(
-            rank, waybill, expires_at=expires_at, queued_at=now, start=start, refuse=refuse
+            rank, forward_request, expires_at=expires_at, queued_at=now, start=start, refuse=refuse
         )
 
-    def _has_free_slot(self, waybill: ForwardRequest, now: float) -> bool:
+    def _has_free_slot(self, forward_request: ForwardRequest, now: float) -> bool:
         """Whether there is a free slot for a call, apart from slots reserved for others."""
         assert self.instance is not None
-        return self.running_calls < self.instance.capacity - self._reserved_slots(waybill, now)
+        return self.running_calls < self.instance.capacity - self._reserved_slots(forward_request, now)
 
-    def _reserved_slots(self, waybill: ForwardRequest, now: float) -> int:
+    def _reserved_slots(self, forward_request: ForwardRequest, now: float) -> int:
         """Slots that a call may not use: one is reserved for short calls while they arrive often enough.
 
         A short call is usually made by a server that occupies a slot elsewhere for as long as the call waits
@@ -179,7 +180,7 @@
         """
         assert self.instance is not None
         if self.instance.capacity < MIN_CAPACITY_FOR_RESERVE or self._service_times.is_short(
-            waybill.target_ms
+            forward_request.target_ms
         ):
             return 0
         short_calls_per_long_call = (
@@ -187,31 +188,32 @@
         )
         return 1 if short_calls_per_long_call > RESERVE_THRESHOLD_CALLS else 0
 
-    def _rank_and_wait(self, waybill: ForwardRequest, now: float) -> tuple[Rank, float]:
+    def _rank_and_wait(self, forward_request: ForwardRequest, now: float) -> tuple[Rank, float]:
         """The rank of a call in the queue, and its expected wait in milliseconds."""
-        on_time = Rank(waybill.priority, False, now + waybill.aim_ms / 1000.0)
-        wait_ms = self._expected_wait_ms(waybill, on_time, now)
+        on_time = Rank(forward_request.priority, False, now + forward_request.aim_ms / 1000.0)
+        wait_ms = self._expected_wait_ms(forward_request, on_time, now)
         is_on_time = (
-            wait_ms + self._service_times.expected_ms(waybill.target_ms) <= ON_TIME_FRACTION * waybill.aim_ms
+            wait_ms + self._service_times.expected_ms(forward_request.target_ms)
+            <= ON_TIME_FRACTION * forward_request.aim_ms
         )
-        if is_on_time or self._service_times.is_short(waybill.target_ms):
+        if is_on_time or self._service_times.is_short(forward_request.target_ms):
             return on_time, wait_ms
-        late = Rank(waybill.priority, True, now + waybill.left_ms / 1000.0)
-        return late, self._expected_wait_ms(waybill, late, now)
+        late = Rank(forward_request.priority, True, now + forward_request.left_ms / 1000.0)
+        return late, self._expected_wait_ms(forward_request, late, now)
 
     def _remember_id(self, attempt_id: bytes) -> None:
         self._seen_ids[attempt_id] = None
         while len(self._seen_ids) > MAX_REMEMBERED_IDS:
             self._seen_ids.popitem(last=False)
 
-    def _forget_id(self, waybill: ForwardRequest) -> None:
+    def _forget_id(self, forward_request: ForwardRequest) -> None:
         """A refused request has not run and may be sent again."""
-        if waybill.once:
-            self._seen_ids.pop(waybill.attempt_id, None)
+        if forward_request.once:
+            self._seen_ids.pop(forward_request.attempt_id, None)
 
-    def _refusal(self, waybill: ForwardRequest, now: float) -> RequestFailure | None:
+    def _refusal(self, forward_request: ForwardRequest, now: float) -> RequestFailure | None:
         instance = self.instance
-        if instance is None or instance.id != waybill.server:
+        if instance is None or instance.id != forward_request.server:
             return RequestFailure(Executed.NEVER, "gone")
         if now < instance.down_until:
             return RequestFailure(Executed.NEVER, "down")
@@ -221,9 +223,9 @@
             return RequestFailure(Executed.NEVER, "evacuated")
         if instance.draining_since is not None:
             accepting = now - instance.draining_since < DRAIN_ACCEPT_FRACTION * self._bounds.drain / 1000.0
-            if not accepting or not waybill.may_wait:
+            if not accepting or not forward_request.may_wait:
                 return RequestFailure(Executed.NEVER, "draining")
-        if waybill.left_ms <= MIN_REMAINING_MS:
+        if forward_request.left_ms <= MIN_REMAINING_MS:
             return RequestFailure(Executed.NEVER, "time")
         return None
 
@@ -236,20 +238,20 @@
         if last is None or rank >= last.rank:
             return False
         self._queue.discard(last)
-        self._forget_id(last.waybill)
+        self._forget_id(last.forward_request)
         last.refuse(RequestFailure(Executed.NEVER, "full", self._service_times.mean_ms))
         return True
 
-    def _expected_wait_ms(self, waybill: ForwardRequest, rank: Rank, now: float) -> float:
+    def _expected_wait_ms(self, forward_request: ForwardRequest, rank: Rank, now: float) -> float:
         """The approximate wait of a call at this rank."""
         assert self.instance is not None
         calls_ahead = 1 + self._queue.count_ahead(rank)
         if now < self.instance.cold_until:
             return 1000.0 * calls_ahead / self._cold_rate_per_s()
-        available_slots = self.instance.capacity - self._reserved_slots(waybill, now)
+        available_slots = self.instance.capacity - self._reserved_slots(forward_request, now)
         return (
             calls_ahead
-            * max(self._service_times.mean_ms, self._service_times.expected_ms(waybill.target_ms))
+            * max(self._service_times.mean_ms, self._service_times.expected_ms(forward_request.target_ms))
             / available_slots
         )
 
@@ -307,7 +309,7 @@
             if self._is_rate_limited(now):
                 break
             self._queue.discard(queued)
-            queued.waybill.left_ms -= 1000.0 * (now - queued.queued_at)
+            queued.forward_request.left_ms -= 1000.0 * (now - queued.queued_at)
             self._start_call(queued.start, now)
         next_check_at = self._queue.next_expiry()
         if next_check_at is not None and self.instance is not None and now < self.instance.cold_until:
@@ -316,7 +318,9 @@
 
     def _next_startable(self, now: float) -> QueuedCall | None:
         """The first queued call for which there is a free slot."""
-        return next((queued for queued in self._queue if self._has_free_slot(queued.waybill, now)), None)
+        return next(
+            (queued for queued in self._queue if self._has_free_slot(queued.forward_request, now)), None
+        )
 
     def _refuse_inadmissible(self, now: float) -> None:
         """Refuse queued calls that have expired or that the server may no longer get."""
@@ -324,9 +328,9 @@
             verdict = (
                 RequestFailure(Executed.NEVER, "time")
                 if now >= queued.expires_at
-                else self._refusal(queued.waybill, now)
+                else self._refusal(queued.forward_request, now)
             )
             if verdict is not None:
                 self._queue.discard(queued)
-                self._forget_id(queued.waybill)
+                self._forget_id(queued.forward_request)
                 queued.refuse(verdict)
--- a/leadrudder/data_plane/admission_queue.py
+++ b/leadrudder/data_plane/admission_queue.py
@@ -26,7 +26,7 @@
 
     rank: Rank
     sequence: int
-    waybill: ForwardRequest = field(compare=False)
+    forward_request: ForwardRequest = field(compare=False)
     expires_at: float = field(compare=False)
     queued_at: float = field(compare=False)
     start: Callable[[], None] = field(compare=False)
@@ -50,14 +50,14 @@
     def push(
         self,
         rank: Rank,
-        waybill: ForwardRequest,
+        forward_request: ForwardRequest,
         *,
         expires_at: float,
         queued_at: float,
         start: Callable[[], None],
         refuse: Callable[[RequestFailure], None],
     ) -> QueuedCall:
-        queued = QueuedCall(rank, next(self._numbers), waybill, expires_at, queued_at, start, refuse)
+        queued = QueuedCall(rank, next(self._numbers), forward_request, expires_at, queued_at, start, refuse)
         insort(self._calls, queued)
         return queued
 
--- a/leadrudder/data_plane/inbound.py
+++ b/leadrudder/data_plane/inbound.py
@@ -50,31 +50,31 @@
 
 
 class InboundProxy:
-    """Sends admitted calls to the local server; each waybill gets exactly one delivery."""
+    """Sends admitted calls to the local server; each forwarded request gets exactly one response."""
 
     def __init__(
         self,
         admission: AdmissionController,
         local_server: LocalServer,
         log: Callable[[str], None],
-        is_lent: Callable[[ForwardRequest], bool] = lambda waybill: False,
+        is_drained: Callable[[ForwardRequest], bool] = lambda forward_request: False,
         on_unsafe_run: Callable[[int], None] | None = None,
     ) -> None:
-        """is_lent: whether this machine is now excluded from the traffic of a waybill.
+        """is_drained: whether this machine is now excluded from the traffic of a forwarded request.
 
         on_unsafe_run: called with the ledger epoch when an unsafe request has run.
         """
-        self.admission, self._local_server, self._log, self._is_lent, self._on_unsafe_run = (
+        self.admission, self._local_server, self._log, self._is_drained, self._on_unsafe_run = (
             admission,
             local_server,
             log,
-            is_lent,
+            is_drained,
             on_unsafe_run,
         )
         self._loop = asyncio.get_running_loop()
         self._queue_timer: asyncio.TimerHandle | None = None
 
-    def handle(self, waybill: ForwardRequest, deliver: Deliver) -> Withdraw:
+    def handle(self, forward_request: ForwardRequest, deliver: Deliver) -> Withdraw:
         """Admit a call; returns a function that withdraws it.
 
         A queued call is dropped. A running call is cancelled only if the client has disconnected and the
@@ -85,81 +85,84 @@
         def refuse(verdict: RequestFailure) -> None:
             deliver(
                 ForwardResponse(
-                    number=waybill.number, ran=int(verdict.ran), why=verdict.why, retry_ms=verdict.retry_ms
+                    number=forward_request.number,
+                    ran=int(verdict.ran),
+                    why=verdict.why,
+                    retry_ms=verdict.retry_ms,
                 )
             )
 
         def start() -> None:
             nonlocal call
-            call = self._run(waybill, deliver)
+            call = self._run(forward_request, deliver)
 
         def withdraw(client_left: bool) -> None:
             if queued is not None:
                 self.admission.withdraw(queued)
-            if call is not None and client_left and not waybill.once:
+            if call is not None and client_left and not forward_request.once:
                 call.cancel(Outcome.CANCELLED)
 
-        if self._is_lent(waybill):
+        if self._is_drained(forward_request):
             refuse(RequestFailure(Executed.NEVER, "lent"))
             return no_withdrawal
-        queued = self.admission.admit(waybill, self._loop.time(), start, refuse)
+        queued = self.admission.admit(forward_request, self._loop.time(), start, refuse)
         if queued is not None:
             self._process_queue()
         return withdraw
 
-    def _run(self, waybill: ForwardRequest, deliver: Deliver) -> UpstreamCall:
+    def _run(self, forward_request: ForwardRequest, deliver: Deliver) -> UpstreamCall:
         started_at = self._loop.time()
         content_length = b""
-        if waybill.body or waybill.method not in (b"GET", b"HEAD", b"DELETE"):
-            content_length = b"Content-Length: %d\r\n" % len(waybill.body)
+        if forward_request.body or forward_request.method not in (b"GET", b"HEAD", b"DELETE"):
+            content_length = b"Content-Length: %d\r\n" % len(forward_request.body)
         head = b"%s %s HTTP/1.1\r\n%s%sTarget-Server: %s\r\n" % (
-            waybill.method,
-            waybill.target,
-            waybill.fields,
+            forward_request.method,
+            forward_request.target,
+            forward_request.fields,
             content_length,
-            waybill.server.encode("latin-1"),
+            forward_request.server.encode("latin-1"),
         )
 
         def ended(outcome: Outcome, message: BufferedHttpMessage | None) -> None:
             now = self._loop.time()
-            delivery = self._make_delivery(waybill, outcome, message)
+            response = self._make_response(forward_request, outcome, message)
             if outcome is Outcome.CONNECT_FAILED:
-                self.admission.on_connect_failure(waybill.server, now)
-            deliver(delivery)
+                self.admission.on_connect_failure(forward_request.server, now)
+            deliver(response)
             elapsed_ms = None if outcome is Outcome.CANCELLED else 1000.0 * (now - started_at)
-            self.admission.on_call_ended(elapsed_ms, now, waybill.target_ms)
+            self.admission.on_call_ended(elapsed_ms, now, forward_request.target_ms)
             self._process_queue()
 
-        request = ServerRequest(waybill.attempt_id, head, waybill.body)
+        request = ServerRequest(forward_request.attempt_id, head, forward_request.body)
         return self._local_server.run(
-            waybill.server, request, waybill.left_ms / 1000.0 + SERVER_TIMEOUT_GRACE_S, ended
+            forward_request.server, request, forward_request.left_ms / 1000.0 + SERVER_TIMEOUT_GRACE_S, ended
         )
 
-    def _make_delivery(
-        self, waybill: ForwardRequest, outcome: Outcome, message: BufferedHttpMessage | None
+    def _make_response(
+        self, forward_request: ForwardRequest, outcome: Outcome, message: BufferedHttpMessage | None
     ) -> ForwardResponse:
-        delivery = ForwardResponse(number=waybill.number)
+        response = ForwardResponse(number=forward_request.number)
         if message is None:
             if outcome in (Outcome.CONNECT_FAILED, Outcome.MOOT):
-                delivery.ran, delivery.why = Executed.NEVER, "down"
+                response.ran, response.why = Executed.NEVER, "down"
             else:
-                delivery.ran = Executed.MAYBE
-                delivery.why = "time" if outcome is Outcome.TIMEOUT else outcome.value
-            return delivery
+                response.ran = Executed.MAYBE
+                response.why = "time" if outcome is Outcome.TIMEOUT else outcome.value
+            return response
         status = message.status
         if NOT_RUN_HEADER in message.headers or status == 421:
-            delivery.ran, delivery.why = Executed.NEVER, "turned away"
-            return delivery
+            response.ran, response.why = Executed.NEVER, "turned away"
+            return response
         if 200 <= status < 300 and (
             SERVER_SEAL_HEADER not in message.headers or b"content-encoding" in message.headers
         ):
-            delivery.ran, delivery.why = Executed.MAYBE, "spoilt"
-            return delivery
-        if self._on_unsafe_run is not None and waybill.once:
-            self._on_unsafe_run(waybill.epoch)
-        delivery.ran, delivery.status = Executed.YES, status
-        delivery.fields, delivery.body = forwarded_headers(message), message.body
-        return delivery
+            response.ran, response.why = Executed.MAYBE, "spoilt"
+            return response
+        if self._on_unsafe_run is not None and forward_request.once:
+            self._on_unsafe_run(forward_request.epoch)
+        response.ran, response.status = Executed.YES, status
+        response.fields, response.body = forwarded_headers(message), message.body
+        return response
 
     def _process_queue(self) -> None:
         """Process the admission queue and schedule the next time."""
--- a/leadrudder/data_plane/load_balancer.py
+++ b/leadrudder/data_plane/load_balancer.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(slots=True)
-class ClientRequest:
+class ProxiedRequest:
     """A client's request; it gets exactly one answer."""
 
     method: bytes
@@ -73,7 +73,7 @@
 
 
 SendAttempt = Callable[
-    [ClientRequest, Route, str, bool, bool, Callable[[ForwardResponse], None]], Callable[[bool], None]
+    [ProxiedRequest, Route, str, bool, bool, Callable[[ForwardResponse], None]], Callable[[bool], None]
 ]
 
 
@@ -115,7 +115,7 @@
         self.policy = Balancer(
             settings, seed=Random().getrandbits(48) if seed is None else seed, limit=UnlimitedConcurrency()
         )
-        self._client_requests: dict[int, ClientRequest] = {}
+        self._client_requests: dict[int, ProxiedRequest] = {}
         self._last_number = 0
         self._current_servers: Mapping[str, Distance] = {}
         self._pending_candidates: Candidates | None = None  # not yet passed to the policy
@@ -144,7 +144,7 @@
         self._current_servers = candidates.servers
         self._handle_event(api.ServerList(api.ListKind.FULL, candidates.entries))
 
-    def submit(self, client_request: ClientRequest) -> Callable[[], None]:
+    def submit(self, client_request: ProxiedRequest) -> Callable[[], None]:
         """Start a request, which gets one answer.  Returns a function to call when its client disconnects."""
         self._apply_pending_candidates()
         self._last_number += 1
@@ -156,7 +156,7 @@
         self._handle_event(api.Arrival(number, 0, max(1.0, 1000.0 * left_s)))
         return lambda: self._on_client_left(number, client_request)
 
-    def _on_client_left(self, number: int, client_request: ClientRequest) -> None:
+    def _on_client_left(self, number: int, client_request: ProxiedRequest) -> None:
         """The client has disconnected: send no further attempts and withdraw those in flight."""
         if number not in self._client_requests or client_request.done:
             return
@@ -168,7 +168,7 @@
         for attempt in list(client_request.in_flight):
             self._give_up_attempt(number, client_request, attempt, Outcome.CANCELLED, client_left=True)
 
-    def _on_deadline(self, number: int, client_request: ClientRequest) -> None:
+    def _on_deadline(self, number: int, client_request: ProxiedRequest) -> None:
         """The deadline has passed: attempts in flight count as timed out after the time they took."""
         if number not in self._client_requests:
             return
@@ -179,12 +179,12 @@
         self._client_requests.pop(number, None)
         self._handle_event(api.RequestGone(number))
 
-    def _remove_if_finished(self, number: int, client_request: ClientRequest) -> None:
+    def _remove_if_finished(self, number: int, client_request: ProxiedRequest) -> None:
         """A request is kept until all its attempts have ended."""
         if client_request.done and not client_request.in_flight:
             self._client_requests.pop(number, None)
 
-    def _finish(self, client_request: ClientRequest, reason: str) -> None:
+    def _finish(self, client_request: ProxiedRequest, reason: str) -> None:
         """Answer without another attempt: by a server's error reply if there is one, else by verdicts."""
         if client_request.error_reply is not None and not client_request.in_flight:
             client_request.answer(client_request.error_reply)
@@ -249,10 +249,10 @@
         client_request.in_flight[attempt] = lambda client_left: None
         ended_early = False
 
-        def delivered(delivery: ForwardResponse) -> None:
+        def delivered(response: ForwardResponse) -> None:
             nonlocal ended_early
             ended_early = True
-            self._on_delivery(number, attempt, action.server, started_at, client_request, delivery)
+            self._on_response(number, attempt, action.server, started_at, client_request, response)
 
         withdraw = self._send_attempt(
             client_request, self.route, server, attempt >= wait_from_attempt, is_repeat, delivered
@@ -262,7 +262,7 @@
             self._attempts_in_flight[number, attempt] = (action.server, started_at)
 
     def _end_unsent_attempt(
-        self, number: int, client_request: ClientRequest, attempt: int, server: ServerId
+        self, number: int, client_request: ProxiedRequest, attempt: int, server: ServerId
     ) -> None:
         self._handle_event(api.AttemptEnded(number, attempt, server, Outcome.MOOT, 0.0, client_request.done))
         self._remove_if_finished(number, client_request)
@@ -270,7 +270,7 @@
     def _give_up_attempt(
         self,
         number: int,
-        client_request: ClientRequest,
+        client_request: ProxiedRequest,
         attempt: int,
         outcome: Outcome,
         *,
@@ -292,27 +292,27 @@
         )
         self._remove_if_finished(number, client_request)
 
-    def _on_delivery(
+    def _on_response(
         self,
         number: int,
         attempt: int,
         server: ServerId,
         started_at: float,
-        client_request: ClientRequest,
-        delivery: ForwardResponse,
+        client_request: ProxiedRequest,
+        response: ForwardResponse,
     ) -> None:
         if attempt not in client_request.in_flight:
             return
         del client_request.in_flight[attempt]
         self._attempts_in_flight.pop((number, attempt), None)
         elapsed_ms = 1000.0 * (self._loop.time() - started_at)
-        outcome = self._classify(client_request, server, elapsed_ms, delivery)
+        outcome = self._classify(client_request, server, elapsed_ms, response)
         if outcome is Outcome.REJECTED and client_request.error_reply is not None:
             client_request.answer(client_request.error_reply)
         if outcome is Outcome.OK and self._current_servers.get(server.decode()) is Distance.OTHER_ZONE:
             elapsed_ms += self._cross_zone_penalty_ms
         rest_ms = (
-            min(MAX_FULL_SERVER_PAUSE_MS, FULL_SERVER_PAUSE_FRACTION * delivery.retry_ms)
+            min(MAX_FULL_SERVER_PAUSE_MS, FULL_SERVER_PAUSE_FRACTION * response.retry_ms)
             if outcome is Outcome.MOOT
             else 0.0
         )
@@ -324,27 +324,27 @@
         self._remove_if_finished(number, client_request)
 
     def _classify(
-        self, client_request: ClientRequest, server: ServerId, elapsed_ms: float, delivery: ForwardResponse
+        self, client_request: ProxiedRequest, server: ServerId, elapsed_ms: float, response: ForwardResponse
     ) -> Outcome:
         """The outcome of an attempt in the policy's terms; a success is passed to the client at once."""
-        ran = Executed(delivery.ran)
-        if delivery.status:
+        ran = Executed(response.ran)
+        if response.status:
             client_request.arrivals += 1
-            reply = ServerResponse(delivery.status, delivery.fields, delivery.body)
-            if 200 <= delivery.status < 300:
+            reply = ServerResponse(response.status, response.fields, response.body)
+            if 200 <= response.status < 300:
                 client_request.answer(reply)
                 return Outcome.OK
             client_request.error_reply = reply
-            client_request.verdicts.append(RequestFailure(Executed.YES, f"status {delivery.status}"))
+            client_request.verdicts.append(RequestFailure(Executed.YES, f"status {response.status}"))
             # A 500 is as often caused by a service that the server calls: only four in a row eject it.
-            return Outcome.REJECTED if delivery.status < 500 else Outcome.SPOILT
-        client_request.verdicts.append(RequestFailure(ran, delivery.why, delivery.retry_ms))
+            return Outcome.REJECTED if response.status < 500 else Outcome.SPOILT
+        client_request.verdicts.append(RequestFailure(ran, response.why, response.retry_ms))
         if ran is not Executed.NEVER:
             client_request.arrivals += 1
-            return Outcome.SPOILT if delivery.why == Outcome.SPOILT.value else Outcome.RESET
-        if delivery.why == "turned away":
+            return Outcome.SPOILT if response.why == Outcome.SPOILT.value else Outcome.RESET
+        if response.why == "turned away":
             client_request.arrivals += 1
             return Outcome.FULL
-        if delivery.why in ("unreachable", "down"):
+        if response.why in ("unreachable", "down"):
             return Outcome.CONNECT_FAILED
         return Outcome.MOOT
--- a/leadrudder/data_plane/outbound.py
+++ b/leadrudder/data_plane/outbound.py
@@ -14,7 +14,7 @@
 from leadrudder.configuration.items import Limits, Route
 from leadrudder.data_plane.client_patience import ClientPatience
 from leadrudder.data_plane.inbound import forwarded_headers
-from leadrudder.data_plane.load_balancer import MIN_RETRY_AFTER_MS, ClientRequest
+from leadrudder.data_plane.load_balancer import MIN_RETRY_AFTER_MS, ProxiedRequest
 from leadrudder.node.http import HttpMessage, HttpMessageError
 from leadrudder.observability.loop_lag import OVERLOAD_LAG_S
 from leadrudder.protocol.outcome import RequestFailure, ServerResponse
@@ -32,7 +32,7 @@
 
 FindRoute = Callable[[str, str], Route | None]
 # Returns a function to call when the client disconnects.
-SubmitRequest = Callable[[Route, ClientRequest], Callable[[], None]]
+SubmitRequest = Callable[[Route, ProxiedRequest], Callable[[], None]]
 
 
 @dataclass(slots=True)
@@ -311,7 +311,7 @@
             self._held_bytes_total -= body_bytes
             write(lambda close: _render_result(result, attempt_id, close))
 
-        client_request = ClientRequest(
+        client_request = ProxiedRequest(
             method=message.method,
             target=message.target,
             fields=forwarded_headers(message, _REPLACED_HEADERS) + self._calling_service_header,
--- a/leadrudder/data_plane/peer_links.py
+++ b/leadrudder/data_plane/peer_links.py
@@ -1,4 +1,4 @@
-"""Links to other nodes: waybills out, deliveries back, exactly one delivery for each waybill."""
+"""Links to other nodes: requests out, responses back, exactly one response for each request."""
 
 from __future__ import annotations
 
@@ -30,31 +30,31 @@
         self._in_flight: dict[int, Deliver] = {}
         self._last_number = 0
 
-    def send(self, waybill: ForwardRequest, deliver: Deliver) -> Withdraw:
-        """deliver is called once, also if the link fails; returns a function to withdraw the waybill."""
+    def send(self, forward_request: ForwardRequest, deliver: Deliver) -> Withdraw:
+        """deliver is called once, also if the link fails; returns a function to withdraw the request."""
         self.last_used = self._loop.time()
         self._last_number += 1
-        number = waybill.number = self._last_number
+        number = forward_request.number = self._last_number
         if self._link is not None and self._link.up:
-            self._write(self._link, waybill, deliver)
+            self._write(self._link, forward_request, deliver)
         else:
-            self._unsent.append((waybill, deliver))
+            self._unsent.append((forward_request, deliver))
             if self._dial_task is None:
                 self._dial_task = self._loop.create_task(self._dial())
         return lambda client_left: self._withdraw(number, client_left)
 
-    def _write(self, link: Link, waybill: ForwardRequest, deliver: Deliver) -> None:
-        if not link.send(Frame(waybill=waybill)):
-            deliver(ForwardResponse(number=waybill.number, ran=Executed.NEVER, why="unreachable"))
+    def _write(self, link: Link, forward_request: ForwardRequest, deliver: Deliver) -> None:
+        if not link.send(Frame(waybill=forward_request)):
+            deliver(ForwardResponse(number=forward_request.number, ran=Executed.NEVER, why="unreachable"))
             return
-        self._in_flight[waybill.number] = deliver
+        self._in_flight[forward_request.number] = deliver
         link.start_liveness_checks()
 
     def _withdraw(self, number: int, client_left: bool) -> None:
         if self._in_flight.pop(number, None) is not None and self._link is not None:
             self._link.send(Frame(withdrawal=CancelRequest(number=number, client_left=client_left)))
         self._unsent = [
-            (queued, on_delivery) for queued, on_delivery in self._unsent if queued.number != number
+            (queued, on_response) for queued, on_response in self._unsent if queued.number != number
         ]
 
     async def _dial(self) -> None:
@@ -63,11 +63,11 @@
         )
         self._dial_task = None
         unsent, self._unsent = self._unsent, []
-        for waybill, deliver in unsent:
+        for forward_request, deliver in unsent:
             if link is not None and link.up:
-                self._write(link, waybill, deliver)
+                self._write(link, forward_request, deliver)
             else:
-                deliver(ForwardResponse(number=waybill.number, ran=Executed.NEVER, why="unreachable"))
+                deliver(ForwardResponse(number=forward_request.number, ran=Executed.NEVER, why="unreachable"))
 
     def on_up(self, link: Link) -> None:
         link.checks_liveness, link.ping_interval_s = (
@@ -107,11 +107,11 @@
         self._links: dict[str, PeerLink] = {}
         self._loop = asyncio.get_running_loop()
 
-    def send(self, address: str, waybill: ForwardRequest, deliver: Deliver) -> Withdraw:
+    def send(self, address: str, forward_request: ForwardRequest, deliver: Deliver) -> Withdraw:
         peer_link = self._links.get(address)
         if peer_link is None:
             peer_link = self._links[address] = PeerLink(address)
-        return peer_link.send(waybill, deliver)
+        return peer_link.send(forward_request, deliver)
 
     def close_idle(self) -> None:
         """Close links that have been idle for IDLE_TIMEOUT_S."""
--- a/leadrudder/data_plane/program.py
+++ b/leadrudder/data_plane/program.py
@@ -19,7 +19,7 @@
 from leadrudder.configuration.items import Route
 from leadrudder.data_plane.admission_control import AdmissionController, ServerInstance
 from leadrudder.data_plane.inbound import InboundProxy, Withdraw, no_withdrawal
-from leadrudder.data_plane.load_balancer import ClientRequest
+from leadrudder.data_plane.load_balancer import ProxiedRequest
 from leadrudder.data_plane.mesh_state import MeshState
 from leadrudder.data_plane.outbound import OutboundProxy
 from leadrudder.data_plane.peer_links import PeerLinks
@@ -188,7 +188,7 @@
 
     # ------------------------------------------------------------ requests of local clients
 
-    def _begin_request(self, route: Route, request: ClientRequest) -> Callable[[], None]:
+    def _begin_request(self, route: Route, request: ProxiedRequest) -> Callable[[], None]:
         service = route.service_shares[0][0]
         if len(route.service_shares) > 1:
             names, shares = zip(*route.service_shares, strict=True)
@@ -198,7 +198,7 @@
 
     def _send_attempt(
         self,
-        request: ClientRequest,
+        request: ProxiedRequest,
         route: Route,
         server: str,
         may_wait: bool,
@@ -207,7 +207,7 @@
     ) -> Withdraw:
         """Send one attempt to the data-plane node of its server."""
         now = self._loop.time()
-        waybill = ForwardRequest(
+        forward_request = ForwardRequest(
             server=server,
             method=request.method,
             target=request.target,
@@ -226,19 +226,19 @@
 
         self.traffic.calls += 1
 
-        def count_and_deliver(delivery: ForwardResponse) -> None:
-            if delivery.why:
-                self._refusals[delivery.why] += 1
-                self.traffic.refused[delivery.why] += 1
-            deliver(delivery)
+        def count_and_deliver(response: ForwardResponse) -> None:
+            if response.why:
+                self._refusals[response.why] += 1
+                self.traffic.refused[response.why] += 1
+            deliver(response)
 
         endpoint = self.state.endpoints.server(server)
         if endpoint is None:
             count_and_deliver(ForwardResponse(ran=0, why="gone"))
             return no_withdrawal
         if endpoint.address == self._address:
-            return self._inbound.handle(waybill, count_and_deliver)
-        return self._peer_links.send(endpoint.address, waybill, count_and_deliver)
+            return self._inbound.handle(forward_request, count_and_deliver)
+        return self._peer_links.send(endpoint.address, forward_request, count_and_deliver)
 
     # ------------------------------------------------------------ links from other data-plane nodes
 
@@ -259,12 +259,12 @@
         if kind == "waybill":
             number = frame.waybill.number
 
-            def deliver(delivery: ForwardResponse) -> None:
+            def deliver(response: ForwardResponse) -> None:
                 withdrawals.pop(number, None)
                 if not withdrawals and not self.state.discovery.has_subscriber(link):
                     link.ping_interval_s = IDLE_ACCEPTOR_PING_INTERVAL_S
-                delivery.number = number
-                link.send(Frame(delivery=delivery))
+                response.number = number
+                link.send(Frame(delivery=response))
 
             late_s = self._lag.seconds()
             if late_s > OVERLOAD_LAG_S:
@@ -291,26 +291,28 @@
         self.state.apply_news(news)
         self._outbound.has_configuration = self._session.synced and bool(self.state.routing.routes)
 
-    def _is_drained_here(self, waybill: ForwardRequest) -> bool:
-        """Whether the local server is drained for the waybill's route while other servers are not."""
-        state, life = self.state, self.admission.instance
-        if not state.machine_drains.any() or life is None:
+    def _is_drained_here(self, forward_request: ForwardRequest) -> bool:
+        """Whether the local server is drained for the route of a request while other servers are not."""
+        state, instance = self.state, self.admission.instance
+        if not state.machine_drains.any() or instance is None:
             return False
-        host = next((f[5:] for f in waybill.fields.split(b"\r\n") if f[:5].lower() == b"host:"), b"").strip()
-        path = waybill.target.partition(b"?")[0]
+        host = next(
+            (f[5:] for f in forward_request.fields.split(b"\r\n") if f[:5].lower() == b"host:"), b""
+        ).strip()
+        path = forward_request.target.partition(b"?")[0]
         route = state.routing.find(host.decode("latin-1"), path.decode("latin-1"))
         if route is None or not state.machine_drains.is_drained(self.settings.name, route):
             return False
-        return life.id not in state.eligible_servers(life.service, route)
+        return instance.id not in state.eligible_servers(instance.service, route)
 
     # ------------------------------------------------------------ the local server
 
     def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
-        life = ServerInstance(
+        instance = ServerInstance(
             heartbeat.id, heartbeat.service, heartbeat.zone or self.settings.zone, heartbeat.capacity
         )
         now = self._loop.time()
-        if self.admission.on_heartbeat(life, heartbeat.draining, heartbeat.count, heartbeat.cold_ms, now):
+        if self.admission.on_heartbeat(instance, heartbeat.draining, heartbeat.count, heartbeat.cold_ms, now):
             assert self.admission.instance is not None
             self._local_server.set_instance(self.admission.instance.id)
             self._publish_change()
@@ -329,14 +331,14 @@
             number=self._report_number,
             service=self.settings.service,
         )
-        life = self.admission.instance
-        if life is not None and self._terminated_at is None:
+        instance = self.admission.instance
+        if instance is not None and self._terminated_at is None:
             node.servers.add(
-                id=life.id,
-                service=life.service,
-                zone=life.zone,
-                capacity=life.capacity,
-                draining=life.draining_since is not None,
+                id=instance.id,
+                service=instance.service,
+                zone=instance.zone,
+                capacity=instance.capacity,
+                draining=instance.draining_since is not None,
             )
         if self._maintenance_windows:
             node.used = self._peak_slots_used
--- a/leadrudder/data_plane/request_accounting.py
+++ b/leadrudder/data_plane/request_accounting.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from leadrudder.configuration.items import Route
-from leadrudder.data_plane.load_balancer import ClientRequest
+from leadrudder.data_plane.load_balancer import ProxiedRequest
 from leadrudder.maintenance.ledger import Ledger, epoch_of
 from leadrudder.observability.invariants import Invariants
 from leadrudder.observability.traffic import AnswerClass, TrafficCounters
@@ -43,7 +43,7 @@
         self._traffic, self._invariants, self._ledger = traffic, invariants, ledger
         self._now, self._wall, self._lag_s, self._log = now, wall, lag_s, log
 
-    def track(self, route: Route, service: str, client_request: ClientRequest) -> None:
+    def track(self, route: Route, service: str, client_request: ProxiedRequest) -> None:
         """Record the start of a request, and its answer when it comes."""
         on_answer = client_request.on_answer
         client_request.started_at = self._now()
@@ -60,7 +60,7 @@
 
         client_request.on_answer = record_answer
 
-    def _check_deadline(self, client_request: ClientRequest) -> None:
+    def _check_deadline(self, client_request: ProxiedRequest) -> None:
         """Invariant: an answer is no later than the tolerance and the event loop's own delay allow."""
         over_s = self._now() - client_request.deadline
         self._invariants.check(
@@ -76,7 +76,7 @@
         ledger: Ledger,
         route: Route,
         service: str,
-        client_request: ClientRequest,
+        client_request: ProxiedRequest,
         result: ServerResponse | RequestFailure,
         took_ms: float,
     ) -> None:
--- a/tests/mesh/test_admission_control.py
+++ b/tests/mesh/test_admission_control.py
@@ -20,10 +20,10 @@
         self.refused: list[RequestFailure] = []
 
     def offer_call(self, now: float, **fields: object) -> None:
-        waybill_fields = {"server": "i-1", "left_ms": 1000.0, "may_wait": True, "priority": 1, **fields}
+        request_fields = {"server": "i-1", "left_ms": 1000.0, "may_wait": True, "priority": 1, **fields}
         number = len(self.started) + len(self.refused) + 100
         self.admission.admit(
-            ForwardRequest(**waybill_fields),  # type: ignore[arg-type]
+            ForwardRequest(**request_fields),  # type: ignore[arg-type]
             now,
             lambda: self.started.append(number),
             self.refused.append,
@@ -84,7 +84,7 @@
         self.assertEqual(self.started, [])
         self.admission.on_call_ended(10.0, 0.01)
         self.assertEqual(len(self.started), 1)
-        self.assertEqual([queued.waybill.priority for queued in self.admission._queue], [3])
+        self.assertEqual([queued.forward_request.priority for queued in self.admission._queue], [3])
 
     def test_internal_calls_displace_others_in_a_full_queue(self) -> None:
         self.admission.running_calls = 2
@@ -110,8 +110,8 @@
         times: list[float] = []
         for i in range(3000):
             now = 0.001 * i
-            waybill = ForwardRequest(server="i-1", left_ms=500.0, may_wait=True, priority=1)
-            self.admission.admit(waybill, now, lambda now=now: times.append(now), lambda verdict: None)  # type: ignore[misc]
+            request = ForwardRequest(server="i-1", left_ms=500.0, may_wait=True, priority=1)
+            self.admission.admit(request, now, lambda now=now: times.append(now), lambda verdict: None)  # type: ignore[misc]
             self.admission.process_queue(now)
             self.admission.running_calls = 0
         most = max(sum(1 for t in times if at <= t < at + 1.0) for at in times)
@@ -135,9 +135,9 @@
         self.refused: list[tuple[str, RequestFailure]] = []
 
     def offer_call(self, name: str, now: float, target_ms: float = LOOKUP, **fields: object) -> None:
-        waybill_fields = {"server": "i-1", "left_ms": 1000.0, "aim_ms": target_ms, "priority": 1, **fields}
+        request_fields = {"server": "i-1", "left_ms": 1000.0, "aim_ms": target_ms, "priority": 1, **fields}
         self.admission.admit(
-            ForwardRequest(target_ms=target_ms, **waybill_fields),  # type: ignore[arg-type]
+            ForwardRequest(target_ms=target_ms, **request_fields),  # type: ignore[arg-type]
             now,
             lambda: self.started.append(name),
             lambda verdict: self.refused.append((name, verdict)),
--- a/tests/mesh/test_graceful_shutdown.py
+++ b/tests/mesh/test_graceful_shutdown.py
@@ -10,7 +10,7 @@
 
 from leadrudder.configuration.items import Limits, Route
 from leadrudder.consensus.state_machine import ControlStateMachine
-from leadrudder.data_plane.load_balancer import ClientRequest
+from leadrudder.data_plane.load_balancer import ProxiedRequest
 from leadrudder.emulation.fleet import Fleet, Machine
 from leadrudder.storage.store import MemoryStore
 from tests.mesh.test_emulation import PLAN
@@ -112,8 +112,8 @@
         self.client = ClientConnection(self.outbound)
         self.client.connection_made(self.transport)  # type: ignore[arg-type]
 
-    def _begin(self, route: Route, errand: ClientRequest) -> Callable[[], None]:
-        self.accepted.append(errand)
+    def _begin(self, route: Route, request: ProxiedRequest) -> Callable[[], None]:
+        self.accepted.append(request)
         return lambda: None
 
     def test_accepted_in_the_first_half_whatever_its_deadline(self) -> None:
--- a/tests/mesh/test_load_balancer.py
+++ b/tests/mesh/test_load_balancer.py
@@ -9,7 +9,7 @@
 
 from leadrudder.configuration.items import Route
 from leadrudder.data_plane.candidates import Distance
-from leadrudder.data_plane.load_balancer import FLOOR_SHARE, ClientRequest, LoadBalancer
+from leadrudder.data_plane.load_balancer import FLOOR_SHARE, LoadBalancer, ProxiedRequest
 from leadrudder.data_plane.retry_budget import RetryBudget
 from leadrudder.protocol.mesh_pb2 import ForwardResponse
 from leadrudder.protocol.outcome import Executed, RequestFailure, ServerResponse
@@ -52,7 +52,7 @@
 
     def send_attempt(
         self,
-        client_request: ClientRequest,
+        client_request: ProxiedRequest,
         route: Route,
         server: str,
         may_wait: bool,
@@ -63,7 +63,7 @@
         return lambda client_left: self.withdrawn.append((server, client_left))
 
     def send_request(self) -> Callable[[], None]:
-        client_request = ClientRequest(
+        client_request = ProxiedRequest(
             b"GET", b"/", b"", b"", b"id", self.clock.now + 1.0, self.answers.append
         )
         return self.load_balancer.submit(client_request)
--- a/tests/mesh/test_outbound.py
+++ b/tests/mesh/test_outbound.py
@@ -9,7 +9,7 @@
 
 from leadrudder.configuration.items import Limits, Route
 from leadrudder.data_plane.client_patience import WINDOW_S, ClientPatience
-from leadrudder.data_plane.load_balancer import ClientRequest
+from leadrudder.data_plane.load_balancer import ProxiedRequest
 from leadrudder.data_plane.outbound import ClientConnection, OutboundProxy
 from leadrudder.data_plane.server_connections import LocalServerConnection, ServerRequest
 from leadrudder.interface import Outcome
@@ -72,7 +72,7 @@
         loop_patch = mock.patch("asyncio.get_running_loop", return_value=Loop())
         loop_patch.start()
         self.addCleanup(loop_patch.stop)
-        self.client_requests: list[ClientRequest] = []
+        self.client_requests: list[ProxiedRequest] = []
         self.abandoned_ids: list[bytes] = []  # attempt ids of requests whose client disconnected
         find_route = lambda host, path: ROUTE if path.startswith("/a/") else None  # noqa: E731
         self.lag_s = 0.0
@@ -84,7 +84,7 @@
         self.client = ClientConnection(self.outbound)
         self.client.connection_made(cast(Any, self.transport))
 
-    def submit(self, route: Route, client_request: ClientRequest) -> Callable[[], None]:
+    def submit(self, route: Route, client_request: ProxiedRequest) -> Callable[[], None]:
         self.client_requests.append(client_request)
         return lambda: self.abandoned_ids.append(client_request.attempt_id)
 
--- a/tests/mesh/test_shedding.py
+++ b/tests/mesh/test_shedding.py
@@ -19,18 +19,20 @@
     def test_a_call_is_refused_as_never_run(self) -> None:
         fleet = Fleet(4, PLAN)
         fleet.play(7.0)
-        station = fleet.side[0].station
-        assert station is not None
+        data_plane_node = fleet.side[0].station
+        assert data_plane_node is not None
         link = mock.Mock()
-        station.on_up(link)
-        waybill = ForwardRequest(number=3, server="i-side-0-0", method=b"GET", target=b"/", left_ms=900.0)
+        data_plane_node.on_up(link)
+        forward_request = ForwardRequest(
+            number=3, server="i-side-0-0", method=b"GET", target=b"/", left_ms=900.0
+        )
         with mock.patch.object(LoopLag, "seconds", lambda lag: 2 * OVERLOAD_LAG_S):
-            station.on_frame(link, Frame(waybill=waybill))
+            data_plane_node.on_frame(link, Frame(waybill=forward_request))
         delivery = cast(Any, link.send.call_args.args[0]).delivery
         self.assertEqual(
             (delivery.number, Executed(delivery.ran), delivery.why), (3, Executed.NEVER, "behind")
         )
-        station.on_down(link)
+        data_plane_node.on_down(link)
 
     def test_while_one_node_lags_requests_are_served_elsewhere(self) -> None:
         fleet = Fleet(4, PLAN)
--- a/tests/mesh/test_start_and_end.py
+++ b/tests/mesh/test_start_and_end.py
@@ -46,14 +46,14 @@
     def test_a_stopped_control_plane_node_dials_no_peer(self) -> None:
         fleet = Fleet(11, PLAN)
         fleet.play(5.0)
-        signalbox = fleet.core[0].signalbox
-        assert signalbox is not None
-        signalbox._stopped.set()
+        control_plane_node = fleet.core[0].signalbox
+        assert control_plane_node is not None
+        control_plane_node._stopped.set()
         with mock.patch.object(asyncio.AbstractEventLoop, "create_task") as create_task:
-            signalbox._links.clear()
-            signalbox._dial_missing_peers()
+            control_plane_node._links.clear()
+            control_plane_node._dial_missing_peers()
         create_task.assert_not_called()
-        self.assertEqual(signalbox._dialing, set())
+        self.assertEqual(control_plane_node._dialing, set())
 
     def test_a_stopped_data_plane_node_does_no_periodic_work(self) -> None:
         fleet = Fleet(11, PLAN)
