--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -133,7 +133,7 @@
     key = f"routes/{name}"
 
     def applied_everywhere() -> bool:
-        items = [m.node.state.book.items.get(key) for m in fleet.node_machines if m.node is not None]
+        items = [m.node.state.item_store.items.get(key) for m in fleet.node_machines if m.node is not None]
         return bool(acknowledged) and all(item is not None and item.version == 15 for item in items)
 
     return max(
--- a/tests/mesh/test_control_simulation.py
+++ b/tests/mesh/test_control_simulation.py
@@ -81,7 +81,7 @@
         # Of seeds 0 to 399, those with which both hold the seat before either learns of the other.
         detecting_seeds = (90, 110, 113, 315)
         self.assertFalse(any(map(self._has_seat_with_two_holders, (*range(16), *detecting_seeds))))
-        with PLANTED_FAULTS["new_seat_by_one"]():
+        with PLANTED_FAULTS["new_slot_by_one"]():
             self.assertTrue(any(map(self._has_seat_with_two_holders, detecting_seeds)))
 
     def test_two_concurrent_seat_removals_both_complete(self) -> None:
