--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -16,7 +16,7 @@
 import time
 
 from leadrudder.experiment.plan import changed
-from leadrudder.experiment.play import decider_of, play
+from leadrudder.experiment.play import decider_factory, play
 from leadrudder.experiment.reading import load
 
 MEAN_WORK_MS = 50.0
@@ -30,7 +30,7 @@
     requests, services = 0.0, []
     began = time.process_time()
     for seed in seeds:
-        result = play(file, seed, decider_of("leadrudder"), model=model)
+        result = play(file, seed, decider_factory("leadrudder"), model=model)
         requests += result.figures["requests"]
         services.append(result.figures["service"])
         print(f"{model} seed {seed}: service {services[-1]:.3f} broken {result.broken}", file=sys.stderr)
@@ -67,7 +67,7 @@
             last = time.perf_counter()
             print(f"{100 * part:.0f}% after {last - began:.0f} s", file=sys.stderr)
 
-    result = play(changed(values, {}), 1, decider_of("leadrudder"), progress=tell)
+    result = play(changed(values, {}), 1, decider_factory("leadrudder"), progress=tell)
     return {
         "wall_s": time.perf_counter() - began,
         "memory_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0,
--- a/leadrudder/experiment/baselines.py
+++ b/leadrudder/experiment/baselines.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True)
-class _Open:
+class _OpenRequest:
     arrival: api.Arrival
     deadline: float
     attempts: int = 0
@@ -30,7 +30,7 @@
         self.rng = random.Random(seed)
         self.servers: list[bytes] = []
         self.outstanding: dict[bytes, int] = {}
-        self._requests: dict[int, _Open] = {}
+        self._requests: dict[int, _OpenRequest] = {}
         self._asked = not settings.ask_for_list
         self._actions: list[api.Action] = []
 
@@ -43,7 +43,7 @@
         if isinstance(event, api.ServerList):
             self._listed(event)
         elif isinstance(event, api.Arrival):
-            self._requests[event.request] = _Open(event, now + event.budget_ms)
+            self._requests[event.request] = _OpenRequest(event, now + event.budget_ms)
             self._send(event.request)
         elif isinstance(event, api.AttemptEnded):
             self._ended(event, now)
--- a/leadrudder/experiment/callers.py
+++ b/leadrudder/experiment/callers.py
@@ -9,14 +9,14 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from leadrudder.experiment.clock import Clock, Entry
+from leadrudder.experiment.clock import Clock, ScheduledCall
 from leadrudder.experiment.draw import number, spread_of, work_of
 from leadrudder.experiment.figures import Figures
 from leadrudder.experiment.fleet import Fleet
-from leadrudder.experiment.node import Answer, Ask, Door, Operation, Taken
+from leadrudder.experiment.node import Answer, NodeEndpoint, OpenRequest, Operation, RequestSpec
 from leadrudder.experiment.spec import File
 
-ROUGH, GOOD = 0.6, 0.1  # coefficients of variation of hints about the work
+ROUGH_HINT_VARIATION, GOOD_HINT_VARIATION = 0.6, 0.1  # coefficients of variation of hints about the work
 
 
 class TraceError(Exception):
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class TraceRequest:
     """One request of a trace."""
 
     at_ms: float
@@ -33,16 +33,16 @@
     tenant: int
 
 
-def read_trace(path: Path, file: File) -> list[Asked]:
+def read_trace(path: Path, file: File) -> list[TraceRequest]:
     """A CSV with the columns at_ms, class, work_ms and, if there are tenants, tenant; sorted by time."""
     classes = {c.name: i for i, c in enumerate(file.request_class)}
     tenants = {t.name: i for i, t in enumerate(file.tenant)} or {"": 0}
-    asked: list[Asked] = []
+    asked: list[TraceRequest] = []
     try:
         with path.open(newline="", encoding="utf-8") as rows:
             for row in csv.DictReader(rows):
                 try:
-                    one = Asked(
+                    one = TraceRequest(
                         float(row["at_ms"]),
                         classes[row["class"]],
                         float(row["work_ms"]),
@@ -62,7 +62,7 @@
     return asked
 
 
-class Shares:
+class TenantQuotas:
     """Whether a tenant's request is within its share: a bucket of one second at its rate."""
 
     def __init__(self, rates: list[float]) -> None:
@@ -84,7 +84,7 @@
     """All of them. load_times: what troubles make of the rate."""
 
     def __init__(
-        self, clock: Clock, file: File, fleet: Fleet, figures: Figures, seed: str, trace: list[Asked]
+        self, clock: Clock, file: File, fleet: Fleet, figures: Figures, seed: str, trace: list[TraceRequest]
     ) -> None:
         self._clock, self._file, self._fleet, self._figures = clock, file, fleet, figures
         self._arrivals = random.Random(f"{seed}/arrivals")
@@ -99,7 +99,7 @@
         self._usage = usage
         shape, load = fleet.shape, file.load
         quota = shape.capacity_per_s * number(load.quota_of_capacity)
-        self._shares = Shares([t.share * quota for t in file.tenant]) if file.tenant else None
+        self._shares = TenantQuotas([t.share * quota for t in file.tenant]) if file.tenant else None
         self._rate = self._rate_per_ms()
         self._swing = number(load.swing)
         self._bursts = list(self._plan_bursts(random.Random(f"{seed}/bursts")))
@@ -200,7 +200,11 @@
         tenant = rng.choices(range(len(self._usage)), self._usage)[0]
         work = work_of(rng, self._classes[index])
         hints = self._file.load.hints
-        wrong = spread_of(rng, "lognormal", GOOD if hints == "good" else ROUGH) if hints != "none" else 1.0
+        wrong = (
+            spread_of(rng, "lognormal", GOOD_HINT_VARIATION if hints == "good" else ROUGH_HINT_VARIATION)
+            if hints != "none"
+            else 1.0
+        )
         return index, tenant, work, wrong
 
     # ------------------------------------------------------------ one operation
@@ -217,7 +221,7 @@
         operation = Operation(self._count, index, tenant, worth, now, units)
         waits = number(kind.wait_ms)
         wait = spread_of(self._works, "exponential", 1.0) * waits if waits else 0.0
-        ask = Ask(
+        ask = RequestSpec(
             index,
             0.0,
             tenant,
@@ -232,7 +236,7 @@
         self._figures.asked(operation)
         self._try(ask, tries, self._rng.random() < self._honour)
 
-    def _try(self, ask: Ask, left: int, honours: bool) -> None:
+    def _try(self, ask: RequestSpec, left: int, honours: bool) -> None:
         kind = self._classes[ask.class_index]
         operation = ask.operation
         operation.tries += 1
@@ -240,7 +244,7 @@
         tried = _Try(self, ask, left, honours, patience)
         self._clock.after(self._client_ms, tried.reach)
 
-    def node(self) -> tuple[int, Door]:
+    def node(self) -> tuple[int, NodeEndpoint]:
         """Any of the front's nodes that callers do not know to be gone."""
         front, now = self._fleet.front, self._clock.now
         usable: Sequence[int] = range(len(front))
@@ -290,12 +294,12 @@
 
     __slots__ = ("_callers", "_done", "_node", "_taken", "_timer", "ask", "honours", "left", "patience")
 
-    def __init__(self, callers: Callers, ask: Ask, left: int, honours: bool, patience: float) -> None:
+    def __init__(self, callers: Callers, ask: RequestSpec, left: int, honours: bool, patience: float) -> None:
         self._callers = callers
         self.ask, self.left, self.honours, self.patience = ask, left, honours, patience
-        self._node: Door | None = None
-        self._taken: Taken | None = None
-        self._timer: Entry | None = None
+        self._node: NodeEndpoint | None = None
+        self._taken: OpenRequest | None = None
+        self._timer: ScheduledCall | None = None
         self._done = False
 
     def reach(self) -> None:
@@ -308,7 +312,7 @@
             return
         self._node = node
         ask = self.ask
-        again = Ask(
+        again = RequestSpec(
             ask.class_index,
             self.patience,
             ask.tenant,
--- a/leadrudder/experiment/clock.py
+++ b/leadrudder/experiment/clock.py
@@ -6,14 +6,14 @@
 from collections.abc import Callable
 from typing import Any
 
-KEPT_VOID = 1000
+MIN_CANCELLED_TO_COMPACT = 1000
 
 
-class Endless(Exception):  # noqa: N818 - it says what a run is
+class StepLimitError(Exception):
     """More steps than the experiment allows."""
 
 
-class Entry:
+class ScheduledCall:
     """A call that is due; cancel takes it back."""
 
     __slots__ = ("_clock", "args", "call")
@@ -41,7 +41,7 @@
         self.now = 0.0
         self.steps = 0
         self._most = most_steps
-        self._heap: list[tuple[float, int, Entry]] = []
+        self._heap: list[tuple[float, int, ScheduledCall]] = []
         self._number = 0
         self._void = 0  # entries that were cancelled and are still on the heap
 
@@ -51,14 +51,14 @@
         Time-outs are nearly always cancelled, and far away: in a large fleet they were most of the heap.
         """
         self._void += 1
-        if self._void > KEPT_VOID and 2 * self._void > len(self._heap):
+        if self._void > MIN_CANCELLED_TO_COMPACT and 2 * self._void > len(self._heap):
             self._heap[:] = [item for item in self._heap if item[2].call is not None]
             heapq.heapify(self._heap)
             self._void = 0
 
-    def after(self, delay_ms: float, call: Callable[..., object], *args: Any) -> Entry:
+    def after(self, delay_ms: float, call: Callable[..., object], *args: Any) -> ScheduledCall:
         """Call it so many milliseconds from now; what lies in the past is due now."""
-        entry = Entry(self, call, args)
+        entry = ScheduledCall(self, call, args)
         self._number += 1
         heapq.heappush(self._heap, (self.now + max(0.0, delay_ms), self._number, entry))
         return entry
@@ -76,6 +76,6 @@
             self.now = when
             self.steps += 1
             if self.steps > self._most:
-                raise Endless(f"more than {self._most} steps by {when / 1000.0:.1f} s of virtual time")
+                raise StepLimitError(f"more than {self._most} steps by {when / 1000.0:.1f} s of virtual time")
             call(*entry.args)
         self.now = until_ms
--- a/leadrudder/experiment/connections.py
+++ b/leadrudder/experiment/connections.py
@@ -12,12 +12,12 @@
 from leadrudder.experiment.clock import Clock
 from leadrudder.experiment.server import Server
 
-KEPT = 0.5  # of the time after which servers close idle connections
-SWEEP_MS = 1000.0
+IDLE_TIME_SHARE = 0.5  # of the time after which servers close idle connections
+SWEEP_INTERVAL_MS = 1000.0
 
 
 @dataclass(slots=True)
-class _Kept:
+class _ServerConnections:
     """What a node holds at one server process."""
 
     process: float  # its start: those of an older one are gone with it
@@ -25,7 +25,7 @@
     idle: deque[float] = field(default_factory=deque)  # since when, the longest first
 
 
-class Connections:
+class ConnectionPool:
     """All connections of one node."""
 
     def __init__(self, clock: Clock, idle_ms: float) -> None:
@@ -33,17 +33,17 @@
         self.on = idle_ms > 0.0
         self.opened = 0  # in all
         self._clock = clock
-        self._idle_ms = KEPT * idle_ms
-        self._kept: dict[bytes, _Kept] = {}
+        self._idle_ms = IDLE_TIME_SHARE * idle_ms
+        self._kept: dict[bytes, _ServerConnections] = {}
         self._servers: dict[bytes, Server] = {}
         self._closed = False
         if self.on:
-            clock.after(SWEEP_MS, self._sweep)
+            clock.after(SWEEP_INTERVAL_MS, self._sweep)
 
-    def _at(self, server: Server) -> _Kept:
+    def _at(self, server: Server) -> _ServerConnections:
         kept = self._kept.get(server.name)
         if kept is None or kept.process != server.started_ms:
-            kept = self._kept[server.name] = _Kept(server.started_ms)
+            kept = self._kept[server.name] = _ServerConnections(server.started_ms)
             self._servers[server.name] = server
         return kept
 
@@ -101,4 +101,4 @@
                 kept.idle.popleft()
                 if kept.process == server.started_ms:
                     server.connections -= 1
-        self._clock.after(SWEEP_MS, self._sweep)
+        self._clock.after(SWEEP_INTERVAL_MS, self._sweep)
--- a/leadrudder/experiment/fleet.py
+++ b/leadrudder/experiment/fleet.py
@@ -13,32 +13,32 @@
 from leadrudder.experiment.lists import Registry
 from leadrudder.experiment.node import (
     Answer,
-    Ask,
-    Asking,
-    Counts,
     Decider,
-    Door,
-    Effects,
+    EffectTracker,
     Node,
-    Taken,
-    jittered,
+    NodeEndpoint,
+    OpenRequest,
+    ParentCall,
+    RequestSpec,
+    TierCounts,
+    one_way_latency,
 )
-from leadrudder.experiment.server import Server, Terms
+from leadrudder.experiment.server import Server, ServerSettings
 from leadrudder.experiment.spec import File, Slowing, Tier
 
-MakeDecider = Callable[[api.Settings, int], Decider]
+DeciderFactory = Callable[[api.Settings, int], Decider]
 
 HELD_MS = 1000.0  # a draining server is given so long for what it has
 
 
-def settings_of(file: File, shape: Shape, tier: int, nodes: int, ordinal: int, zone: int) -> api.Settings:
+def node_settings(file: File, shape: Shape, tier: int, nodes: int, ordinal: int, zone: int) -> api.Settings:
     """What a node is told; fields that the module at hand does not know are left out."""
     node, load = file.fleet.node, file.load
     first = tier == 0
     reports = file.fleet.tier[tier].reports
     quota = shape.capacity_per_s * number(load.quota_of_capacity)
     values = {
-        "classes": classes_of(file),
+        "classes": request_classes(file),
         "tenants": tuple(api.Tenant(t.name, t.share, t.share * quota) for t in file.tenant if first),
         "balancers": nodes,
         "ordinal": ordinal,
@@ -71,7 +71,7 @@
     return api.Settings(**{name: value for name, value in values.items() if name in known})  # type: ignore[arg-type]
 
 
-def classes_of(file: File) -> tuple[api.RequestClass, ...]:
+def request_classes(file: File) -> tuple[api.RequestClass, ...]:
     return tuple(
         api.RequestClass(
             name=c.name,
@@ -90,25 +90,25 @@
 class Fleet:
     """The fleet of one run. front: its nodes, for callers to choose from."""
 
-    def __init__(self, clock: Clock, file: File, shape: Shape, seed: str, decider: MakeDecider) -> None:
+    def __init__(self, clock: Clock, file: File, shape: Shape, seed: str, decider: DeciderFactory) -> None:
         self.clock, self.file, self.shape = clock, file, shape
         self._seed = seed
         self._make = decider
         self._rng = random.Random(f"{seed}/calls")
         network, node = file.fleet.network, file.fleet.node
         self.zones = len(network.zones)
-        self._way = jittered(
+        self._way = one_way_latency(
             random.Random(f"{seed}/network"),
             number(network.same_ms),
             number(network.cross_ms),
             number(network.jitter),
         )
-        self.counts = [Counts() for _ in file.fleet.tier]
-        self._effects = Effects(classes_of(file), self.counts.__getitem__)
+        self.counts = [TierCounts() for _ in file.fleet.tier]
+        self._effects = EffectTracker(request_classes(file), self.counts.__getitem__)
         self._noises = [number(c.noise) for c in file.request_class]
         self._noise_rng = random.Random(f"{seed}/noise")
         self._terms = [
-            Terms(
+            ServerSettings(
                 node.fall_times,
                 1000.0 * node.fall_s,
                 self._slowing(tier),
@@ -124,9 +124,9 @@
         self.registries = [self._registry(i) for i in range(len(self._tiers))]
         for registry, servers in zip(self.registries, self._tiers, strict=True):
             registry.begin(servers.values())
-        self.front: list[Door] = []
-        self._inner: dict[bytes, Door] = {}
-        self._ordinals: dict[Door, int] = {}
+        self.front: list[NodeEndpoint] = []
+        self._inner: dict[bytes, NodeEndpoint] = {}
+        self._ordinals: dict[NodeEndpoint, int] = {}
         count = int(number(file.fleet.nodes))
         for i in range(count):
             self.front.append(self._node(0, count, i, i % self.zones))
@@ -154,8 +154,8 @@
             servers[name] = Server(self.clock, name, plan, self._terms[index], rng, index)
         return servers
 
-    def _node(self, tier: int, nodes: int, ordinal: int, zone: int) -> Door:
-        settings = settings_of(self.file, self.shape, tier, nodes, ordinal, zone)
+    def _node(self, tier: int, nodes: int, ordinal: int, zone: int) -> NodeEndpoint:
+        settings = node_settings(self.file, self.shape, tier, nodes, ordinal, zone)
         spec = self.file.fleet.node
         seed = random.Random(f"{self._seed}/node/{tier}/{ordinal}/{self.clock.now}").getrandbits(31)
         node = Node(
@@ -195,7 +195,7 @@
         variation = self._noises[class_index]
         return spread_of(self._noise_rng, "lognormal", variation) if variation else 1.0
 
-    def behind(self, attempt: Asking, server: Server, done: Callable[[bool], None]) -> None:
+    def behind(self, attempt: ParentCall, server: Server, done: Callable[[bool], None]) -> None:
         """The calls of a request to the tier behind, one after another, through the server's own node."""
         tier = server.tier + 1
         if tier >= len(self._tiers):
@@ -205,7 +205,9 @@
         calls = int(mean) + (self._rng.random() < mean - int(mean))
         self._next_call(attempt, server, done, calls)
 
-    def _next_call(self, attempt: Asking, server: Server, done: Callable[[bool], None], left: int) -> None:
+    def _next_call(
+        self, attempt: ParentCall, server: Server, done: Callable[[bool], None], left: int
+    ) -> None:
         node = self._inner.get(server.name)
         if left <= 0:
             attempt.behind_it = None
@@ -221,7 +223,7 @@
         if budget <= 1.0:
             done(False)
             return
-        ask = Ask(
+        ask = RequestSpec(
             outer.class_index,
             budget,
             outer.tenant,
@@ -238,7 +240,7 @@
             attempt.behind_it = functools.partial(_withdraw, node, taken)
 
     def _inner_answered(
-        self, attempt: Asking, server: Server, done: Callable[[bool], None], left: int, answer: Answer
+        self, attempt: ParentCall, server: Server, done: Callable[[bool], None], left: int, answer: Answer
     ) -> None:
         attempt.behind_it = None
         if answer.what == "served":
@@ -289,7 +291,7 @@
     def _listen(self, server: Server) -> None:
         """A server of a new name is about to start."""
 
-    def restart_node(self, index: int) -> Door:
+    def restart_node(self, index: int) -> NodeEndpoint:
         """A front node's process ends, and another takes its place."""
         old = self.front[index]
         old.stop()
@@ -297,5 +299,5 @@
         return self.front[index]
 
 
-def _withdraw(node: Door, taken: Taken) -> None:
+def _withdraw(node: NodeEndpoint, taken: OpenRequest) -> None:
     node.gone(taken)
--- a/leadrudder/experiment/limits.py
+++ b/leadrudder/experiment/limits.py
@@ -15,11 +15,11 @@
 if TYPE_CHECKING:  # older revisions, whose decisions are played too, have it under another name
     from leadrudder.recovery.saturation import Saturation
 
-START_EACH = 6.0  # calls for each warm server that all of them begin with, as the module does
-LEAST = 1.0
+START_CALLS_PER_SERVER = 6.0  # calls for each warm server that all of them begin with, as the module does
+MIN_LIMIT_CALLS = 1.0
 
 
-class Fixed:
+class FixedLimit:
     """So many calls for each warm server, whatever happens: what a search over it finds is the mark."""
 
     def __init__(self, each: float) -> None:
@@ -33,22 +33,22 @@
         """It feels nothing."""
 
 
-class _Adaptive:
+class _AdaptiveLimit:
     """Begins with START_EACH and moves along with the fleet, as the module's own does."""
 
     def __init__(self) -> None:
         self.value = 0.0
 
     def rescale(self, by: float, servers: float, part: float) -> None:
-        self.value = self.value * by if self.value else START_EACH * part
+        self.value = self.value * by if self.value else START_CALLS_PER_SERVER * part
 
     def _set(self, value: float, out: int) -> None:
         """Grown only while it is used: what is not used tells nothing of what could be."""
         if value <= self.value or out + 1 >= 0.8 * self.value:
-            self.value = max(LEAST, value)
+            self.value = max(MIN_LIMIT_CALLS, value)
 
 
-class Aimd(_Adaptive):
+class AimdLimit(_AdaptiveLimit):
     """Additive increase, multiplicative decrease (Chiu and Jain): late answers are the loss signal."""
 
     LATE = 0.5  # of the aim
@@ -61,7 +61,7 @@
             self._set(self.value + 1.0 / max(1.0, self.value), out)
 
 
-class Gradient(_Adaptive):
+class GradientLimit(_AdaptiveLimit):
     """By the ratio of a long mean latency to the present one, with room for a short queue."""
 
     TOLERANCE = 1.5
@@ -83,7 +83,7 @@
         self._set(self.value + step * (aim - self.value), out)
 
 
-class Vegas(_Adaptive):
+class VegasLimit(_AdaptiveLimit):
     """As TCP Vegas: the calls that queue, by the calmest latency against the present one, kept in a band."""
 
     def record_outcome(self, saturation: Saturation, latency_share: float, out: int, patience: float) -> None:
@@ -99,7 +99,7 @@
             self._set(self.value - step, out)
 
 
-class Codel(_Adaptive):
+class CodelLimit(_AdaptiveLimit):
     """As CoDel: while the least latency of an interval stays above its target, cut at a rising pace."""
 
     TARGET_TIMES = 1.5  # the calmest latency
@@ -128,16 +128,24 @@
 LIMITS = ("limit-fixed", "limit-aimd", "limit-gradient", "limit-vegas", "limit-codel")
 
 
-def limit_of(policy: str, each: float, now: Callable[[], float]) -> Fixed | Aimd | Gradient | Vegas | Codel:
+def make_limit(
+    policy: str, each: float, now: Callable[[], float]
+) -> FixedLimit | AimdLimit | GradientLimit | VegasLimit | CodelLimit:
     """A new limit of this name; each: of the fixed one, calls for each warm server of the fleet."""
     if policy == "limit-fixed":
-        return Fixed(each)
+        return FixedLimit(each)
     if policy == "limit-codel":
-        return Codel(now)
-    return Aimd() if policy == "limit-aimd" else Gradient() if policy == "limit-gradient" else Vegas()
+        return CodelLimit(now)
+    return (
+        AimdLimit()
+        if policy == "limit-aimd"
+        else GradientLimit()
+        if policy == "limit-gradient"
+        else VegasLimit()
+    )
 
 
-class Limited:
+class LimitedBalancer:
     """The module with another limit."""
 
     def __init__(
@@ -146,7 +154,7 @@
         self._now = 0.0
         # Further in, the module's own: what is compared is what the front lets in.
         own = settings.stage > 0
-        limit = None if own else limit_of(policy, each, lambda: self._now)
+        limit = None if own else make_limit(policy, each, lambda: self._now)
         self._balancer = balancer(settings, seed, limit)
 
     def handle(self, event: api.Event, now: float) -> list[api.Action]:
--- a/leadrudder/experiment/lists.py
+++ b/leadrudder/experiment/lists.py
@@ -13,7 +13,7 @@
 from leadrudder.experiment.spec import Lists
 from leadrudder.interface import ListKind, Readiness, ServerEntry, ServerList
 
-ASKED_MS = 1.0  # from a node's call to its list
+LIST_REQUEST_MS = 1.0  # from a node's call to its list
 
 
 class Registry:
@@ -49,7 +49,7 @@
 
     def ask(self, node: Node) -> None:
         """A node asks; it gets the whole list, and changes from then on."""
-        self._clock.after(ASKED_MS, self._tell_all, node)
+        self._clock.after(LIST_REQUEST_MS, self._tell_all, node)
 
     def _tell_all(self, node: Node) -> None:
         if node.alive:
--- a/leadrudder/experiment/node.py
+++ b/leadrudder/experiment/node.py
@@ -13,16 +13,16 @@
 from typing import Protocol
 
 from leadrudder import interface as api
-from leadrudder.experiment.clock import Clock, Entry
-from leadrudder.experiment.connections import Connections
+from leadrudder.experiment.clock import Clock, ScheduledCall
+from leadrudder.experiment.connections import ConnectionPool
 from leadrudder.experiment.server import Server
 from leadrudder.interface import Outcome
 
-RESERVE_MS, RESERVE_MOST = 20.0, 0.1  # of its time that a node keeps for answering
-PROBE_MS = 200.0  # that a probe may take
+ANSWER_RESERVE_MS, ANSWER_RESERVE_MAX_SHARE = 20.0, 0.1  # of its time that a node keeps for answering
+PROBE_TIMEOUT_MS = 200.0  # that a probe may take
 PROBE_WORK_MS = 0.1
 
-Done = Callable[["Answer"], None]
+AnswerCallback = Callable[["Answer"], None]
 
 
 class Decider(Protocol):
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Ask:
+class RequestSpec:
     """A request as a node takes it."""
 
     class_index: int
@@ -76,7 +76,7 @@
 
 
 @dataclass
-class Counts:
+class TierCounts:
     """What happened at the nodes of a tier, and which rules were broken."""
 
     arrivals: int = 0
@@ -99,16 +99,16 @@
         self.broken[rule] = self.broken.get(rule, 0) + 1
 
 
-class Effects:
+class EffectTracker:
     """Which unsafe and keyed requests have run: rule 2."""
 
-    def __init__(self, classes: tuple[api.RequestClass, ...], counts: Callable[[int], Counts]) -> None:
+    def __init__(self, classes: tuple[api.RequestClass, ...], counts: Callable[[int], TierCounts]) -> None:
         self._classes = classes
         self._counts = counts
         self._ran: dict[tuple[int, int, int], int] = {}  # tier, request: runs
         self._keys: dict[tuple[int, int, int, int], tuple[float, int]] = {}
 
-    def begin(self, request: Taken, server: Server, now: float) -> bool:
+    def begin(self, request: OpenRequest, server: Server, now: float) -> bool:
         """False for a repeat that the server's group drops."""
         kind = self._classes[request.ask.class_index]
         if kind.effect is api.Effect.SAFE:
@@ -132,13 +132,13 @@
 
 
 @dataclass(slots=True, eq=False)
-class Taken:
+class OpenRequest:
     """A request that a node owes an answer."""
 
     number: int
-    ask: Ask
+    ask: RequestSpec
     deadline: float
-    done: Done
+    done: AnswerCallback
     attempts: int = 0
     out: dict[int, Attempt] = field(default_factory=dict)
     closed: bool = False
@@ -163,14 +163,14 @@
         "work_ms",
     )
 
-    def __init__(self, node: Node, taken: Taken, number: int, server: Server) -> None:
+    def __init__(self, node: Node, taken: OpenRequest, number: int, server: Server) -> None:
         self._node = node
         self.taken = taken
         self.number = number
         self.server = server
         self.sent = node.clock.now
         self.ended = self.arrived = self._connected = False
-        self._timer: Entry | None = None
+        self._timer: ScheduledCall | None = None
         self.behind_it: Callable[[], None] | None = None  # withdraws the call to the tier behind
         noise = node.fleet.noise(taken.ask.class_index)
         self.work_ms = taken.ask.works[node.tier] * noise
@@ -240,33 +240,33 @@
         self._node.attempt_ended(self, outcome, load)
 
 
-class Door(Protocol):
+class NodeEndpoint(Protocol):
     """What callers and servers need of a node, modelled or whole."""
 
     tier: int
     zone: int
     alive: bool
 
-    def take(self, ask: Ask, done: Done) -> Taken: ...
+    def take(self, ask: RequestSpec, done: AnswerCallback) -> OpenRequest: ...
 
-    def gone(self, taken: Taken) -> None: ...
+    def gone(self, taken: OpenRequest) -> None: ...
 
     def stop(self) -> None: ...
 
 
-class Asking(Protocol):
+class ParentCall(Protocol):
     """A call at a server, as far as the calls to the tier behind go by it."""
 
-    taken: Taken
+    taken: OpenRequest
     behind_it: Callable[[], None] | None
 
     def left_ms(self) -> float: ...
 
 
-class Fleet(Protocol):
+class FleetView(Protocol):
     """What a node needs of the fleet around it."""
 
-    def behind(self, attempt: Asking, server: Server, done: Callable[[bool], None]) -> None: ...
+    def behind(self, attempt: ParentCall, server: Server, done: Callable[[bool], None]) -> None: ...
 
     def servers_of(self, tier: int) -> dict[bytes, Server]: ...
 
@@ -283,12 +283,12 @@
     def __init__(
         self,
         clock: Clock,
-        fleet: Fleet,
+        fleet: FleetView,
         decider: Decider,
         tier: int,
         zone: int,
-        counts: Counts,
-        effects: Effects,
+        counts: TierCounts,
+        effects: EffectTracker,
         way: Callable[[int, int], float],
         connect_ms: float,
         grace_ms: float,
@@ -297,7 +297,7 @@
         self.clock, self.fleet, self.tier, self.zone = clock, fleet, tier, zone
         self.effects, self.connect_ms = effects, connect_ms
         self.connected: set[bytes] = set()
-        self.connections = Connections(clock, idle_ms)
+        self.connections = ConnectionPool(clock, idle_ms)
         self.alive = True
         self._decider = decider
         self._counts = counts
@@ -307,7 +307,7 @@
         self._told: dict[bytes, float] = {}  # when it was told that a server drains or is gone
         self._events: deque[api.Event] = deque()
         self._handling = False
-        self._requests: dict[int, Taken] = {}
+        self._requests: dict[int, OpenRequest] = {}
         self._calls: dict[tuple[int, int], Attempt] = {}
         self._last = 0
 
@@ -316,12 +316,12 @@
 
     # ------------------------------------------------------------ requests
 
-    def take(self, ask: Ask, done: Done) -> Taken:
+    def take(self, ask: RequestSpec, done: AnswerCallback) -> OpenRequest:
         """From here on it owes one answer."""
         self._last += 1
         self._counts.arrivals += 1
-        budget = max(1.0, ask.budget_ms - min(RESERVE_MS, RESERVE_MOST * ask.budget_ms))
-        taken = Taken(self._last, ask, self.clock.now + budget, done)
+        budget = max(1.0, ask.budget_ms - min(ANSWER_RESERVE_MS, ANSWER_RESERVE_MAX_SHARE * ask.budget_ms))
+        taken = OpenRequest(self._last, ask, self.clock.now + budget, done)
         self._requests[taken.number] = taken
         self._post(
             api.Arrival(
@@ -330,7 +330,7 @@
         )
         return taken
 
-    def gone(self, taken: Taken) -> None:
+    def gone(self, taken: OpenRequest) -> None:
         """Its caller waits no longer: rule 1 is broken where an answer was still owed in time."""
         if not taken.closed:
             taken.closed = True
@@ -400,9 +400,9 @@
     def _probe(self, name: bytes) -> None:
         server = self._servers[name]
         silent = server.vanished or server.hung or not server.alive
-        took = PROBE_MS if silent else 2.0 * self.way(server) + PROBE_WORK_MS * (1 + server.present)
-        outcome = Outcome.TIMEOUT if silent or took >= PROBE_MS else Outcome.OK
-        took = min(took, PROBE_MS)
+        took = PROBE_TIMEOUT_MS if silent else 2.0 * self.way(server) + PROBE_WORK_MS * (1 + server.present)
+        outcome = Outcome.TIMEOUT if silent or took >= PROBE_TIMEOUT_MS else Outcome.OK
+        took = min(took, PROBE_TIMEOUT_MS)
         self.clock.after(took, self._post, api.ProbeEnded(name, outcome, took))
 
     # ------------------------------------------------------------ attempts
@@ -454,7 +454,9 @@
         self._requests.clear()
 
 
-def jittered(rng: random.Random, same: float, cross: float, jitter: float) -> Callable[[int, int], float]:
+def one_way_latency(
+    rng: random.Random, same: float, cross: float, jitter: float
+) -> Callable[[int, int], float]:
     """One way between two zones, ms."""
 
     def way(one: int, other: int) -> float:
--- a/leadrudder/experiment/play.py
+++ b/leadrudder/experiment/play.py
@@ -14,20 +14,20 @@
 from leadrudder import interface as api
 from leadrudder.experiment.baselines import BASELINES
 from leadrudder.experiment.callers import Callers, read_trace
-from leadrudder.experiment.clock import Clock, Endless
+from leadrudder.experiment.clock import Clock, StepLimitError
 from leadrudder.experiment.draw import Shape, drawn, shape_of
 from leadrudder.experiment.figures import Figures, Result
-from leadrudder.experiment.fleet import Fleet, MakeDecider
-from leadrudder.experiment.limits import LIMITS, Limited
+from leadrudder.experiment.fleet import DeciderFactory, Fleet
+from leadrudder.experiment.limits import LIMITS, LimitedBalancer
 from leadrudder.experiment.node import Decider
 from leadrudder.experiment.spec import File
 from leadrudder.experiment.troubles import Troubles
 
-YOUNG = 1_000_000  # objects between two looks for garbage: hardly any of it is in circles
-STRETCH_MS = 1000.0  # between two calls of progress
+GC_THRESHOLD = 1_000_000  # objects between two looks for garbage: hardly any of it is in circles
+PROGRESS_INTERVAL_MS = 1000.0  # between two calls of progress
 
 
-def decider_of(policy: str, limit_each: float = 0.0) -> MakeDecider:
+def decider_factory(policy: str, limit_each: float = 0.0) -> DeciderFactory:
     """What makes a node's decisions: the module as this process imports it, or a baseline.
 
     limit_each: calls out for each warm server, of the policy limit-fixed.
@@ -37,7 +37,7 @@
     balancer = importlib.import_module("leadrudder.policy.decide").Balancer
 
     if policy in LIMITS:
-        return functools.partial(Limited, balancer, policy, limit_each)
+        return functools.partial(LimitedBalancer, balancer, policy, limit_each)
 
     def make(settings: api.Settings, seed: int) -> Decider:
         made: Decider = balancer(settings, seed)
@@ -49,7 +49,7 @@
 def play(
     file: File,
     seed: int,
-    decider: MakeDecider,
+    decider: DeciderFactory,
     *,
     model: str = "policy",
     folder: Path = Path("."),
@@ -67,7 +67,7 @@
     with _quiet(model):
         clock, fleet = _build(file, shape, name, decider, model)
         before = gc.get_threshold()
-        gc.set_threshold(YOUNG, *before[1:])
+        gc.set_threshold(GC_THRESHOLD, *before[1:])
         try:
             return _run(file, name, clock, fleet, folder, progress)
         finally:
@@ -76,14 +76,14 @@
 
 
 def _quiet(model: str) -> AbstractContextManager[None]:
-    return nullcontext() if model == "policy" else cast(AbstractContextManager[None], _whole().quiet())
+    return nullcontext() if model == "policy" else cast(AbstractContextManager[None], _whole().silenced_log())
 
 
 def _whole() -> ModuleType:
     return importlib.import_module("leadrudder.experiment.whole")  # real nodes: not every run needs them
 
 
-def _build(file: File, shape: Shape, name: str, decider: MakeDecider, model: str) -> tuple[Clock, Fleet]:
+def _build(file: File, shape: Shape, name: str, decider: DeciderFactory, model: str) -> tuple[Clock, Fleet]:
     """The fleet at its begin.
 
     What is made here lives to the end, and is left out of all looks for garbage: in fleets of many nodes by
@@ -93,7 +93,7 @@
     gc.disable()
     try:
         if model == "whole":
-            clock, fleet = _whole().build(file, shape, name, decider)
+            clock, fleet = _whole().build_fleet(file, shape, name, decider)
         else:
             clock = Clock(file.runs.most_steps)
             fleet = Fleet(clock, file, shape, name, decider)
@@ -121,14 +121,14 @@
     length = 1000.0 * file.length_s
     try:
         while clock.now < length:
-            clock.run(min(length, clock.now + STRETCH_MS))
+            clock.run(min(length, clock.now + PROGRESS_INTERVAL_MS))
             if progress is not None:
                 progress(clock.now / length)
         longest = max(c.deadline_ms for c in file.request_class)
         last = length + 20.0 * (longest + file.fleet.node.most_retry_after_ms + 1000.0)
         while figures.open and clock.now < last:
-            clock.run(clock.now + STRETCH_MS)
-    except Endless as error:
+            clock.run(clock.now + PROGRESS_INTERVAL_MS)
+    except StepLimitError as error:
         notes.append(str(error))
     fleet.close()
     return figures.result(fleet, troubles.struck, notes)
--- a/leadrudder/experiment/server.py
+++ b/leadrudder/experiment/server.py
@@ -15,15 +15,15 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from leadrudder.experiment.clock import Clock, Entry
+from leadrudder.experiment.clock import Clock, ScheduledCall
 from leadrudder.experiment.draw import ServerPlan, number
 from leadrudder.experiment.spec import Reports, Slowing
 from leadrudder.interface import Outcome, ServerEntry
 
-LOOK_MS = 250.0  # between looks at a server that is crowded or slow, and at how warm one has become
+CHECK_INTERVAL_MS = 250.0  # between looks at a server that is crowded or slow, and at how warm one has become
 
 
-class Call(Protocol):
+class ServerCall(Protocol):
     """What a server must know of a call that has come in, and whom it answers."""
 
     @property
@@ -53,7 +53,7 @@
 
     __slots__ = ("call", "ended", "held", "running", "started", "target")
 
-    def __init__(self, call: Call) -> None:
+    def __init__(self, call: ServerCall) -> None:
         self.call = call
         self.ended = False
         self.held = False  # a slot
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class ServerSettings:
     """What the rules say of cold servers, and what its tier adds to a server."""
 
     fall_times: float = 4.0
@@ -78,7 +78,13 @@
     """One server process at a time; restart makes it cold."""
 
     def __init__(
-        self, clock: Clock, name: bytes, plan: ServerPlan, terms: Terms, rng: random.Random, tier: int
+        self,
+        clock: Clock,
+        name: bytes,
+        plan: ServerPlan,
+        terms: ServerSettings,
+        rng: random.Random,
+        tier: int,
     ) -> None:
         self.clock, self.name, self.plan, self.tier = clock, name, plan, tier
         self._terms = terms
@@ -93,14 +99,14 @@
         self._thrash, self._thrash_at = number(kind.thrash), number(kind.thrash_at) * kind.cores
         self._errors = number(kind.errors)
         self._queue: deque[Job] = deque()
-        self._jobs: dict[Call, Job] = {}
+        self._jobs: dict[ServerCall, Job] = {}
         self._held = 0
         self._running: list[tuple[float, int, Job]] = []
         self._on_cores = 0
         self._attained = 0.0  # work that a job which is on a core all the time has got
         self._at = 0.0
         self._rate = 0.0  # of attained work, a millisecond
-        self._next: Entry | None = None
+        self._next: ScheduledCall | None = None
         self._number = 0
         self.started_ms = 0.0
         self.alive = True
@@ -117,7 +123,7 @@
         self.slow_ms = 0.0  # for so long in all
         self._slow_since = 0.0
         self._looking = False
-        self._crowd = _Mean()
+        self._crowd = _SlidingMean()
         self._idle_ms = 0.0
         self._offered: deque[tuple[float, float]] = deque()  # to a cold one: when, and how much work
         self._offered_sum = 0.0
@@ -131,7 +137,7 @@
         self._entered: dict[Job, float] = {}
         self._report: tuple[float, ...] = ()
         self._past: deque[tuple[float, tuple[float, ...]]] = deque()
-        self._busy_mean = _Mean()
+        self._busy_mean = _SlidingMean()
         if terms.reports is not None:
             self._period = number(terms.reports.period_ms)
             clock.after(rng.uniform(0.0, self._period), self._make_report)
@@ -146,7 +152,7 @@
         """Requests here, in slots and in the queue."""
         return self._held + len(self._queue)
 
-    def offer(self, call: Call) -> None:
+    def offer(self, call: ServerCall) -> None:
         """A call has come in whole."""
         if not self.alive:
             return
@@ -169,7 +175,7 @@
             self._note_crowd()
         self._watch()
 
-    def cancel(self, call: Call) -> None:
+    def cancel(self, call: ServerCall) -> None:
         """Its node has given it up."""
         job = self._jobs.get(call)
         how = self.plan.kind.cancels
@@ -331,7 +337,7 @@
         if self._crowded() > self._limit(slowing):
             self._looking = True
             self._crowd.restart(self.clock.now, self._crowded())
-            self.clock.after(LOOK_MS, self._look, slowing)
+            self.clock.after(CHECK_INTERVAL_MS, self._look, slowing)
 
     def _crowded(self) -> float:
         slowing = self._terms.slowing
@@ -358,7 +364,7 @@
         elif mean is not None and mean < 0.5 * self._limit(slowing):
             self._looking = False
             return
-        self.clock.after(LOOK_MS, self._look, slowing)
+        self.clock.after(CHECK_INTERVAL_MS, self._look, slowing)
 
     def _recover(self, slowing: Slowing) -> None:
         self._busy_mean.add(self.clock.now, min(1.0, self._on_cores / self.cores))
@@ -372,7 +378,7 @@
             self._looking = False
             self._watch()
             return
-        self.clock.after(LOOK_MS, self._look, slowing)
+        self.clock.after(CHECK_INTERVAL_MS, self._look, slowing)
 
     def _load(self, work_ms: float) -> None:
         """Rule 4: a cold server that is sent several times what it can do for a while falls over."""
@@ -394,7 +400,7 @@
         if self.alive:
             self.changed()
             if self.warmth() < 1.0:
-                self.clock.after(LOOK_MS, self._warm_up)
+                self.clock.after(CHECK_INTERVAL_MS, self._warm_up)
 
     # ------------------------------------------------------------ life
 
@@ -467,7 +473,7 @@
         return self._report
 
 
-class _Mean:
+class _SlidingMean:
     """The mean of a stepped figure over the latest time, from samples kept for ten seconds at most."""
 
     __slots__ = ("at", "_since", "_steps", "_value")
@@ -489,7 +495,7 @@
         """The figure is this from now."""
         if now > self.at:
             last = self._steps[-1] if self._steps else None
-            if last is not None and (last[2] == self._value or now - last[0] < 0.5 * LOOK_MS):
+            if last is not None and (last[2] == self._value or now - last[0] < 0.5 * CHECK_INTERVAL_MS):
                 # Short steps are merged into their mean, so that a busy server keeps a bounded number.
                 span = now - last[0]
                 value_then = (last[2] * (last[1] - last[0]) + self._value * (now - self.at)) / span
--- a/leadrudder/experiment/troubles.py
+++ b/leadrudder/experiment/troubles.py
@@ -12,11 +12,11 @@
 from leadrudder.experiment.server import Server
 from leadrudder.experiment.spec import File, Trouble
 
-DRAIN_MS, DOWN_MS = 2000.0, 1000.0  # of a server in a release: it drains, is away, and starts anew
-NEWCOMERS_MS = 2000.0  # until those that replace others are started
+RELEASE_DRAIN_MS, RESTART_MS = 2000.0, 1000.0  # of a server in a release: it drains, is away, and starts anew
+REPLACEMENT_DELAY_MS = 2000.0  # until those that replace others are started
 
 
-def plan(file: File, seed: str) -> list[tuple[Trouble, random.Random]]:
+def draw_troubles(file: File, seed: str) -> list[tuple[Trouble, random.Random]]:
     """The troubles of this seed, each with the source that it draws from."""
     planned = []
     for i, trouble in enumerate(file.trouble):
@@ -47,7 +47,7 @@
             "zone": self._zone,
             "node-restart": self._node_restart,
         }
-        for trouble, rng in plan(file, seed):
+        for trouble, rng in draw_troubles(file, seed):
             at, length = number(trouble.at_s), number(trouble.length_s)
             self.struck.append(Struck(trouble.what, at, at + length))
             self._clock.after(1000.0 * at, what[trouble.what], trouble, rng, 1000.0 * length)
@@ -84,7 +84,7 @@
         """What had hung starts anew: what it held is lost with it."""
         if server.alive:
             self._fleet.stop(server)
-            self._clock.after(DOWN_MS, self._fleet.start, server)
+            self._clock.after(RESTART_MS, self._fleet.start, server)
 
     def _vanish(self, trouble: Trouble, rng: random.Random, length: float) -> None:
         for server in self._some(trouble, rng):
@@ -108,8 +108,8 @@
     def _renew(self, server: Server) -> None:
         if server.alive:
             self._fleet.drain(server)
-            self._clock.after(DRAIN_MS, self._fleet.stop, server)
-            self._clock.after(DRAIN_MS + DOWN_MS, self._fleet.start, server)
+            self._clock.after(RELEASE_DRAIN_MS, self._fleet.stop, server)
+            self._clock.after(RELEASE_DRAIN_MS + RESTART_MS, self._fleet.start, server)
 
     def _replace(self, trouble: Trouble, rng: random.Random, length: float) -> None:
         """Part of the tier's servers go for good within moments; as many new ones come over the time."""
@@ -117,8 +117,8 @@
         tier = self._tiers[trouble.tier] if trouble.tier is not None else 0
         for i, server in enumerate(servers):
             self._fleet.drain(server)
-            self._clock.after(DRAIN_MS, self._fleet.stop, server)
-            self._clock.after(NEWCOMERS_MS + length * i / len(servers), self._fleet.add, tier, server)
+            self._clock.after(RELEASE_DRAIN_MS, self._fleet.stop, server)
+            self._clock.after(REPLACEMENT_DELAY_MS + length * i / len(servers), self._fleet.add, tier, server)
 
     def _zone(self, _: Trouble, rng: random.Random, length: float) -> None:
         """All servers of a zone go silent at once, at all tiers, and come back cold together."""
@@ -137,7 +137,7 @@
 
     def _restart(self, index: int) -> None:
         self._fleet.front[index].stop()
-        until = self._clock.now + DOWN_MS
-        if self._callers.notice_ms < DOWN_MS:
+        until = self._clock.now + RESTART_MS
+        if self._callers.notice_ms < RESTART_MS:
             self._clock.after(self._callers.notice_ms, self._callers.shun, index, until)
-        self._clock.after(DOWN_MS, self._fleet.restart_node, index)
+        self._clock.after(RESTART_MS, self._fleet.restart_node, index)
--- a/leadrudder/experiment/whole.py
+++ b/leadrudder/experiment/whole.py
@@ -18,11 +18,22 @@
 from typing import Any, cast
 
 from leadrudder import interface as api
-from leadrudder.experiment.clock import Clock, Endless, Entry
+from leadrudder.experiment.clock import Clock, ScheduledCall, StepLimitError
 from leadrudder.experiment.draw import Shape
-from leadrudder.experiment.fleet import Fleet, MakeDecider, settings_of
+from leadrudder.experiment.fleet import DeciderFactory, Fleet, node_settings
 from leadrudder.experiment.lists import Registry
-from leadrudder.experiment.node import FAILED, RESET, SERVED, Answer, Ask, Counts, Done, Effects, Node, Taken
+from leadrudder.experiment.node import (
+    FAILED,
+    RESET,
+    SERVED,
+    Answer,
+    AnswerCallback,
+    EffectTracker,
+    Node,
+    OpenRequest,
+    RequestSpec,
+    TierCounts,
+)
 from leadrudder.experiment.server import Server
 from leadrudder.experiment.spec import File, Tier
 from leadrudder.interface import Outcome, Readiness
@@ -40,13 +51,13 @@
 from leadrudder.simulation.world import EPOCH_S, NodePlatform
 
 PORT = 8000
-IDLE_MS = 30_000.0
-ALL = "all"  # the one tenant where the file names none
-CALLERS = "10.0.0.1"  # their way to a node is in the callers' own model, and takes no time here
-BEGIN_US = 1_000_000  # time at which the world begins: nodes are up when the first request comes
+CONNECTION_IDLE_MS = 30_000.0
+DEFAULT_TENANT = "all"  # the one tenant where the file names none
+CALLERS_HOST = "10.0.0.1"  # their way to a node is in the callers' own model, and takes no time here
+START_US = 1_000_000  # time at which the world begins: nodes are up when the first request comes
 
 
-class ScheduledClock(Clock):
+class SchedulerClock(Clock):
     """The model's clock on the simulation's scheduler, so that both have one time."""
 
     def __init__(self, scheduler: Scheduler, most_steps: int) -> None:
@@ -54,8 +65,8 @@
         self.scheduler = scheduler
         self._base = 0
 
-    def after(self, delay_ms: float, call: Callable[..., object], *args: Any) -> Entry:
-        entry = Entry(None, call, args)
+    def after(self, delay_ms: float, call: Callable[..., object], *args: Any) -> ScheduledCall:
+        entry = ScheduledCall(None, call, args)
         # Up to the next microsecond: rounded down, what is nearly done would be looked at for ever.
         due = self.scheduler.now + max(0, math.ceil(1000.0 * delay_ms))
         self.scheduler.timer(due, None, "model", self._make, entry)
@@ -70,7 +81,7 @@
         """An instant of the model on the scheduler's clock, as nodes and lists have it."""
         return at_ms + self._base / 1000.0
 
-    def _make(self, entry: Entry) -> None:
+    def _make(self, entry: ScheduledCall) -> None:
         self.now = (self.scheduler.now - self._base) / 1000.0
         if entry.call is not None:
             entry.call(*entry.args)
@@ -83,7 +94,9 @@
             self.now = (due - self._base) / 1000.0
             scheduler.run_one()
             if scheduler.steps > self._most:
-                raise Endless(f"more than {self._most} steps by {self.now / 1000.0:.1f} s of virtual time")
+                raise StepLimitError(
+                    f"more than {self._most} steps by {self.now / 1000.0:.1f} s of virtual time"
+                )
         scheduler.timer(end, None, "until", _nothing)
         while (due := scheduler.next_due()) is not None and due <= end:
             scheduler.run_one()
@@ -95,7 +108,7 @@
     """Only moves the time."""
 
 
-class Ways(Network):
+class FleetNetwork(Network):
     """The simulation's network with this fleet's latencies."""
 
     def __init__(self, scheduler: Scheduler, seed: str, way: Callable[[int, int], float]) -> None:
@@ -105,7 +118,7 @@
         self._fleet_way = way
 
     def latency(self, rng: Any, one: str, other: str) -> int:
-        if CALLERS in (one, other) or one == other:
+        if CALLERS_HOST in (one, other) or one == other:
             return 1
         return max(1, round(1000.0 * self._fleet_way(self.zones.get(one, 0), self.zones.get(other, 0))))
 
@@ -114,7 +127,7 @@
     """A request that has reached a server: the model's Call, answered in bytes."""
 
     def __init__(
-        self, fleet: WholeFleet, server: Server, side: ServerSide, taken: Taken, left: float
+        self, fleet: WholeFleet, server: Server, side: ServerConnection, taken: OpenRequest, left: float
     ) -> None:
         self._fleet = fleet
         self._side = side
@@ -149,7 +162,7 @@
         return self.deadline - self._fleet.clock.now
 
 
-class ServerSide(asyncio.Protocol):
+class ServerConnection(asyncio.Protocol):
     """A connection of a node's at a server."""
 
     def __init__(self, fleet: WholeFleet, server: Server) -> None:
@@ -193,10 +206,10 @@
             self._server.cancel(call)
 
 
-class Overheard:
+class RefusalCounter:
     """A node's decisions, with the reasons of refusals counted: bytes do not tell them."""
 
-    def __init__(self, balancer: Balancer, counts: Counts) -> None:
+    def __init__(self, balancer: Balancer, counts: TierCounts) -> None:
         self._balancer, self._counts = balancer, counts
 
     def __getattr__(self, name: str) -> Any:
@@ -231,20 +244,20 @@
 
         async def main() -> None:
             node = RealNode(real, platform)
-            node._balancer = cast(Balancer, Overheard(node._balancer, self._counts))
+            node._balancer = cast(Balancer, RefusalCounter(node._balancer, self._counts))
             await node.start()
             await node.wait()
 
         self._loop.spawn(main())
         self._client = NodeClient(client, address)
-        self._calls: dict[Taken, ClientCall] = {}
+        self._calls: dict[OpenRequest, ClientCall] = {}
 
-    def take(self, ask: Ask, done: Done) -> Taken:
+    def take(self, ask: RequestSpec, done: AnswerCallback) -> OpenRequest:
         """Ask it as the platform's callers do."""
         fleet = self.fleet
         fleet.last += 1
         self._counts.arrivals += 1
-        taken = Taken(fleet.last, ask, fleet.clock.now + ask.budget_ms, done)
+        taken = OpenRequest(fleet.last, ask, fleet.clock.now + ask.budget_ms, done)
         kind = fleet.file.request_class[ask.class_index]
         name = f"{fleet.last:016x}"
         headers = {
@@ -252,7 +265,7 @@
             "X-Class": kind.name,
             "X-Deadline": f"{ask.budget_ms / 1000.0:.4f}",
         }
-        headers["X-Tenant"] = fleet.file.tenant[ask.tenant].name if fleet.file.tenant else ALL
+        headers["X-Tenant"] = fleet.file.tenant[ask.tenant].name if fleet.file.tenant else DEFAULT_TENANT
         if ask.hint_ms is not None:
             headers["X-Cost-Hint"] = f"{1000.0 * ask.hint_ms:.0f}"
         if kind.effect == "keyed":
@@ -265,7 +278,7 @@
             self._calls[taken] = call
         return taken
 
-    def gone(self, taken: Taken) -> None:
+    def gone(self, taken: OpenRequest) -> None:
         """Its caller waits no longer: rule 1 is broken where an answer was still owed in time."""
         call = self._calls.pop(taken, None)
         if taken.closed:
@@ -277,7 +290,7 @@
         if call is not None:
             self._client.give_up(call, "gone")
 
-    def _answered(self, taken: Taken, frame: Frame | None, why: str) -> None:
+    def _answered(self, taken: OpenRequest, frame: Frame | None, why: str) -> None:
         self._calls.pop(taken, None)
         if taken.closed:
             return
@@ -347,25 +360,25 @@
 class WholeFleet(Fleet):
     """The fleet with real nodes."""
 
-    clock: ScheduledClock
+    clock: SchedulerClock
 
     def __init__(
-        self, clock: ScheduledClock, file: File, shape: Shape, seed: str, decider: MakeDecider
+        self, clock: SchedulerClock, file: File, shape: Shape, seed: str, decider: DeciderFactory
     ) -> None:
         self.scheduler = clock.scheduler
-        self.asked: dict[str, Taken] = {}
+        self.asked: dict[str, OpenRequest] = {}
         self.hosts: dict[bytes, str] = {}
         self.last = 0
         self._loops: dict[bytes, VirtualLoop] = {}
         self._processes: list[VirtualLoop] = []
         self._hosts = 0
         self.faults: list[str] = []
-        self.network = Ways(clock.scheduler, seed, lambda one, other: self._way(one, other))
-        self._callers = self.process("callers", CALLERS, 0)
+        self.network = FleetNetwork(clock.scheduler, seed, lambda one, other: self._way(one, other))
+        self._callers = self.process("callers", CALLERS_HOST, 0)
         super().__init__(clock, file, shape, seed, decider)
 
     @property
-    def effects(self) -> Effects:
+    def effects(self) -> EffectTracker:
         return self._effects
 
     def process(self, name: str, host: str, zone: int) -> VirtualLoop:
@@ -402,7 +415,7 @@
             self.network.back(host)
         loop = self.process(server.name.decode(), host, server.plan.zone)
         self._loops[server.name] = loop
-        self.network.listen(loop, lambda: ServerSide(self, server), (host, PORT))
+        self.network.listen(loop, lambda: ServerConnection(self, server), (host, PORT))
 
     def _registry(self, tier: int) -> Registry:
         told = self.file.fleet.node.capacity_hints
@@ -411,7 +424,7 @@
 
     def _node(self, tier: int, nodes: int, ordinal: int, zone: int) -> WholeNode:
         registry = cast(WireRegistry, self.registries[tier])
-        settings = settings_of(self.file, self.shape, tier, nodes, ordinal, zone)
+        settings = node_settings(self.file, self.shape, tier, nodes, ordinal, zone)
         seed = Random(f"{self._seed}/node/{tier}/{ordinal}/{self.clock.now}").getrandbits(31)
         config = {
             "name": f"n{tier}-{ordinal}",
@@ -419,7 +432,7 @@
             "discovery": f"{registry.address[0]}:{registry.address[1]}",
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 1024},
             "known": registry.rows.listing(),
-            "settings": nested(settings, self.file),
+            "settings": nested_settings(settings, self.file),
         }
         if tier:
             name = list(self._tiers[tier - 1])[ordinal]
@@ -446,7 +459,7 @@
             loop.kill()
 
 
-def nested(settings: api.Settings, file: File) -> dict[str, Any]:
+def nested_settings(settings: api.Settings, file: File) -> dict[str, Any]:
     """Settings as a node's configuration holds them."""
     return {
         "azs": list(file.fleet.network.zones),
@@ -471,7 +484,7 @@
         },
         "policyLimits": {
             "cancel": settings.may_cancel,
-            "connIdleMs": IDLE_MS,
+            "connIdleMs": CONNECTION_IDLE_MS,
             "connectTimeoutMs": settings.connect_timeout_ms,
             "maxRetryAfterMs": settings.max_retry_after_ms,
             "mayDuplicate": settings.may_duplicate,
@@ -498,7 +511,7 @@
             # Inner tiers know their names, as callers' requests carry them, and hold nobody to a share.
             for t in settings.tenants
             or tuple(api.Tenant(t.name, t.share, 0.0) for t in file.tenant)
-            or (api.Tenant(ALL, 1.0, 0.0),)
+            or (api.Tenant(DEFAULT_TENANT, 1.0, 0.0),)
         ],
         "overShareWorth": settings.over_share_worth,
         "worthBy": "work" if settings.worth_by_work else "request",
@@ -509,7 +522,7 @@
 
 
 @contextmanager
-def quiet() -> Iterator[None]:
+def silenced_log() -> Iterator[None]:
     """A node's log is not what a run is asked for; whoever played it has his own log back afterwards."""
     log = logging.getLogger("leadrudder")
     before = log.level
@@ -520,10 +533,12 @@
         log.setLevel(before)
 
 
-def build(file: File, shape: Shape, seed: str, decider: MakeDecider) -> tuple[ScheduledClock, WholeFleet]:
+def build_fleet(
+    file: File, shape: Shape, seed: str, decider: DeciderFactory
+) -> tuple[SchedulerClock, WholeFleet]:
     """The fleet of one run, its nodes up, and the clock that plays it."""
-    clock = ScheduledClock(Scheduler(seed), file.runs.most_steps)
+    clock = SchedulerClock(Scheduler(seed), file.runs.most_steps)
     fleet = WholeFleet(clock, file, shape, seed, decider)
-    clock.run(BEGIN_US / 1000.0)
+    clock.run(START_US / 1000.0)
     clock.begin()
     return clock, fleet
--- a/leadrudder/experiment/worker.py
+++ b/leadrudder/experiment/worker.py
@@ -57,7 +57,7 @@
     most = int(most_mb) * 1024 * 1024
     resource.setrlimit(resource.RLIMIT_AS, (most, most))
 
-    from leadrudder.experiment.play import decider_of, play
+    from leadrudder.experiment.play import decider_factory, play
     from leadrudder.experiment.spec import File
 
     for line in sys.stdin:
@@ -71,7 +71,7 @@
             result = play(
                 file,
                 job["seed"],
-                decider_of(job["policy"], file.fleet.node.limit_each),
+                decider_factory(job["policy"], file.fleet.node.limit_each),
                 model=job["model"],
                 folder=Path(job["folder"]),
                 progress=lambda part: print(json.dumps({"part": part}), file=out),
--- a/tests/experiment/small.py
+++ b/tests/experiment/small.py
@@ -7,7 +7,7 @@
 
 from leadrudder.experiment.figures import Result
 from leadrudder.experiment.plan import changed
-from leadrudder.experiment.play import decider_of, play
+from leadrudder.experiment.play import decider_factory, play
 from leadrudder.experiment.runner import Experiment
 from leadrudder.tool.source import parse
 
@@ -72,4 +72,4 @@
 def played(seed: int = 1, policy: str = "leadrudder", **change: Any) -> Result:
     """One run, here."""
     file = changed(values(**change), {})
-    return play(file, seed, decider_of(policy, file.fleet.node.limit_each))
+    return play(file, seed, decider_factory(policy, file.fleet.node.limit_each))
--- a/tests/experiment/test_connections.py
+++ b/tests/experiment/test_connections.py
@@ -5,11 +5,11 @@
 import random
 
 from leadrudder.experiment.clock import Clock
-from leadrudder.experiment.connections import Connections
+from leadrudder.experiment.connections import ConnectionPool
 from leadrudder.experiment.draw import ServerPlan
 from leadrudder.experiment.plan import changed
-from leadrudder.experiment.play import decider_of, play
-from leadrudder.experiment.server import Server, Terms
+from leadrudder.experiment.play import decider_factory, play
+from leadrudder.experiment.server import Server, ServerSettings
 from leadrudder.experiment.spec import Kind
 from tests.experiment.small import values
 
@@ -18,14 +18,14 @@
 
 def server(clock: Clock, connections: float) -> Server:
     plan = ServerPlan(Kind(name="usual"), 0, 0, 0, 1.0)
-    terms = Terms(connections=connections, handshake_ms=HANDSHAKE_MS)
+    terms = ServerSettings(connections=connections, handshake_ms=HANDSHAKE_MS)
     return Server(clock, b"api-0", plan, terms, random.Random(1), 0)
 
 
 def test_one_that_is_idle_is_used_again_and_one_beyond_the_cap_is_turned_away() -> None:
     clock = Clock()
     api = server(clock, 2)
-    mine, other = Connections(clock, 30_000.0), Connections(clock, 30_000.0)
+    mine, other = ConnectionPool(clock, 30_000.0), ConnectionPool(clock, 30_000.0)
     assert mine.take(api) == HANDSHAKE_MS and other.take(api) == HANDSHAKE_MS
     assert mine.take(api) is None and api.connections == 2
     mine.give_back(api, whole=True)
@@ -40,7 +40,7 @@
 def test_idle_ones_are_closed_after_half_of_the_servers_time_and_by_a_restart() -> None:
     clock = Clock()
     api = server(clock, 8)
-    mine = Connections(clock, 4000.0)
+    mine = ConnectionPool(clock, 4000.0)
     for _ in range(3):
         mine.take(api)
     mine.give_back(api, whole=True)
@@ -57,7 +57,7 @@
     for cap in (0, 3):
         made = values(fleet__nodes=8, fleet__hot=0.25, fleet__hot_times=4.0)
         made["fleet"]["tier"][0].update(connections=cap, handshake_ms=1.0)
-        result = play(changed(made, {}), 1, decider_of("leadrudder"))
+        result = play(changed(made, {}), 1, decider_factory("leadrudder"))
         assert result.broken == {} and result.figures["service"] > 0.3
         full[cap] = result.figures.get("api.full", 0.0)
     assert full[0] == 0.0 < full[3], full
--- a/tests/experiment/test_model.py
+++ b/tests/experiment/test_model.py
@@ -11,7 +11,7 @@
 from leadrudder import interface as api
 from leadrudder.experiment.node import Decider
 from leadrudder.experiment.plan import changed
-from leadrudder.experiment.play import decider_of, play
+from leadrudder.experiment.play import decider_factory, play
 from leadrudder.experiment.server import Server
 from tests.experiment.small import played, values
 
@@ -40,7 +40,7 @@
 def test_every_request_ends_and_no_rule_breaks_while_a_fleet_is_renewed() -> None:
     made = values()
     made["trouble"] = [RELEASE, {"what": "vanish", "at_s": 2, "length_s": 2, "tier": "store"}]
-    result = play(changed(made, {}), 2, decider_of("leadrudder"))
+    result = play(changed(made, {}), 2, decider_factory("leadrudder"))
     assert result.broken == {}
     assert sum(result.figures[f"ended_{what}"] for what in ("served", "refused", "failed", "none")) == (
         pytest.approx(1.0)
@@ -52,7 +52,7 @@
 
     def __init__(self, settings: api.Settings, seed: int, fault: str) -> None:
         # The module's limit would keep a cold server from being pushed over even so.
-        self._module = decider_of("random" if fault == "cold" else "leadrudder")(settings, seed)
+        self._module = decider_factory("random" if fault == "cold" else "leadrudder")(settings, seed)
         self._fault = fault
         self._listed: list[bytes] = []
         self._sent: set[int] = set()
@@ -89,7 +89,9 @@
 
     def bad(settings: api.Settings, seed: int) -> Decider:
         return (
-            _Bad(settings, seed, fault) if settings.stage == 0 else decider_of("leadrudder")(settings, seed)
+            _Bad(settings, seed, fault)
+            if settings.stage == 0
+            else decider_factory("leadrudder")(settings, seed)
         )
 
     result = play(changed(made, {}), 1, bad)
@@ -108,7 +110,7 @@
             for tier in made["fleet"]["tier"]:
                 tier["slowing"] = SLOWING
         made["trouble"] = [{"what": "burst", "at_s": 3, "length_s": 3, "times": 2.5}]
-        return play(changed(made, {}), 1, decider_of("two-choices")).figures["longest_jam_s"]
+        return play(changed(made, {}), 1, decider_factory("two-choices")).figures["longest_jam_s"]
 
     assert jam(True, 3) >= 10.0
     assert jam(False, 0) < 6.0
@@ -118,10 +120,10 @@
     """Every run holds it; what a server that stops has in its queue was once not counted until then."""
     made = values(length_s=3, load__of_capacity=1.2)
     made["trouble"] = [{"what": "vanish", "at_s": 1, "length_s": 1, "part": 0.5}]
-    assert "little" not in play(changed(made, {}), 1, decider_of("leadrudder")).broken
+    assert "little" not in play(changed(made, {}), 1, decider_factory("leadrudder")).broken
     told = Server._note_present
     monkeypatch.setattr(Server, "_note_present", lambda self: None if self.present == 3 else told(self))
-    assert "little" in play(changed(made, {}), 1, decider_of("leadrudder")).broken
+    assert "little" in play(changed(made, {}), 1, decider_factory("leadrudder")).broken
 
 
 def test_a_closed_loop_asks_as_fast_as_it_is_answered() -> None:
@@ -134,6 +136,6 @@
     made["class"] = [
         {"name": "look", "work_ms": 14, "spread": "fixed", "aim_ms": 400, "deadline_ms": 1500},
     ]
-    result = play(changed(made, {}), 1, decider_of("leadrudder"))
+    result = play(changed(made, {}), 1, decider_factory("leadrudder"))
     assert result.figures["requests"] == 200
     assert result.figures["look.p50_ms"] == pytest.approx(20.0, rel=0.002)
--- a/tests/experiment/test_queueing.py
+++ b/tests/experiment/test_queueing.py
@@ -11,7 +11,7 @@
 
 from leadrudder.experiment.clock import Clock
 from leadrudder.experiment.draw import ServerPlan, spread_of
-from leadrudder.experiment.server import Server, Terms
+from leadrudder.experiment.server import Server, ServerSettings
 from leadrudder.experiment.spec import Kind
 from leadrudder.interface import Outcome
 
@@ -64,7 +64,7 @@
     kind = Kind(name="one", cores=cores, slots=slots, queue=1e6)
     drawn = _Drawn(calls)
     clock = Clock()
-    server = Server(clock, b"one", ServerPlan(kind, 0, 0, 0, 1.0), Terms(), random.Random(1), 0)
+    server = Server(clock, b"one", ServerPlan(kind, 0, 0, 0, 1.0), ServerSettings(), random.Random(1), 0)
     rng = random.Random(5)
     rate = load * cores / MEAN_MS
 
--- a/tests/experiment/test_whole.py
+++ b/tests/experiment/test_whole.py
@@ -8,7 +8,7 @@
 import pytest
 
 from leadrudder.experiment.plan import changed
-from leadrudder.experiment.play import decider_of, play
+from leadrudder.experiment.play import decider_factory, play
 from tests.experiment.small import values
 
 SEEDS = range(1, 5)
@@ -19,7 +19,7 @@
 def _mean(made: dict[str, Any], model: str, figure: str) -> float:
     found = []
     for seed in SEEDS:
-        result = play(changed(made, {}), seed, decider_of("leadrudder"), model=model)
+        result = play(changed(made, {}), seed, decider_factory("leadrudder"), model=model)
         assert result.broken == {}
         found.append(result.figures[figure])
     return statistics.fmean(found)
@@ -45,11 +45,11 @@
         {"what": "replace", "at_s": 4, "length_s": 1, "part": 0.5},
     ]
     policy, whole = (
-        play(changed(made, {}), 1, decider_of("leadrudder"), model=m) for m in ("policy", "whole")
+        play(changed(made, {}), 1, decider_factory("leadrudder"), model=m) for m in ("policy", "whole")
     )
     assert policy.broken == whole.broken == {}
     for figures in (policy.figures, whole.figures):
         reasons = sum(part for name, part in figures.items() if name.startswith("api.refused_"))
         assert 0.0 < reasons == pytest.approx(figures["api.refused"])
     assert whole.figures["service"] == pytest.approx(policy.figures["service"], abs=SERVICE_WITHIN)
-    assert whole.digest == play(changed(made, {}), 1, decider_of("leadrudder"), model="whole").digest
+    assert whole.digest == play(changed(made, {}), 1, decider_factory("leadrudder"), model="whole").digest
