--- a/leadrudder/experiment/limits.py
+++ b/leadrudder/experiment/limits.py
@@ -7,7 +7,8 @@
 
 import math
 from collections.abc import Callable
-from typing import TYPE_CHECKING
+from types import SimpleNamespace
+from typing import TYPE_CHECKING, Any, cast
 
 from leadrudder import interface as api
 from leadrudder.experiment.node import Decider
@@ -19,7 +20,31 @@
 MIN_LIMIT_CALLS = 1.0
 
 
-class FixedLimit:
+class _Limit:
+    """What a balancer calls of its limit, under today's names and those of revisions before the rename."""
+
+    def rescale(self, by: float, servers: float, part: float) -> None:
+        raise NotImplementedError
+
+    def record_outcome(self, saturation: Saturation, latency_share: float, out: int, patience: float) -> None:
+        raise NotImplementedError
+
+    def moved(self, by: float, servers: float, part: float) -> None:
+        """Called by revisions before the rename."""
+        self.rescale(by, servers, part)
+
+    def feel(self, strain: Any, latency_share: float, out: int, patience: float) -> None:
+        """Called by revisions before the rename, with their Strain, which has other attribute names."""
+        saturation = SimpleNamespace(
+            mean_latency_ms=strain.level,
+            baseline_ms=strain.calm,
+            provisional_baseline_ms=strain.least,
+            min_aim_ms=strain.aim,
+        )
+        self.record_outcome(cast("Saturation", saturation), latency_share, out, patience)
+
+
+class FixedLimit(_Limit):
     """So many calls for each warm server, whatever happens: what a search over it finds is the mark."""
 
     def __init__(self, each: float) -> None:
@@ -33,7 +58,7 @@
         """It feels nothing."""
 
 
-class _AdaptiveLimit:
+class _AdaptiveLimit(_Limit):
     """Begins with START_EACH and moves along with the fleet, as the module's own does."""
 
     def __init__(self) -> None:
