--- a/leadrudder/experiment/callers.py
+++ b/leadrudder/experiment/callers.py
@@ -81,7 +81,7 @@
 
 
 class Callers:
-    """All of them. load_times: what troubles make of the rate."""
+    """All of them. load_factor: what troubles make of the rate."""
 
     def __init__(
         self, clock: Clock, file: File, fleet: Fleet, figures: Figures, seed: str, trace: list[TraceRequest]
@@ -90,7 +90,7 @@
         self._arrivals = random.Random(f"{seed}/arrivals")
         self._works = random.Random(f"{seed}/works")
         self._rng = random.Random(f"{seed}/callers")
-        self.load_times = 1.0
+        self.load_factor = 1.0
         self._trace = trace
         self._count = 0
         self._classes = file.request_class
@@ -108,12 +108,12 @@
         callers = file.callers
         self._tries, self._patience = number(callers.tries), callers.patience
         self._back_off, self._honour = number(callers.back_off_ms), number(callers.honour)
-        self._notice = 1000.0 * number(callers.notice_s)
-        self._shunned: dict[int, float] = {}  # front nodes that callers know to be gone, until when
+        self._notice_ms = 1000.0 * number(callers.notice_s)
+        self._excluded: dict[int, float] = {}  # front nodes that callers know to be gone, until when
         self._hot = self._weights(random.Random(f"{seed}/hot"))  # what each front node gets; empty: all alike
 
     def _weights(self, rng: random.Random) -> list[float]:
-        nodes = len(self._fleet.front)
+        nodes = len(self._fleet.front_nodes)
         hot = round(number(self._file.fleet.hot) * nodes)
         weights = [number(self._file.fleet.hot_times)] * hot + [1.0] * (nodes - hot)
         rng.shuffle(weights)
@@ -163,13 +163,13 @@
         at = self._clock.now
         end = 1000.0 * self._file.length_s
         # A trouble's burst counts from the next arrival on.
-        gap = self._arrivals.expovariate(most * max(1.0, self.load_times))
-        accept = self._arrivals.random() * most * max(1.0, self.load_times)
+        gap = self._arrivals.expovariate(most * max(1.0, self.load_factor))
+        accept = self._arrivals.random() * most * max(1.0, self.load_factor)
         if at + gap < end:
             self._clock.after(gap, self._arrive, accept)
 
     def _arrive(self, accept: float) -> None:
-        if accept < self._rate * self.level(self._clock.now) * self.load_times:
+        if accept < self._rate * self.level(self._clock.now) * self.load_factor:
             self._ask(self._draw())
         self._next_arrival()
 
@@ -244,26 +244,26 @@
         tried = _Try(self, ask, left, honours, patience)
         self._clock.after(self._client_ms, tried.reach)
 
-    def node(self) -> tuple[int, NodeEndpoint]:
+    def pick_node(self) -> tuple[int, NodeEndpoint]:
         """Any of the front's nodes that callers do not know to be gone."""
-        front, now = self._fleet.front, self._clock.now
+        front, now = self._fleet.front_nodes, self._clock.now
         usable: Sequence[int] = range(len(front))
-        if self._shunned:
-            self._shunned = {i: until for i, until in self._shunned.items() if until > now}
-            usable = [i for i in usable if i not in self._shunned] or usable
+        if self._excluded:
+            self._excluded = {i: until for i, until in self._excluded.items() if until > now}
+            usable = [i for i in usable if i not in self._excluded] or usable
         if self._hot:
             index = self._rng.choices(usable, [self._hot[i] for i in usable])[0]
         else:
             index = self._rng.choice(usable)
         return index, front[index]
 
-    def shun(self, index: int, until: float) -> None:
+    def exclude_node(self, index: int, until: float) -> None:
         """Callers have noticed that a node is gone."""
-        self._shunned[index] = until
+        self._excluded[index] = until
 
     @property
     def notice_ms(self) -> float:
-        return self._notice
+        return self._notice_ms
 
     def ended(self, tried: _Try, answer: Answer) -> None:
         """A try has ended with an answer, or with none in its time."""
@@ -292,20 +292,30 @@
 class _Try:
     """One try of a caller."""
 
-    __slots__ = ("_callers", "_done", "_node", "_taken", "_timer", "ask", "honours", "left", "patience")
+    __slots__ = (
+        "_callers",
+        "_done",
+        "_node",
+        "_open_request",
+        "_timer",
+        "ask",
+        "honours",
+        "left",
+        "patience",
+    )
 
     def __init__(self, callers: Callers, ask: RequestSpec, left: int, honours: bool, patience: float) -> None:
         self._callers = callers
         self.ask, self.left, self.honours, self.patience = ask, left, honours, patience
         self._node: NodeEndpoint | None = None
-        self._taken: OpenRequest | None = None
+        self._open_request: OpenRequest | None = None
         self._timer: ScheduledCall | None = None
         self._done = False
 
     def reach(self) -> None:
         callers = self._callers
         clock = callers._clock
-        _, node = callers.node()
+        _, node = callers.pick_node()
         self._timer = clock.after(self.patience, self._give_up)
         if not node.alive:
             clock.after(callers._client_ms, self._end, Answer("unreachable"))
@@ -317,12 +327,12 @@
             self.patience,
             ask.tenant,
             ask.key,
-            ask.hint_ms,
-            ask.works,
-            ask.waits,
+            ask.cost_hint_ms,
+            ask.tier_work_ms,
+            ask.tier_wait_ms,
             ask.operation,
         )
-        self._taken = node.take(again, self._answered)
+        self._open_request = node.submit(again, self._answered)
 
     def _answered(self, answer: Answer) -> None:
         self._callers._clock.after(self._callers._client_ms, self._end, answer)
@@ -330,8 +340,8 @@
     def _give_up(self) -> None:
         if self._done:
             return
-        if self._node is not None and self._taken is not None:
-            self._node.gone(self._taken)
+        if self._node is not None and self._open_request is not None:
+            self._node.abandon(self._open_request)
         self._end(Answer("none"))
 
     def _end(self, answer: Answer) -> None:
@@ -340,5 +350,7 @@
         self._done = True
         if self._timer is not None:
             self._timer.cancel()
-        self._node = self._taken = None  # what they hold of this try would keep all three for garbage's sake
+        self._node = self._open_request = (
+            None  # what they hold of this try would keep all three for garbage's sake
+        )
         self._callers.ended(self, answer)
--- a/leadrudder/experiment/connections.py
+++ b/leadrudder/experiment/connections.py
@@ -30,14 +30,14 @@
 
     def __init__(self, clock: Clock, idle_ms: float) -> None:
         """idle_ms: after which servers close idle ones; 0: connections are free, and none is kept."""
-        self.on = idle_ms > 0.0
+        self.enabled = idle_ms > 0.0
         self.opened = 0  # in all
         self._clock = clock
         self._idle_ms = IDLE_TIME_SHARE * idle_ms
         self._kept: dict[bytes, _ServerConnections] = {}
         self._servers: dict[bytes, Server] = {}
         self._closed = False
-        if self.on:
+        if self.enabled:
             clock.after(SWEEP_INTERVAL_MS, self._sweep)
 
     def _at(self, server: Server) -> _ServerConnections:
@@ -47,31 +47,31 @@
             self._servers[server.name] = server
         return kept
 
-    def take(self, server: Server) -> float | None:
+    def acquire(self, server: Server) -> float | None:
         """One for a call that reaches this server: the work of opening it, ms; None if no more are taken."""
-        if not self.on:
+        if not self.enabled:
             return 0.0
         kept = self._at(server)
         kept.busy += 1
         if kept.idle:
             kept.idle.pop()
             return 0.0
-        if server.connections >= server.connections_most:
+        if server.connections >= server.max_connections:
             kept.busy -= 1
             return None
         server.connections += 1
         self.opened += 1
         return server.handshake_ms
 
-    def give_back(self, server: Server, *, whole: bool) -> None:
+    def release(self, server: Server, *, reusable: bool) -> None:
         """The call has ended; not whole: its connection is closed with it."""
-        if not self.on or self._closed:
+        if not self.enabled or self._closed:
             return
         kept = self._kept.get(server.name)
         if kept is None or kept.process != server.started_ms or not kept.busy:
             return
         kept.busy -= 1
-        if whole:
+        if reusable:
             kept.idle.append(self._clock.now)
         else:
             server.connections -= 1
--- a/leadrudder/experiment/figures.py
+++ b/leadrudder/experiment/figures.py
@@ -154,9 +154,9 @@
             **_jam(course, possible),
             "recover_s": _recovery(course, struck, first),
         }
-        servers = [s for tier in range(len(fleet.registries)) for s in fleet.servers_of(tier).values()]
+        servers = [s for tier in range(len(fleet.registries)) for s in fleet.servers_of_tier(tier).values()]
         lasting = 1000.0 * self._file.length_s
-        figures["slow_part"] = sum(s.slow_ms for s in servers) / (lasting * len(servers))
+        figures["slow_part"] = sum(s.congested_ms for s in servers) / (lasting * len(servers))
         broken: dict[str, int] = {}
         for tier, counts in zip(self._file.fleet.tier, fleet.counts, strict=True):
             arrivals = max(1, counts.arrivals)
@@ -168,12 +168,12 @@
                 figures[f"{tier.name}.refused_{why}"] = times / arrivals
             for what, times in counts.outcomes.items():
                 figures[f"{tier.name}.{what.replace(' ', '_')}"] = times / max(1, counts.attempts)
-            for rule, times in counts.broken.items():
+            for rule, times in counts.violations.items():
                 broken[rule] = broken.get(rule, 0) + times
-        fallen = sum(s.fallen for s in servers)
+        fallen = sum(s.collapsed for s in servers)
         if fallen:
             broken["cold"] = fallen
-        lost = sum(s.unaccounted() > LITTLE_WITHIN for s in servers)
+        lost = sum(s.littles_law_error() > LITTLE_WITHIN for s in servers)
         if lost:
             broken["little"] = lost  # the model's own fault: it has lost or made up requests
         if self.open:
--- a/leadrudder/experiment/fleet.py
+++ b/leadrudder/experiment/fleet.py
@@ -123,13 +123,13 @@
         ]
         self.registries = [self._registry(i) for i in range(len(self._tiers))]
         for registry, servers in zip(self.registries, self._tiers, strict=True):
-            registry.begin(servers.values())
-        self.front: list[NodeEndpoint] = []
+            registry.publish_initial(servers.values())
+        self.front_nodes: list[NodeEndpoint] = []
         self._inner: dict[bytes, NodeEndpoint] = {}
         self._ordinals: dict[NodeEndpoint, int] = {}
         count = int(number(file.fleet.nodes))
         for i in range(count):
-            self.front.append(self._node(0, count, i, i % self.zones))
+            self.front_nodes.append(self._node(0, count, i, i % self.zones))
         for tier in range(len(self._tiers) - 1):
             for i, server in enumerate(self._tiers[tier].values()):
                 self._inner[server.name] = self._node(tier + 1, shape.servers[tier], i, server.plan.zone)
@@ -137,7 +137,7 @@
     def _registry(self, tier: int) -> Registry:
         told = self.file.fleet.node.capacity_hints
         rng = random.Random(f"{self._seed}/lists/{tier}")
-        return Registry(self.clock, self.file.fleet.lists, rng, told_capacity=told)
+        return Registry(self.clock, self.file.fleet.lists, rng, tells_capacity=told)
 
     def _slowing(self, tier: Tier) -> Slowing | None:
         slowing = tier.slowing
@@ -172,7 +172,7 @@
             1000.0 * self.file.fleet.tier[tier].idle_s if self._capped(tier) else 0.0,
         )
         self._ordinals[node] = ordinal
-        self.registries[tier].join(node)
+        self.registries[tier].add_node(node)
         return node
 
     def _capped(self, tier: int) -> bool:
@@ -185,17 +185,17 @@
 
     # ------------------------------------------------------------ what nodes need
 
-    def servers_of(self, tier: int) -> dict[bytes, Server]:
+    def servers_of_tier(self, tier: int) -> dict[bytes, Server]:
         return self._tiers[tier]
 
-    def listing(self, node: Node) -> None:
-        self.registries[node.tier].ask(node)
+    def request_list(self, node: Node) -> None:
+        self.registries[node.tier].send_full_list(node)
 
-    def noise(self, class_index: int) -> float:
+    def attempt_noise(self, class_index: int) -> float:
         variation = self._noises[class_index]
         return spread_of(self._noise_rng, "lognormal", variation) if variation else 1.0
 
-    def behind(self, attempt: ParentCall, server: Server, done: Callable[[bool], None]) -> None:
+    def call_next_tier(self, attempt: ParentCall, server: Server, done: Callable[[bool], None]) -> None:
         """The calls of a request to the tier behind, one after another, through the server's own node."""
         tier = server.tier + 1
         if tier >= len(self._tiers):
@@ -210,16 +210,16 @@
     ) -> None:
         node = self._inner.get(server.name)
         if left <= 0:
-            attempt.behind_it = None
+            attempt.cancel_next_tier = None
             done(True)
             return
         if node is None or not node.alive:
             done(False)
             return
-        outer = attempt.taken.ask
+        outer = attempt.open_request.spec
         kind = self.file.request_class[outer.class_index]
         passes = self.file.fleet.node.passes_deadline
-        budget = attempt.left_ms() if passes else kind.deadline_ms
+        budget = attempt.remaining_ms() if passes else kind.deadline_ms
         if budget <= 1.0:
             done(False)
             return
@@ -228,33 +228,33 @@
             budget,
             outer.tenant,
             outer.key,
-            outer.hint_ms,
-            outer.works,
-            outer.waits,
+            outer.cost_hint_ms,
+            outer.tier_work_ms,
+            outer.tier_wait_ms,
             outer.operation,
-            outer.inner * 16 + left,
+            outer.inner_call * 16 + left,
         )
         answered = functools.partial(self._inner_answered, attempt, server, done, left)
-        taken = node.take(ask, answered)
-        if not taken.closed:
-            attempt.behind_it = functools.partial(_withdraw, node, taken)
+        open_request = node.submit(ask, answered)
+        if not open_request.closed:
+            attempt.cancel_next_tier = functools.partial(_withdraw, node, open_request)
 
     def _inner_answered(
         self, attempt: ParentCall, server: Server, done: Callable[[bool], None], left: int, answer: Answer
     ) -> None:
-        attempt.behind_it = None
+        attempt.cancel_next_tier = None
         if answer.what == "served":
             self._next_call(attempt, server, done, left - 1)
             return
         if answer.what == "refused":
-            attempt.taken.ask.operation.inner_refused += 1
+            attempt.open_request.spec.operation.inner_refusals += 1
         done(False)
 
     # ------------------------------------------------------------ what troubles do
 
     def drain(self, server: Server) -> None:
         server.draining = True
-        self.registries[server.tier].changed(server, api.Readiness.DRAINING)
+        self.registries[server.tier].publish_change(server, api.Readiness.DRAINING)
 
     def stop(self, server: Server, *, silent: bool = False) -> None:
         """It ends, and its own node with it."""
@@ -262,7 +262,7 @@
         node = self._inner.get(server.name)
         if node is not None:
             node.stop()
-        self.registries[server.tier].changed(server, api.Readiness.GONE, silent=silent)
+        self.registries[server.tier].publish_change(server, api.Readiness.GONE, silent=silent)
 
     def start(self, server: Server) -> None:
         """A new process of it, cold, with a node that knows nothing."""
@@ -271,7 +271,7 @@
         if old is not None:
             nodes = self.shape.servers[server.tier]
             self._inner[server.name] = self._node(old.tier, nodes, self._ordinals.pop(old), old.zone)
-        self.registries[server.tier].changed(server, api.Readiness.READY)
+        self.registries[server.tier].publish_change(server, api.Readiness.READY)
 
     def add(self, tier: int, like: Server) -> Server:
         """A new server of the same plan in its tier, under a name of its own."""
@@ -285,7 +285,7 @@
         if tier + 1 < len(self._tiers):
             self._inner[name] = self._node(tier + 1, self.shape.servers[tier], number_, like.plan.zone)
         server.start()
-        self.registries[tier].changed(server, api.Readiness.READY)
+        self.registries[tier].publish_change(server, api.Readiness.READY)
         return server
 
     def _listen(self, server: Server) -> None:
@@ -293,11 +293,11 @@
 
     def restart_node(self, index: int) -> NodeEndpoint:
         """A front node's process ends, and another takes its place."""
-        old = self.front[index]
+        old = self.front_nodes[index]
         old.stop()
-        self.front[index] = self._node(0, len(self.front), index, old.zone)
-        return self.front[index]
+        self.front_nodes[index] = self._node(0, len(self.front_nodes), index, old.zone)
+        return self.front_nodes[index]
 
 
-def _withdraw(node: NodeEndpoint, taken: OpenRequest) -> None:
-    node.gone(taken)
+def _withdraw(node: NodeEndpoint, open_request: OpenRequest) -> None:
+    node.abandon(open_request)
--- a/leadrudder/experiment/lists.py
+++ b/leadrudder/experiment/lists.py
@@ -19,50 +19,50 @@
 class Registry:
     """The list of one tier's servers."""
 
-    def __init__(self, clock: Clock, lists: Lists, rng: random.Random, *, told_capacity: bool) -> None:
-        self._clock, self._rng, self._told_capacity = clock, rng, told_capacity
+    def __init__(self, clock: Clock, lists: Lists, rng: random.Random, *, tells_capacity: bool) -> None:
+        self._clock, self._rng, self._tells_capacity = clock, rng, tells_capacity
         self._notice = 1000.0 * number(lists.notice_s)
         self._silent = 1000.0 * number(lists.silent_notice_s)
         self._add = 1000.0 * number(lists.add_s)
         self._period = number(lists.period_ms)
         self._spread = number(lists.spread_ms)
-        self._asked = lists.asked
+        self._lists_on_request = lists.asked
         self._version = 1
         self._published: dict[bytes, ServerEntry] = {}
-        self._whole: tuple[ServerEntry, ...] | None = None
+        self._all_cached: tuple[ServerEntry, ...] | None = None
         self._nodes: dict[Node, None] = {}
-        self._pending: dict[bytes, int] = {}  # the newest news of each server: older ones are overtaken
-        self._news = 0
+        self._pending: dict[bytes, int] = {}  # the newest change of each server: older ones are overtaken
+        self._last_change = 0
 
-    def begin(self, servers: Iterable[Server]) -> None:
+    def publish_initial(self, servers: Iterable[Server]) -> None:
         """Servers that have been there for long."""
         for server in servers:
-            self._published[server.name] = server.entry(told_capacity=self._told_capacity)
+            self._published[server.name] = server.list_entry(tells_capacity=self._tells_capacity)
 
-    def join(self, node: Node) -> None:
+    def add_node(self, node: Node) -> None:
         """A node has started; where lists are pushed it has its list at once, else it asks."""
         self._nodes[node] = None
-        if self._asked:
-            node.post(ServerList(ListKind.CACHED, self._all(), self._version))
+        if self._lists_on_request:
+            node.deliver(ServerList(ListKind.CACHED, self._all_entries(), self._version))
         else:
-            node.post(ServerList(ListKind.FULL, self._all(), self._version))
+            node.deliver(ServerList(ListKind.FULL, self._all_entries(), self._version))
 
-    def ask(self, node: Node) -> None:
+    def send_full_list(self, node: Node) -> None:
         """A node asks; it gets the whole list, and changes from then on."""
-        self._clock.after(LIST_REQUEST_MS, self._tell_all, node)
+        self._clock.after(LIST_REQUEST_MS, self._send_full_list, node)
 
-    def _tell_all(self, node: Node) -> None:
+    def _send_full_list(self, node: Node) -> None:
         if node.alive:
-            node.post(ServerList(ListKind.FULL, self._all(), self._version))
+            node.deliver(ServerList(ListKind.FULL, self._all_entries(), self._version))
 
-    def _all(self) -> tuple[ServerEntry, ...]:
-        if self._whole is None:
-            self._whole = tuple(self._published.values())
-        return self._whole
+    def _all_entries(self) -> tuple[ServerEntry, ...]:
+        if self._all_cached is None:
+            self._all_cached = tuple(self._published.values())
+        return self._all_cached
 
-    def changed(self, server: Server, readiness: Readiness, *, silent: bool = False) -> None:
+    def publish_change(self, server: Server, readiness: Readiness, *, silent: bool = False) -> None:
         """Something has happened to a server; discovery finds out after its time."""
-        entry = server.entry(told_capacity=self._told_capacity)
+        entry = server.list_entry(tells_capacity=self._tells_capacity)
         entry = ServerEntry(
             entry.server, readiness, entry.capacity_hint, entry.kind, entry.zone, entry.cell, entry.started_ms
         )
@@ -72,16 +72,16 @@
         due = self._clock.now + lag
         if self._period > 0.0:
             due = math.ceil(due / self._period) * self._period
-        self._news += 1
-        self._pending[entry.server] = self._news
-        self._clock.after(due - self._clock.now, self._publish, entry, self._news)
+        self._last_change += 1
+        self._pending[entry.server] = self._last_change
+        self._clock.after(due - self._clock.now, self._publish, entry, self._last_change)
 
-    def _publish(self, entry: ServerEntry, news: int) -> None:
-        if self._pending.get(entry.server) != news:
+    def _publish(self, entry: ServerEntry, change: int) -> None:
+        if self._pending.get(entry.server) != change:
             return
         del self._pending[entry.server]
         self._version += 1
-        self._whole = None
+        self._all_cached = None
         if entry.readiness is Readiness.GONE:
             self._published.pop(entry.server, None)
         else:
@@ -89,8 +89,10 @@
         for node in [node for node in self._nodes if not node.alive]:
             del self._nodes[node]
         for node in self._nodes:
-            self._clock.after(self._rng.uniform(0.0, self._spread), self._tell, node, entry, self._version)
+            self._clock.after(
+                self._rng.uniform(0.0, self._spread), self._send_change, node, entry, self._version
+            )
 
-    def _tell(self, node: Node, entry: ServerEntry, version: int) -> None:
+    def _send_change(self, node: Node, entry: ServerEntry, version: int) -> None:
         if node.alive:
-            node.post(ServerList(ListKind.CHANGES, (entry,), version))
+            node.deliver(ServerList(ListKind.CHANGES, (entry,), version))
--- a/leadrudder/experiment/node.py
+++ b/leadrudder/experiment/node.py
@@ -50,11 +50,11 @@
     budget_ms: float
     tenant: int
     key: int
-    hint_ms: float | None
-    works: tuple[float, ...]  # of each tier's call, ms on a core of speed 1
-    waits: tuple[float, ...]
+    cost_hint_ms: float | None
+    tier_work_ms: tuple[float, ...]  # of each tier's call, ms on a core of speed 1
+    tier_wait_ms: tuple[float, ...]
     operation: Operation
-    inner: int = 0  # which of the calls of its server this is, so that keys tell them apart
+    inner_call: int = 0  # which of the calls of its server this is, so that keys tell them apart
 
 
 @dataclass(slots=True, eq=False)
@@ -72,7 +72,7 @@
     attempts: int = 0
     answer: str = ""
     ended_ms: float = 0.0
-    inner_refused: int = 0
+    inner_refusals: int = 0
 
 
 @dataclass
@@ -84,19 +84,19 @@
     served: int = 0
     refused: int = 0
     failed: int = 0
-    gone: int = 0
+    abandoned: int = 0
     reasons: dict[str, int] = field(default_factory=dict)  # of refusals, as the module says them
     outcomes: dict[str, int] = field(default_factory=dict)
-    broken: dict[str, int] = field(default_factory=dict)
+    violations: dict[str, int] = field(default_factory=dict)
 
-    def refuse(self, action: api.Refuse) -> None:
+    def count_refusal(self, action: api.Refuse) -> None:
         """The module refuses a request; one of a revision that says no reason is counted without."""
         why = getattr(action, "why", None)
         if why is not None:
             self.reasons[why.value] = self.reasons.get(why.value, 0) + 1
 
-    def breaks(self, rule: str) -> None:
-        self.broken[rule] = self.broken.get(rule, 0) + 1
+    def count_violation(self, rule: str) -> None:
+        self.violations[rule] = self.violations.get(rule, 0) + 1
 
 
 class EffectTracker:
@@ -108,24 +108,24 @@
         self._ran: dict[tuple[int, int, int], int] = {}  # tier, request: runs
         self._keys: dict[tuple[int, int, int, int], tuple[float, int]] = {}
 
-    def begin(self, request: OpenRequest, server: Server, now: float) -> bool:
+    def start(self, request: OpenRequest, server: Server, now: float) -> bool:
         """False for a repeat that the server's group drops."""
-        kind = self._classes[request.ask.class_index]
+        kind = self._classes[request.spec.class_index]
         if kind.effect is api.Effect.SAFE:
             return True
         if kind.effect is api.Effect.UNSAFE:
             if request.ran:
-                self._counts(server.tier).breaks("twice")
+                self._counts(server.tier).count_violation("twice")
             request.ran = True
             return True
         group = {"all": 0, "zone": server.plan.zone + 1, "cell": -server.plan.cell - 1}[kind.group.value]
-        key = (server.tier, request.ask.key, request.ask.inner, request.ask.class_index)
+        key = (server.tier, request.spec.key, request.spec.inner_call, request.spec.class_index)
         last = self._keys.get(key)
         if last is not None and now - last[0] <= kind.window_ms:
             if last[1] == group:
                 return False
             if request.ran:  # a caller who tries again himself answers for that himself
-                self._counts(server.tier).breaks("twice")
+                self._counts(server.tier).count_violation("twice")
         self._keys[key] = (now, group)
         request.ran = True
         return True
@@ -136,11 +136,11 @@
     """A request that a node owes an answer."""
 
     number: int
-    ask: RequestSpec
+    spec: RequestSpec
     deadline: float
-    done: AnswerCallback
+    on_answer: AnswerCallback
     attempts: int = 0
-    out: dict[int, Attempt] = field(default_factory=dict)
+    attempts_out: dict[int, Attempt] = field(default_factory=dict)
     closed: bool = False
     ran: bool = False
 
@@ -153,32 +153,32 @@
         "_node",
         "_timer",
         "arrived",
-        "behind_it",
+        "cancel_next_tier",
         "ended",
         "number",
         "sent",
         "server",
-        "taken",
+        "open_request",
         "wait_ms",
         "work_ms",
     )
 
-    def __init__(self, node: Node, taken: OpenRequest, number: int, server: Server) -> None:
+    def __init__(self, node: Node, open_request: OpenRequest, number: int, server: Server) -> None:
         self._node = node
-        self.taken = taken
+        self.open_request = open_request
         self.number = number
         self.server = server
         self.sent = node.clock.now
         self.ended = self.arrived = self._connected = False
         self._timer: ScheduledCall | None = None
-        self.behind_it: Callable[[], None] | None = None  # withdraws the call to the tier behind
-        noise = node.fleet.noise(taken.ask.class_index)
-        self.work_ms = taken.ask.works[node.tier] * noise
-        self.wait_ms = taken.ask.waits[node.tier] * noise
+        self.cancel_next_tier: Callable[[], None] | None = None  # withdraws the call to the tier behind
+        noise = node.fleet.attempt_noise(open_request.spec.class_index)
+        self.work_ms = open_request.spec.tier_work_ms[node.tier] * noise
+        self.wait_ms = open_request.spec.tier_wait_ms[node.tier] * noise
 
-    def begin(self, timeout_ms: float) -> None:
+    def start(self, timeout_ms: float) -> None:
         self._timer = self._node.clock.after(timeout_ms, self.end, Outcome.TIMEOUT)
-        self._node.clock.after(self._node.way(self.server), self._arrive)
+        self._node.clock.after(self._node.one_way_ms(self.server), self._arrive)
 
     def _arrive(self) -> None:
         server, node = self.server, self._node
@@ -190,39 +190,39 @@
             return  # an open connection swallows it
         if not server.alive:
             node.connected.discard(server.name)
-            node.clock.after(node.way(server), self.end, Outcome.CONNECT_FAILED)
+            node.clock.after(node.one_way_ms(server), self.end, Outcome.CONNECT_FAILED)
             return
         node.connected.add(server.name)
-        opening = node.connections.take(server)
+        opening = node.connections.acquire(server)
         if opening is None:
             self.answer(Outcome.FULL, ())
             return
         self.work_ms += opening
         self.arrived = self._connected = True
-        server.offer(self)
+        server.receive(self)
 
     # What the server asks and tells.
 
-    def began(self, server: Server) -> bool:
-        return self._node.effects.begin(self.taken, server, self._node.clock.now)
+    def on_started(self, server: Server) -> bool:
+        return self._node.effects.start(self.open_request, server, self._node.clock.now)
 
-    def behind(self, server: Server, done: Callable[[bool], None]) -> None:
-        self._node.fleet.behind(self, server, done)
+    def call_next_tier(self, server: Server, done: Callable[[bool], None]) -> None:
+        self._node.fleet.call_next_tier(self, server, done)
 
     def answer(self, outcome: Outcome, load: tuple[float, ...]) -> None:
-        self._node.clock.after(self._node.way(self.server), self.end, outcome, load)
+        self._node.clock.after(self._node.one_way_ms(self.server), self.end, outcome, load)
 
-    def spent(self, work_ms: float) -> None:
-        self.taken.ask.operation.work += work_ms
+    def add_work(self, work_ms: float) -> None:
+        self.open_request.spec.operation.work += work_ms
 
-    def stopped(self) -> None:
-        if self.behind_it is not None:
-            self.behind_it()
-            self.behind_it = None
+    def on_abandoned(self) -> None:
+        if self.cancel_next_tier is not None:
+            self.cancel_next_tier()
+            self.cancel_next_tier = None
 
-    def left_ms(self) -> float:
+    def remaining_ms(self) -> float:
         """Of the time that its request has."""
-        return self.taken.deadline - self._node.clock.now
+        return self.open_request.deadline - self._node.clock.now
 
     # The one outcome.
 
@@ -234,9 +234,9 @@
             self._timer.cancel()
         given_up = outcome in (Outcome.TIMEOUT, Outcome.CANCELLED)
         if self._connected:
-            self._node.connections.give_back(self.server, whole=not given_up)
+            self._node.connections.release(self.server, reusable=not given_up)
         if given_up and self.arrived:
-            self._node.clock.after(self._node.way(self.server), self.server.cancel, self)
+            self._node.clock.after(self._node.one_way_ms(self.server), self.server.cancel, self)
         self._node.attempt_ended(self, outcome, load)
 
 
@@ -247,9 +247,9 @@
     zone: int
     alive: bool
 
-    def take(self, ask: RequestSpec, done: AnswerCallback) -> OpenRequest: ...
+    def submit(self, ask: RequestSpec, done: AnswerCallback) -> OpenRequest: ...
 
-    def gone(self, taken: OpenRequest) -> None: ...
+    def abandon(self, open_request: OpenRequest) -> None: ...
 
     def stop(self) -> None: ...
 
@@ -257,23 +257,23 @@
 class ParentCall(Protocol):
     """A call at a server, as far as the calls to the tier behind go by it."""
 
-    taken: OpenRequest
-    behind_it: Callable[[], None] | None
+    open_request: OpenRequest
+    cancel_next_tier: Callable[[], None] | None
 
-    def left_ms(self) -> float: ...
+    def remaining_ms(self) -> float: ...
 
 
 class FleetView(Protocol):
     """What a node needs of the fleet around it."""
 
-    def behind(self, attempt: ParentCall, server: Server, done: Callable[[bool], None]) -> None: ...
+    def call_next_tier(self, attempt: ParentCall, server: Server, done: Callable[[bool], None]) -> None: ...
 
-    def servers_of(self, tier: int) -> dict[bytes, Server]: ...
+    def servers_of_tier(self, tier: int) -> dict[bytes, Server]: ...
 
-    def listing(self, node: Node) -> None:
+    def request_list(self, node: Node) -> None:
         """It asks for its list."""
 
-    def noise(self, class_index: int) -> float:
+    def attempt_noise(self, class_index: int) -> float:
         """What an attempt takes, against the request's own work."""
 
 
@@ -303,7 +303,7 @@
         self._counts = counts
         self._way = way
         self._grace = grace_ms
-        self._servers = fleet.servers_of(tier)
+        self._servers = fleet.servers_of_tier(tier)
         self._told: dict[bytes, float] = {}  # when it was told that a server drains or is gone
         self._events: deque[api.Event] = deque()
         self._handling = False
@@ -311,46 +311,52 @@
         self._calls: dict[tuple[int, int], Attempt] = {}
         self._last = 0
 
-    def way(self, server: Server) -> float:
+    def one_way_ms(self, server: Server) -> float:
         return self._way(self.zone, server.plan.zone)
 
     # ------------------------------------------------------------ requests
 
-    def take(self, ask: RequestSpec, done: AnswerCallback) -> OpenRequest:
+    def submit(self, ask: RequestSpec, done: AnswerCallback) -> OpenRequest:
         """From here on it owes one answer."""
         self._last += 1
         self._counts.arrivals += 1
         budget = max(1.0, ask.budget_ms - min(ANSWER_RESERVE_MS, ANSWER_RESERVE_MAX_SHARE * ask.budget_ms))
-        taken = OpenRequest(self._last, ask, self.clock.now + budget, done)
-        self._requests[taken.number] = taken
+        open_request = OpenRequest(self._last, ask, self.clock.now + budget, done)
+        self._requests[open_request.number] = open_request
         self._post(
             api.Arrival(
-                taken.number, ask.class_index, budget, ask.tenant, ask.key, ask.hint_ms, is_repeat=False
+                open_request.number,
+                ask.class_index,
+                budget,
+                ask.tenant,
+                ask.key,
+                ask.cost_hint_ms,
+                is_repeat=False,
             )
         )
-        return taken
+        return open_request
 
-    def gone(self, taken: OpenRequest) -> None:
+    def abandon(self, open_request: OpenRequest) -> None:
         """Its caller waits no longer: rule 1 is broken where an answer was still owed in time."""
-        if not taken.closed:
-            taken.closed = True
-            del self._requests[taken.number]
-            self._counts.gone += 1
-            if self.alive and self.clock.now >= taken.deadline + 1.0:
-                self._counts.breaks("lost")
-            self._post(api.RequestGone(taken.number))
+        if not open_request.closed:
+            open_request.closed = True
+            del self._requests[open_request.number]
+            self._counts.abandoned += 1
+            if self.alive and self.clock.now >= open_request.deadline + 1.0:
+                self._counts.count_violation("lost")
+            self._post(api.RequestGone(open_request.number))
 
     def _close(self, number: int, answer: Answer) -> None:
-        taken = self._requests.pop(number, None)
-        if taken is None:
-            self._counts.breaks("answered twice")
+        open_request = self._requests.pop(number, None)
+        if open_request is None:
+            self._counts.count_violation("answered twice")
             return
-        taken.closed = True
-        taken.done(answer)
+        open_request.closed = True
+        open_request.on_answer(answer)
 
     # ------------------------------------------------------------ events and actions
 
-    def post(self, event: api.Event) -> None:
+    def deliver(self, event: api.Event) -> None:
         """From outside: lists and timers."""
         if isinstance(event, api.ServerList):
             for entry in event.entries:
@@ -380,7 +386,7 @@
             self.clock.after(action.at_ms - self.clock.now, self._post, api.TimerFired(action.token))
         elif isinstance(action, api.Refuse):
             self._counts.refused += 1
-            self._counts.refuse(action)
+            self._counts.count_refusal(action)
             self._close(action.request, Answer("refused", action.retry_after_ms))
         elif isinstance(action, api.Fail):
             self._counts.failed += 1
@@ -390,7 +396,7 @@
             if call is not None:
                 call.end(Outcome.CANCELLED)
         elif isinstance(action, api.Subscribe):
-            self.fleet.listing(self)
+            self.fleet.request_list(self)
         elif isinstance(action, api.CloseIdle):
             self.connected.discard(action.server)
             self.connections.close_idle(self._servers[action.server])
@@ -400,7 +406,11 @@
     def _probe(self, name: bytes) -> None:
         server = self._servers[name]
         silent = server.vanished or server.hung or not server.alive
-        took = PROBE_TIMEOUT_MS if silent else 2.0 * self.way(server) + PROBE_WORK_MS * (1 + server.present)
+        took = (
+            PROBE_TIMEOUT_MS
+            if silent
+            else 2.0 * self.one_way_ms(server) + PROBE_WORK_MS * (1 + server.request_count)
+        )
         outcome = Outcome.TIMEOUT if silent or took >= PROBE_TIMEOUT_MS else Outcome.OK
         took = min(took, PROBE_TIMEOUT_MS)
         self.clock.after(took, self._post, api.ProbeEnded(name, outcome, took))
@@ -408,36 +418,42 @@
     # ------------------------------------------------------------ attempts
 
     def _send(self, action: api.Send) -> None:
-        taken = self._requests.get(action.request)
-        if taken is None:
-            self._counts.breaks("sent after its answer")
+        open_request = self._requests.get(action.request)
+        if open_request is None:
+            self._counts.count_violation("sent after its answer")
             return
         name = action.server
         told = self._told.get(name)
         if told is not None and self.clock.now > told + self._grace:
-            self._counts.breaks("drain")
-        number, taken.attempts = taken.attempts, taken.attempts + 1
+            self._counts.count_violation("drain")
+        number, open_request.attempts = open_request.attempts, open_request.attempts + 1
         self._counts.attempts += 1
-        taken.ask.operation.attempts += 1
-        attempt = Attempt(self, taken, number, self._servers[name])
-        taken.out[number] = self._calls[taken.number, number] = attempt
-        left = taken.deadline - self.clock.now
-        attempt.begin(min(action.timeout_ms, left) if action.timeout_ms > 0.0 else left)
+        open_request.spec.operation.attempts += 1
+        attempt = Attempt(self, open_request, number, self._servers[name])
+        open_request.attempts_out[number] = self._calls[open_request.number, number] = attempt
+        left = open_request.deadline - self.clock.now
+        attempt.start(min(action.timeout_ms, left) if action.timeout_ms > 0.0 else left)
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, load: tuple[float, ...]) -> None:
-        taken = attempt.taken
+        open_request = attempt.open_request
         if not self.alive:
             return
-        del taken.out[attempt.number], self._calls[taken.number, attempt.number]
+        del open_request.attempts_out[attempt.number], self._calls[open_request.number, attempt.number]
         counted = self._counts.outcomes
         counted[outcome.value] = counted.get(outcome.value, 0) + 1
-        if outcome is Outcome.OK and not taken.closed:
+        if outcome is Outcome.OK and not open_request.closed:
             self._counts.served += 1
-            self._close(taken.number, SERVED)
+            self._close(open_request.number, SERVED)
         elapsed = self.clock.now - attempt.sent
         self._post(
             api.AttemptEnded(
-                taken.number, attempt.number, attempt.server.name, outcome, elapsed, taken.closed, load
+                open_request.number,
+                attempt.number,
+                attempt.server.name,
+                outcome,
+                elapsed,
+                open_request.closed,
+                load,
             )
         )
 
@@ -448,9 +464,9 @@
         for attempt in list(self._calls.values()):
             attempt.end(Outcome.CANCELLED)
         self._calls.clear()
-        for taken in list(self._requests.values()):
-            taken.closed = True
-            taken.done(RESET)
+        for open_request in list(self._requests.values()):
+            open_request.closed = True
+            open_request.on_answer(RESET)
         self._requests.clear()
 
 
@@ -459,7 +475,7 @@
 ) -> Callable[[int, int], float]:
     """One way between two zones, ms."""
 
-    def way(one: int, other: int) -> float:
+    def latency_ms(one: int, other: int) -> float:
         return (same if one == other else cross) * (1.0 + jitter * rng.random())
 
-    return way
+    return latency_ms
--- a/leadrudder/experiment/server.py
+++ b/leadrudder/experiment/server.py
@@ -32,19 +32,19 @@
     @property
     def wait_ms(self) -> float: ...
 
-    def began(self, server: Server) -> bool:
+    def on_started(self, server: Server) -> bool:
         """It has a slot; False where it is a repeat that is dropped, and answered at once."""
 
-    def behind(self, server: Server, done: Callable[[bool], None]) -> None:
+    def call_next_tier(self, server: Server, done: Callable[[bool], None]) -> None:
         """Its work here is done: make the calls to the tier behind, then tell whether all went well."""
 
     def answer(self, outcome: Outcome, load: tuple[float, ...]) -> None:
         """It ends here."""
 
-    def spent(self, work_ms: float) -> None:
+    def add_work(self, work_ms: float) -> None:
         """Work that went into it."""
 
-    def stopped(self) -> None:
+    def on_abandoned(self) -> None:
         """It was given up, or its server has ended: nobody waits for the tier behind any more."""
 
 
@@ -82,20 +82,20 @@
         clock: Clock,
         name: bytes,
         plan: ServerPlan,
-        terms: ServerSettings,
+        settings: ServerSettings,
         rng: random.Random,
         tier: int,
     ) -> None:
         self.clock, self.name, self.plan, self.tier = clock, name, plan, tier
-        self._terms = terms
+        self._settings = settings
         self._rng = rng
         kind = plan.kind
         self.cores = kind.cores
         self._slots = int(number(kind.slots)) * kind.cores
         self._queue_most = int(number(kind.queue) * kind.cores)
         self.connections = 0  # that all nodes hold here
-        self.connections_most = terms.connections * kind.cores or math.inf
-        self.handshake_ms = terms.handshake_ms
+        self.max_connections = settings.connections * kind.cores or math.inf
+        self.handshake_ms = settings.handshake_ms
         self._thrash, self._thrash_at = number(kind.thrash), number(kind.thrash_at) * kind.cores
         self._errors = number(kind.errors)
         self._queue: deque[Job] = deque()
@@ -112,34 +112,34 @@
         self.alive = True
         self.vanished = False
         self.draining = False
-        self.fallen = False
+        self.collapsed = False
         self.trouble_slow = 1.0
         self.trouble_errors = 0.0
         self.hung = False
-        self.stolen = 0.0  # part of its cores that a neighbour has
-        self.report_late_ms = 0.0
+        self.stolen_cpu_share = 0.0  # part of its cores that a neighbour has
+        self.extra_report_delay_ms = 0.0
         self._pausing = False
-        self.slow_times = 1.0  # since it was crowded
-        self.slow_ms = 0.0  # for so long in all
+        self.congestion_slowdown = 1.0  # since it was crowded
+        self.congested_ms = 0.0  # for so long in all
         self._slow_since = 0.0
         self._looking = False
         self._crowd = _SlidingMean()
         self._idle_ms = 0.0
         self._offered: deque[tuple[float, float]] = deque()  # to a cold one: when, and how much work
         self._offered_sum = 0.0
-        self.work_done = 0.0
+        self.total_work_ms = 0.0
         self.accepted = 0
-        self.turned_away = 0
+        self.rejected = 0
         self._area_at = 0.0
-        self.area = 0.0  # integral of requests here, ms: for Little's law
-        self.sojourn = 0.0  # sum of times here of those that have left, ms
-        self.waited = 0.0  # sum of times in the queue
+        self.presence_integral_ms = 0.0  # integral of requests here, ms: for Little's law
+        self.total_sojourn_ms = 0.0  # sum of times here of those that have left, ms
+        self.total_queue_wait_ms = 0.0  # sum of times in the queue
         self._entered: dict[Job, float] = {}
         self._report: tuple[float, ...] = ()
         self._past: deque[tuple[float, tuple[float, ...]]] = deque()
         self._busy_mean = _SlidingMean()
-        if terms.reports is not None:
-            self._period = number(terms.reports.period_ms)
+        if settings.reports is not None:
+            self._period = number(settings.reports.period_ms)
             clock.after(rng.uniform(0.0, self._period), self._make_report)
         every = 1000.0 * number(kind.pause_every_s)
         if every > 0.0 and number(kind.pause_ms) > 0.0:
@@ -148,11 +148,11 @@
     # ------------------------------------------------------------ calls
 
     @property
-    def present(self) -> int:
+    def request_count(self) -> int:
         """Requests here, in slots and in the queue."""
         return self._held + len(self._queue)
 
-    def offer(self, call: ServerCall) -> None:
+    def receive(self, call: ServerCall) -> None:
         """A call has come in whole."""
         if not self.alive:
             return
@@ -160,13 +160,13 @@
         if not self.alive:
             return  # that pushed it over, and the call is lost with it
         if self.draining or (self._held >= self._slots and len(self._queue) >= self._queue_most):
-            self.turned_away += 1
+            self.rejected += 1
             call.answer(Outcome.FULL, self._told())
             return
         self.accepted += 1
         job = Job(call)
         self._jobs[call] = job
-        self._note_present()
+        self._record_presence()
         self._entered[job] = self.clock.now
         if self._held < self._slots:
             self._begin(job)
@@ -182,14 +182,14 @@
         if job is None or how == "none" or (how == "queued" and job.held):
             return
         self._end(job)
-        call.stopped()
+        call.on_abandoned()
 
     def _begin(self, job: Job) -> None:
         self._held += 1
         job.held = True
         self._note_crowd()
-        self.waited += self.clock.now - self._entered[job]
-        if not job.call.began(self):
+        self.total_queue_wait_ms += self.clock.now - self._entered[job]
+        if not job.call.on_started(self):
             self._answer(job, Outcome.OK)
         elif job.call.wait_ms > 0.0:
             self.clock.after(job.call.wait_ms, self._to_core, job)
@@ -212,8 +212,8 @@
         job.running = False
         self._on_cores -= 1
         done = min(self._attained, job.target) - job.started
-        self.work_done += done
-        job.call.spent(done)
+        self.total_work_ms += done
+        job.call.add_work(done)
 
     def _core_done(self) -> None:
         self._advance()
@@ -228,7 +228,7 @@
                 done.append(job)
         self._plan_next()
         for job in done:
-            job.call.behind(self, functools.partial(self._back, job))
+            job.call.call_next_tier(self, functools.partial(self._back, job))
 
     def _back(self, job: Job, well: bool) -> None:
         """The tier behind has answered."""
@@ -245,8 +245,8 @@
     def _end(self, job: Job) -> None:
         """It leaves, and the next one takes its slot."""
         job.ended = True
-        self._note_present()
-        self.sojourn += self.clock.now - self._entered.pop(job)
+        self._record_presence()
+        self.total_sojourn_ms += self.clock.now - self._entered.pop(job)
         del self._jobs[job.call]
         if not job.held:
             self._queue.remove(job)
@@ -263,7 +263,7 @@
 
     # ------------------------------------------------------------ cores
 
-    def warmth(self) -> float:
+    def warm_fraction(self) -> float:
         """Its speed as a part of a warm one's."""
         cold_ms = 1000.0 * number(self.plan.kind.cold_s)
         age = self.clock.now - self.started_ms
@@ -275,10 +275,10 @@
     def _pace(self) -> float:
         if not self._on_cores or self.hung or self._pausing:
             return 0.0
-        each = min(1.0, self.cores * (1.0 - self.stolen) / self._on_cores)
+        each = min(1.0, self.cores * (1.0 - self.stolen_cpu_share) / self._on_cores)
         over = max(0.0, self._on_cores - self._thrash_at) / self._thrash_at
-        slower = self.trouble_slow * self.slow_times * (1.0 + self._thrash * over)
-        return self.plan.speed * self.warmth() * each / slower
+        slower = self.trouble_slow * self.congestion_slowdown * (1.0 + self._thrash * over)
+        return self.plan.speed * self.warm_fraction() * each / slower
 
     def _advance(self) -> None:
         now = self.clock.now
@@ -290,7 +290,7 @@
         if self._next is not None:
             self._next.cancel()
             self._next = None
-        if self._terms.reports is not None or self.slow_times > 1.0:
+        if self._settings.reports is not None or self.congestion_slowdown > 1.0:
             self._busy_mean.add(self.clock.now, min(1.0, self._on_cores / self.cores))
         self._note_crowd()
         self._rate = self._pace()
@@ -301,27 +301,27 @@
             left = max(0.0, running[0][0] - self._attained)
             self._next = self.clock.after(left / self._rate, self._core_done)
 
-    def changed(self) -> None:
+    def update_rate(self) -> None:
         """Its pace is another one from now."""
         self._advance()
         self._plan_next()
 
     def _pause(self, every_ms: float) -> None:
         self._pausing = True
-        self.changed()
+        self.update_rate()
         self.clock.after(number(self.plan.kind.pause_ms), self._resume, every_ms)
 
     def _resume(self, every_ms: float) -> None:
         self._pausing = False
-        self.changed()
+        self.update_rate()
         self.clock.after(self._rng.expovariate(1.0 / every_ms), self._pause, every_ms)
 
     # ------------------------------------------------------------ crowded, slow, cold
 
-    def _note_present(self) -> None:
+    def _record_presence(self) -> None:
         """Before any change of how many are here."""
         now = self.clock.now
-        self.area += self.present * (now - self._area_at)
+        self.presence_integral_ms += self.request_count * (now - self._area_at)
         self._area_at = now
 
     def _note_crowd(self) -> None:
@@ -331,7 +331,7 @@
 
     def _watch(self) -> None:
         """Look now and then while it is crowded, so that nothing is asked of the many that are not."""
-        slowing = self._terms.slowing
+        slowing = self._settings.slowing
         if slowing is None or self._looking:
             return
         if self._crowded() > self._limit(slowing):
@@ -340,7 +340,7 @@
             self.clock.after(CHECK_INTERVAL_MS, self._look, slowing)
 
     def _crowded(self) -> float:
-        slowing = self._terms.slowing
+        slowing = self._settings.slowing
         waiting = len(self._queue)
         held = slowing is not None and slowing.counts == "held"
         return float(waiting + (self._held if held else self._on_cores))
@@ -353,13 +353,17 @@
         if not self.alive:
             self._looking = False
             return
-        if self.slow_times > 1.0:
+        if self.congestion_slowdown > 1.0:
             self._recover(slowing)
             return
         mean = self._crowd.over(self.clock.now, 1000.0 * number(slowing.for_s))
         if mean is not None and mean > self._limit(slowing):
-            self.slow_times, self._slow_since, self._idle_ms = number(slowing.times), self.clock.now, 0.0
-            self.changed()
+            self.congestion_slowdown, self._slow_since, self._idle_ms = (
+                number(slowing.times),
+                self.clock.now,
+                0.0,
+            )
+            self.update_rate()
             self._busy_mean.restart(self.clock.now, min(1.0, self._on_cores / self.cores))
         elif mean is not None and mean < 0.5 * self._limit(slowing):
             self._looking = False
@@ -372,9 +376,9 @@
         busy = self._busy_mean.over(self.clock.now, rest)
         over = self.clock.now - self._slow_since >= 1000.0 * number(slowing.most_s)
         if over or (busy is not None and busy < number(slowing.busy_below)):
-            self.slow_ms += self.clock.now - self._slow_since
-            self.slow_times = 1.0
-            self.changed()
+            self.congested_ms += self.clock.now - self._slow_since
+            self.congestion_slowdown = 1.0
+            self.update_rate()
             self._looking = False
             self._watch()
             return
@@ -382,24 +386,24 @@
 
     def _load(self, work_ms: float) -> None:
         """Rule 4: a cold server that is sent several times what it can do for a while falls over."""
-        warmth = self.warmth()
+        warmth = self.warm_fraction()
         if warmth >= 1.0:
             self._offered.clear()
             self._offered_sum = 0.0
             return
-        now, terms = self.clock.now, self._terms
+        now, settings = self.clock.now, self._settings
         self._offered.append((now, work_ms))
         self._offered_sum += work_ms
-        while self._offered[0][0] < now - terms.fall_ms:
+        while self._offered[0][0] < now - settings.fall_ms:
             self._offered_sum -= self._offered.popleft()[1]
-        if self._offered_sum > terms.fall_times * warmth * self.plan.speed * self.cores * terms.fall_ms:
-            self.fallen = True
+        if self._offered_sum > settings.fall_times * warmth * self.plan.speed * self.cores * settings.fall_ms:
+            self.collapsed = True
             self.stop()
 
     def _warm_up(self) -> None:
         if self.alive:
-            self.changed()
-            if self.warmth() < 1.0:
+            self.update_rate()
+            if self.warm_fraction() < 1.0:
                 self.clock.after(CHECK_INTERVAL_MS, self._warm_up)
 
     # ------------------------------------------------------------ life
@@ -408,7 +412,7 @@
         """A new process. Anything of the old one is gone."""
         self.alive, self.vanished, self.draining, self.hung = True, False, False, False
         self.started_ms = max(self.clock.now, 1e-3) if cold else 0.0
-        self.slow_times = 1.0
+        self.congestion_slowdown = 1.0
         self.connections = 0
         self._at = self.clock.now
         self._warm_up()
@@ -416,40 +420,40 @@
     def stop(self, *, silent: bool = False) -> None:
         """The process ends; silent: nobody is told, as when its machine is gone."""
         self.alive, self.vanished = False, silent
-        self._note_present()
+        self._record_presence()
         self._queue.clear()
         for job in list(self._jobs.values()):
             if job.held:
                 self._end(job)
             else:
                 self._drop(job)
-            job.call.stopped()
+            job.call.on_abandoned()
             if not silent:
                 job.call.answer(Outcome.RESET, ())
 
-    def unaccounted(self) -> float:
+    def littles_law_error(self) -> float:
         """By Little's law: time that requests were here, by what the clock saw and by what each of them took.
 
         Returns their difference as a part of it: 0 but for rounding, in any run.
         """
-        self._note_present()
-        by_each = self.sojourn + sum(self.clock.now - at for at in self._entered.values())
-        return abs(self.area - by_each) / max(by_each, 1.0)
+        self._record_presence()
+        by_each = self.total_sojourn_ms + sum(self.clock.now - at for at in self._entered.values())
+        return abs(self.presence_integral_ms - by_each) / max(by_each, 1.0)
 
     def _drop(self, job: Job) -> None:
         job.ended = True
-        self._note_present()
-        self.sojourn += self.clock.now - self._entered.pop(job)
+        self._record_presence()
+        self.total_sojourn_ms += self.clock.now - self._entered.pop(job)
         del self._jobs[job.call]
 
     # ------------------------------------------------------------ what it tells
 
-    def entry(self, *, told_capacity: bool) -> ServerEntry:
+    def list_entry(self, *, tells_capacity: bool) -> ServerEntry:
         """Its row of the list."""
         plan = self.plan
         return ServerEntry(
             self.name,
-            capacity_hint=number(plan.kind.speed) * plan.kind.cores if told_capacity else 1.0,
+            capacity_hint=number(plan.kind.speed) * plan.kind.cores if tells_capacity else 1.0,
             kind=plan.kind_index,
             zone=plan.zone,
             cell=plan.cell,
@@ -457,14 +461,16 @@
         )
 
     def _make_report(self) -> None:
-        reports = self._terms.reports
+        reports = self._settings.reports
         assert reports is not None
         now = self.clock.now
         self._busy_mean.add(now, min(1.0, self._on_cores / self.cores))
         busy = self._busy_mean.over(now, 1000.0) or 0.0
         noise = number(reports.noise)
-        told = tuple(max(0.0, x * (1.0 + self._rng.gauss(0.0, noise))) for x in (busy, float(self.present)))
-        self._past.append((now + number(reports.delay_ms) + self.report_late_ms, told))
+        told = tuple(
+            max(0.0, x * (1.0 + self._rng.gauss(0.0, noise))) for x in (busy, float(self.request_count))
+        )
+        self._past.append((now + number(reports.delay_ms) + self.extra_report_delay_ms, told))
         self.clock.after(self._period, self._make_report)
 
     def _told(self) -> tuple[float, ...]:
--- a/leadrudder/experiment/troubles.py
+++ b/leadrudder/experiment/troubles.py
@@ -37,8 +37,8 @@
         what: dict[str, Callable[[Trouble, random.Random, float], None]] = {
             "slow": self._each(lambda s, x: setattr(s, "trouble_slow", x), 1.0),
             "errors": self._each(lambda s, x: setattr(s, "trouble_errors", min(1.0, x)), 0.0),
-            "neighbour": self._each(lambda s, x: setattr(s, "stolen", min(0.95, x)), 0.0),
-            "late-reports": self._each(lambda s, x: setattr(s, "report_late_ms", 1000.0 * x), 0.0),
+            "neighbour": self._each(lambda s, x: setattr(s, "stolen_cpu_share", min(0.95, x)), 0.0),
+            "late-reports": self._each(lambda s, x: setattr(s, "extra_report_delay_ms", 1000.0 * x), 0.0),
             "hang": self._hang,
             "vanish": self._vanish,
             "burst": self._burst,
@@ -55,7 +55,7 @@
     def _some(self, trouble: Trouble, rng: random.Random) -> list[Server]:
         """The servers that are struck: a part of those that live, one at the least."""
         tier = self._tiers[trouble.tier] if trouble.tier is not None else 0
-        alive = [s for s in self._fleet.servers_of(tier).values() if s.alive and not s.draining]
+        alive = [s for s in self._fleet.servers_of_tier(tier).values() if s.alive and not s.draining]
         count = min(len(alive), max(1, round(number(trouble.part) * len(alive))))
         return rng.sample(alive, count)
 
@@ -65,19 +65,19 @@
         def strike(trouble: Trouble, rng: random.Random, length: float) -> None:
             for server in self._some(trouble, rng):
                 change(server, number(trouble.times))
-                server.changed()
+                server.update_rate()
                 self._clock.after(length, end, server)
 
         def end(server: Server) -> None:
             change(server, usual)
-            server.changed()
+            server.update_rate()
 
         return strike
 
     def _hang(self, trouble: Trouble, rng: random.Random, length: float) -> None:
         for server in self._some(trouble, rng):
             server.hung = True
-            server.changed()
+            server.update_rate()
             self._clock.after(length, self._back, server)
 
     def _back(self, server: Server) -> None:
@@ -93,11 +93,11 @@
 
     def _burst(self, trouble: Trouble, _: random.Random, length: float) -> None:
         times = number(trouble.times)
-        self._callers.load_times *= times
+        self._callers.load_factor *= times
         self._clock.after(length, self._burst_over, times)
 
     def _burst_over(self, times: float) -> None:
-        self._callers.load_times /= times
+        self._callers.load_factor /= times
 
     def _release(self, trouble: Trouble, rng: random.Random, length: float) -> None:
         """Part of the tier's servers are renewed in turn, evenly over the time."""
@@ -124,20 +124,20 @@
         """All servers of a zone go silent at once, at all tiers, and come back cold together."""
         zone = rng.randrange(self._fleet.zones)
         for tier in range(len(self._fleet.registries)):
-            for server in list(self._fleet.servers_of(tier).values()):
+            for server in list(self._fleet.servers_of_tier(tier).values()):
                 if server.plan.zone == zone and server.alive:
                     self._fleet.stop(server, silent=True)
                     self._clock.after(length, self._fleet.start, server)
 
     def _node_restart(self, trouble: Trouble, rng: random.Random, length: float) -> None:
         """Part of the front's nodes end in turn; each is back after a moment and knows nothing."""
-        count = max(1, round(number(trouble.part) * len(self._fleet.front)))
-        for i, index in enumerate(rng.sample(range(len(self._fleet.front)), count)):
+        count = max(1, round(number(trouble.part) * len(self._fleet.front_nodes)))
+        for i, index in enumerate(rng.sample(range(len(self._fleet.front_nodes)), count)):
             self._clock.after(length * i / count, self._restart, index)
 
     def _restart(self, index: int) -> None:
-        self._fleet.front[index].stop()
+        self._fleet.front_nodes[index].stop()
         until = self._clock.now + RESTART_MS
         if self._callers.notice_ms < RESTART_MS:
-            self._clock.after(self._callers.notice_ms, self._callers.shun, index, until)
+            self._clock.after(self._callers.notice_ms, self._callers.exclude_node, index, until)
         self._clock.after(RESTART_MS, self._fleet.restart_node, index)
--- a/leadrudder/experiment/whole.py
+++ b/leadrudder/experiment/whole.py
@@ -127,38 +127,43 @@
     """A request that has reached a server: the model's Call, answered in bytes."""
 
     def __init__(
-        self, fleet: WholeFleet, server: Server, side: ServerConnection, taken: OpenRequest, left: float
+        self,
+        fleet: WholeFleet,
+        server: Server,
+        side: ServerConnection,
+        open_request: OpenRequest,
+        left: float,
     ) -> None:
         self._fleet = fleet
         self._side = side
-        self.taken = taken
+        self.open_request = open_request
         self.deadline = fleet.clock.now + left
-        self.behind_it: Callable[[], None] | None = None
+        self.cancel_next_tier: Callable[[], None] | None = None
         self.over = False
-        noise = fleet.noise(taken.ask.class_index)
-        self.work_ms = taken.ask.works[server.tier] * noise
-        self.wait_ms = taken.ask.waits[server.tier] * noise
+        noise = fleet.attempt_noise(open_request.spec.class_index)
+        self.work_ms = open_request.spec.tier_work_ms[server.tier] * noise
+        self.wait_ms = open_request.spec.tier_wait_ms[server.tier] * noise
 
-    def began(self, server: Server) -> bool:
-        return self._fleet.effects.begin(self.taken, server, self._fleet.clock.now)
+    def on_started(self, server: Server) -> bool:
+        return self._fleet.effects.start(self.open_request, server, self._fleet.clock.now)
 
-    def behind(self, server: Server, done: Callable[[bool], None]) -> None:
-        self._fleet.behind(self, server, done)
+    def call_next_tier(self, server: Server, done: Callable[[bool], None]) -> None:
+        self._fleet.call_next_tier(self, server, done)
 
     def answer(self, outcome: Outcome, load: tuple[float, ...]) -> None:
         self.over = True
         self._side.answered(self, outcome, load)
 
-    def spent(self, work_ms: float) -> None:
-        self.taken.ask.operation.work += work_ms
+    def add_work(self, work_ms: float) -> None:
+        self.open_request.spec.operation.work += work_ms
 
-    def stopped(self) -> None:
+    def on_abandoned(self) -> None:
         self.over = True
-        if self.behind_it is not None:
-            self.behind_it()
-            self.behind_it = None
+        if self.cancel_next_tier is not None:
+            self.cancel_next_tier()
+            self.cancel_next_tier = None
 
-    def left_ms(self) -> float:
+    def remaining_ms(self) -> float:
         return self.deadline - self._fleet.clock.now
 
 
@@ -179,12 +184,12 @@
             if frame.target == "/health":
                 self.transport.write(answer(503 if self._server.draining else 200))
                 continue
-            taken = self._fleet.asked[frame.headers["x-request-id"]]
-            taken.ask.operation.attempts += 1
+            open_request = self._fleet.asked[frame.headers["x-request-id"]]
+            open_request.spec.operation.attempts += 1
             self._fleet.counts[self._server.tier].attempts += 1
             left = 1000.0 * float(frame.headers.get("x-deadline", "60"))
-            self._call = WireCall(self._fleet, self._server, self, taken, left)
-            self._server.offer(self._call)
+            self._call = WireCall(self._fleet, self._server, self, open_request, left)
+            self._server.receive(self._call)
 
     def answered(self, call: WireCall, outcome: Outcome, load: tuple[float, ...]) -> None:
         counted = self._fleet.counts[self._server.tier].outcomes
@@ -219,7 +224,7 @@
         actions = self._balancer.handle(event, now)
         for action in actions:
             if isinstance(action, api.Refuse):
-                self._counts.refuse(action)
+                self._counts.count_refusal(action)
         return actions
 
 
@@ -252,12 +257,12 @@
         self._client = NodeClient(client, address)
         self._calls: dict[OpenRequest, ClientCall] = {}
 
-    def take(self, ask: RequestSpec, done: AnswerCallback) -> OpenRequest:
+    def submit(self, ask: RequestSpec, done: AnswerCallback) -> OpenRequest:
         """Ask it as the platform's callers do."""
         fleet = self.fleet
         fleet.last += 1
         self._counts.arrivals += 1
-        taken = OpenRequest(fleet.last, ask, fleet.clock.now + ask.budget_ms, done)
+        open_request = OpenRequest(fleet.last, ask, fleet.clock.now + ask.budget_ms, done)
         kind = fleet.file.request_class[ask.class_index]
         name = f"{fleet.last:016x}"
         headers = {
@@ -266,46 +271,48 @@
             "X-Deadline": f"{ask.budget_ms / 1000.0:.4f}",
         }
         headers["X-Tenant"] = fleet.file.tenant[ask.tenant].name if fleet.file.tenant else DEFAULT_TENANT
-        if ask.hint_ms is not None:
-            headers["X-Cost-Hint"] = f"{1000.0 * ask.hint_ms:.0f}"
+        if ask.cost_hint_ms is not None:
+            headers["X-Cost-Hint"] = f"{1000.0 * ask.cost_hint_ms:.0f}"
         if kind.effect == "keyed":
-            headers["Idempotency-Key"] = f"{ask.key:x}-{ask.inner:x}-{self.tier}"
-        fleet.asked[name] = taken
+            headers["Idempotency-Key"] = f"{ask.key:x}-{ask.inner_call:x}-{self.tier}"
+        fleet.asked[name] = open_request
         data = request("GET" if kind.effect == "safe" else "POST", f"/api/{name}", headers)
         # The caller's own clock decides when it leaves; this one only bounds what is left lying.
-        call = self._client.ask(data, ask.budget_ms / 1000.0 + 1.0, functools.partial(self._answered, taken))
+        call = self._client.ask(
+            data, ask.budget_ms / 1000.0 + 1.0, functools.partial(self._answered, open_request)
+        )
         if not call.over:
-            self._calls[taken] = call
-        return taken
+            self._calls[open_request] = call
+        return open_request
 
-    def gone(self, taken: OpenRequest) -> None:
+    def abandon(self, open_request: OpenRequest) -> None:
         """Its caller waits no longer: rule 1 is broken where an answer was still owed in time."""
-        call = self._calls.pop(taken, None)
-        if taken.closed:
+        call = self._calls.pop(open_request, None)
+        if open_request.closed:
             return
-        taken.closed = True
-        self._counts.gone += 1
-        if self.alive and self.fleet.clock.now >= taken.deadline - 0.5:
-            self._counts.breaks("lost")
+        open_request.closed = True
+        self._counts.abandoned += 1
+        if self.alive and self.fleet.clock.now >= open_request.deadline - 0.5:
+            self._counts.count_violation("lost")
         if call is not None:
             self._client.give_up(call, "gone")
 
-    def _answered(self, taken: OpenRequest, frame: Frame | None, why: str) -> None:
-        self._calls.pop(taken, None)
-        if taken.closed:
+    def _answered(self, open_request: OpenRequest, frame: Frame | None, why: str) -> None:
+        self._calls.pop(open_request, None)
+        if open_request.closed:
             return
-        taken.closed = True
+        open_request.closed = True
         if frame is None:
-            taken.done(RESET)
+            open_request.on_answer(RESET)
         elif frame.status == 200:
             self._counts.served += 1
-            taken.done(SERVED)
+            open_request.on_answer(SERVED)
         elif frame.status in (429, 503):
             self._counts.refused += 1
-            taken.done(Answer("refused", 1000.0 * float(frame.headers.get("retry-after", "0"))))
+            open_request.on_answer(Answer("refused", 1000.0 * float(frame.headers.get("retry-after", "0"))))
         else:
             self._counts.failed += 1
-            taken.done(FAILED)
+            open_request.on_answer(FAILED)
 
     def stop(self) -> None:
         self.alive = False
@@ -315,8 +322,8 @@
 class WireRegistry(Registry):
     """The lagging list, told by the simulation's discovery."""
 
-    def __init__(self, fleet: WholeFleet, tier: int, rng: Any, *, told_capacity: bool) -> None:
-        super().__init__(fleet.clock, fleet.file.fleet.lists, rng, told_capacity=told_capacity)
+    def __init__(self, fleet: WholeFleet, tier: int, rng: Any, *, tells_capacity: bool) -> None:
+        super().__init__(fleet.clock, fleet.file.fleet.lists, rng, tells_capacity=tells_capacity)
         self._fleet = fleet
         self.rows = Rows()
         host = f"10.9.{tier}.1"
@@ -325,16 +332,16 @@
             fleet.process(f"discovery-{tier}", host, 0), self.address, self.rows
         )
 
-    def begin(self, servers: Iterable[Server]) -> None:
+    def publish_initial(self, servers: Iterable[Server]) -> None:
         for server in servers:
-            row = self._row(server.entry(told_capacity=self._told_capacity))
+            row = self._row(server.list_entry(tells_capacity=self._tells_capacity))
             self.rows.rows[row["instanceId"]] = row
 
-    def join(self, node: Node) -> None:
+    def add_node(self, node: Node) -> None:
         raise AssertionError("whole nodes ask discovery")
 
-    def _publish(self, entry: api.ServerEntry, news: int) -> None:
-        if self._pending.get(entry.server) != news:
+    def _publish(self, entry: api.ServerEntry, change: int) -> None:
+        if self._pending.get(entry.server) != change:
             return
         del self._pending[entry.server]
         self.rows.change([self._row(entry)])
@@ -392,7 +399,7 @@
         return loop
 
     def _fault(self, loop: VirtualLoop, text: str) -> None:
-        self.counts[0].breaks("exception")
+        self.counts[0].count_violation("exception")
         self.faults.append(f"in {loop.name}: {text}")
 
     def _servers(self, index: int, tier: Tier) -> dict[bytes, Server]:
@@ -420,7 +427,7 @@
     def _registry(self, tier: int) -> Registry:
         told = self.file.fleet.node.capacity_hints
         rng = Random(f"{self._seed}/lists/{tier}")
-        return WireRegistry(self, tier, rng, told_capacity=told)
+        return WireRegistry(self, tier, rng, tells_capacity=told)
 
     def _node(self, tier: int, nodes: int, ordinal: int, zone: int) -> WholeNode:
         registry = cast(WireRegistry, self.registries[tier])
--- a/tests/experiment/test_connections.py
+++ b/tests/experiment/test_connections.py
@@ -26,13 +26,13 @@
     clock = Clock()
     api = server(clock, 2)
     mine, other = ConnectionPool(clock, 30_000.0), ConnectionPool(clock, 30_000.0)
-    assert mine.take(api) == HANDSHAKE_MS and other.take(api) == HANDSHAKE_MS
-    assert mine.take(api) is None and api.connections == 2
-    mine.give_back(api, whole=True)
-    assert other.take(api) is None, "idle at one node, it is held all the same"
-    assert mine.take(api) == 0.0 and mine.opened == 1
-    mine.give_back(api, whole=False)  # a call that was given up takes its connection with it
-    assert api.connections == 1 and other.take(api) == HANDSHAKE_MS
+    assert mine.acquire(api) == HANDSHAKE_MS and other.acquire(api) == HANDSHAKE_MS
+    assert mine.acquire(api) is None and api.connections == 2
+    mine.release(api, reusable=True)
+    assert other.acquire(api) is None, "idle at one node, it is held all the same"
+    assert mine.acquire(api) == 0.0 and mine.opened == 1
+    mine.release(api, reusable=False)  # a call that was given up takes its connection with it
+    assert api.connections == 1 and other.acquire(api) == HANDSHAKE_MS
     other.close()
     assert api.connections == 0
 
@@ -42,13 +42,13 @@
     api = server(clock, 8)
     mine = ConnectionPool(clock, 4000.0)
     for _ in range(3):
-        mine.take(api)
-    mine.give_back(api, whole=True)
+        mine.acquire(api)
+    mine.release(api, reusable=True)
     clock.run(3500.0)
     assert api.connections == 2
     api.start()
-    mine.give_back(api, whole=True)  # of the process that has ended
-    assert api.connections == 0 and mine.take(api) == HANDSHAKE_MS
+    mine.release(api, reusable=True)  # of the process that has ended
+    assert api.connections == 0 and mine.acquire(api) == HANDSHAKE_MS
     mine.close()
 
 
--- a/tests/experiment/test_model.py
+++ b/tests/experiment/test_model.py
@@ -121,8 +121,10 @@
     made = values(length_s=3, load__of_capacity=1.2)
     made["trouble"] = [{"what": "vanish", "at_s": 1, "length_s": 1, "part": 0.5}]
     assert "little" not in play(changed(made, {}), 1, decider_factory("leadrudder")).broken
-    told = Server._note_present
-    monkeypatch.setattr(Server, "_note_present", lambda self: None if self.present == 3 else told(self))
+    told = Server._record_presence
+    monkeypatch.setattr(
+        Server, "_record_presence", lambda self: None if self.request_count == 3 else told(self)
+    )
     assert "little" in play(changed(made, {}), 1, decider_factory("leadrudder")).broken
 
 
--- a/tests/experiment/test_queueing.py
+++ b/tests/experiment/test_queueing.py
@@ -28,19 +28,19 @@
     def __init__(self, work_ms: float) -> None:
         self.work_ms = work_ms
 
-    def began(self, server: Server) -> bool:
+    def on_started(self, server: Server) -> bool:
         return True
 
-    def behind(self, server: Server, done: Callable[[bool], None]) -> None:
+    def call_next_tier(self, server: Server, done: Callable[[bool], None]) -> None:
         done(True)
 
     def answer(self, outcome: Outcome, load: tuple[float, ...]) -> None:
         assert outcome is Outcome.OK
 
-    def spent(self, work_ms: float) -> None:
+    def add_work(self, work_ms: float) -> None:
         pass
 
-    def stopped(self) -> None:
+    def on_abandoned(self) -> None:
         raise AssertionError("nothing is given up here")
 
 
@@ -73,13 +73,13 @@
         drawn.work += work
         drawn.squares += work * work
         drawn.span = clock.now
-        server.offer(_Call(work))
+        server.receive(_Call(work))
         if left > 1:
             clock.after(rng.expovariate(rate), come, left - 1)
 
     clock.after(rng.expovariate(rate), come, calls)
     clock.run(1e12)
-    assert server.present == 0
+    assert server.request_count == 0
     return server, drawn
 
 
@@ -108,14 +108,14 @@
         expected = drawn.squares / drawn.span / (2.0 * (1.0 - found))
     else:
         expected = mean * _erlang_c(cores, found) / (cores * (1.0 - found))
-    assert server.waited / drawn.calls == pytest.approx(expected, rel=WITHIN)
+    assert server.total_queue_wait_ms / drawn.calls == pytest.approx(expected, rel=WITHIN)
     # Little: requests here in the mean are arrivals a millisecond times the time that each is here.
-    assert server.area == pytest.approx(server.sojourn, rel=1e-6)
+    assert server.presence_integral_ms == pytest.approx(server.total_sojourn_ms, rel=1e-6)
 
 
 def test_shared_cores_keep_a_time_that_hangs_on_the_mean_work_alone() -> None:
-    """M/G/1 with processor sharing: the sojourn is that of M/M/1, however the work is spread."""
+    """M/G/1 with processor sharing: the time spent is that of M/M/1, however the work is spread."""
     server, drawn = _played(1, 20_000, 0.5, "lognormal", 1.5, CALLS)
     expected = drawn.work / drawn.calls / (1.0 - drawn.load(1))
-    assert server.sojourn / drawn.calls == pytest.approx(expected, rel=WITHIN)
-    assert server.waited == 0.0
+    assert server.total_sojourn_ms / drawn.calls == pytest.approx(expected, rel=WITHIN)
+    assert server.total_queue_wait_ms == 0.0
