--- a/leadrudder/experiment/callers.py
+++ b/leadrudder/experiment/callers.py
@@ -1,4 +1,4 @@
-"""Callers: what they ask for and when, how long they wait, and whether they come back."""
+"""Callers: arrivals, time-outs, retries and back-off."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from leadrudder.experiment.node import Answer, NodeEndpoint, OpenRequest, Operation, RequestSpec
 from leadrudder.experiment.spec import File
 
-ROUGH_HINT_VARIATION, GOOD_HINT_VARIATION = 0.6, 0.1  # coefficients of variation of hints about the work
+ROUGH_HINT_VARIATION, GOOD_HINT_VARIATION = 0.6, 0.1  # coefficients of variation of cost hints
 
 
 class TraceError(Exception):
-    """A trace that cannot be played, with its line."""
+    """A trace that cannot be played; the message names its line."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
 
 
 def read_trace(path: Path, file: File) -> list[TraceRequest]:
-    """A CSV with the columns at_ms, class, work_ms and, if there are tenants, tenant; sorted by time."""
+    """Read a CSV with the columns at_ms, class, work_ms and, if there are tenants, tenant; sorted by time."""
     classes = {c.name: i for i, c in enumerate(file.request_class)}
     tenants = {t.name: i for i, t in enumerate(file.tenant)} or {"": 0}
     asked: list[TraceRequest] = []
@@ -42,7 +42,7 @@
         with path.open(newline="", encoding="utf-8") as rows:
             for row in csv.DictReader(rows):
                 try:
-                    one = TraceRequest(
+                    request = TraceRequest(
                         float(row["at_ms"]),
                         classes[row["class"]],
                         float(row["work_ms"]),
@@ -50,11 +50,11 @@
                     )
                 except (KeyError, TypeError, ValueError) as error:
                     raise TraceError(f"{path}:{len(asked) + 2}: cannot be read: {error}") from None
-                if not (0.0 <= one.at_ms < math.inf and 0.0 < one.work_ms < 1e9):
-                    raise TraceError(f"{path}:{len(asked) + 2}: a time or a work that cannot be")
-                if asked and one.at_ms < asked[-1].at_ms:
+                if not (0.0 <= request.at_ms < math.inf and 0.0 < request.work_ms < 1e9):
+                    raise TraceError(f"{path}:{len(asked) + 2}: at_ms or work_ms is out of range")
+                if asked and request.at_ms < asked[-1].at_ms:
                     raise TraceError(f"{path}:{len(asked) + 2}: is earlier than the line before")
-                asked.append(one)
+                asked.append(request)
     except (OSError, UnicodeDecodeError, csv.Error) as error:
         raise TraceError(f"{path}: cannot be read: {error}") from None
     if not asked:
@@ -63,14 +63,14 @@
 
 
 class TenantQuotas:
-    """Whether a tenant's request is within its share: a bucket of one second at its rate."""
+    """Token buckets that tell whether a tenant is within its quota; each holds one second at its rate."""
 
     def __init__(self, rates: list[float]) -> None:
         self._rates = rates
         self._tokens = list(rates)
         self._at = [0.0] * len(rates)
 
-    def within(self, tenant: int, now: float, units: float) -> bool:
+    def try_take(self, tenant: int, now: float, units: float) -> bool:
         rate = self._rates[tenant]
         self._tokens[tenant] = min(rate, self._tokens[tenant] + rate * (now - self._at[tenant]) / 1000.0)
         self._at[tenant] = now
@@ -81,7 +81,7 @@
 
 
 class Callers:
-    """All of them. load_factor: what troubles make of the rate."""
+    """All callers of a run. load_factor: multiplies the rate while a burst lasts."""
 
     def __init__(
         self, clock: Clock, file: File, fleet: Fleet, figures: Figures, seed: str, trace: list[TraceRequest]
@@ -94,25 +94,27 @@
         self._trace = trace
         self._count = 0
         self._classes = file.request_class
-        self._class_parts = [c.part for c in file.request_class]
+        self._class_weights = [c.part for c in file.request_class]
         usage = [t.share * number(t.usage) for t in file.tenant] or [1.0]
-        self._usage = usage
+        self._tenant_weights = usage
         shape, load = fleet.shape, file.load
         quota = shape.capacity_per_s * number(load.quota_of_capacity)
-        self._shares = TenantQuotas([t.share * quota for t in file.tenant]) if file.tenant else None
+        self._quotas = TenantQuotas([t.share * quota for t in file.tenant]) if file.tenant else None
         self._rate = self._rate_per_ms()
         self._swing = number(load.swing)
-        self._bursts = list(self._plan_bursts(random.Random(f"{seed}/bursts")))
-        self._burst_at = 0
+        self._burst_switches = list(self._plan_bursts(random.Random(f"{seed}/bursts")))
+        self._burst_index = 0
         self._client_ms = number(file.fleet.network.client_ms)
         callers = file.callers
-        self._tries, self._patience = number(callers.tries), callers.patience
-        self._back_off, self._honour = number(callers.back_off_ms), number(callers.honour)
+        self._mean_retries, self._patience = number(callers.tries), callers.patience
+        self._back_off, self._honour_share = number(callers.back_off_ms), number(callers.honour)
         self._notice_ms = 1000.0 * number(callers.notice_s)
-        self._excluded: dict[int, float] = {}  # front nodes that callers know to be gone, until when
-        self._hot = self._weights(random.Random(f"{seed}/hot"))  # what each front node gets; empty: all alike
+        self._excluded: dict[int, float] = {}  # front nodes known to be down, and until when
+        self._node_weights = self._draw_weights(
+            random.Random(f"{seed}/hot")
+        )  # weights of front nodes; empty: equal
 
-    def _weights(self, rng: random.Random) -> list[float]:
+    def _draw_weights(self, rng: random.Random) -> list[float]:
         nodes = len(self._fleet.front_nodes)
         hot = round(number(self._file.fleet.hot) * nodes)
         weights = [number(self._file.fleet.hot_times)] * hot + [1.0] * (nodes - hot)
@@ -135,51 +137,54 @@
         elif load.form == "trace":
             self._replay(0)
         else:
-            self._next_arrival()
+            self._schedule_arrival()
 
-    # ------------------------------------------------------------ when
+    # ------------------------------------------------------------ arrivals
 
     def _plan_bursts(self, rng: random.Random) -> Iterator[float]:
-        """Times at which the load goes from low to high or back; of a random length about the period."""
+        """Times at which the load switches between low and high, half a period apart in the mean."""
         at, end = 0.0, 1000.0 * self._file.length_s
         while at < end:
             at += 1000.0 * self._file.load.period_s * rng.uniform(0.25, 0.75)
             yield at
 
-    def level(self, now: float) -> float:
+    def load_level(self, now: float) -> float:
         """The load as a multiple of its mean."""
         load = self._file.load
         if load.shape == "wave":
             return 1.0 + self._swing * math.sin(2.0 * math.pi * now / (1000.0 * load.period_s))
         if load.shape == "bursty":
-            while self._burst_at < len(self._bursts) and self._bursts[self._burst_at] <= now:
-                self._burst_at += 1
-            return 1.0 + (self._swing if self._burst_at % 2 else -self._swing)
+            while (
+                self._burst_index < len(self._burst_switches)
+                and self._burst_switches[self._burst_index] <= now
+            ):
+                self._burst_index += 1
+            return 1.0 + (self._swing if self._burst_index % 2 else -self._swing)
         return 1.0
 
-    def _next_arrival(self) -> None:
-        """Poisson, thinned to the level of the moment."""
-        most = self._rate * (1.0 + self._swing)
+    def _schedule_arrival(self) -> None:
+        """Schedule the next arrival of a Poisson stream, thinned to the present load level."""
+        max_rate = self._rate * (1.0 + self._swing)
         at = self._clock.now
         end = 1000.0 * self._file.length_s
-        # A trouble's burst counts from the next arrival on.
-        gap = self._arrivals.expovariate(most * max(1.0, self.load_factor))
-        accept = self._arrivals.random() * most * max(1.0, self.load_factor)
+        # A burst takes effect at the next arrival.
+        gap = self._arrivals.expovariate(max_rate * max(1.0, self.load_factor))
+        accept = self._arrivals.random() * max_rate * max(1.0, self.load_factor)
         if at + gap < end:
             self._clock.after(gap, self._arrive, accept)
 
     def _arrive(self, accept: float) -> None:
-        if accept < self._rate * self.level(self._clock.now) * self.load_factor:
-            self._ask(self._draw())
-        self._next_arrival()
+        if accept < self._rate * self.load_level(self._clock.now) * self.load_factor:
+            self._start_operation(self._draw())
+        self._schedule_arrival()
 
     def _think(self, _: Operation | None = None) -> None:
         mean = self._file.load.think_ms
-        self._clock.after(self._arrivals.expovariate(1.0 / mean) if mean else 0.0, self._ask_and_think)
+        self._clock.after(self._arrivals.expovariate(1.0 / mean) if mean else 0.0, self._start_drawn)
 
-    def _ask_and_think(self) -> None:
+    def _start_drawn(self) -> None:
         if self._clock.now < 1000.0 * self._file.length_s:
-            self._ask(self._draw())
+            self._start_operation(self._draw())
 
     def _replay(self, index: int) -> None:
         if index >= len(self._trace):
@@ -190,32 +195,32 @@
     def _replay_one(self, index: int) -> None:
         asked = self._trace[index]
         if asked.at_ms < 1000.0 * self._file.length_s:
-            self._ask((asked.class_index, asked.tenant, asked.work_ms, 1.0))
+            self._start_operation((asked.class_index, asked.tenant, asked.work_ms, 1.0))
             self._replay(index + 1)
 
     def _draw(self) -> tuple[int, int, float, float]:
-        """Class, tenant, work in ms, and the chance that its hint is drawn from."""
+        """Draw the class, the tenant, the work in ms, and the error factor of the cost hint."""
         rng = self._works
-        index = rng.choices(range(len(self._classes)), self._class_parts)[0]
-        tenant = rng.choices(range(len(self._usage)), self._usage)[0]
+        index = rng.choices(range(len(self._classes)), self._class_weights)[0]
+        tenant = rng.choices(range(len(self._tenant_weights)), self._tenant_weights)[0]
         work = work_of(rng, self._classes[index])
         hints = self._file.load.hints
-        wrong = (
+        hint_error = (
             spread_of(rng, "lognormal", GOOD_HINT_VARIATION if hints == "good" else ROUGH_HINT_VARIATION)
             if hints != "none"
             else 1.0
         )
-        return index, tenant, work, wrong
+        return index, tenant, work, hint_error
 
     # ------------------------------------------------------------ one operation
 
-    def _ask(self, drawn: tuple[int, int, float, float]) -> None:
-        index, tenant, work, wrong = drawn
+    def _start_operation(self, drawn: tuple[int, int, float, float]) -> None:
+        index, tenant, work, hint_error = drawn
         now, load, shape = self._clock.now, self._file.load, self._fleet.shape
         kind = self._classes[index]
         units = work / number(kind.work_ms)
         worth = kind.worth * (work / shape.mean_work_ms if load.worth_by_work else 1.0)
-        if self._shares is not None and not self._shares.within(tenant, now, work / shape.mean_work_ms):
+        if self._quotas is not None and not self._quotas.try_take(tenant, now, work / shape.mean_work_ms):
             worth *= load.over_share_worth
         self._count += 1
         operation = Operation(self._count, index, tenant, worth, now, units)
@@ -226,39 +231,39 @@
             0.0,
             tenant,
             self._count,
-            work * wrong if load.hints != "none" else None,
+            work * hint_error if load.hints != "none" else None,
             tuple(work * part for part in shape.works),
             tuple(wait * part for part in shape.works),
             operation,
         )
-        extra = self._tries
-        tries = int(extra) + (self._rng.random() < extra - int(extra))
+        mean_retries = self._mean_retries
+        tries = int(mean_retries) + (self._rng.random() < mean_retries - int(mean_retries))
         self._figures.asked(operation)
-        self._try(ask, tries, self._rng.random() < self._honour)
+        self._start_try(ask, tries, self._rng.random() < self._honour_share)
 
-    def _try(self, ask: RequestSpec, left: int, honours: bool) -> None:
+    def _start_try(self, ask: RequestSpec, left: int, honours_retry_after: bool) -> None:
         kind = self._classes[ask.class_index]
         operation = ask.operation
         operation.tries += 1
         patience = number(self._patience) * kind.deadline_ms
-        tried = _Try(self, ask, left, honours, patience)
-        self._clock.after(self._client_ms, tried.reach)
+        tried = _Try(self, ask, left, honours_retry_after, patience)
+        self._clock.after(self._client_ms, tried.send)
 
     def pick_node(self) -> tuple[int, NodeEndpoint]:
-        """Any of the front's nodes that callers do not know to be gone."""
+        """Choose a front node that is not known to be down."""
         front, now = self._fleet.front_nodes, self._clock.now
         usable: Sequence[int] = range(len(front))
         if self._excluded:
             self._excluded = {i: until for i, until in self._excluded.items() if until > now}
             usable = [i for i in usable if i not in self._excluded] or usable
-        if self._hot:
-            index = self._rng.choices(usable, [self._hot[i] for i in usable])[0]
+        if self._node_weights:
+            index = self._rng.choices(usable, [self._node_weights[i] for i in usable])[0]
         else:
             index = self._rng.choice(usable)
         return index, front[index]
 
     def exclude_node(self, index: int, until: float) -> None:
-        """Callers have noticed that a node is gone."""
+        """Send nothing to a node until then: callers have noticed that it is down."""
         self._excluded[index] = until
 
     @property
@@ -266,25 +271,25 @@
         return self._notice_ms
 
     def ended(self, tried: _Try, answer: Answer) -> None:
-        """A try has ended with an answer, or with none in its time."""
+        """A try has ended, with an answer or by its time-out: retry or end the operation."""
         ask, operation = tried.ask, tried.ask.operation
         if answer.what == "served":
             self._figures.ended(operation, "served")
-            self._after(operation)
+            self._operation_ended(operation)
             return
         kind = self._classes[ask.class_index]
-        harmless = answer.what in ("refused", "unreachable") or kind.effect != "unsafe"
-        if tried.left > 0 and harmless:
+        may_retry = answer.what in ("refused", "unreachable") or kind.effect != "unsafe"
+        if tried.left > 0 and may_retry:
             wait = self._back_off * (2.0 ** (operation.tries - 1) if self._file.callers.doubles else 1.0)
             wait *= self._rng.uniform(0.5, 1.5)
-            if answer.retry_after_ms > 0.0 and tried.honours:
+            if answer.retry_after_ms > 0.0 and tried.honours_retry_after:
                 wait = answer.retry_after_ms
-            self._clock.after(wait, self._try, ask, tried.left - 1, tried.honours)
+            self._clock.after(wait, self._start_try, ask, tried.left - 1, tried.honours_retry_after)
             return
         self._figures.ended(operation, answer.what)
-        self._after(operation)
+        self._operation_ended(operation)
 
-    def _after(self, operation: Operation) -> None:
+    def _operation_ended(self, operation: Operation) -> None:
         if self._file.load.form == "closed":
             self._think(operation)
 
@@ -299,30 +304,37 @@
         "_open_request",
         "_timer",
         "ask",
-        "honours",
+        "honours_retry_after",
         "left",
         "patience",
     )
 
-    def __init__(self, callers: Callers, ask: RequestSpec, left: int, honours: bool, patience: float) -> None:
+    def __init__(
+        self, callers: Callers, ask: RequestSpec, left: int, honours_retry_after: bool, patience: float
+    ) -> None:
         self._callers = callers
-        self.ask, self.left, self.honours, self.patience = ask, left, honours, patience
+        self.ask, self.left, self.honours_retry_after, self.patience = (
+            ask,
+            left,
+            honours_retry_after,
+            patience,
+        )
         self._node: NodeEndpoint | None = None
         self._open_request: OpenRequest | None = None
         self._timer: ScheduledCall | None = None
         self._done = False
 
-    def reach(self) -> None:
+    def send(self) -> None:
         callers = self._callers
         clock = callers._clock
         _, node = callers.pick_node()
-        self._timer = clock.after(self.patience, self._give_up)
+        self._timer = clock.after(self.patience, self._time_out)
         if not node.alive:
             clock.after(callers._client_ms, self._end, Answer("unreachable"))
             return
         self._node = node
         ask = self.ask
-        again = RequestSpec(
+        spec = RequestSpec(
             ask.class_index,
             self.patience,
             ask.tenant,
@@ -332,12 +344,12 @@
             ask.tier_wait_ms,
             ask.operation,
         )
-        self._open_request = node.submit(again, self._answered)
+        self._open_request = node.submit(spec, self._answered)
 
     def _answered(self, answer: Answer) -> None:
         self._callers._clock.after(self._callers._client_ms, self._end, answer)
 
-    def _give_up(self) -> None:
+    def _time_out(self) -> None:
         if self._done:
             return
         if self._node is not None and self._open_request is not None:
@@ -351,6 +363,6 @@
         if self._timer is not None:
             self._timer.cancel()
         self._node = self._open_request = (
-            None  # what they hold of this try would keep all three for garbage's sake
+            None  # breaks reference cycles, which would leave all three to the garbage collector
         )
         self._callers.ended(self, answer)
--- a/leadrudder/experiment/connections.py
+++ b/leadrudder/experiment/connections.py
@@ -1,7 +1,7 @@
-"""Connections between modelled nodes and servers: kept for the next call, closed when idle, capped.
+"""Connections between modelled nodes and servers: pooled, closed when idle, and limited in number.
 
-A call has a connection to itself.  A new one costs its server work; one that is not taken costs the call an
-answer that says so.  A node keeps idle ones for half of the time after which servers close them.
+Each call has a connection to itself. Opening one costs its server work; where a server accepts no more, the
+call ends with outcome FULL. A node closes idle connections after half of the servers' own idle timeout.
 """
 
 from __future__ import annotations
@@ -12,93 +12,93 @@
 from leadrudder.experiment.clock import Clock
 from leadrudder.experiment.server import Server
 
-IDLE_TIME_SHARE = 0.5  # of the time after which servers close idle connections
+IDLE_TIME_SHARE = 0.5  # of the servers' idle timeout
 SWEEP_INTERVAL_MS = 1000.0
 
 
 @dataclass(slots=True)
 class _ServerConnections:
-    """What a node holds at one server process."""
+    """A node's connections to one server process."""
 
-    process: float  # its start: those of an older one are gone with it
+    process: float  # start time of the process; connections to an older one are closed
     busy: int = 0
-    idle: deque[float] = field(default_factory=deque)  # since when, the longest first
+    idle: deque[float] = field(default_factory=deque)  # when they became idle, idle_before first
 
 
 class ConnectionPool:
-    """All connections of one node."""
+    """The connections of one node to all servers."""
 
     def __init__(self, clock: Clock, idle_ms: float) -> None:
-        """idle_ms: after which servers close idle ones; 0: connections are free, and none is kept."""
+        """idle_ms: the servers' idle timeout; 0: connections are not modelled."""
         self.enabled = idle_ms > 0.0
-        self.opened = 0  # in all
+        self.opened = 0  # total
         self._clock = clock
         self._idle_ms = IDLE_TIME_SHARE * idle_ms
-        self._kept: dict[bytes, _ServerConnections] = {}
+        self._by_server: dict[bytes, _ServerConnections] = {}
         self._servers: dict[bytes, Server] = {}
         self._closed = False
         if self.enabled:
             clock.after(SWEEP_INTERVAL_MS, self._sweep)
 
-    def _at(self, server: Server) -> _ServerConnections:
-        kept = self._kept.get(server.name)
-        if kept is None or kept.process != server.started_ms:
-            kept = self._kept[server.name] = _ServerConnections(server.started_ms)
+    def _connections_to(self, server: Server) -> _ServerConnections:
+        held = self._by_server.get(server.name)
+        if held is None or held.process != server.started_ms:
+            held = self._by_server[server.name] = _ServerConnections(server.started_ms)
             self._servers[server.name] = server
-        return kept
+        return held
 
     def acquire(self, server: Server) -> float | None:
-        """One for a call that reaches this server: the work of opening it, ms; None if no more are taken."""
+        """Get a connection: returns the work of opening it, ms, 0 for a pooled one, None at the limit."""
         if not self.enabled:
             return 0.0
-        kept = self._at(server)
-        kept.busy += 1
-        if kept.idle:
-            kept.idle.pop()
+        held = self._connections_to(server)
+        held.busy += 1
+        if held.idle:
+            held.idle.pop()
             return 0.0
         if server.connections >= server.max_connections:
-            kept.busy -= 1
+            held.busy -= 1
             return None
         server.connections += 1
         self.opened += 1
         return server.handshake_ms
 
     def release(self, server: Server, *, reusable: bool) -> None:
-        """The call has ended; not whole: its connection is closed with it."""
+        """Return a connection after its call; one that is not reusable is closed."""
         if not self.enabled or self._closed:
             return
-        kept = self._kept.get(server.name)
-        if kept is None or kept.process != server.started_ms or not kept.busy:
+        held = self._by_server.get(server.name)
+        if held is None or held.process != server.started_ms or not held.busy:
             return
-        kept.busy -= 1
+        held.busy -= 1
         if reusable:
-            kept.idle.append(self._clock.now)
+            held.idle.append(self._clock.now)
         else:
             server.connections -= 1
 
     def close_idle(self, server: Server) -> None:
-        kept = self._kept.get(server.name)
-        if kept is not None and kept.process == server.started_ms:
-            server.connections -= len(kept.idle)
-            kept.idle.clear()
+        held = self._by_server.get(server.name)
+        if held is not None and held.process == server.started_ms:
+            server.connections -= len(held.idle)
+            held.idle.clear()
 
     def close(self) -> None:
-        """The node ends."""
+        """Close all connections, as the node ends."""
         self._closed = True
-        for name, kept in self._kept.items():
+        for name, held in self._by_server.items():
             server = self._servers[name]
-            if kept.process == server.started_ms:
-                server.connections -= kept.busy + len(kept.idle)
-        self._kept.clear()
+            if held.process == server.started_ms:
+                server.connections -= held.busy + len(held.idle)
+        self._by_server.clear()
 
     def _sweep(self) -> None:
         if self._closed:
             return
-        oldest = self._clock.now - self._idle_ms
-        for name, kept in self._kept.items():
+        idle_before = self._clock.now - self._idle_ms
+        for name, held in self._by_server.items():
             server = self._servers[name]
-            while kept.idle and kept.idle[0] <= oldest:
-                kept.idle.popleft()
-                if kept.process == server.started_ms:
+            while held.idle and held.idle[0] <= idle_before:
+                held.idle.popleft()
+                if held.process == server.started_ms:
                     server.connections -= 1
         self._clock.after(SWEEP_INTERVAL_MS, self._sweep)
--- a/leadrudder/experiment/fleet.py
+++ b/leadrudder/experiment/fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet as a drawn file has it: tiers of servers, nodes before them, lists, and the calls between."""
+"""The fleet of a run: tiers of servers, nodes in front of them, server lists, and calls between tiers."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 
 DeciderFactory = Callable[[api.Settings, int], Decider]
 
-HELD_MS = 1000.0  # a draining server is given so long for what it has
+HELD_MS = 1000.0  # time that a draining server has to finish its requests
 
 
 def node_settings(file: File, shape: Shape, tier: int, nodes: int, ordinal: int, zone: int) -> api.Settings:
-    """What a node is told; fields that the module at hand does not know are left out."""
+    """A node's settings; fields that an older revision of the policy module lacks are left out."""
     node, load = file.fleet.node, file.load
     first = tier == 0
     reports = file.fleet.tier[tier].reports
@@ -88,16 +88,16 @@
 
 
 class Fleet:
-    """The fleet of one run. front: its nodes, for callers to choose from."""
+    """The fleet of one run. front_nodes: those that callers choose from."""
 
     def __init__(self, clock: Clock, file: File, shape: Shape, seed: str, decider: DeciderFactory) -> None:
         self.clock, self.file, self.shape = clock, file, shape
         self._seed = seed
-        self._make = decider
+        self._decider_factory = decider
         self._rng = random.Random(f"{seed}/calls")
         network, node = file.fleet.network, file.fleet.node
         self.zones = len(network.zones)
-        self._way = one_way_latency(
+        self._one_way_ms = one_way_latency(
             random.Random(f"{seed}/network"),
             number(network.same_ms),
             number(network.cross_ms),
@@ -105,9 +105,9 @@
         )
         self.counts = [TierCounts() for _ in file.fleet.tier]
         self._effects = EffectTracker(request_classes(file), self.counts.__getitem__)
-        self._noises = [number(c.noise) for c in file.request_class]
+        self._noise_variations = [number(c.noise) for c in file.request_class]
         self._noise_rng = random.Random(f"{seed}/noise")
-        self._terms = [
+        self._server_settings = [
             ServerSettings(
                 node.fall_times,
                 1000.0 * node.fall_s,
@@ -125,19 +125,21 @@
         for registry, servers in zip(self.registries, self._tiers, strict=True):
             registry.publish_initial(servers.values())
         self.front_nodes: list[NodeEndpoint] = []
-        self._inner: dict[bytes, NodeEndpoint] = {}
+        self._inner_nodes: dict[bytes, NodeEndpoint] = {}
         self._ordinals: dict[NodeEndpoint, int] = {}
         count = int(number(file.fleet.nodes))
         for i in range(count):
             self.front_nodes.append(self._node(0, count, i, i % self.zones))
         for tier in range(len(self._tiers) - 1):
             for i, server in enumerate(self._tiers[tier].values()):
-                self._inner[server.name] = self._node(tier + 1, shape.servers[tier], i, server.plan.zone)
+                self._inner_nodes[server.name] = self._node(
+                    tier + 1, shape.servers[tier], i, server.plan.zone
+                )
 
     def _registry(self, tier: int) -> Registry:
-        told = self.file.fleet.node.capacity_hints
+        tells_capacity = self.file.fleet.node.capacity_hints
         rng = random.Random(f"{self._seed}/lists/{tier}")
-        return Registry(self.clock, self.file.fleet.lists, rng, tells_capacity=told)
+        return Registry(self.clock, self.file.fleet.lists, rng, tells_capacity=tells_capacity)
 
     def _slowing(self, tier: Tier) -> Slowing | None:
         slowing = tier.slowing
@@ -151,7 +153,7 @@
         for i, plan in enumerate(plans):
             name = b"%s-%d" % (tier.name.encode(), i)
             rng = random.Random(f"{self._seed}/{tier.name}/{i}")
-            servers[name] = Server(self.clock, name, plan, self._terms[index], rng, index)
+            servers[name] = Server(self.clock, name, plan, self._server_settings[index], rng, index)
         return servers
 
     def _node(self, tier: int, nodes: int, ordinal: int, zone: int) -> NodeEndpoint:
@@ -161,29 +163,29 @@
         node = Node(
             self.clock,
             self,
-            self._make(settings, seed),
+            self._decider_factory(settings, seed),
             tier,
             zone,
             self.counts[tier],
             self._effects,
-            self._way,
+            self._one_way_ms,
             spec.connect_ms,
             spec.drain_grace_ms,
-            1000.0 * self.file.fleet.tier[tier].idle_s if self._capped(tier) else 0.0,
+            1000.0 * self.file.fleet.tier[tier].idle_s if self._models_connections(tier) else 0.0,
         )
         self._ordinals[node] = ordinal
         self.registries[tier].add_node(node)
         return node
 
-    def _capped(self, tier: int) -> bool:
-        """Whether connections count there."""
+    def _models_connections(self, tier: int) -> bool:
+        """Whether connections of this tier are modelled."""
         spec = self.file.fleet.tier[tier]
         return number(spec.connections) > 0.0 or number(spec.handshake_ms) > 0.0
 
     def close(self) -> None:
-        """The run is over."""
+        """Release what the fleet holds at the end of the run."""
 
-    # ------------------------------------------------------------ what nodes need
+    # ------------------------------------------------------------ called by nodes
 
     def servers_of_tier(self, tier: int) -> dict[bytes, Server]:
         return self._tiers[tier]
@@ -192,23 +194,23 @@
         self.registries[node.tier].send_full_list(node)
 
     def attempt_noise(self, class_index: int) -> float:
-        variation = self._noises[class_index]
+        variation = self._noise_variations[class_index]
         return spread_of(self._noise_rng, "lognormal", variation) if variation else 1.0
 
     def call_next_tier(self, attempt: ParentCall, server: Server, done: Callable[[bool], None]) -> None:
-        """The calls of a request to the tier behind, one after another, through the server's own node."""
+        """Make the calls of a request to the next tier, one after another, through the server's own node."""
         tier = server.tier + 1
         if tier >= len(self._tiers):
             done(True)
             return
         mean = number(self.file.fleet.tier[tier].calls)
         calls = int(mean) + (self._rng.random() < mean - int(mean))
-        self._next_call(attempt, server, done, calls)
+        self._call_next(attempt, server, done, calls)
 
-    def _next_call(
+    def _call_next(
         self, attempt: ParentCall, server: Server, done: Callable[[bool], None], left: int
     ) -> None:
-        node = self._inner.get(server.name)
+        node = self._inner_nodes.get(server.name)
         if left <= 0:
             attempt.cancel_next_tier = None
             done(True)
@@ -234,70 +236,70 @@
             outer.operation,
             outer.inner_call * 16 + left,
         )
-        answered = functools.partial(self._inner_answered, attempt, server, done, left)
+        answered = functools.partial(self._next_tier_answered, attempt, server, done, left)
         open_request = node.submit(ask, answered)
         if not open_request.closed:
-            attempt.cancel_next_tier = functools.partial(_withdraw, node, open_request)
+            attempt.cancel_next_tier = functools.partial(_abandon, node, open_request)
 
-    def _inner_answered(
+    def _next_tier_answered(
         self, attempt: ParentCall, server: Server, done: Callable[[bool], None], left: int, answer: Answer
     ) -> None:
         attempt.cancel_next_tier = None
         if answer.what == "served":
-            self._next_call(attempt, server, done, left - 1)
+            self._call_next(attempt, server, done, left - 1)
             return
         if answer.what == "refused":
             attempt.open_request.spec.operation.inner_refusals += 1
         done(False)
 
-    # ------------------------------------------------------------ what troubles do
+    # ------------------------------------------------------------ called by troubles
 
     def drain(self, server: Server) -> None:
         server.draining = True
         self.registries[server.tier].publish_change(server, api.Readiness.DRAINING)
 
     def stop(self, server: Server, *, silent: bool = False) -> None:
-        """It ends, and its own node with it."""
+        """Stop a server and its own node."""
         server.stop(silent=silent)
-        node = self._inner.get(server.name)
+        node = self._inner_nodes.get(server.name)
         if node is not None:
             node.stop()
         self.registries[server.tier].publish_change(server, api.Readiness.GONE, silent=silent)
 
     def start(self, server: Server) -> None:
-        """A new process of it, cold, with a node that knows nothing."""
+        """Start a new, cold process of a server, with a new node."""
         server.start()
-        old = self._inner.get(server.name)
+        old = self._inner_nodes.get(server.name)
         if old is not None:
             nodes = self.shape.servers[server.tier]
-            self._inner[server.name] = self._node(old.tier, nodes, self._ordinals.pop(old), old.zone)
+            self._inner_nodes[server.name] = self._node(old.tier, nodes, self._ordinals.pop(old), old.zone)
         self.registries[server.tier].publish_change(server, api.Readiness.READY)
 
     def add(self, tier: int, like: Server) -> Server:
-        """A new server of the same plan in its tier, under a name of its own."""
-        number_ = len(self._tiers[tier])
-        name = b"%s-%d" % (self.file.fleet.tier[tier].name.encode(), number_)
+        """Start a new server in the tier, of the same plan as another, under a new name."""
+        ordinal = len(self._tiers[tier])
+        name = b"%s-%d" % (self.file.fleet.tier[tier].name.encode(), ordinal)
         rng = random.Random(f"{self._seed}/{name!r}")
-        server = Server(self.clock, name, like.plan, self._terms[tier], rng, tier)
+        server = Server(self.clock, name, like.plan, self._server_settings[tier], rng, tier)
         server.alive = False
         self._tiers[tier][name] = server
         self._listen(server)
         if tier + 1 < len(self._tiers):
-            self._inner[name] = self._node(tier + 1, self.shape.servers[tier], number_, like.plan.zone)
+            self._inner_nodes[name] = self._node(tier + 1, self.shape.servers[tier], ordinal, like.plan.zone)
         server.start()
         self.registries[tier].publish_change(server, api.Readiness.READY)
         return server
 
     def _listen(self, server: Server) -> None:
-        """A server of a new name is about to start."""
+        """Prepare for a server of a new name, before it starts."""
 
     def restart_node(self, index: int) -> NodeEndpoint:
-        """A front node's process ends, and another takes its place."""
+        """Replace a front node by a new process."""
         old = self.front_nodes[index]
         old.stop()
         self.front_nodes[index] = self._node(0, len(self.front_nodes), index, old.zone)
         return self.front_nodes[index]
 
 
-def _withdraw(node: NodeEndpoint, open_request: OpenRequest) -> None:
+def _abandon(node: NodeEndpoint, open_request: OpenRequest) -> None:
     node.abandon(open_request)
--- a/leadrudder/experiment/limits.py
+++ b/leadrudder/experiment/limits.py
@@ -1,6 +1,7 @@
-"""Limits of calls out as the field has them, to hold the module's own against: the rest of it stays as it is.
+"""Concurrency limits known from the literature, to compare with the policy module's own.
 
-Each is written from its published description, in its plainest form.  Times are milliseconds.
+The rest of the module stays as it is. Each limit follows its published description, in its plainest form.
+Times are milliseconds.
 """
 
 from __future__ import annotations
@@ -13,15 +14,15 @@
 from leadrudder import interface as api
 from leadrudder.experiment.node import Decider
 
-if TYPE_CHECKING:  # older revisions, whose decisions are played too, have it under another name
+if TYPE_CHECKING:  # older revisions, which are played too, name it otherwise
     from leadrudder.recovery.saturation import Saturation
 
-START_CALLS_PER_SERVER = 6.0  # calls for each warm server that all of them begin with, as the module does
+START_CALLS_PER_SERVER = 6.0  # initial limit, as of the policy module
 MIN_LIMIT_CALLS = 1.0
 
 
 class _Limit:
-    """What a balancer calls of its limit, under today's names and those of revisions before the rename."""
+    """The limit as a balancer calls it, also by the names that it had before the rename."""
 
     def rescale(self, by: float, servers: float, part: float) -> None:
         raise NotImplementedError
@@ -45,7 +46,7 @@
 
 
 class FixedLimit(_Limit):
-    """So many calls for each warm server, whatever happens: what a search over it finds is the mark."""
+    """A fixed number of calls for each warm server; its best value is the reference for the others."""
 
     def __init__(self, each: float) -> None:
         self._each = each
@@ -55,11 +56,11 @@
         self.value = self._each * part
 
     def record_outcome(self, saturation: Saturation, latency_share: float, out: int, patience: float) -> None:
-        """It feels nothing."""
+        """Ignore outcomes."""
 
 
 class _AdaptiveLimit(_Limit):
-    """Begins with START_EACH and moves along with the fleet, as the module's own does."""
+    """Starts at START_CALLS_PER_SERVER and scales with the fleet, as the module's own limit does."""
 
     def __init__(self) -> None:
         self.value = 0.0
@@ -68,54 +69,54 @@
         self.value = self.value * by if self.value else START_CALLS_PER_SERVER * part
 
     def _set(self, value: float, out: int) -> None:
-        """Grown only while it is used: what is not used tells nothing of what could be."""
+        """Set the limit; grow it only while it is used, as an unused limit says nothing about capacity."""
         if value <= self.value or out + 1 >= 0.8 * self.value:
             self.value = max(MIN_LIMIT_CALLS, value)
 
 
 class AimdLimit(_AdaptiveLimit):
-    """Additive increase, multiplicative decrease (Chiu and Jain): late answers are the loss signal."""
+    """Additive increase, multiplicative decrease (Chiu and Jain): late answers count as losses."""
 
-    LATE = 0.5  # of the aim
-    DOWN = 0.9
+    LATE_SHARE = 0.5  # latency as a share of the class's aim
+    DECREASE_FACTOR = 0.9
 
     def record_outcome(self, saturation: Saturation, latency_share: float, out: int, patience: float) -> None:
-        if latency_share > self.LATE:
-            self._set(self.value * (1.0 - (1.0 - self.DOWN) / max(1.0, self.value)), out)
+        if latency_share > self.LATE_SHARE:
+            self._set(self.value * (1.0 - (1.0 - self.DECREASE_FACTOR) / max(1.0, self.value)), out)
         else:
             self._set(self.value + 1.0 / max(1.0, self.value), out)
 
 
 class GradientLimit(_AdaptiveLimit):
-    """By the ratio of a long mean latency to the present one, with room for a short queue."""
+    """Follows the ratio of the long-term mean latency to the present one, with room for a short queue."""
 
     TOLERANCE = 1.5
-    LONG, SMOOTH = 1 / 600, 0.2
+    LONG_WEIGHT, STEP_WEIGHT = 1 / 600, 0.2
 
     def __init__(self) -> None:
         super().__init__()
-        self._long = 0.0
+        self._long_mean_ms = 0.0
 
     def record_outcome(self, saturation: Saturation, latency_share: float, out: int, patience: float) -> None:
         level = saturation.mean_latency_ms
         if level <= 0.0:
             return
-        self._long += (level - self._long) * (self.LONG if self._long else 1.0)
-        gradient = max(0.5, min(1.0, self.TOLERANCE * self._long / level))
-        aim = self.value * gradient + math.sqrt(self.value)
-        # Once for each call that is out, not for each answer.
-        step = self.SMOOTH / max(1.0, self.value)
-        self._set(self.value + step * (aim - self.value), out)
+        self._long_mean_ms += (level - self._long_mean_ms) * (self.LONG_WEIGHT if self._long_mean_ms else 1.0)
+        gradient = max(0.5, min(1.0, self.TOLERANCE * self._long_mean_ms / level))
+        target = self.value * gradient + math.sqrt(self.value)
+        # One full step for each round of outstanding calls, not for each answer.
+        step = self.STEP_WEIGHT / max(1.0, self.value)
+        self._set(self.value + step * (target - self.value), out)
 
 
 class VegasLimit(_AdaptiveLimit):
-    """As TCP Vegas: the calls that queue, by the calmest latency against the present one, kept in a band."""
+    """As TCP Vegas: keeps the queued calls, estimated from baseline and present latency, in a band."""
 
     def record_outcome(self, saturation: Saturation, latency_share: float, out: int, patience: float) -> None:
-        calm = min(saturation.baseline_ms, saturation.provisional_baseline_ms)
-        if not calm < math.inf or saturation.mean_latency_ms <= 0.0:
+        baseline_ms = min(saturation.baseline_ms, saturation.provisional_baseline_ms)
+        if not baseline_ms < math.inf or saturation.mean_latency_ms <= 0.0:
             return
-        queue = self.value * (1.0 - calm / saturation.mean_latency_ms)
+        queue = self.value * (1.0 - baseline_ms / saturation.mean_latency_ms)
         scale = math.log10(max(10.0, self.value))
         step = scale / max(1.0, self.value)
         if queue < 3.0 * scale:
@@ -125,28 +126,28 @@
 
 
 class CodelLimit(_AdaptiveLimit):
-    """As CoDel: while the least latency of an interval stays above its target, cut at a rising pace."""
+    """As CoDel: cuts at a rising rate while the minimum latency of an interval stays above the target."""
 
-    TARGET_TIMES = 1.5  # the calmest latency
-    INTERVAL = 0.5  # of the aim
+    TARGET_MULTIPLE = 1.5  # multiple of the baseline latency
+    INTERVAL_SHARE = 0.5  # in the shortest aim of the classes
 
     def __init__(self, now: Callable[[], float]) -> None:
         super().__init__()
         self._now = now
         self._next = 0.0
-        self._least = math.inf  # of this interval
+        self._min_latency_ms = math.inf  # minimum latency of this interval, ms
         self._cuts = 0
 
     def record_outcome(self, saturation: Saturation, latency_share: float, out: int, patience: float) -> None:
-        self._least = min(self._least, latency_share * saturation.min_aim_ms)
+        self._min_latency_ms = min(self._min_latency_ms, latency_share * saturation.min_aim_ms)
         now = self._now()
         if now < self._next:
             return
-        calm = min(saturation.baseline_ms, saturation.provisional_baseline_ms)
-        over = calm < math.inf and self._least > self.TARGET_TIMES * calm
+        baseline_ms = min(saturation.baseline_ms, saturation.provisional_baseline_ms)
+        over = baseline_ms < math.inf and self._min_latency_ms > self.TARGET_MULTIPLE * baseline_ms
         self._cuts = self._cuts + 1 if over else 0
-        self._next = now + self.INTERVAL * saturation.min_aim_ms / math.sqrt(max(1, self._cuts))
-        self._least = math.inf
+        self._next = now + self.INTERVAL_SHARE * saturation.min_aim_ms / math.sqrt(max(1, self._cuts))
+        self._min_latency_ms = math.inf
         self._set(self.value * 0.9 if over else self.value + 1.0, out)
 
 
@@ -156,7 +157,7 @@
 def make_limit(
     policy: str, each: float, now: Callable[[], float]
 ) -> FixedLimit | AimdLimit | GradientLimit | VegasLimit | CodelLimit:
-    """A new limit of this name; each: of the fixed one, calls for each warm server of the fleet."""
+    """Make a limit by its name; each: calls for each warm server, of limit-fixed."""
     if policy == "limit-fixed":
         return FixedLimit(each)
     if policy == "limit-codel":
@@ -171,15 +172,15 @@
 
 
 class LimitedBalancer:
-    """The module with another limit."""
+    """The policy module with another limit."""
 
     def __init__(
         self, balancer: Callable[..., Decider], policy: str, each: float, settings: api.Settings, seed: int
     ) -> None:
         self._now = 0.0
-        # Further in, the module's own: what is compared is what the front lets in.
-        own = settings.stage > 0
-        limit = None if own else make_limit(policy, each, lambda: self._now)
+        # Only the first tier's limit is replaced: the comparison is about admission at the front.
+        keeps_own = settings.stage > 0
+        limit = None if keeps_own else make_limit(policy, each, lambda: self._now)
         self._balancer = balancer(settings, seed, limit)
 
     def handle(self, event: api.Event, now: float) -> list[api.Action]:
--- a/leadrudder/experiment/lists.py
+++ b/leadrudder/experiment/lists.py
@@ -1,4 +1,4 @@
-"""Discovery as nodes see it: what it has noticed, late, and what each node has been told, later still."""
+"""The server list as nodes see it: discovery lags behind the servers, and nodes lag behind discovery."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from leadrudder.experiment.spec import Lists
 from leadrudder.interface import ListKind, Readiness, ServerEntry, ServerList
 
-LIST_REQUEST_MS = 1.0  # from a node's call to its list
+LIST_REQUEST_MS = 1.0  # from a node's request to the list
 
 
 class Registry:
@@ -21,26 +21,26 @@
 
     def __init__(self, clock: Clock, lists: Lists, rng: random.Random, *, tells_capacity: bool) -> None:
         self._clock, self._rng, self._tells_capacity = clock, rng, tells_capacity
-        self._notice = 1000.0 * number(lists.notice_s)
-        self._silent = 1000.0 * number(lists.silent_notice_s)
-        self._add = 1000.0 * number(lists.add_s)
-        self._period = number(lists.period_ms)
-        self._spread = number(lists.spread_ms)
+        self._notice_ms = 1000.0 * number(lists.notice_s)
+        self._silent_notice_ms = 1000.0 * number(lists.silent_notice_s)
+        self._add_ms = 1000.0 * number(lists.add_s)
+        self._period_ms = number(lists.period_ms)
+        self._spread_ms = number(lists.spread_ms)
         self._lists_on_request = lists.asked
         self._version = 1
         self._published: dict[bytes, ServerEntry] = {}
         self._all_cached: tuple[ServerEntry, ...] | None = None
         self._nodes: dict[Node, None] = {}
-        self._pending: dict[bytes, int] = {}  # the newest change of each server: older ones are overtaken
+        self._pending: dict[bytes, int] = {}  # newest change of each server; older ones are dropped
         self._last_change = 0
 
     def publish_initial(self, servers: Iterable[Server]) -> None:
-        """Servers that have been there for long."""
+        """List servers that are there from the start, without delay."""
         for server in servers:
             self._published[server.name] = server.list_entry(tells_capacity=self._tells_capacity)
 
     def add_node(self, node: Node) -> None:
-        """A node has started; where lists are pushed it has its list at once, else it asks."""
+        """Add a started node. It gets the list at once where lists are pushed, else a cached one."""
         self._nodes[node] = None
         if self._lists_on_request:
             node.deliver(ServerList(ListKind.CACHED, self._all_entries(), self._version))
@@ -48,7 +48,7 @@
             node.deliver(ServerList(ListKind.FULL, self._all_entries(), self._version))
 
     def send_full_list(self, node: Node) -> None:
-        """A node asks; it gets the whole list, and changes from then on."""
+        """Answer a node's request with the full list."""
         self._clock.after(LIST_REQUEST_MS, self._send_full_list, node)
 
     def _send_full_list(self, node: Node) -> None:
@@ -61,17 +61,17 @@
         return self._all_cached
 
     def publish_change(self, server: Server, readiness: Readiness, *, silent: bool = False) -> None:
-        """Something has happened to a server; discovery finds out after its time."""
+        """Publish a change of a server, after the time that discovery takes to notice it."""
         entry = server.list_entry(tells_capacity=self._tells_capacity)
         entry = ServerEntry(
             entry.server, readiness, entry.capacity_hint, entry.kind, entry.zone, entry.cell, entry.started_ms
         )
-        lag = self._silent if silent else self._notice
+        lag = self._silent_notice_ms if silent else self._notice_ms
         if readiness is Readiness.READY:
-            lag += self._add
+            lag += self._add_ms
         due = self._clock.now + lag
-        if self._period > 0.0:
-            due = math.ceil(due / self._period) * self._period
+        if self._period_ms > 0.0:
+            due = math.ceil(due / self._period_ms) * self._period_ms
         self._last_change += 1
         self._pending[entry.server] = self._last_change
         self._clock.after(due - self._clock.now, self._publish, entry, self._last_change)
@@ -90,7 +90,7 @@
             del self._nodes[node]
         for node in self._nodes:
             self._clock.after(
-                self._rng.uniform(0.0, self._spread), self._send_change, node, entry, self._version
+                self._rng.uniform(0.0, self._spread_ms), self._send_change, node, entry, self._version
             )
 
     def _send_change(self, node: Node, entry: ServerEntry, version: int) -> None:
--- a/leadrudder/experiment/node.py
+++ b/leadrudder/experiment/node.py
@@ -1,7 +1,7 @@
-"""A modelled node: the decisions with everything about them that is no decision, and no bytes.
+"""A modelled node: the policy module with everything around it except the transport.
 
-It does what leadrudder/node/ does around the module: ids, deadlines, attempts and their one outcome, the
-list, and the rules it is held to, which are counted here as they are broken.
+It does what leadrudder/node/ does around the module: request ids, deadlines, attempts with exactly one
+outcome each, and the server list. It also counts violations of the four rules that a node is held to.
 """
 
 from __future__ import annotations
@@ -18,22 +18,22 @@
 from leadrudder.experiment.server import Server
 from leadrudder.interface import Outcome
 
-ANSWER_RESERVE_MS, ANSWER_RESERVE_MAX_SHARE = 20.0, 0.1  # of its time that a node keeps for answering
-PROBE_TIMEOUT_MS = 200.0  # that a probe may take
+ANSWER_RESERVE_MS, ANSWER_RESERVE_MAX_SHARE = 20.0, 0.1  # of a request's budget, kept for sending the answer
+PROBE_TIMEOUT_MS = 200.0
 PROBE_WORK_MS = 0.1
 
 AnswerCallback = Callable[["Answer"], None]
 
 
 class Decider(Protocol):
-    """Events in, actions out: the module, or a baseline."""
+    """Turns events into actions: the policy module, or a baseline."""
 
     def handle(self, event: api.Event, now: float) -> list[api.Action]: ...
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The final answer to a request: served, refused (with the time to come back, ms) or failed."""
+    """The final answer to a request; retry_after_ms: of a refusal, when to retry."""
 
     what: str
     retry_after_ms: float = 0.0
@@ -44,22 +44,22 @@
 
 @dataclass(slots=True, eq=False)
 class RequestSpec:
-    """A request as a node takes it."""
+    """A request as it is submitted to a node."""
 
     class_index: int
     budget_ms: float
     tenant: int
     key: int
     cost_hint_ms: float | None
-    tier_work_ms: tuple[float, ...]  # of each tier's call, ms on a core of speed 1
+    tier_work_ms: tuple[float, ...]  # for each tier, of one call, on a core of speed 1
     tier_wait_ms: tuple[float, ...]
     operation: Operation
-    inner_call: int = 0  # which of the calls of its server this is, so that keys tell them apart
+    inner_call: int = 0  # number of the call within its server's request; part of the idempotency key
 
 
 @dataclass(slots=True, eq=False)
 class Operation:
-    """What a caller wants done, over all its tries: what figures are kept of."""
+    """A caller's operation over all its tries: the unit that figures count."""
 
     number: int
     class_index: int
@@ -67,7 +67,7 @@
     worth: float
     at_ms: float
     units: float = 1.0
-    work: float = 0.0  # that went into it, at all tiers
+    work: float = 0.0  # done for it at all tiers, ms
     tries: int = 0
     attempts: int = 0
     answer: str = ""
@@ -77,7 +77,7 @@
 
 @dataclass
 class TierCounts:
-    """What happened at the nodes of a tier, and which rules were broken."""
+    """Counters of the nodes of a tier, with violations by rule."""
 
     arrivals: int = 0
     attempts: int = 0
@@ -85,22 +85,22 @@
     refused: int = 0
     failed: int = 0
     abandoned: int = 0
-    reasons: dict[str, int] = field(default_factory=dict)  # of refusals, as the module says them
+    reasons: dict[str, int] = field(default_factory=dict)  # of refusals, as given by the policy module
     outcomes: dict[str, int] = field(default_factory=dict)
     violations: dict[str, int] = field(default_factory=dict)
 
     def count_refusal(self, action: api.Refuse) -> None:
-        """The module refuses a request; one of a revision that says no reason is counted without."""
-        why = getattr(action, "why", None)
-        if why is not None:
-            self.reasons[why.value] = self.reasons.get(why.value, 0) + 1
+        """Count a refusal by its reason; older revisions of the policy module give none."""
+        reason = getattr(action, "why", None)
+        if reason is not None:
+            self.reasons[reason.value] = self.reasons.get(reason.value, 0) + 1
 
     def count_violation(self, rule: str) -> None:
         self.violations[rule] = self.violations.get(rule, 0) + 1
 
 
 class EffectTracker:
-    """Which unsafe and keyed requests have run: rule 2."""
+    """Which unsafe and keyed requests have run, to detect violations of rule 2 (no effect twice)."""
 
     def __init__(self, classes: tuple[api.RequestClass, ...], counts: Callable[[int], TierCounts]) -> None:
         self._classes = classes
@@ -109,7 +109,7 @@
         self._keys: dict[tuple[int, int, int, int], tuple[float, int]] = {}
 
     def start(self, request: OpenRequest, server: Server, now: float) -> bool:
-        """False for a repeat that the server's group drops."""
+        """Note that a request starts; False for a repeat that the server's repeat group drops."""
         kind = self._classes[request.spec.class_index]
         if kind.effect is api.Effect.SAFE:
             return True
@@ -124,7 +124,7 @@
         if last is not None and now - last[0] <= kind.window_ms:
             if last[1] == group:
                 return False
-            if request.ran:  # a caller who tries again himself answers for that himself
+            if request.ran:  # a repeat by the caller itself is no violation of the node's
                 self._counts(server.tier).count_violation("twice")
         self._keys[key] = (now, group)
         request.ran = True
@@ -133,7 +133,7 @@
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """A request that a node owes an answer."""
+    """A request that a node has accepted and must answer."""
 
     number: int
     spec: RequestSpec
@@ -146,17 +146,17 @@
 
 
 class Attempt:
-    """One attempt on its way, at its server, or on its way back. It is the server's Call."""
+    """One attempt, from sending until its outcome. The server sees it as its ServerCall."""
 
     __slots__ = (
-        "_connected",
+        "_has_connection",
         "_node",
         "_timer",
         "arrived",
         "cancel_next_tier",
         "ended",
         "number",
-        "sent",
+        "sent_ms",
         "server",
         "open_request",
         "wait_ms",
@@ -168,10 +168,10 @@
         self.open_request = open_request
         self.number = number
         self.server = server
-        self.sent = node.clock.now
-        self.ended = self.arrived = self._connected = False
+        self.sent_ms = node.clock.now
+        self.ended = self.arrived = self._has_connection = False
         self._timer: ScheduledCall | None = None
-        self.cancel_next_tier: Callable[[], None] | None = None  # withdraws the call to the tier behind
+        self.cancel_next_tier: Callable[[], None] | None = None
         noise = node.fleet.attempt_noise(open_request.spec.class_index)
         self.work_ms = open_request.spec.tier_work_ms[node.tier] * noise
         self.wait_ms = open_request.spec.tier_wait_ms[node.tier] * noise
@@ -187,21 +187,21 @@
         if server.vanished:
             if server.name not in node.connected:
                 node.clock.after(node.connect_ms, self.end, Outcome.CONNECT_FAILED)
-            return  # an open connection swallows it
+            return  # data sent on an open connection is lost silently, until the timeout
         if not server.alive:
             node.connected.discard(server.name)
             node.clock.after(node.one_way_ms(server), self.end, Outcome.CONNECT_FAILED)
             return
         node.connected.add(server.name)
-        opening = node.connections.acquire(server)
-        if opening is None:
+        handshake_ms = node.connections.acquire(server)
+        if handshake_ms is None:
             self.answer(Outcome.FULL, ())
             return
-        self.work_ms += opening
-        self.arrived = self._connected = True
+        self.work_ms += handshake_ms
+        self.arrived = self._has_connection = True
         server.receive(self)
 
-    # What the server asks and tells.
+    # Called by the server.
 
     def on_started(self, server: Server) -> bool:
         return self._node.effects.start(self.open_request, server, self._node.clock.now)
@@ -221,10 +221,10 @@
             self.cancel_next_tier = None
 
     def remaining_ms(self) -> float:
-        """Of the time that its request has."""
+        """Time until its request's deadline."""
         return self.open_request.deadline - self._node.clock.now
 
-    # The one outcome.
+    # The outcome, exactly one for each attempt.
 
     def end(self, outcome: Outcome, load: tuple[float, ...] = ()) -> None:
         if self.ended:
@@ -232,16 +232,16 @@
         self.ended = True
         if self._timer is not None:
             self._timer.cancel()
-        given_up = outcome in (Outcome.TIMEOUT, Outcome.CANCELLED)
-        if self._connected:
-            self._node.connections.release(self.server, reusable=not given_up)
-        if given_up and self.arrived:
+        was_abandoned = outcome in (Outcome.TIMEOUT, Outcome.CANCELLED)
+        if self._has_connection:
+            self._node.connections.release(self.server, reusable=not was_abandoned)
+        if was_abandoned and self.arrived:
             self._node.clock.after(self._node.one_way_ms(self.server), self.server.cancel, self)
         self._node.attempt_ended(self, outcome, load)
 
 
 class NodeEndpoint(Protocol):
-    """What callers and servers need of a node, modelled or whole."""
+    """What callers and servers use of a node, whether modelled or real."""
 
     tier: int
     zone: int
@@ -255,7 +255,7 @@
 
 
 class ParentCall(Protocol):
-    """A call at a server, as far as the calls to the tier behind go by it."""
+    """A call at a server, as seen by the calls that it makes to the next tier."""
 
     open_request: OpenRequest
     cancel_next_tier: Callable[[], None] | None
@@ -264,21 +264,21 @@
 
 
 class FleetView(Protocol):
-    """What a node needs of the fleet around it."""
+    """What a node uses of its fleet."""
 
     def call_next_tier(self, attempt: ParentCall, server: Server, done: Callable[[bool], None]) -> None: ...
 
     def servers_of_tier(self, tier: int) -> dict[bytes, Server]: ...
 
     def request_list(self, node: Node) -> None:
-        """It asks for its list."""
+        """Answer a node's request for the server list."""
 
     def attempt_noise(self, class_index: int) -> float:
-        """What an attempt takes, against the request's own work."""
+        """A random factor on the work and the wait of one attempt."""
 
 
 class Node:
-    """One node before a tier."""
+    """One node in front of a tier."""
 
     def __init__(
         self,
@@ -289,9 +289,9 @@
         zone: int,
         counts: TierCounts,
         effects: EffectTracker,
-        way: Callable[[int, int], float],
+        one_way_ms: Callable[[int, int], float],
         connect_ms: float,
-        grace_ms: float,
+        drain_grace_ms: float,
         idle_ms: float = 0.0,
     ) -> None:
         self.clock, self.fleet, self.tier, self.zone = clock, fleet, tier, zone
@@ -301,29 +301,29 @@
         self.alive = True
         self._decider = decider
         self._counts = counts
-        self._way = way
-        self._grace = grace_ms
+        self._one_way_ms = one_way_ms
+        self._drain_grace_ms = drain_grace_ms
         self._servers = fleet.servers_of_tier(tier)
-        self._told: dict[bytes, float] = {}  # when it was told that a server drains or is gone
+        self._withdrawn_at: dict[bytes, float] = {}  # when the list said that a server drains or is gone
         self._events: deque[api.Event] = deque()
         self._handling = False
         self._requests: dict[int, OpenRequest] = {}
-        self._calls: dict[tuple[int, int], Attempt] = {}
-        self._last = 0
+        self._attempts: dict[tuple[int, int], Attempt] = {}
+        self._last_number = 0
 
     def one_way_ms(self, server: Server) -> float:
-        return self._way(self.zone, server.plan.zone)
+        return self._one_way_ms(self.zone, server.plan.zone)
 
     # ------------------------------------------------------------ requests
 
     def submit(self, ask: RequestSpec, done: AnswerCallback) -> OpenRequest:
-        """From here on it owes one answer."""
-        self._last += 1
+        """Accept a request; it is answered exactly once."""
+        self._last_number += 1
         self._counts.arrivals += 1
         budget = max(1.0, ask.budget_ms - min(ANSWER_RESERVE_MS, ANSWER_RESERVE_MAX_SHARE * ask.budget_ms))
-        open_request = OpenRequest(self._last, ask, self.clock.now + budget, done)
+        open_request = OpenRequest(self._last_number, ask, self.clock.now + budget, done)
         self._requests[open_request.number] = open_request
-        self._post(
+        self._handle_event(
             api.Arrival(
                 open_request.number,
                 ask.class_index,
@@ -337,16 +337,16 @@
         return open_request
 
     def abandon(self, open_request: OpenRequest) -> None:
-        """Its caller waits no longer: rule 1 is broken where an answer was still owed in time."""
+        """Its caller has given up: a violation of rule 1 (every request is answered) past its deadline."""
         if not open_request.closed:
             open_request.closed = True
             del self._requests[open_request.number]
             self._counts.abandoned += 1
             if self.alive and self.clock.now >= open_request.deadline + 1.0:
                 self._counts.count_violation("lost")
-            self._post(api.RequestGone(open_request.number))
+            self._handle_event(api.RequestGone(open_request.number))
 
-    def _close(self, number: int, answer: Answer) -> None:
+    def _finish(self, number: int, answer: Answer) -> None:
         open_request = self._requests.pop(number, None)
         if open_request is None:
             self._counts.count_violation("answered twice")
@@ -357,17 +357,17 @@
     # ------------------------------------------------------------ events and actions
 
     def deliver(self, event: api.Event) -> None:
-        """From outside: lists and timers."""
+        """Handle an event from outside: server lists and timers."""
         if isinstance(event, api.ServerList):
             for entry in event.entries:
                 if entry.readiness is api.Readiness.READY:
-                    self._told.pop(entry.server, None)
+                    self._withdrawn_at.pop(entry.server, None)
                 else:
-                    self._told.setdefault(entry.server, self.clock.now)
+                    self._withdrawn_at.setdefault(entry.server, self.clock.now)
                     self.connected.discard(entry.server)
-        self._post(event)
+        self._handle_event(event)
 
-    def _post(self, event: api.Event) -> None:
+    def _handle_event(self, event: api.Event) -> None:
         if not self.alive:
             return
         self._events.append(event)
@@ -376,23 +376,23 @@
         self._handling = True
         while self._events:
             for action in self._decider.handle(self._events.popleft(), self.clock.now):
-                self._carry_out(action)
+                self._perform(action)
         self._handling = False
 
-    def _carry_out(self, action: api.Action) -> None:
+    def _perform(self, action: api.Action) -> None:
         if isinstance(action, api.Send):
             self._send(action)
         elif isinstance(action, api.SetTimer):
-            self.clock.after(action.at_ms - self.clock.now, self._post, api.TimerFired(action.token))
+            self.clock.after(action.at_ms - self.clock.now, self._handle_event, api.TimerFired(action.token))
         elif isinstance(action, api.Refuse):
             self._counts.refused += 1
             self._counts.count_refusal(action)
-            self._close(action.request, Answer("refused", action.retry_after_ms))
+            self._finish(action.request, Answer("refused", action.retry_after_ms))
         elif isinstance(action, api.Fail):
             self._counts.failed += 1
-            self._close(action.request, FAILED)
+            self._finish(action.request, FAILED)
         elif isinstance(action, api.Cancel):
-            call = self._calls.get((action.request, action.attempt))
+            call = self._attempts.get((action.request, action.attempt))
             if call is not None:
                 call.end(Outcome.CANCELLED)
         elif isinstance(action, api.Subscribe):
@@ -406,14 +406,14 @@
     def _probe(self, name: bytes) -> None:
         server = self._servers[name]
         silent = server.vanished or server.hung or not server.alive
-        took = (
+        elapsed_ms = (
             PROBE_TIMEOUT_MS
             if silent
             else 2.0 * self.one_way_ms(server) + PROBE_WORK_MS * (1 + server.request_count)
         )
-        outcome = Outcome.TIMEOUT if silent or took >= PROBE_TIMEOUT_MS else Outcome.OK
-        took = min(took, PROBE_TIMEOUT_MS)
-        self.clock.after(took, self._post, api.ProbeEnded(name, outcome, took))
+        outcome = Outcome.TIMEOUT if silent or elapsed_ms >= PROBE_TIMEOUT_MS else Outcome.OK
+        elapsed_ms = min(elapsed_ms, PROBE_TIMEOUT_MS)
+        self.clock.after(elapsed_ms, self._handle_event, api.ProbeEnded(name, outcome, elapsed_ms))
 
     # ------------------------------------------------------------ attempts
 
@@ -423,14 +423,14 @@
             self._counts.count_violation("sent after its answer")
             return
         name = action.server
-        told = self._told.get(name)
-        if told is not None and self.clock.now > told + self._grace:
+        withdrawn_at = self._withdrawn_at.get(name)
+        if withdrawn_at is not None and self.clock.now > withdrawn_at + self._drain_grace_ms:
             self._counts.count_violation("drain")
         number, open_request.attempts = open_request.attempts, open_request.attempts + 1
         self._counts.attempts += 1
         open_request.spec.operation.attempts += 1
         attempt = Attempt(self, open_request, number, self._servers[name])
-        open_request.attempts_out[number] = self._calls[open_request.number, number] = attempt
+        open_request.attempts_out[number] = self._attempts[open_request.number, number] = attempt
         left = open_request.deadline - self.clock.now
         attempt.start(min(action.timeout_ms, left) if action.timeout_ms > 0.0 else left)
 
@@ -438,14 +438,14 @@
         open_request = attempt.open_request
         if not self.alive:
             return
-        del open_request.attempts_out[attempt.number], self._calls[open_request.number, attempt.number]
-        counted = self._counts.outcomes
-        counted[outcome.value] = counted.get(outcome.value, 0) + 1
+        del open_request.attempts_out[attempt.number], self._attempts[open_request.number, attempt.number]
+        outcome_counts = self._counts.outcomes
+        outcome_counts[outcome.value] = outcome_counts.get(outcome.value, 0) + 1
         if outcome is Outcome.OK and not open_request.closed:
             self._counts.served += 1
-            self._close(open_request.number, SERVED)
-        elapsed = self.clock.now - attempt.sent
-        self._post(
+            self._finish(open_request.number, SERVED)
+        elapsed = self.clock.now - attempt.sent_ms
+        self._handle_event(
             api.AttemptEnded(
                 open_request.number,
                 attempt.number,
@@ -458,12 +458,12 @@
         )
 
     def stop(self) -> None:
-        """The process ends at once; what it held is lost with it, and its servers see their callers leave."""
+        """End the process: its requests are lost, and its connections are closed at the servers."""
         self.alive = False
         self.connections.close()
-        for attempt in list(self._calls.values()):
+        for attempt in list(self._attempts.values()):
             attempt.end(Outcome.CANCELLED)
-        self._calls.clear()
+        self._attempts.clear()
         for open_request in list(self._requests.values()):
             open_request.closed = True
             open_request.on_answer(RESET)
@@ -473,7 +473,7 @@
 def one_way_latency(
     rng: random.Random, same: float, cross: float, jitter: float
 ) -> Callable[[int, int], float]:
-    """One way between two zones, ms."""
+    """A function that draws the one-way latency between two zones, ms."""
 
     def latency_ms(one: int, other: int) -> float:
         return (same if one == other else cross) * (1.0 + jitter * rng.random())
--- a/leadrudder/experiment/play.py
+++ b/leadrudder/experiment/play.py
@@ -1,4 +1,4 @@
-"""One run of the policy-only model: an experiment file, a side and a seed in, figures out."""
+"""Runs the model: an experiment file, a side and a seed in, figures out."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 from leadrudder.experiment.spec import File
 from leadrudder.experiment.troubles import Troubles
 
-GC_THRESHOLD = 1_000_000  # objects between two looks for garbage: hardly any of it is in circles
-PROGRESS_INTERVAL_MS = 1000.0  # between two calls of progress
+GC_THRESHOLD = 1_000_000  # objects between two garbage collections: hardly any garbage is cyclic
+PROGRESS_INTERVAL_MS = 1000.0  # of virtual time, between two calls of progress
 
 
 def decider_factory(policy: str, limit_each: float = 0.0) -> DeciderFactory:
-    """What makes a node's decisions: the module as this process imports it, or a baseline.
+    """A factory of a node's decisions: the policy module as imported in this process, or a baseline.
 
-    limit_each: calls out for each warm server, of the policy limit-fixed.
+    limit_each: outstanding calls for each warm server, of the policy limit-fixed.
     """
     if policy in BASELINES:
         return BASELINES[policy]
@@ -55,50 +55,56 @@
     folder: Path = Path("."),
     progress: Callable[[float], None] | None = None,
 ) -> Result:
-    """Play to the end of its time, then until the last request is answered.
+    """Play a run to the end of its time, then until the last request is answered.
 
     model: policy, the decisions against modelled nodes; or whole, real nodes on the simulation's network.
-    folder: what a trace's path is relative to. progress: called with the part that is done. TraceError for a
-    trace that cannot be played.
+    folder: base of a trace's relative path. progress: called with the share that is done. Raises TraceError
+    for a trace that cannot be played.
     """
     name = f"{seed}"
     file = drawn(file, name)
     shape = shape_of(file)
-    with _quiet(model):
+    with _log_context(model):
         clock, fleet = _build(file, shape, name, decider, model)
-        before = gc.get_threshold()
-        gc.set_threshold(GC_THRESHOLD, *before[1:])
+        thresholds = gc.get_threshold()
+        gc.set_threshold(GC_THRESHOLD, *thresholds[1:])
         try:
             return _run(file, name, clock, fleet, folder, progress)
         finally:
-            gc.set_threshold(*before)
+            gc.set_threshold(*thresholds)
             gc.unfreeze()
 
 
-def _quiet(model: str) -> AbstractContextManager[None]:
-    return nullcontext() if model == "policy" else cast(AbstractContextManager[None], _whole().silenced_log())
+def _log_context(model: str) -> AbstractContextManager[None]:
+    return (
+        nullcontext()
+        if model == "policy"
+        else cast(AbstractContextManager[None], _whole_module().silenced_log())
+    )
 
 
-def _whole() -> ModuleType:
-    return importlib.import_module("leadrudder.experiment.whole")  # real nodes: not every run needs them
+def _whole_module() -> ModuleType:
+    return importlib.import_module(
+        "leadrudder.experiment.whole"
+    )  # imports the node code, which not every run needs
 
 
 def _build(file: File, shape: Shape, name: str, decider: DeciderFactory, model: str) -> tuple[Clock, Fleet]:
-    """The fleet at its begin.
+    """The fleet at the start of the run.
 
-    What is made here lives to the end, and is left out of all looks for garbage: in fleets of many nodes by
-    many servers those looks took half of the time.
+    Objects made here live to the end and are frozen, as in fleets of many nodes by many servers garbage
+    collections of them took half of the time.
     """
-    looks = gc.isenabled()
+    gc_enabled = gc.isenabled()
     gc.disable()
     try:
         if model == "whole":
-            clock, fleet = _whole().build_fleet(file, shape, name, decider)
+            clock, fleet = _whole_module().build_fleet(file, shape, name, decider)
         else:
             clock = Clock(file.runs.most_steps)
             fleet = Fleet(clock, file, shape, name, decider)
     finally:
-        if looks:
+        if gc_enabled:
             gc.enable()
     gc.freeze()
     return clock, fleet
--- a/leadrudder/experiment/whole.py
+++ b/leadrudder/experiment/whole.py
@@ -1,8 +1,8 @@
 """The whole model: real node code on the simulation's network and loop, between modelled servers and callers.
 
-Servers, callers, lists' lags, troubles and figures are those of the policy-only model; what differs is
-everything between them: bytes, connections, the parser, the core, discovery's watch, and timers in whole
-milliseconds. So what the two models do not agree on is what the policy-only one leaves out.
+Servers, callers, list delays, troubles and figures are those of the policy-only model. What differs is all
+that is between them: bytes, connections, the parser, the core, discovery's watch, and timers in whole
+milliseconds. Where the two models disagree, the cause is something that the policy-only model leaves out.
 """
 
 from __future__ import annotations
@@ -52,50 +52,50 @@
 
 PORT = 8000
 CONNECTION_IDLE_MS = 30_000.0
-DEFAULT_TENANT = "all"  # the one tenant where the file names none
-CALLERS_HOST = "10.0.0.1"  # their way to a node is in the callers' own model, and takes no time here
-START_US = 1_000_000  # time at which the world begins: nodes are up when the first request comes
+DEFAULT_TENANT = "all"  # of a file without tenants
+CALLERS_HOST = "10.0.0.1"  # no latency here: the callers' model has the latency to a node
+START_US = 1_000_000  # nodes get this long to start before the first request
 
 
 class SchedulerClock(Clock):
-    """The model's clock on the simulation's scheduler, so that both have one time."""
+    """The model's clock, driven by the simulation's scheduler, so that both share one time."""
 
-    def __init__(self, scheduler: Scheduler, most_steps: int) -> None:
-        super().__init__(most_steps)
+    def __init__(self, scheduler: Scheduler, max_steps: int) -> None:
+        super().__init__(max_steps)
         self.scheduler = scheduler
-        self._base = 0
+        self._start_us = 0
 
     def after(self, delay_ms: float, call: Callable[..., object], *args: Any) -> ScheduledCall:
         entry = ScheduledCall(None, call, args)
-        # Up to the next microsecond: rounded down, what is nearly done would be looked at for ever.
+        # Rounds up to a microsecond: rounded down, a nearly finished job would be rescheduled for ever.
         due = self.scheduler.now + max(0, math.ceil(1000.0 * delay_ms))
-        self.scheduler.timer(due, None, "model", self._make, entry)
+        self.scheduler.timer(due, None, "model", self._run_entry, entry)
         return entry
 
     def begin(self) -> None:
-        """From here on its time is counted."""
-        self._base = self.scheduler.now
+        """Set the model's time to zero."""
+        self._start_us = self.scheduler.now
         self.now = 0.0
 
     def scheduler_ms(self, at_ms: float) -> float:
-        """An instant of the model on the scheduler's clock, as nodes and lists have it."""
-        return at_ms + self._base / 1000.0
+        """Convert a time of the model to the scheduler's clock, which nodes and lists use."""
+        return at_ms + self._start_us / 1000.0
 
-    def _make(self, entry: ScheduledCall) -> None:
-        self.now = (self.scheduler.now - self._base) / 1000.0
+    def _run_entry(self, entry: ScheduledCall) -> None:
+        self.now = (self.scheduler.now - self._start_us) / 1000.0
         if entry.call is not None:
             entry.call(*entry.args)
 
     def run(self, until_ms: float) -> None:
         scheduler = self.scheduler
-        end = self._base + round(1000.0 * until_ms)
+        end = self._start_us + round(1000.0 * until_ms)
         while (due := scheduler.next_due()) is not None and due <= end:
-            # What happens in a process sees the time as well: servers answer from there.
-            self.now = (due - self._base) / 1000.0
+            # Code in processes reads this clock too: servers answer from there.
+            self.now = (due - self._start_us) / 1000.0
             scheduler.run_one()
-            if scheduler.steps > self._most:
+            if scheduler.steps > self._max_steps:
                 raise StepLimitError(
-                    f"more than {self._most} steps by {self.now / 1000.0:.1f} s of virtual time"
+                    f"more than {self._max_steps} steps by {self.now / 1000.0:.1f} s of virtual time"
                 )
         scheduler.timer(end, None, "until", _nothing)
         while (due := scheduler.next_due()) is not None and due <= end:
@@ -105,39 +105,39 @@
 
 
 def _nothing() -> None:
-    """Only moves the time."""
+    """Only advances the time."""
 
 
 class FleetNetwork(Network):
-    """The simulation's network with this fleet's latencies."""
+    """The simulation's network, with the latencies of this fleet."""
 
     def __init__(self, scheduler: Scheduler, seed: str, way: Callable[[int, int], float]) -> None:
         super().__init__(scheduler, seed, Untapped())
         self.weather.split = 0.0
         self.zones: dict[str, int] = {}
-        self._fleet_way = way
+        self._one_way_ms = way
 
     def latency(self, rng: Any, one: str, other: str) -> int:
         if CALLERS_HOST in (one, other) or one == other:
             return 1
-        return max(1, round(1000.0 * self._fleet_way(self.zones.get(one, 0), self.zones.get(other, 0))))
+        return max(1, round(1000.0 * self._one_way_ms(self.zones.get(one, 0), self.zones.get(other, 0))))
 
 
 class WireCall:
-    """A request that has reached a server: the model's Call, answered in bytes."""
+    """A request at a server, answered in bytes: the ServerCall of this model."""
 
     def __init__(
         self,
         fleet: WholeFleet,
         server: Server,
-        side: ServerConnection,
+        connection: ServerConnection,
         open_request: OpenRequest,
-        left: float,
+        remaining_ms: float,
     ) -> None:
         self._fleet = fleet
-        self._side = side
+        self._connection = connection
         self.open_request = open_request
-        self.deadline = fleet.clock.now + left
+        self.deadline = fleet.clock.now + remaining_ms
         self.cancel_next_tier: Callable[[], None] | None = None
         self.over = False
         noise = fleet.attempt_noise(open_request.spec.class_index)
@@ -152,7 +152,7 @@
 
     def answer(self, outcome: Outcome, load: tuple[float, ...]) -> None:
         self.over = True
-        self._side.answered(self, outcome, load)
+        self._connection.answered(self, outcome, load)
 
     def add_work(self, work_ms: float) -> None:
         self.open_request.spec.operation.work += work_ms
@@ -168,7 +168,7 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """A connection of a node's at a server."""
+    """The server's end of a connection from a node."""
 
     def __init__(self, fleet: WholeFleet, server: Server) -> None:
         self._fleet, self._server = fleet, server
@@ -184,26 +184,26 @@
             if frame.target == "/health":
                 self.transport.write(answer(503 if self._server.draining else 200))
                 continue
-            open_request = self._fleet.asked[frame.headers["x-request-id"]]
+            open_request = self._fleet.open_requests[frame.headers["x-request-id"]]
             open_request.spec.operation.attempts += 1
             self._fleet.counts[self._server.tier].attempts += 1
-            left = 1000.0 * float(frame.headers.get("x-deadline", "60"))
-            self._call = WireCall(self._fleet, self._server, self, open_request, left)
+            remaining_ms = 1000.0 * float(frame.headers.get("x-deadline", "60"))
+            self._call = WireCall(self._fleet, self._server, self, open_request, remaining_ms)
             self._server.receive(self._call)
 
     def answered(self, call: WireCall, outcome: Outcome, load: tuple[float, ...]) -> None:
-        counted = self._fleet.counts[self._server.tier].outcomes
-        counted[outcome.value] = counted.get(outcome.value, 0) + 1
+        outcome_counts = self._fleet.counts[self._server.tier].outcomes
+        outcome_counts[outcome.value] = outcome_counts.get(outcome.value, 0) + 1
         if call is not self._call or outcome is Outcome.RESET or self.transport.is_closing():
             return
         self._call = None
-        told = f'X-Load: {{"util":{load[0]:.4f},"inflight":{load[1]:.2f}}}\r\n' if load else ""
+        load_header = f'X-Load: {{"util":{load[0]:.4f},"inflight":{load[1]:.2f}}}\r\n' if load else ""
         if outcome is Outcome.OK:
-            self.transport.write(answer(200, b"{}", told))
+            self.transport.write(answer(200, b"{}", load_header))
         elif outcome is Outcome.FULL:
-            self.transport.write(answer(503, headers=f"X-Not-Run: 1\r\n{told}"))
+            self.transport.write(answer(503, headers=f"X-Not-Run: 1\r\n{load_header}"))
         else:
-            self.transport.write(answer(500, headers=told))
+            self.transport.write(answer(500, headers=load_header))
 
     def connection_lost(self, exc: Exception | None) -> None:
         call, self._call = self._call, None
@@ -212,7 +212,7 @@
 
 
 class RefusalCounter:
-    """A node's decisions, with the reasons of refusals counted: bytes do not tell them."""
+    """A node's balancer that counts the reasons of refusals, which answers on the wire do not carry."""
 
     def __init__(self, balancer: Balancer, counts: TierCounts) -> None:
         self._balancer, self._counts = balancer, counts
@@ -229,7 +229,7 @@
 
 
 class WholeNode:
-    """A real node in a process of its own, and the client that calls it."""
+    """A real node in a process of its own, with the client that calls it."""
 
     def __init__(
         self, fleet: WholeFleet, name: str, tier: int, zone: int, host: str, client: VirtualLoop, config: str
@@ -245,10 +245,10 @@
             "NODE_CONFIG": "config.json",
         }
         platform = NodePlatform(fleet.scheduler, {"config.json": config})
-        real = load_config(environment, platform)
+        node_config = load_config(environment, platform)
 
         async def main() -> None:
-            node = RealNode(real, platform)
+            node = RealNode(node_config, platform)
             node._balancer = cast(Balancer, RefusalCounter(node._balancer, self._counts))
             await node.start()
             await node.wait()
@@ -258,13 +258,13 @@
         self._calls: dict[OpenRequest, ClientCall] = {}
 
     def submit(self, ask: RequestSpec, done: AnswerCallback) -> OpenRequest:
-        """Ask it as the platform's callers do."""
+        """Send a request as HTTP, with the headers that callers use."""
         fleet = self.fleet
-        fleet.last += 1
+        fleet.last_number += 1
         self._counts.arrivals += 1
-        open_request = OpenRequest(fleet.last, ask, fleet.clock.now + ask.budget_ms, done)
+        open_request = OpenRequest(fleet.last_number, ask, fleet.clock.now + ask.budget_ms, done)
         kind = fleet.file.request_class[ask.class_index]
-        name = f"{fleet.last:016x}"
+        name = f"{fleet.last_number:016x}"
         headers = {
             "X-Request-Id": name,
             "X-Class": kind.name,
@@ -275,9 +275,9 @@
             headers["X-Cost-Hint"] = f"{1000.0 * ask.cost_hint_ms:.0f}"
         if kind.effect == "keyed":
             headers["Idempotency-Key"] = f"{ask.key:x}-{ask.inner_call:x}-{self.tier}"
-        fleet.asked[name] = open_request
+        fleet.open_requests[name] = open_request
         data = request("GET" if kind.effect == "safe" else "POST", f"/api/{name}", headers)
-        # The caller's own clock decides when it leaves; this one only bounds what is left lying.
+        # The caller's model gives up earlier; this time-out only bounds what a lost call holds.
         call = self._client.ask(
             data, ask.budget_ms / 1000.0 + 1.0, functools.partial(self._answered, open_request)
         )
@@ -286,7 +286,7 @@
         return open_request
 
     def abandon(self, open_request: OpenRequest) -> None:
-        """Its caller waits no longer: rule 1 is broken where an answer was still owed in time."""
+        """Its caller has given up: a violation of rule 1 (every request is answered) past its deadline."""
         call = self._calls.pop(open_request, None)
         if open_request.closed:
             return
@@ -320,7 +320,7 @@
 
 
 class WireRegistry(Registry):
-    """The lagging list, told by the simulation's discovery."""
+    """The delayed server list, served by the simulation's discovery."""
 
     def __init__(self, fleet: WholeFleet, tier: int, rng: Any, *, tells_capacity: bool) -> None:
         super().__init__(fleet.clock, fleet.file.fleet.lists, rng, tells_capacity=tells_capacity)
@@ -365,7 +365,7 @@
 
 
 class WholeFleet(Fleet):
-    """The fleet with real nodes."""
+    """A fleet with real nodes."""
 
     clock: SchedulerClock
 
@@ -373,14 +373,14 @@
         self, clock: SchedulerClock, file: File, shape: Shape, seed: str, decider: DeciderFactory
     ) -> None:
         self.scheduler = clock.scheduler
-        self.asked: dict[str, OpenRequest] = {}
+        self.open_requests: dict[str, OpenRequest] = {}
         self.hosts: dict[bytes, str] = {}
-        self.last = 0
+        self.last_number = 0
         self._loops: dict[bytes, VirtualLoop] = {}
         self._processes: list[VirtualLoop] = []
-        self._hosts = 0
+        self._host_count = 0
         self.faults: list[str] = []
-        self.network = FleetNetwork(clock.scheduler, seed, lambda one, other: self._way(one, other))
+        self.network = FleetNetwork(clock.scheduler, seed, lambda one, other: self._one_way_ms(one, other))
         self._callers = self.process("callers", CALLERS_HOST, 0)
         super().__init__(clock, file, shape, seed, decider)
 
@@ -389,16 +389,16 @@
         return self._effects
 
     def process(self, name: str, host: str, zone: int) -> VirtualLoop:
-        """A process on a machine in a zone."""
-        # Typeshed calls asyncio's base class abstract; what it does not have here raises, as there.
+        """Make a process on a machine in a zone."""
+        # Typeshed marks asyncio's base class as abstract; methods missing here raise, as in asyncio.
         loop = VirtualLoop(  # type: ignore[abstract]
-            name, host, self.scheduler, self.network, self._fault
+            name, host, self.scheduler, self.network, self._record_fault
         )
         self.network.zones[host] = zone
         self._processes.append(loop)
         return loop
 
-    def _fault(self, loop: VirtualLoop, text: str) -> None:
+    def _record_fault(self, loop: VirtualLoop, text: str) -> None:
         self.counts[0].count_violation("exception")
         self.faults.append(f"in {loop.name}: {text}")
 
@@ -409,10 +409,10 @@
         return servers
 
     def _listen(self, server: Server) -> None:
-        """A process for a server, on its own machine."""
+        """Make a process for a server, on its own machine."""
         if server.name not in self.hosts:
-            self._hosts += 1
-            self.hosts[server.name] = f"10.2.{self._hosts // 250}.{self._hosts % 250 + 1}"
+            self._host_count += 1
+            self.hosts[server.name] = f"10.2.{self._host_count // 250}.{self._host_count % 250 + 1}"
         host = self.hosts[server.name]
         old = self._loops.get(server.name)
         if old is not None:
@@ -425,9 +425,9 @@
         self.network.listen(loop, lambda: ServerConnection(self, server), (host, PORT))
 
     def _registry(self, tier: int) -> Registry:
-        told = self.file.fleet.node.capacity_hints
+        tells_capacity = self.file.fleet.node.capacity_hints
         rng = Random(f"{self._seed}/lists/{tier}")
-        return WireRegistry(self, tier, rng, tells_capacity=told)
+        return WireRegistry(self, tier, rng, tells_capacity=tells_capacity)
 
     def _node(self, tier: int, nodes: int, ordinal: int, zone: int) -> WholeNode:
         registry = cast(WireRegistry, self.registries[tier])
@@ -467,7 +467,7 @@
 
 
 def nested_settings(settings: api.Settings, file: File) -> dict[str, Any]:
-    """Settings as a node's configuration holds them."""
+    """Settings in the form of a node's configuration."""
     return {
         "azs": list(file.fleet.network.zones),
         "locality": settings.zone,
@@ -515,7 +515,7 @@
         "registryMode": "on_request" if settings.ask_for_list else "pushed",
         "tenants": [
             {"name": t.name, "fraction": t.fraction, "quotaPerS": t.quota_per_s}
-            # Inner tiers know their names, as callers' requests carry them, and hold nobody to a share.
+            # Inner tiers get the names, which requests carry, without quotas.
             for t in settings.tenants
             or tuple(api.Tenant(t.name, t.share, 0.0) for t in file.tenant)
             or (api.Tenant(DEFAULT_TENANT, 1.0, 0.0),)
@@ -530,7 +530,7 @@
 
 @contextmanager
 def silenced_log() -> Iterator[None]:
-    """A node's log is not what a run is asked for; whoever played it has his own log back afterwards."""
+    """Silence the nodes' log during a run, and restore its level afterwards."""
     log = logging.getLogger("leadrudder")
     before = log.level
     log.setLevel(logging.CRITICAL)
@@ -543,7 +543,7 @@
 def build_fleet(
     file: File, shape: Shape, seed: str, decider: DeciderFactory
 ) -> tuple[SchedulerClock, WholeFleet]:
-    """The fleet of one run, its nodes up, and the clock that plays it."""
+    """Build the fleet of one run and its clock, and start the nodes."""
     clock = SchedulerClock(Scheduler(seed), file.runs.most_steps)
     fleet = WholeFleet(clock, file, shape, seed, decider)
     clock.run(START_US / 1000.0)
