--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -17,7 +17,7 @@
 
 from leadrudder.experiment.loader import load
 from leadrudder.experiment.plan import apply_changes
-from leadrudder.experiment.play import decider_of, play
+from leadrudder.experiment.play import decider_factory, play
 
 MEAN_WORK_MS = 50.0
 LOAD_FRACTION = 0.5  # of the large fleet's capacity
@@ -30,7 +30,7 @@
     requests, services = 0.0, []
     started_at = time.process_time()
     for seed in seeds:
-        result = play(file, seed, decider_of("leadrudder"), model=model)
+        result = play(file, seed, decider_factory("leadrudder"), model=model)
         requests += result.figures["requests"]
         services.append(result.figures["service"])
         print(f"{model} seed {seed}: service {services[-1]:.3f} broken {result.broken}", file=sys.stderr)
@@ -68,7 +68,7 @@
             last_print_at = time.perf_counter()
             print(f"{100 * fraction:.0f}% after {last_print_at - started_at:.0f} s", file=sys.stderr)
 
-    result = play(apply_changes(values, {}), 1, decider_of("leadrudder"), progress=print_progress)
+    result = play(apply_changes(values, {}), 1, decider_factory("leadrudder"), progress=print_progress)
     return {
         "wall_s": time.perf_counter() - started_at,
         "memory_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0,
--- a/leadrudder/experiment/play.py
+++ b/leadrudder/experiment/play.py
@@ -1,4 +1,4 @@
-"""One run of the policy-only model: an experiment file, a side and a seed in, figures out."""
+"""Runs the model: an experiment file, a side and a seed in, figures out."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 from leadrudder import interface as api
 from leadrudder.experiment.baselines import BASELINES
 from leadrudder.experiment.callers import Callers, read_trace
-from leadrudder.experiment.clock import Clock, Endless
+from leadrudder.experiment.clock import Clock, StepLimitError
 from leadrudder.experiment.draw import FleetShape, fleet_shape_of, sample_ranges
 from leadrudder.experiment.figures import FigureRecorder, Result
-from leadrudder.experiment.fleet import Fleet, MakeDecider
-from leadrudder.experiment.limits import LIMITS, Limited
+from leadrudder.experiment.fleet import DeciderFactory, Fleet
+from leadrudder.experiment.limits import LIMITS, LimitedBalancer
 from leadrudder.experiment.node import Decider
 from leadrudder.experiment.spec import File
 from leadrudder.experiment.troubles import Troubles
 
-YOUNG = 1_000_000  # objects between two looks for garbage: hardly any of it is in circles
-STRETCH_MS = 1000.0  # between two calls of progress
+GC_THRESHOLD = 1_000_000  # objects between two garbage collections: hardly any garbage is cyclic
+PROGRESS_INTERVAL_MS = 1000.0  # of virtual time, between two calls of progress
 
 
-def decider_of(policy: str, limit_each: float = 0.0) -> MakeDecider:
-    """What makes a node's decisions: the module as this process imports it, or a baseline.
+def decider_factory(policy: str, limit_each: float = 0.0) -> DeciderFactory:
+    """A factory of a node's decisions: the policy module as imported in this process, or a baseline.
 
-    limit_each: calls out for each warm server, of the policy limit-fixed.
+    limit_each: outstanding calls for each warm server, of the policy limit-fixed.
     """
     if policy in BASELINES:
         return BASELINES[policy]
     balancer = importlib.import_module("leadrudder.policy.decide").Balancer
 
     if policy in LIMITS:
-        return functools.partial(Limited, balancer, policy, limit_each)
+        return functools.partial(LimitedBalancer, balancer, policy, limit_each)
 
     def make(settings: api.Settings, seed: int) -> Decider:
         made: Decider = balancer(settings, seed)
@@ -49,56 +49,64 @@
 def play(
     file: File,
     seed: int,
-    decider: MakeDecider,
+    decider: DeciderFactory,
     *,
     model: str = "policy",
     folder: Path = Path("."),
     progress: Callable[[float], None] | None = None,
 ) -> Result:
-    """Play to the end of its time, then until the last request is answered.
+    """Play a run to the end of its time, then until the last request is answered.
 
     model: policy, the decisions against modelled nodes; or whole, real nodes on the simulation's network.
-    folder: what a trace's path is relative to. progress: called with the part that is done. TraceError for a
-    trace that cannot be played.
+    folder: base of a trace's relative path. progress: called with the share that is done. Raises TraceError
+    for a trace that cannot be played.
     """
     name = f"{seed}"
     file = sample_ranges(file, name)
     shape = fleet_shape_of(file)
-    with _quiet(model):
+    with _log_context(model):
         clock, fleet = _build(file, shape, name, decider, model)
-        before = gc.get_threshold()
-        gc.set_threshold(YOUNG, *before[1:])
+        thresholds = gc.get_threshold()
+        gc.set_threshold(GC_THRESHOLD, *thresholds[1:])
         try:
             return _run(file, name, clock, fleet, folder, progress)
         finally:
-            gc.set_threshold(*before)
+            gc.set_threshold(*thresholds)
             gc.unfreeze()
 
 
-def _quiet(model: str) -> AbstractContextManager[None]:
-    return nullcontext() if model == "policy" else cast(AbstractContextManager[None], _whole().quiet())
+def _log_context(model: str) -> AbstractContextManager[None]:
+    return (
+        nullcontext()
+        if model == "policy"
+        else cast(AbstractContextManager[None], _whole_module().silenced_log())
+    )
 
 
-def _whole() -> ModuleType:
-    return importlib.import_module("leadrudder.experiment.whole")  # real nodes: not every run needs them
+def _whole_module() -> ModuleType:
+    return importlib.import_module(
+        "leadrudder.experiment.whole"
+    )  # imports the node code, which not every run needs
 
 
-def _build(file: File, shape: FleetShape, name: str, decider: MakeDecider, model: str) -> tuple[Clock, Fleet]:
-    """The fleet at its begin.
+def _build(
+    file: File, shape: FleetShape, name: str, decider: DeciderFactory, model: str
+) -> tuple[Clock, Fleet]:
+    """The fleet at the start of the run.
 
-    What is made here lives to the end, and is left out of all looks for garbage: in fleets of many nodes by
-    many servers those looks took half of the time.
+    Objects made here live to the end and are frozen, as in fleets of many nodes by many servers garbage
+    collections of them took half of the time.
     """
-    looks = gc.isenabled()
+    gc_enabled = gc.isenabled()
     gc.disable()
     try:
         if model == "whole":
-            clock, fleet = _whole().build(file, shape, name, decider)
+            clock, fleet = _whole_module().build_fleet(file, shape, name, decider)
         else:
             clock = Clock(file.runs.most_steps)
             fleet = Fleet(clock, file, shape, name, decider)
     finally:
-        if looks:
+        if gc_enabled:
             gc.enable()
     gc.freeze()
     return clock, fleet
@@ -121,14 +129,14 @@
     length = 1000.0 * file.length_s
     try:
         while clock.now < length:
-            clock.run(min(length, clock.now + STRETCH_MS))
+            clock.run(min(length, clock.now + PROGRESS_INTERVAL_MS))
             if progress is not None:
                 progress(clock.now / length)
         longest = max(c.deadline_ms for c in file.request_class)
         last = length + 20.0 * (longest + file.fleet.node.most_retry_after_ms + 1000.0)
         while figures.open_operations and clock.now < last:
-            clock.run(clock.now + STRETCH_MS)
-    except Endless as error:
+            clock.run(clock.now + PROGRESS_INTERVAL_MS)
+    except StepLimitError as error:
         notes.append(str(error))
     fleet.close()
     return figures.result(fleet, troubles.struck, notes)
