--- a/leadrudder/experiment/__init__.py
+++ b/leadrudder/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments on whole fleets in virtual time: what is found out before a roll-out."""
+"""Simulates whole fleets in virtual time, to try a load, a fault or a policy before it is rolled out."""
--- a/leadrudder/experiment/charts.py
+++ b/leadrudder/experiment/charts.py
@@ -1,4 +1,4 @@
-"""Charts of an experiment's runs: one message each, units on every axis, legible at half size."""
+"""Draws charts of an experiment's runs: one message each, units on every axis, legible at half size."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 import matplotlib
 
-matplotlib.use("Agg")  # before pyplot: there is no display
+matplotlib.use("Agg")  # must precede the import of pyplot: no display is needed
 
 import matplotlib.pyplot as plt  # noqa: E402
 from hdrh.histogram import HdrHistogram  # noqa: E402
@@ -20,15 +20,15 @@
 from leadrudder.experiment import paired  # noqa: E402
 from leadrudder.experiment.store import Row  # noqa: E402
 
-SIZE_INCHES = (9.0, 4.8)  # inches
+SIZE_INCHES = (9.0, 4.8)
 DPI = 110
-FONT_POINTS = 14  # points: half of it can still be read
+FONT_POINTS = 14  # still legible when the chart is shown at half size
 SIDE_COLOURS = (
     *("#0b6e99", "#d1495b", "#3b8132", "#8d5a97", "#c77f00"),
     *("#4d4d4d", "#17becf", "#e377c2", "#a6a832", "#7f3c1d"),
 )
-MAX_SHADED_SIDES = 3  # more sides than this are drawn without what spreads about them
-SMOOTHING_S = 5  # seconds
+MAX_SHADED_SIDES = 3  # with more sides, the spread around the lines is not shaded
+SMOOTHING_S = 5
 PERCENTILES = (0.0, 50.0, 75.0, 90.0, 95.0, 98.0, 99.0, 99.5, 99.8, 99.9)
 FIGURE_LABELS = {
     "service": "worth served in time, part of what was asked",
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True)
 class Chart:
-    """A picture that was written, and what it says."""
+    """A chart that was written, and its title."""
 
     path: Path
     title: str
@@ -50,14 +50,14 @@
 
 @dataclass
 class RunSet:
-    """Runs of one experiment: sides in the order of the file, variants by the values of what varies."""
+    """The runs of one experiment, with its sides in the order of the file and its swept fields."""
 
     rows: list[Row]
     sides: list[str]
     fields: list[str]
 
     def runs_of(self, side: str, variant: dict[str, Any] | None = None) -> list[Row]:
-        """The runs of a side, of one variant or of all."""
+        """Return the runs of a side that did not fail, of one variant or of all."""
         return [
             row
             for row in self.rows
@@ -65,7 +65,7 @@
         ]
 
     def field_values(self, field: str) -> list[Any]:
-        """Those that a field takes, in order."""
+        """Return the values that a swept field takes, in order."""
         found = list(dict.fromkeys(row.variant[field] for row in self.rows if field in row.variant))
         return sorted(found) if all(isinstance(x, int | float) for x in found) else found
 
@@ -78,7 +78,7 @@
 
 
 def draw_charts(runs: RunSet, folder: Path) -> list[Chart]:
-    """All charts that these runs allow, as PNGs in the folder."""
+    """Draw all charts that apply to these runs, as PNGs in the folder."""
     with plt.rc_context({"font.size": FONT_POINTS, "axes.spines.top": False, "axes.spines.right": False}):
         charts = []
         if len(runs.fields) == 1:
@@ -120,12 +120,12 @@
 
 
 def _title_suffix(variant: dict[str, Any]) -> str:
-    """Which variant a chart is of, for its title."""
+    """Return the part of a chart's title that names its variant."""
     return " at " + "; ".join(f"{name} = {value}" for name, value in variant.items()) if variant else ""
 
 
 def _course(runs: RunSet, variant: dict[str, Any], folder: Path) -> Chart:
-    """Worth served over time: the mean of the seeds, and the worst tenth of them."""
+    """Draw the worth served over time: the mean over seeds, and their lowest decile."""
     figure, axes = _axes()
     troubles: dict[tuple[str, float, float], None] = {}
     for side, colour in zip(runs.sides, SIDE_COLOURS * 9, strict=False):
@@ -135,11 +135,11 @@
         warm_up = float(rows[0].file.get("warm_up_s", 0.0))
         courses = [_smooth(row.course["served"], row.course["asked"]) for row in rows]
         times = [warm_up + i + 1 for i in range(len(courses[0]))]
-        middle = [statistics.fmean(at) for at in zip(*courses, strict=True)]
-        low = [sorted(at)[len(at) // 10] for at in zip(*courses, strict=True)]
-        axes.plot(times, middle, color=colour, linewidth=2.5, label=side)
+        means = [statistics.fmean(at) for at in zip(*courses, strict=True)]
+        lowest_decile = [sorted(at)[len(at) // 10] for at in zip(*courses, strict=True)]
+        axes.plot(times, means, color=colour, linewidth=2.5, label=side)
         if len(runs.sides) <= MAX_SHADED_SIDES:
-            axes.fill_between(times, low, middle, color=colour, alpha=0.15, linewidth=0)
+            axes.fill_between(times, lowest_decile, means, color=colour, alpha=0.15, linewidth=0)
         for row in rows[:1]:
             troubles.update(dict.fromkeys((str(w), float(a), float(b)) for w, a, b in row.course["troubles"]))
     for i, (what, begin, end) in enumerate(troubles):
@@ -155,7 +155,7 @@
 
 
 def _sweep(runs: RunSet, name: str, folder: Path) -> Chart:
-    """A figure against the one field that varies."""
+    """Draw a figure against the only swept field."""
     figure, axes = _axes()
     (field,) = runs.fields
     values = runs.field_values(field)
@@ -182,14 +182,14 @@
 
 
 def _heatmap(runs: RunSet, side: str, name: str, folder: Path) -> Chart:
-    """A figure against the first two fields that vary; what else varies is in the mean."""
-    across, up = runs.fields[:2]
-    xs, ys = runs.field_values(across), runs.field_values(up)
+    """Draw a figure against the first two swept fields, averaged over any others."""
+    x_field, y_field = runs.fields[:2]
+    xs, ys = runs.field_values(x_field), runs.field_values(y_field)
     cells = []
     for y in ys:
         line = []
         for x in xs:
-            rows = [r for r in runs.runs_of(side) if r.variant[across] == x and r.variant[up] == y]
+            rows = [r for r in runs.runs_of(side) if r.variant[x_field] == x and r.variant[y_field] == y]
             line.append(statistics.fmean(r.figures[name] for r in rows) if rows else math.nan)
         cells.append(line)
     figure, axes = _axes(max(6.0, 1.1 * len(xs) + 3.0), max(4.2, 0.8 * len(ys) + 2.2))
@@ -202,30 +202,30 @@
             axes.text(i, j, text, ha="center", va="center", color="white" if dark else "black")
     axes.set_xticks(range(len(xs)), [str(x) for x in xs])
     axes.set_yticks(range(len(ys)), [str(y) for y in ys])
-    axes.set_xlabel(across)
-    axes.set_ylabel(up)
+    axes.set_xlabel(x_field)
+    axes.set_ylabel(y_field)
     axes.spines[:].set_visible(False)
     figure.colorbar(image, label="\n".join(_wrapped(FIGURE_LABELS.get(name, name))))
     return _save(figure, folder, f"heat-{side}-{name}", f"{side}: {FIGURE_LABELS.get(name, name)}")
 
 
 def _latencies(runs: RunSet, variant: dict[str, Any], folder: Path) -> list[Chart]:
-    """Latency by percentile of all that was served, all seeds together."""
+    """Draw, for each class, the latency percentiles of the served requests of all seeds."""
     charts = []
     classes = list(dict.fromkeys(name for row in runs.rows for name in row.latencies))
     for name in classes:
         figure, axes = _axes()
-        drawn = False
+        has_data = False
         for side, colour in zip(runs.sides, SIDE_COLOURS * 9, strict=False):
-            total = HdrHistogram(1, 3_600_000_000, 3)
+            merged = HdrHistogram(1, 3_600_000_000, 3)
             for row in runs.runs_of(side, variant):
-                total.add(HdrHistogram.decode(base64.b64decode(row.latencies[name])))
-            if total.total_count:
-                values = [total.get_value_at_percentile(p) / 1000.0 for p in PERCENTILES]
+                merged.add(HdrHistogram.decode(base64.b64decode(row.latencies[name])))
+            if merged.total_count:
+                values = [merged.get_value_at_percentile(p) / 1000.0 for p in PERCENTILES]
                 axes.plot(
                     range(len(PERCENTILES)), values, color=colour, marker="o", linewidth=2.5, label=side
                 )
-                drawn = True
+                has_data = True
         aims = [c["aim_ms"] for row in runs.rows[:1] for c in row.file["class"] if c["name"] == name]
         for aim in aims:
             axes.axhline(aim, color="#444444", linestyle="--", linewidth=1.2)
@@ -234,7 +234,7 @@
         axes.set_xlabel("percentile of what was served")
         axes.set_ylabel("from the first try to the answer, ms")
         axes.set_yscale("log")
-        if drawn:
+        if has_data:
             axes.legend(frameon=False, loc="upper left")
         title = f"Latency of {name}{_title_suffix(variant)}"
         charts.append(_save(figure, folder, f"latency-{name}", title))
@@ -242,7 +242,7 @@
 
 
 def _differences(runs: RunSet, folder: Path) -> Chart:
-    """Each side against the first, paired over seeds, with intervals."""
+    """Draw the paired differences of each side to the first, with confidence intervals."""
     names = ("service", "worst_10s", "worst_class", "worst_tenant", "tipped", "wasted")
     figure, axes = _axes(height=5.4)
     base = {row.seed: row for row in runs.runs_of(runs.sides[0], {})}
@@ -254,14 +254,14 @@
         for j, name in enumerate(names):
             before = [base[seed].figures[name] for seed in rows]
             after = [row.figures[name] for row in rows.values()]
-            found = paired.compare(before, after, 0.0)
+            result = paired.compare(before, after, 0.0)
             place = len(names) - j - (k + 1) / (len(others) + 1)
-            half = found.half_width if math.isfinite(found.half_width) else 0.0
+            half_width = result.half_width if math.isfinite(result.half_width) else 0.0
             label = side if not j else None
             axes.errorbar(
-                found.difference,
+                result.difference,
                 place,
-                xerr=half,
+                xerr=half_width,
                 fmt="o",
                 color=colour,
                 capsize=4,
--- a/leadrudder/experiment/command.py
+++ b/leadrudder/experiment/command.py
@@ -1,4 +1,4 @@
-"""leadrudder experiment: check, run, compare, list, replay and report experiments."""
+"""The `leadrudder experiment` commands: check, run, compare, list, replay and report experiments."""
 
 from __future__ import annotations
 
@@ -45,15 +45,15 @@
 
 
 class _Duration(click.ParamType[float]):
-    """30s, 5m or 2h, in seconds."""
+    """Parses a duration such as 30s, 5m or 2h into seconds."""
 
     name = "TIME"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> float:
-        found = re.fullmatch(r"(\d+(?:\.\d+)?)(s|m|h)", str(value))
-        if not found or not float(found[1]):
-            self.fail(f"{value!r} is no time: 30s, 5m or 2h", param, ctx)
-        return float(found[1]) * {"s": 1.0, "m": 60.0, "h": 3600.0}[found[2]]
+        match = re.fullmatch(r"(\d+(?:\.\d+)?)(s|m|h)", str(value))
+        if not match or not float(match[1]):
+            self.fail(f"{value!r} is not a duration such as 30s, 5m or 2h", param, ctx)
+        return float(match[1]) * {"s": 1.0, "m": 60.0, "h": 3600.0}[match[2]]
 
 
 def _results_option(function: Callable[..., Any]) -> Callable[..., Any]:
@@ -62,14 +62,14 @@
         type=click.Path(path_type=Path, dir_okay=False),
         default=Path("experiments.sqlite"),
         show_default=True,
-        help="Where results are kept.",
+        help="The results file.",
     )
     return option(function)
 
 
 @dataclasses.dataclass(frozen=True)
 class RunOptions:
-    """How runs are to be made: on how many cores, for how long (s), and what differs from the file."""
+    """Options of the commands that execute runs. budget is in seconds; sets are changes to the file."""
 
     jobs: int
     budget: float | None
@@ -79,35 +79,40 @@
 
 
 def _run_options(function: Callable[..., Any]) -> Callable[..., Any]:
-    """The options of all commands that make runs; they come as one argument, playing."""
+    """Add the options of commands that execute runs; the command receives them as one argument, options."""
 
     @functools.wraps(function)
-    def gathered(**given: Any) -> Any:
-        taken = {field.name: given.pop(field.name) for field in dataclasses.fields(RunOptions)}
-        return function(**given, options=RunOptions(**taken))
+    def wrapper(**arguments: Any) -> Any:
+        values = {field.name: arguments.pop(field.name) for field in dataclasses.fields(RunOptions)}
+        return function(**arguments, options=RunOptions(**values))
 
-    command: Callable[..., Any] = gathered
+    command: Callable[..., Any] = wrapper
     for option in (
-        click.option("--jobs", type=click.IntRange(1, 256), default=os.cpu_count() or 1, help="Cores."),
-        click.option("--budget", type=_Duration(), help="Stop after this time; a later call goes on."),
         click.option(
-            "--set", "sets", multiple=True, metavar="FIELD=VALUE", help="Another value for a field."
+            "--jobs",
+            type=click.IntRange(1, 256),
+            default=os.cpu_count() or 1,
+            help="Number of worker processes.",
         ),
+        click.option("--budget", type=_Duration(), help="Stop after this time; a later call continues."),
         click.option(
-            "--model", type=click.Choice(["policy", "whole"]), help="Of all sides, whatever the file says."
+            "--set", "sets", multiple=True, metavar="FIELD=VALUE", help="Override a field of the file."
         ),
-        click.option("--quiet", is_flag=True, help="No progress."),
+        click.option(
+            "--model", type=click.Choice(["policy", "whole"]), help="Model of all sides, overriding the file."
+        ),
+        click.option("--quiet", is_flag=True, help="Do not report progress."),
     ):
         command = option(command)
     return command
 
 
 def _load_experiment(name: str, sets: tuple[str, ...], model: str | None = None) -> Experiment:
-    """A checked file with the fields that were set; ClickException with all that is wrong."""
+    """Load and validate a file and apply the overrides; all problems are printed before ClickException."""
     source, file, problems = loader.load(name)
     if file is None:
         print(report_problems(problems, "text"), file=sys.stderr)
-        raise click.ClickException(f"{name} cannot be played: {len(problems)} problems")
+        raise click.ClickException(f"{name} is not valid: {len(problems)} problems")
     values = dict(source.values)
     if sets:
         try:
@@ -124,7 +129,7 @@
 
 
 def _revision_cache() -> Path:
-    """Where other revisions' decisions are kept, unpacked and compiled."""
+    """Return the folder in which other revisions' policies are cached, unpacked and compiled."""
     cache = Path(tempfile.gettempdir()) / f"leadrudder-revisions-{os.getuid()}"
     cache.mkdir(mode=0o700, exist_ok=True)
     return cache
@@ -133,7 +138,7 @@
 def _parse_assignment(text: str) -> tuple[str, Any]:
     field, equals, value = text.partition("=")
     if not equals:
-        raise click.ClickException(f"--set: {text!r} is no FIELD=VALUE")
+        raise click.ClickException(f"--set: {text!r} is not of the form FIELD=VALUE")
     try:
         return field, json.loads(value)
     except ValueError:
@@ -156,18 +161,18 @@
 
 @contextmanager
 def _stop_on_sigterm(pool: Pool) -> Iterator[None]:
-    """SIGTERM ends as an interrupt does: what is out is ended, and what was made is kept."""
+    """Treat SIGTERM like an interrupt: runs in progress are killed, completed runs stay stored."""
 
     def stop(*_: object) -> None:
         pool.stop()
         raise KeyboardInterrupt
 
-    before = signal.signal(signal.SIGTERM, stop)
+    previous = signal.signal(signal.SIGTERM, stop)
     try:
         yield
     finally:
         pool.stop()
-        signal.signal(signal.SIGTERM, before)
+        signal.signal(signal.SIGTERM, previous)
 
 
 def _progress_printer(quiet: bool) -> Callable[[Progress], None]:
@@ -200,7 +205,7 @@
 @click.argument("files", nargs=-1, required=True)
 @click.option("--format", "form", type=click.Choice(["text", "json", "github"]), default="text")
 def check(files: tuple[str, ...], form: str) -> int:
-    """Check experiment FILES and tell all problems in one go. Exit code 0: clean, 1: there are problems."""
+    """Check experiment FILES and report all problems at once. Exit code 0: valid, 1: there are problems."""
     problems = [problem for name in files for problem in loader.load(name)[2]]
     if problems or form == "json":
         print(report_problems(problems, form))
@@ -219,7 +224,7 @@
 @experiment.command("list")
 @_results_option
 def list_(results: Path) -> int:
-    """Tell the shipped experiments, and what the results file holds."""
+    """List the shipped experiments, and the runs in the results file."""
     for name, text in loader.shipped_experiments().items():
         print(f"{name:20} {next((line[2:] for line in text.splitlines() if line.startswith('# ')), '')}")
     if not results.exists():
@@ -237,10 +242,10 @@
 @experiment.command()
 @click.argument("name")
 def show(name: str) -> int:
-    """Print a shipped experiment, to begin a file of one's own with."""
+    """Print a shipped experiment, as a template for a new file."""
     texts = loader.shipped_experiments()
     if name not in texts:
-        raise click.ClickException(f"no experiment {name!r} is shipped; there are {', '.join(texts)}")
+        raise click.ClickException(f"there is no shipped experiment {name!r}; available: {', '.join(texts)}")
     print(texts[name], end="")
     return 0
 
@@ -250,10 +255,10 @@
 @_results_option
 @_run_options
 def run_(file: str, results: Path, options: RunOptions) -> int:
-    """Make the runs of FILE (a path, or the name of a shipped experiment) that are not there yet.
+    """Execute the missing runs of FILE (a path, or the name of a shipped experiment).
 
-    What was made is kept at once: a call that was stopped goes on where it was. Exit code 0: all are there.
-    1: a run failed or broke a rule, or the time was up first.
+    Each result is stored at once, so a call after an interruption continues. Exit code 0: all are stored.
+    1: a run failed or broke a rule, or the time budget was spent first.
     """
     loaded = _load_experiment(file, options.sets, options.model)
     pool = Pool(options.jobs)
@@ -279,7 +284,7 @@
 
 
 def _print_table(rows: list[Row]) -> None:
-    """Means with their intervals by variant and side."""
+    """Print means with the half widths of their intervals, by variant and side."""
     groups: dict[tuple[str, str], list[Row]] = {}
     for row in rows:
         if row.state != "failed":
@@ -293,19 +298,23 @@
         cells = []
         for name in TABLE_FIGURES:
             mean, low, _ = paired.confidence_interval([row.figures[name] for row in group])
-            half = mean - low
-            cells.append(f"{mean:8.3f} ±{half:5.3f}" if half < 1e3 else f"{mean:8.3f}       ")
+            half_width = mean - low
+            cells.append(f"{mean:8.3f} ±{half_width:5.3f}" if half_width < 1e3 else f"{mean:8.3f}       ")
         print(f"{variant:{variants}} {side:{sides}} {len(group):5} " + " ".join(f"{c:>15}" for c in cells))
 
 
 @experiment.command()
 @click.argument("file")
-@click.option("--before", metavar="SIDE", help="One of the file's sides; left out: its first.")
-@click.option("--after", metavar="SIDE", help="Another; left out: its second.")
-@click.option("--ref", help="A git revision as the side before, where the file has one side only.")
-@click.option("--figure", default="service", show_default=True, help="What is compared.")
+@click.option("--before", metavar="SIDE", help="A side of the file; default: its first.")
+@click.option("--after", metavar="SIDE", help="Another side; default: its second.")
+@click.option("--ref", help="A git revision to compare the file's first side with.")
+@click.option("--figure", default="service", show_default=True, help="The figure to compare.")
 @click.option(
-    "--difference", type=click.FloatRange(1e-9), default=0.01, show_default=True, help="What matters of it."
+    "--difference",
+    type=click.FloatRange(1e-9),
+    default=0.01,
+    show_default=True,
+    help="The smallest difference that matters.",
 )
 @_results_option
 @_run_options
@@ -319,9 +328,9 @@
     results: Path,
     options: RunOptions,
 ) -> int:
-    """Compare two sides of FILE, paired over seeds, with as many seeds as it takes (at most runs.seeds).
+    """Compare two sides of FILE, paired over as many seeds as a verdict needs (at most runs.seeds).
 
-    Exit code 0: told, one way or the other. 1: cannot tell, or a run is not there.
+    Exit code 0: there is a verdict. 1: cannot tell, or a run is missing.
     """
     loaded = _load_experiment(file, options.sets, options.model)
     if ref is not None:
@@ -339,7 +348,7 @@
             raise click.ClickException(f"the file has no side {name!r}; it has {', '.join(names)}")
     if first == second:
         raise click.ClickException("it takes two sides to compare: --before, --after, or --ref")
-    until = None if options.budget is None else time.monotonic() + options.budget
+    stop_at = None if options.budget is None else time.monotonic() + options.budget
     comparison = Comparison(first, second, figure, difference, loaded.file.runs.seeds)
     seed = loaded.file.runs.first_seed
     with _open_store(results) as store:
@@ -347,19 +356,24 @@
             pool = Pool(options.jobs)
             with _stop_on_sigterm(pool):
                 wanted = comparison.undecided_jobs(_jobs_of(loaded, range(seed, seed + count)))
-                left = None if until is None else max(0.0, until - time.monotonic())
+                remaining = None if stop_at is None else max(0.0, stop_at - time.monotonic())
                 run_missing(
-                    store, loaded, wanted, pool, budget_s=left, on_progress=_progress_printer(options.quiet)
+                    store,
+                    loaded,
+                    wanted,
+                    pool,
+                    budget_s=remaining,
+                    on_progress=_progress_printer(options.quiet),
                 )
             rows = {row.key: row for row in store.rows([job.key for job in wanted])}
             try:
-                told = comparison.evaluate_look(look, wanted, rows)
+                decided = comparison.evaluate_look(look, wanted, rows)
             except UnknownFigureError as error:
                 raise click.ClickException(str(error)) from None
-            if told or (until is not None and time.monotonic() >= until):
+            if decided or (stop_at is not None and time.monotonic() >= stop_at):
                 break
     if not comparison.results:
-        raise click.ClickException("no pair of runs is there: none was made in time, or all failed")
+        raise click.ClickException("there is no complete pair of runs: none finished in time, or all failed")
     print("\n".join(comparison.describe()))
     return (
         EXIT_FINDINGS if any(one.verdict is Verdict.CANNOT_TELL for one in comparison.results.values()) else 0
@@ -367,9 +381,9 @@
 
 
 def _rows_of(store: Store, jobs: list[Job]) -> list[Row]:
-    """The runs that are there, under the names that this experiment has for them.
+    """Return the stored runs of these jobs, with this experiment's names of sides and variants.
 
-    A run is kept once, whoever asked for it first: another experiment may have called it otherwise.
+    A run is stored once, under the names of the experiment that executed it first, which may differ.
     """
     cases = {job.key: job.case for job in jobs}
     found = {row.key: row for row in store.rows(list(cases))}
@@ -391,21 +405,21 @@
 @click.argument("key")
 @_results_option
 def replay(key: str, results: Path) -> int:
-    """Play the run whose key begins with KEY again, by the decisions that made it, and tell its figures.
+    """Repeat the run whose key begins with KEY, with the policy that it ran with, and print its figures.
 
-    Exit code 0: it came out as before. 1: it did not, as where the program has changed since.
+    Exit code 0: the result is the same. 1: it differs, for instance because the program has changed since.
     """
     with _open_store(results) as store:
         row = store.find(key)
     try:
-        decisions = fetch_revision(row.ref, _revision_cache()) if row.ref else working_tree_policy()
+        revision = fetch_revision(row.ref, _revision_cache()) if row.ref else working_tree_policy()
     except RevisionError as error:
         raise click.ClickException(str(error)) from None
     side = Side.model_validate({"name": row.side, "policy": row.policy, "model": row.model, "ref": row.ref})
     case = Case(File.model_validate(row.file), side, row.seed, row.variant)
     pool = Pool(1)
     with _stop_on_sigterm(pool):
-        job = Job(row.key, case, decisions, model_digest(), Path())
+        job = Job(row.key, case, revision, model_digest(), Path())
         done = next((one for one in pool.run_jobs([job]) if one is not None), None)
     if done is None or done.result is None:
         failed = "it was stopped" if done is None else done.error
@@ -416,37 +430,41 @@
     for rule, times in done.result["broken"].items():
         print(f"broken: {rule} {times} times")
     digest = done.result["digest"]
-    print(f"digest={digest} as_before={str(digest == row.digest).lower()} decisions={decisions.digest}")
+    print(f"digest={digest} as_before={str(digest == row.digest).lower()} decisions={revision.digest}")
     return 0 if digest == row.digest else EXIT_FINDINGS
 
 
 @experiment.command()
 @click.argument("file")
 @_results_option
-@click.option("--set", "sets", multiple=True, metavar="FIELD=VALUE", help="As in the runs that are told of.")
+@click.option(
+    "--set", "sets", multiple=True, metavar="FIELD=VALUE", help="Overrides that the runs were executed with."
+)
 @click.option(
     "--to", type=click.Path(path_type=Path, file_okay=False), default=Path("report"), show_default=True
 )
 def report(file: str, results: Path, sets: tuple[str, ...], to: Path) -> int:
-    """Write the runs of FILE that are there as a page with charts, and as CSV.
+    """Write a report of the stored runs of FILE: a page with charts, and CSV files.
 
-    Exit code 0: of all its runs. 1: some are not there yet.
+    Exit code 0: it covers all runs. 1: some are missing.
     """
     from leadrudder.experiment import (
         report as report_page,
-    )  # matplotlib takes a while, and nothing else needs it
+    )  # matplotlib is slow to import
     from leadrudder.experiment.charts import RunSet
 
     loaded = _load_experiment(file, sets)
     if not results.exists():
-        raise click.ClickException(f"there is no results file {results}: experiment run makes it")
+        raise click.ClickException(
+            f"there is no results file {results}; `leadrudder experiment run` creates it"
+        )
     with _open_store(results) as store:
-        keys = _jobs_of(loaded)
-        rows = _rows_of(store, keys)
+        jobs = _jobs_of(loaded)
+        rows = _rows_of(store, jobs)
     if not any(row.state != "failed" for row in rows):
-        raise click.ClickException(f"{results} holds no run of this file as it stands")
+        raise click.ClickException(f"{results} has no successful run of this file in its present form")
     sides = [side.name for side in loaded.file.side]
     fields = [vary.field for vary in loaded.file.vary]
     written = report_page.write_report(RunSet(rows, sides, fields), loaded.file.name, loaded.file.about, to)
-    print(f"{len(rows)} of {len(keys)} runs; " + " ".join(str(path) for path in written))
-    return 0 if len(rows) == len(keys) else EXIT_FINDINGS
+    print(f"{len(rows)} of {len(jobs)} runs; " + " ".join(str(path) for path in written))
+    return 0 if len(rows) == len(jobs) else EXIT_FINDINGS
--- a/leadrudder/experiment/comparison.py
+++ b/leadrudder/experiment/comparison.py
@@ -1,4 +1,4 @@
-"""Two sides of an experiment, held against each other over as many seeds as it takes to tell."""
+"""Compares two sides of an experiment sequentially, over as many seeds as a verdict needs."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class UnknownFigureError(Exception):
-    """A figure that the runs do not have."""
+    """The runs have no figure of that name."""
 
 
 @dataclass
 class Comparison:
-    """What has been told so far of each variant. most: seeds at the most; difference: what matters."""
+    """Sequential comparison of one figure for each variant. difference: the smallest that matters."""
 
     before: str
     after: str
@@ -29,7 +29,7 @@
         self.look_schedule = paired.look_schedule(self.max_seeds)
 
     def undecided_jobs(self, jobs: list[Job]) -> list[Job]:
-        """The runs that a look needs: of the two sides, and of variants that are not told yet."""
+        """Return the jobs that the next look needs: both sides of each variant without a verdict."""
         sides = (self.before, self.after)
         return [
             job
@@ -38,27 +38,27 @@
         ]
 
     def _is_decided(self, variant: str) -> bool:
-        found = self.results.get(variant)
-        return found is not None and found.verdict is not Verdict.CANNOT_TELL
+        result = self.results.get(variant)
+        return result is not None and result.verdict is not Verdict.CANNOT_TELL
 
-    def evaluate_look(self, number: int, jobs: list[Job], rows: dict[str, Row]) -> bool:
-        """Take in what the runs of a look have brought; True if all variants are told.
+    def evaluate_look(self, look: int, jobs: list[Job], rows: dict[str, Row]) -> bool:
+        """Evaluate the runs of a look; returns True if all variants have a verdict.
 
-        Seeds of which one side is not there or has failed are no pairs.
+        A seed forms a pair only if both of its runs are present and neither failed.
         """
-        halves: dict[tuple[str, int], dict[str, float]] = {}
+        by_seed: dict[tuple[str, int], dict[str, float]] = {}
         for job in jobs:
             row = rows.get(job.key)
             if row is not None and row.state != "failed":
-                both = halves.setdefault((variant_label(job.case.variant), job.case.seed), {})
+                both = by_seed.setdefault((variant_label(job.case.variant), job.case.seed), {})
                 both[job.case.side.name] = self._figure_of(row)
         pairs: dict[str, list[dict[str, float]]] = {}
-        for (variant, _), both in halves.items():
+        for (variant, _), both in by_seed.items():
             if len(both) == 2:
                 pairs.setdefault(variant, []).append(both)
         for variant, values in pairs.items():
             before, after = [x[self.before] for x in values], [x[self.after] for x in values]
-            alpha = paired.alpha_at_look(number, len(self.look_schedule))
+            alpha = paired.alpha_at_look(look, len(self.look_schedule))
             self.results[variant] = paired.compare(before, after, self.difference, alpha)
         return bool(self.results) and all(self._is_decided(variant) for variant in self.results)
 
@@ -67,21 +67,21 @@
             return row.figures[self.figure]
         except KeyError:
             names = ", ".join(row.figures)
-            raise UnknownFigureError(f"there is no figure {self.figure!r}; there are {names}") from None
+            raise UnknownFigureError(f"unknown figure {self.figure!r}; the runs have {names}") from None
 
     def describe(self) -> list[str]:
-        """A sentence for each variant."""
+        """Return one line of text for each variant."""
         lines = []
-        for variant, one in self.results.items():
-            more = f" (some {one.additional_pairs} more seeds would tell)" if one.additional_pairs else ""
+        for variant, pair in self.results.items():
+            more = f" (some {pair.additional_pairs} more seeds would tell)" if pair.additional_pairs else ""
             lines.append(
-                f"{variant + ': ' if variant else ''}{self.figure}: {self.before} {one.before:.4f},"
-                f" {self.after} {one.after:.4f}, difference {one.difference:+.4f}"
-                f" [{one.low:+.4f}, {one.high:+.4f}] over {one.pairs} seeds: {one.verdict.value}{more}"
+                f"{variant + ': ' if variant else ''}{self.figure}: {self.before} {pair.before:.4f},"
+                f" {self.after} {pair.after:.4f}, difference {pair.difference:+.4f}"
+                f" [{pair.low:+.4f}, {pair.high:+.4f}] over {pair.pairs} seeds: {pair.verdict.value}{more}"
             )
         return lines
 
 
 def variant_label(variant: dict[str, float | int | str | bool]) -> str:
-    """A combination of what varies, in one line; empty where nothing does."""
+    """Format a combination of swept values as one line; empty if no field is swept."""
     return " ".join(f"{name}={value}" for name, value in variant.items())
--- a/leadrudder/experiment/draw.py
+++ b/leadrudder/experiment/draw.py
@@ -1,4 +1,4 @@
-"""What a seed makes of an experiment file: ranges become figures, each from a source of its own."""
+"""Samples an experiment file for a seed: each range becomes a number, from a random stream of its own."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 def sample_ranges(section: SectionT, seed: str) -> SectionT:
-    """A copy in which each pair [low, high] is a figure between the two.
+    """Return a copy in which each pair [low, high] is replaced by a number sampled between the two.
 
-    A field's figure hangs on the seed and the field's path alone, so that a changed field changes no other.
+    The number depends only on the seed and the field's path, so changing one field does not change another.
     """
     update: dict[str, Any] = {}
     for name in type(section).model_fields:
@@ -28,15 +28,15 @@
         elif is_range(value):
             low, high = value
             rng = random.Random(path)
-            whole = isinstance(low, int) and isinstance(high, int)
-            update[name] = rng.randint(low, high) if whole else rng.uniform(low, high)
+            is_integer = isinstance(low, int) and isinstance(high, int)
+            update[name] = rng.randint(low, high) if is_integer else rng.uniform(low, high)
         elif isinstance(value, list) and value and isinstance(value[0], BaseModel):
             update[name] = [sample_ranges(item, f"{path}/{i}") for i, item in enumerate(value)]
     return section.model_copy(update=update)
 
 
 def is_range(value: object) -> bool:
-    """Whether a field holds a pair to draw from."""
+    """Return whether a field holds a pair [low, high]."""
     return (
         isinstance(value, list)
         and len(value) == 2
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerPlan:
-    """One server as it is built: its kind, zone, cell and own speed."""
+    """Placement of one server: its kind, zone, cell and individual speed."""
 
     kind: Kind
     kind_index: int
@@ -56,13 +56,13 @@
 
 
 def plan_servers(tier: Tier, count: int, zones: int, seed: str) -> list[ServerPlan]:
-    """The servers of a tier: kinds by their parts, zones in turn, cells within zones."""
+    """Plan the servers of a tier: kinds in proportion to `part`, zones in rotation, cells within zones."""
     rng = random.Random(f"{seed}/servers")
     total = sum(kind.part for kind in tier.kind) or 1.0
     exact = [count * kind.part / total for kind in tier.kind]
     counts = [int(x) for x in exact]
-    order = sorted(range(len(exact)), key=lambda i: counts[i] - exact[i])
-    for i in order[: count - sum(counts)]:
+    by_remainder = sorted(range(len(exact)), key=lambda i: counts[i] - exact[i])
+    for i in by_remainder[: count - sum(counts)]:
         counts[i] += 1
     kinds = [i for i, n in enumerate(counts) for _ in range(n)]
     rng.shuffle(kinds)
@@ -79,12 +79,12 @@
 
 
 def as_float(value: Any) -> float:
-    """A field that has been drawn, as the number that it is by now."""
+    """Return a sampled field as a float; its static type still admits a range."""
     return float(value)
 
 
 def sample_unit_mean(rng: random.Random, form: str, variation: float) -> float:
-    """A positive draw of mean 1 with this coefficient of variation (exponential has 1, whatever is asked)."""
+    """Sample a positive value of mean 1 with this coefficient of variation (exponential: always 1)."""
     if form == "fixed" or variation <= 0.0:
         return 1.0
     if form == "exponential":
@@ -92,35 +92,37 @@
     if form == "lognormal":
         sigma2 = math.log1p(variation * variation)
         return math.exp(rng.gauss(-0.5 * sigma2, math.sqrt(sigma2)))
-    # Pareto from its least value: the exponent a > 2 that has this variation, cv^2 = 1 / (a (a - 2)).
-    a = 1.0 + math.sqrt(1.0 + 1.0 / (variation * variation))
-    return (a - 1.0) / a * rng.paretovariate(a)
+    # Pareto: the shape parameter above 2 that gives this variation, cv^2 = 1 / (shape (shape - 2)).
+    shape = 1.0 + math.sqrt(1.0 + 1.0 / (variation * variation))
+    return (shape - 1.0) / shape * rng.paretovariate(shape)
 
 
-def sample_work_ms(rng: random.Random, kind: RequestClass) -> float:
-    """Work of a request over all tiers, ms on a core of speed 1."""
-    return as_float(kind.work_ms) * sample_unit_mean(rng, kind.spread, as_float(kind.variation))
+def sample_work_ms(rng: random.Random, request_class: RequestClass) -> float:
+    """Sample the work of a request over all tiers, in ms on a core of speed 1."""
+    return as_float(request_class.work_ms) * sample_unit_mean(
+        rng, request_class.spread, as_float(request_class.variation)
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class FleetShape:
-    """Sizes that follow from a drawn file."""
+    """Sizes derived from a sampled file."""
 
-    servers_per_tier: tuple[int, ...]  # of each tier
-    calls_per_request: tuple[float, ...]  # mean calls of each tier for a request of the first
-    work_shares: tuple[float, ...]  # part of a request's work in each call of a tier
+    servers_per_tier: tuple[int, ...]
+    calls_per_request: tuple[float, ...]  # mean calls to each tier per request to the first
+    work_shares: tuple[float, ...]  # fraction of a request's work done by each call to a tier
     mean_work_ms: float
-    capacity_per_s: float  # requests a second that the narrowest tier can do, all its servers warm
+    capacity_per_s: float  # requests per second of the bottleneck tier, all its servers warm
 
 
 def fleet_shape_of(file: File) -> FleetShape:
-    """The sizes of a drawn file."""
+    """Compute the sizes of a sampled file."""
     tiers = file.fleet.tier
     servers: list[int] = []
     calls: list[float] = []
     for i, tier in enumerate(tiers):
-        before = servers[i - 1] if i else 1
-        count = tier.servers if tier.servers is not None else round(before * as_float(tier.servers_each))
+        preceding = servers[i - 1] if i else 1
+        count = tier.servers if tier.servers is not None else round(preceding * as_float(tier.servers_each))
         servers.append(max(1, int(as_float(count))))
         calls.append(1.0 if i == 0 else calls[i - 1] * as_float(tier.calls))
     total = sum(as_float(t.work) for t in tiers)
--- a/leadrudder/experiment/figures.py
+++ b/leadrudder/experiment/figures.py
@@ -1,7 +1,7 @@
-"""What a run is judged by: worth served within its aim against worth asked, and where the rest went.
+"""Records the figures of a run: the worth served within its aim against the worth requested, and the losses.
 
-Whatever is counted belongs to the time at which it was asked for. Latencies are kept as HDR histograms of
-microseconds, three digits deep.
+Every count is attributed to the second in which its request arrived. Latencies are kept as HDR histograms in
+microseconds with three significant digits.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 from leadrudder.experiment.node import Operation
 from leadrudder.experiment.spec import File
 
-WORST_WINDOW_S = 10  # the worst so many seconds
-SMOOTHING_S = 5  # over which a jam is seen
-JAM_SERVED_SHARE = 0.5  # served less than this part of what could be: a jam
-TIPPED_JAM_S = 10  # and for so long, or at the end: the fleet has tipped
+WORST_WINDOW_S = 10  # window of the figure worst_10s
+SMOOTHING_S = 5  # moving window of the service over time
+JAM_SERVED_SHARE = 0.5  # a jam: less than this fraction of the possible service
+TIPPED_JAM_S = 10  # a jam of this length, or one at the end, counts as tipped
 LITTLES_LAW_TOLERANCE = 1e-6
-RECOVERED_SHARE = 0.9  # of the service before the troubles
+RECOVERED_SHARE = 0.9  # recovered: at least this fraction of the service before the troubles
 HISTOGRAM_MIN_US, HISTOGRAM_MAX_US = 1, 3_600_000_000
 
 _END_RECORD = struct.Struct("<QId")
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TroubleInterval:
-    """What a trouble did, for figures and charts."""
+    """When a trouble was active, for figures and charts."""
 
     what: str
     from_s: float
@@ -46,19 +46,19 @@
 
 @dataclass
 class Tally:
-    """Worth asked and worth served in time, of one class, tenant or second."""
+    """Worth requested and worth served in time, of one class, tenant or second."""
 
     asked: float = 0.0
     served: float = 0.0
 
     @property
-    def part(self) -> float:
+    def served_share(self) -> float:
         return self.served / self.asked if self.asked else 1.0
 
 
 @dataclass(frozen=True)
 class Result:
-    """One run's figures: numbers by name, the course of each second, and latencies of each class."""
+    """Result of one run: named figures, worth per second, and the latencies of each class."""
 
     figures: dict[str, float]
     asked: list[float]
@@ -72,12 +72,12 @@
 
 
 class FigureRecorder:
-    """Counts while a run goes on."""
+    """Accumulates the figures of a run in progress."""
 
     def __init__(self, clock: Clock, file: File) -> None:
         self._clock, self._file = clock, file
         self._seconds = [Tally() for _ in range(int(file.length_s) + 1)]
-        self._works = [0.0] * len(self._seconds)  # work asked, ms
+        self._requested_work_ms = [0.0] * len(self._seconds)
         self._classes = [Tally() for _ in file.request_class]
         self._tenants = [Tally() for _ in file.tenant]
         self._latencies = [new_histogram() for _ in file.request_class]
@@ -96,17 +96,17 @@
         self.request_count += 1
         for tally in self._tallies(operation):
             tally.asked += operation.worth
-        mean = as_float(self._file.request_class[operation.class_index].work_ms)
-        self._works[int(operation.at_ms / 1000.0)] += operation.units * mean
+        mean_ms = as_float(self._file.request_class[operation.class_index].work_ms)
+        self._requested_work_ms[int(operation.at_ms / 1000.0)] += operation.units * mean_ms
 
     def _tallies(self, operation: Operation) -> list[Tally]:
-        found = [self._seconds[int(operation.at_ms / 1000.0)], self._classes[operation.class_index]]
+        tallies = [self._seconds[int(operation.at_ms / 1000.0)], self._classes[operation.class_index]]
         if self._tenants:
-            found.append(self._tenants[operation.tenant])
-        return found
+            tallies.append(self._tenants[operation.tenant])
+        return tallies
 
     def record_end(self, operation: Operation, answer: str) -> None:
-        """The last try of an operation has ended."""
+        """Record the end of an operation's last try."""
         now = self._clock.now
         operation.answer, operation.ended_ms = answer, now
         self._digest.update(_END_RECORD.pack(operation.number, _ANSWER_CODES[answer], now))
@@ -119,34 +119,40 @@
         self._work_all += operation.work
         if answer != "served":
             return
-        took = now - operation.at_ms
-        kind = self._file.request_class[operation.class_index]
+        latency_ms = now - operation.at_ms
+        request_class = self._file.request_class[operation.class_index]
         self._latencies[operation.class_index].record_value(
-            max(HISTOGRAM_MIN_US, min(HISTOGRAM_MAX_US, int(1000.0 * took)))
+            max(HISTOGRAM_MIN_US, min(HISTOGRAM_MAX_US, int(1000.0 * latency_ms)))
         )
-        if took <= kind.aim_ms:
+        if latency_ms <= request_class.aim_ms:
             self._work_in_time += operation.work
         else:
             self.late += 1
-        part = 1.0 if took <= kind.aim_ms else kind.late_share if took <= kind.deadline_ms else 0.0
+        share = (
+            1.0
+            if latency_ms <= request_class.aim_ms
+            else request_class.late_share
+            if latency_ms <= request_class.deadline_ms
+            else 0.0
+        )
         for tally in self._tallies(operation):
-            tally.served += part * operation.worth
+            tally.served += share * operation.worth
 
-    # ------------------------------------------------------------ the end
+    # ------------------------------------------------------------ result
 
-    def result(self, fleet: Fleet, struck: list[TroubleInterval], notes: list[str]) -> Result:
-        """All figures, once the run has ended."""
+    def result(self, fleet: Fleet, troubles: list[TroubleInterval], notes: list[str]) -> Result:
+        """Compute all figures, once the run has ended."""
         first, last = int(self._file.warm_up_s), int(self._file.length_s)
         seconds = self._seconds[first:last]
         asked, served = [t.asked for t in seconds], [t.served for t in seconds]
-        possible = self._possible(fleet, first, last)
-        course = _smooth(asked, served, SMOOTHING_S)
+        possible = self._possible_service(fleet, first, last)
+        service = _smooth(asked, served, SMOOTHING_S)
         total = Tally(sum(asked), sum(served))
         figures = {
-            "service": total.part,
+            "service": total.served_share,
             "worst_10s": _worst(asked, served),
-            "worst_class": min((t.part for t in self._classes), default=1.0),
-            "worst_tenant": min((t.part for t in self._tenants), default=total.part),
+            "worst_class": min((t.served_share for t in self._classes), default=1.0),
+            "worst_tenant": min((t.served_share for t in self._tenants), default=total.served_share),
             "requests": float(self.request_count),
             "tries_a_request": self.tries / max(1, sum(self.answers.values())),
             "attempts_a_request": self.attempts / max(1, sum(self.answers.values())),
@@ -156,12 +162,12 @@
                 f"ended_{what}": self.answers.get(what, 0) / max(1, self.request_count)
                 for what in _ANSWER_CODES
             },
-            **_jam(course, possible),
-            "recover_s": _recovery(course, struck, first),
+            **_jam_figures(service, possible),
+            "recover_s": _recovery_s(service, troubles, first),
         }
         servers = [s for tier in range(len(fleet.registries)) for s in fleet.servers_of(tier).values()]
-        lasting = 1000.0 * self._file.length_s
-        figures["slow_part"] = sum(s.slow_ms for s in servers) / (lasting * len(servers))
+        length_ms = 1000.0 * self._file.length_s
+        figures["slow_part"] = sum(s.slow_ms for s in servers) / (length_ms * len(servers))
         broken: dict[str, int] = {}
         for tier, counts in zip(self._file.fleet.tier, fleet.counts, strict=True):
             arrivals = max(1, counts.arrivals)
@@ -180,71 +186,79 @@
             broken["cold"] = fallen
         lost = sum(s.unaccounted() > LITTLES_LAW_TOLERANCE for s in servers)
         if lost:
-            broken["little"] = lost  # the model's own fault: it has lost or made up requests
+            broken["little"] = (
+                lost  # Little's law does not hold: the model itself has lost or invented requests
+            )
         if self.open_operations:
             broken["unanswered"] = len(self.open_operations)
         latencies = {}
-        for kind, hist in zip(self._file.request_class, self._latencies, strict=True):
+        for request_class, histogram in zip(self._file.request_class, self._latencies, strict=True):
             for percentile in (50.0, 90.0, 99.0):
-                value = hist.get_value_at_percentile(percentile) / 1000.0 if hist.total_count else 0.0
-                figures[f"{kind.name}.p{percentile:.0f}_ms"] = value
-            latencies[kind.name] = base64.b64encode(hist.encode()).decode()
+                value = (
+                    histogram.get_value_at_percentile(percentile) / 1000.0 if histogram.total_count else 0.0
+                )
+                figures[f"{request_class.name}.p{percentile:.0f}_ms"] = value
+            latencies[request_class.name] = base64.b64encode(histogram.encode()).decode()
         self._digest.update(struct.pack("<Q", self._clock.steps))
         return Result(
             figures,
             asked,
             served,
             latencies,
-            [(s.what, s.from_s, s.to_s) for s in struck],
+            [(t.what, t.from_s, t.to_s) for t in troubles],
             broken,
             self._digest.hexdigest(),
             self._clock.steps,
             notes,
         )
 
-    def _possible(self, fleet: Fleet, first: int, last: int) -> list[float]:
-        """The part of what each second asked that the whole fleet, warm, could do."""
-        can = fleet.shape.capacity_per_s * fleet.shape.mean_work_ms
-        smooth = _smooth([1.0] * (last - first), [w / can for w in self._works[first:last]], SMOOTHING_S)
-        return [min(1.0, 1.0 / x) if x > 0.0 else 1.0 for x in smooth]
+    def _possible_service(self, fleet: Fleet, first: int, last: int) -> list[float]:
+        """Return, for each second, the fraction of the requested work that the fleet could do when warm."""
+        capacity_ms = fleet.shape.capacity_per_s * fleet.shape.mean_work_ms
+        demand = _smooth(
+            [1.0] * (last - first),
+            [w / capacity_ms for w in self._requested_work_ms[first:last]],
+            SMOOTHING_S,
+        )
+        return [min(1.0, 1.0 / x) if x > 0.0 else 1.0 for x in demand]
 
 
-def _smooth(asked: list[float], served: list[float], over: int) -> list[float]:
-    """The part served, over the seconds up to each one."""
+def _smooth(asked: list[float], served: list[float], window: int) -> list[float]:
+    """Return the fraction served over the window of seconds that ends with each second."""
     parts = []
     for i in range(len(asked)):
-        low = max(0, i - over + 1)
+        low = max(0, i - window + 1)
         total = sum(asked[low : i + 1])
         parts.append(sum(served[low : i + 1]) / total if total else 1.0)
     return parts
 
 
 def _worst(asked: list[float], served: list[float]) -> float:
-    """The least part served of any ten seconds."""
-    spans = range(max(1, len(asked) - WORST_WINDOW_S + 1))
-    tallies = [Tally(sum(asked[i : i + WORST_WINDOW_S]), sum(served[i : i + WORST_WINDOW_S])) for i in spans]
-    return min(t.part for t in tallies)
-
-
-def _jam(course: list[float], possible: list[float]) -> dict[str, float]:
-    """Seconds in a jam, and whether the fleet has tipped: one that lasted, or that was there at the end."""
-    jammed = [part < JAM_SERVED_SHARE * most for part, most in zip(course, possible, strict=True)]
-    longest = run = 0
-    for bad in jammed:
-        run = run + 1 if bad else 0
-        longest = max(longest, run)
+    """Return the lowest fraction served in any window of WORST_WINDOW_S."""
+    starts = range(max(1, len(asked) - WORST_WINDOW_S + 1))
+    tallies = [Tally(sum(asked[i : i + WORST_WINDOW_S]), sum(served[i : i + WORST_WINDOW_S])) for i in starts]
+    return min(t.served_share for t in tallies)
+
+
+def _jam_figures(service: list[float], possible: list[float]) -> dict[str, float]:
+    """Return the seconds in a jam, the longest jam, and whether the fleet tipped."""
+    jammed = [part < JAM_SERVED_SHARE * limit for part, limit in zip(service, possible, strict=True)]
+    longest = current = 0
+    for in_jam in jammed:
+        current = current + 1 if in_jam else 0
+        longest = max(longest, current)
     tipped = longest >= TIPPED_JAM_S or (bool(jammed) and jammed[-1])
     return {"jam_s": float(sum(jammed)), "longest_jam_s": float(longest), "tipped": float(tipped)}
 
 
-def _recovery(course: list[float], struck: list[TroubleInterval], first: int) -> float:
-    """Seconds from the end of the last trouble until service is again what it was before the first."""
-    if not struck:
+def _recovery_s(service: list[float], troubles: list[TroubleInterval], first: int) -> float:
+    """Return the seconds from the end of the last trouble until service is back at its earlier level."""
+    if not troubles:
         return 0.0
-    begin = max(1, int(min(s.from_s for s in struck)) - first)
-    end = int(max(s.to_s for s in struck)) - first
-    usual = sum(course[:begin]) / len(course[:begin]) if course[:begin] else 1.0
-    for i in range(max(0, end), len(course)):
-        if all(part >= RECOVERED_SHARE * usual for part in course[i : i + SMOOTHING_S]):
+    begin = max(1, int(min(t.from_s for t in troubles)) - first)
+    end = int(max(t.to_s for t in troubles)) - first
+    baseline = sum(service[:begin]) / len(service[:begin]) if service[:begin] else 1.0
+    for i in range(max(0, end), len(service)):
+        if all(part >= RECOVERED_SHARE * baseline for part in service[i : i + SMOOTHING_S]):
             return float(i - end)
-    return float(max(0, len(course) - end))
+    return float(max(0, len(service) - end))
--- a/leadrudder/experiment/loader.py
+++ b/leadrudder/experiment/loader.py
@@ -1,4 +1,4 @@
-"""Reads and checks experiment files: all problems in one go, each with a place, a cause and a cure."""
+"""Loads and validates experiment files. Reports all problems at once, each with place, reason and remedy."""
 
 from __future__ import annotations
 
@@ -19,16 +19,18 @@
 from leadrudder.tool.source import Source, Unreadable, parse, read
 from leadrudder.tool.typed import field_name, type_problems
 
-MAX_REQUESTS = 50_000_000  # of one run: days of waiting
-_TYPE_PROBLEM_REASON = "A run with it would not be the experiment that the file says."
+MAX_REQUESTS = 50_000_000  # per run; more would take days
+STARTUP_S = 0.3
+ATTEMPT_COST_S = 0.0002
+_TYPE_PROBLEM_REASON = "A run with this value would not match what the file describes."
 
 
 class NoSuchFileError(Exception):
-    """Neither a file nor one of the shipped experiments."""
+    """The name is neither a file nor a shipped experiment."""
 
 
 def shipped_experiments() -> dict[str, str]:
-    """The shipped experiments: their texts by name."""
+    """Return the texts of the shipped experiments, keyed by name."""
     folder = resources.files("leadrudder.experiment") / "shipped"
     return {
         item.name.removesuffix(".toml"): item.read_text("utf-8")
@@ -38,7 +40,7 @@
 
 
 def load(name: str) -> tuple[Source, File | None, list[Problem]]:
-    """A file, or a shipped experiment of that name; no File where there are problems."""
+    """Load a file, or the shipped experiment of that name; the File is None if there are problems."""
     try:
         if not Path(name).exists() and name in (texts := shipped_experiments()):
             source = parse(f"{name} (shipped)", texts[name])
@@ -46,17 +48,24 @@
             source = read(name)
     except Unreadable as error:
         line, column = error.place
-        why = "Nothing in it can be checked."
+        why = "An unreadable file cannot be checked."
         problem = Problem(
-            name, line, column, "file", "unreadable", f"{error}.", why, "a TOML file, or: experiment list"
+            name,
+            line,
+            column,
+            "file",
+            "unreadable",
+            f"{error}.",
+            why,
+            "a TOML file, or a name from: leadrudder experiment list",
         )
         return Source(name, {}, {}), None, [problem]
     try:
         source = _with_base(source, Path(name).parent, [])
     except _BaseFileError as error:
         line, column = source.place(("base",))
-        why = "What it leaves unsaid is nowhere said."
-        right = f"a file, or one of {', '.join(shipped_experiments())}"
+        why = "Fields that the file leaves out have no source."
+        right = f"an existing file, or one of {', '.join(shipped_experiments())}"
         problem = Problem(source.name, line, column, "base", "base", f"{error}.", why, right)
         return source, None, [problem]
     try:
@@ -71,21 +80,21 @@
 
 
 class _BaseFileError(Exception):
-    """A base that cannot be had."""
+    """The file named by `base` is missing, unreadable or circular."""
 
 
 def _with_base(source: Source, folder: Path, above: list[str]) -> Source:
-    """The file with what its base says of the rest; tables are merged, everything else is replaced."""
+    """Overlay the file on its base, recursively: tables are merged, all other values are replaced."""
     name = source.values.get("base", "")
     if not name or not isinstance(name, str):
         return source
     if name in above:
-        raise _BaseFileError(f"{name!r} is its own base")
+        raise _BaseFileError(f"{name!r} includes itself as a base")
     path, texts = folder / name, shipped_experiments()
     try:
         base = read(str(path)) if path.exists() else parse(name, texts[name])
     except KeyError:
-        raise _BaseFileError(f"there is no {name!r}") from None
+        raise _BaseFileError(f"{name!r} is neither a file nor a shipped experiment") from None
     except Unreadable as error:
         raise _BaseFileError(f"{name!r} {error}") from None
     base = _with_base(base, path.parent, [*above, name])
@@ -118,8 +127,8 @@
                 ("class", i, "aim_ms"),
                 "aim-after-deadline",
                 f"{kind.aim_ms:g} is longer than the deadline of {kind.deadline_ms:g}.",
-                "No answer would ever be late.",
-                "an aim within the deadline",
+                "No answer would count as late.",
+                "an aim no longer than the deadline",
             )
     tiers = {tier.name for tier in file.fleet.tier}
     for i, trouble in enumerate(file.trouble):
@@ -127,8 +136,8 @@
             yield Finding(
                 ("trouble", i, "tier"),
                 "unknown-tier",
-                f"there is no tier {trouble.tier!r}.",
-                "The trouble would strike nobody.",
+                f"tier {trouble.tier!r} is not defined.",
+                "The trouble would affect no server.",
                 f"one of {', '.join(sorted(tiers))}",
             )
     for i, side in enumerate(file.side):
@@ -136,24 +145,24 @@
             yield Finding(
                 ("side", i, "policy"),
                 "whole-baseline",
-                f"whole nodes decide by their own module, not by {side.policy!r}.",
-                "The baselines have no node around them.",
+                f'model = "whole" runs complete nodes with their own policy module, not {side.policy!r}.',
+                "The baseline policies exist only in the policy model.",
                 'model = "policy"',
             )
         if side.ref and side.policy.startswith("limit-"):
             yield Finding(
                 ("side", i, "ref"),
                 "limit-ref",
-                "another revision's decisions take no limit from here.",
-                "Older ones have none that can be put in place of their own.",
-                "leave out ref",
+                "a limit- policy cannot be combined with another revision.",
+                "The policy module of another revision may have no limit that can be replaced.",
+                "remove ref",
             )
     if file.fleet.tier[0].servers is None:
         yield Finding(
             ("fleet", "tier", 0, "servers"),
             "missing",
-            "is required of the first tier.",
-            "There is no tier before it to count by.",
+            "is required for the first tier.",
+            "servers_each is relative to the preceding tier, and there is none.",
             "servers = 10",
         )
     if file.warm_up_s >= file.length_s:
@@ -161,13 +170,13 @@
             ("warm_up_s",),
             "no-time-left",
             f"{file.warm_up_s:g} s of {file.length_s:g} s are warm-up.",
-            "Nothing would be counted.",
+            "No figures would be recorded.",
             "a warm-up shorter than the run",
         )
 
 
 def _range_findings(section: BaseModel, path: Field) -> Iterator[Finding]:
-    """Pairs [low, high] whose low is above their high."""
+    """Yield a finding for each pair [low, high] with low above high."""
     for name, info in type(section).model_fields.items():
         value = getattr(section, name)
         here: Field = (*path, info.alias or name)
@@ -180,8 +189,8 @@
             yield Finding(
                 here,
                 "range",
-                f"[{value[0]:g}, {value[1]:g}] has its low above its high.",
-                "A seed draws from the one up to the other.",
+                f"[{value[0]:g}, {value[1]:g}] has a lower bound above its upper bound.",
+                "Each seed samples a value between the two bounds.",
                 f"[{value[1]:g}, {value[0]:g}]",
             )
 
@@ -199,49 +208,55 @@
                 yield Finding(
                     (*path, i, "name"),
                     "name-twice",
-                    f"{name!r} is there already.",
-                    "Results are told apart by their names.",
-                    "a name of its own",
+                    f"{name!r} is already in use.",
+                    "Results are identified by these names.",
+                    "a unique name",
                 )
 
 
 def _load_findings(file: File) -> Iterator[Finding]:
-    load, nothing = file.load, "Nothing would be asked."
-    told_once = (load.of_capacity is None) != (load.per_s is None)
-    found: list[tuple[bool, tuple[str | int, ...], str, str, str]] = [
+    load, no_requests = file.load, "The run would have no requests."
+    one_rate_given = (load.of_capacity is None) != (load.per_s is None)
+    checks: list[tuple[bool, tuple[str | int, ...], str, str, str]] = [
         (
-            load.form == "open" and not told_once,
+            load.form == "open" and not one_rate_given,
             ("load",),
-            "an open load is told once: of_capacity or per_s.",
-            "There is no safe value for it.",
+            "an open load takes exactly one of of_capacity and per_s.",
+            "There is no safe default.",
             "of_capacity = 0.6",
         ),
         (
             load.form == "closed" and not load.callers,
             ("load", "callers"),
-            "a closed loop has no callers.",
-            nothing,
+            "a closed load needs callers.",
+            no_requests,
             "callers = 32",
         ),
         (
             load.form == "trace" and not load.trace,
             ("load", "trace"),
-            "no trace is named.",
-            nothing,
+            "a trace load needs the path of its trace.",
+            no_requests,
             'trace = "day.csv"',
         ),
-        (not sum(c.part for c in file.request_class), ("class",), "all parts are 0.", nothing, "part = 1.0"),
+        (
+            not sum(c.part for c in file.request_class),
+            ("class",),
+            "all parts are 0.",
+            no_requests,
+            "part = 1.0",
+        ),
         (
             bool(file.tenant) and not sum(t.share for t in file.tenant),
             ("tenant",),
             "all shares are 0.",
-            "Nobody would ask.",
+            "No tenant would send requests.",
             "share = 1.0",
         ),
     ]
-    for wrong, place, text, why, cure in found:
-        if wrong:
-            yield Finding(place, "load", text, why, cure)
+    for is_wrong, place, text, why, remedy in checks:
+        if is_wrong:
+            yield Finding(place, "load", text, why, remedy)
     for i, tier in enumerate(file.fleet.tier):
         if not sum(k.part for k in tier.kind):
             yield Finding(
@@ -254,7 +269,7 @@
 
 
 def _grid_findings(source: Source, file: File) -> Iterator[Finding]:
-    """What is wrong with the experiment as a whole: its size, and the fields that it varies."""
+    """Check the expanded experiment: the number and size of its runs, and the fields that it changes."""
     count = count_combinations(file)
     runs = (file.runs.sample or count) * len(file.side) * file.runs.seeds
     if runs > file.runs.most_runs:
@@ -264,8 +279,8 @@
             ("vary",),
             "too-many-runs",
             f"{count} combinations, {len(file.side)} sides and {file.runs.seeds} seeds are {runs} runs:"
-            f" some {seconds / 3600.0:,.1f} hours on one core.",
-            f"runs.most_runs is {file.runs.most_runs}.",
+            f" about {seconds / 3600.0:,.1f} hours on one core.",
+            f"runs.most_runs allows {file.runs.most_runs}.",
             "fewer values, runs.sample = 100, or a larger runs.most_runs",
         )
         return
@@ -278,29 +293,41 @@
                     ("vary", i, "values", j),
                     "field",
                     f"{error}.",
-                    "It varies nothing.",
-                    "a field of this file",
+                    "The sweep would have no effect.",
+                    "the path of an existing field",
                 )
                 return
     for i, side in enumerate(file.side):
         try:
             apply_changes(source.values, side.change)
         except FieldError as error:
-            yield Finding(("side", i, "change"), "field", f"{error}.", "It changes nothing.", "a field of it")
+            yield Finding(
+                ("side", i, "change"),
+                "field",
+                f"{error}.",
+                "The change would have no effect.",
+                "the path of an existing field",
+            )
             return
     for case in expand_cases(source.values, file)[:: len(file.side) * file.runs.seeds]:
         shape = fleet_shape_of(sample_ranges(case.file, f"{case.seed}"))
         if not math.isfinite(shape.capacity_per_s):
-            yield Finding(("fleet",), "load", "its capacity is not finite.", "No load follows.", "more work")
+            yield Finding(
+                ("fleet",),
+                "load",
+                "the fleet's capacity is not finite.",
+                "No load can be derived from it.",
+                "more work per request",
+            )
             return
         requests = _estimate_requests(case.file, shape.capacity_per_s)
         if requests > MAX_REQUESTS:
             yield Finding(
                 ("load",),
                 "too-much",
-                f"{requests:.3g} requests in a run; at most {MAX_REQUESTS:.0e} are played.",
-                f"That is some {estimate_s(case.file, shape.capacity_per_s) / 3600.0:,.0f} hours.",
-                "a smaller load, a shorter run or a smaller fleet",
+                f"{requests:.3g} requests in one run; the maximum is {MAX_REQUESTS:.0e}.",
+                f"They would take about {estimate_s(case.file, shape.capacity_per_s) / 3600.0:,.0f} hours.",
+                "a lower load, a shorter run or a smaller fleet",
             )
             return
 
@@ -316,11 +343,11 @@
 
 
 def estimate_s(file: File, capacity_per_s: float) -> float:
-    """About how long a run takes on one core, by what attempts took where this was measured."""
+    """Estimate the CPU time of a run on one core: a fixed start-up cost plus a cost per attempt."""
     calls = 1.0
     attempts = 0.0
     for i, tier in enumerate(file.fleet.tier):
         value = tier.calls if i else 1.0
         calls *= sum(value) / 2.0 if isinstance(value, list) else value
         attempts += calls
-    return 0.3 + 0.0002 * attempts * _estimate_requests(file, capacity_per_s)
+    return STARTUP_S + ATTEMPT_COST_S * attempts * _estimate_requests(file, capacity_per_s)
--- a/leadrudder/experiment/paired.py
+++ b/leadrudder/experiment/paired.py
@@ -1,8 +1,8 @@
-"""Whether two sides differ: paired over seeds, with an interval, and 'cannot tell' as an answer.
+"""Paired comparison of two sides over seeds, with a confidence interval; the verdict may be 'cannot tell'.
 
-Seeds are looked at in growing numbers until the stated difference can be told from chance. Each look spends
-half of what is left of the error allowed (alpha spending), so that looking often does not find by luck: over
-all looks, equal sides are told apart in at most 5 of 100 comparisons.
+The comparison is sequential: the number of seeds grows from look to look until the stated difference can be
+told from chance. Each look spends half of the remaining error probability (alpha spending), so that repeated
+looks do not inflate it: over all looks, equal sides are declared different in at most 5 of 100 comparisons.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from scipy.stats import t as student
 
 ALPHA = 0.05
-FIRST_LOOK_PAIRS = 8  # pairs; the interval of fewer says little
-LOOK_GROWTH = 1.5  # of the number of pairs from look to look
+FIRST_LOOK_PAIRS = 8  # the interval of fewer pairs is too wide to be useful
+LOOK_GROWTH = 1.5  # growth of the number of pairs from look to look
 
 
 class Verdict(Enum):
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class PairedResult:
-    """after less before: the mean over pairs, and the interval that holds it but for the error allowed."""
+    """Mean difference (after minus before) over all pairs, with its confidence interval."""
 
     verdict: Verdict
     pairs: int
@@ -38,44 +38,42 @@
     difference: float
     low: float
     high: float
-    additional_pairs: int = 0  # about as many more would tell
+    additional_pairs: int = 0  # estimate of how many more would allow a verdict
 
     @property
     def half_width(self) -> float:
         return (self.high - self.low) / 2.0
 
 
-def look_schedule(most: int) -> list[int]:
-    """After how many pairs one looks."""
-    found, count = [], FIRST_LOOK_PAIRS
-    while count < most:
-        found.append(count)
+def look_schedule(max_pairs: int) -> list[int]:
+    """Return the numbers of pairs at which the comparison is evaluated."""
+    schedule, count = [], FIRST_LOOK_PAIRS
+    while count < max_pairs:
+        schedule.append(count)
         count = math.ceil(LOOK_GROWTH * count)
-    return [*found, most]
+    return [*schedule, max_pairs]
 
 
-def alpha_at_look(look: int, of: int) -> float:
-    """The error allowed at a look: half of what is left, and all of it at the last."""
-    left = ALPHA * 0.5**look
-    return left if look == of - 1 else left / 2.0
+def alpha_at_look(look: int, look_count: int) -> float:
+    """Return the error probability spent at a look: half of the remainder, and all of it at the last look."""
+    remaining = ALPHA * 0.5**look
+    return remaining if look == look_count - 1 else remaining / 2.0
 
 
 def compare(
     before: Sequence[float], after: Sequence[float], difference: float, alpha: float = ALPHA
 ) -> PairedResult:
-    """Two sides on the same seeds. difference: what matters; a smaller one is as good as none."""
+    """Compare two sides on the same seeds. difference: the smallest difference that matters."""
     if len(before) != len(after) or not before:
-        raise ValueError(
-            "a paired comparison needs as many of the one as of the other, and at least one pair"
-        )
-    gaps = [b - a for a, b in zip(before, after, strict=True)]
-    pairs, mean = len(gaps), statistics.fmean(gaps)
-    first, second = statistics.fmean(before), statistics.fmean(after)
+        raise ValueError("a paired comparison needs equally many values on both sides, and at least one pair")
+    deltas = [b - a for a, b in zip(before, after, strict=True)]
+    pairs, mean = len(deltas), statistics.fmean(deltas)
+    before_mean, after_mean = statistics.fmean(before), statistics.fmean(after)
     if pairs == 1:
         return PairedResult(
-            Verdict.CANNOT_TELL, 1, first, second, mean, -math.inf, math.inf, FIRST_LOOK_PAIRS - 1
+            Verdict.CANNOT_TELL, 1, before_mean, after_mean, mean, -math.inf, math.inf, FIRST_LOOK_PAIRS - 1
         )
-    deviation = statistics.stdev(gaps)
+    deviation = statistics.stdev(deltas)
     factor = float(student.ppf(1.0 - alpha / 2.0, pairs - 1))
     half_width = factor * deviation / math.sqrt(pairs)
     low, high = mean - half_width, mean + half_width
@@ -87,16 +85,16 @@
         verdict = Verdict.SAME
     else:
         verdict = Verdict.CANNOT_TELL
-    more = 0
+    additional = 0
     if verdict is Verdict.CANNOT_TELL:
-        # The interval must become shorter than the difference, or than the mean that was found.
-        goal = max(difference, abs(mean)) or half_width
-        more = max(1, math.ceil((factor * deviation / goal) ** 2) - pairs)
-    return PairedResult(verdict, pairs, first, second, mean, low, high, more)
+        # The half width must shrink below the difference that matters, or below the observed mean.
+        target = max(difference, abs(mean)) or half_width
+        additional = max(1, math.ceil((factor * deviation / target) ** 2) - pairs)
+    return PairedResult(verdict, pairs, before_mean, after_mean, mean, low, high, additional)
 
 
 def confidence_interval(values: Sequence[float], alpha: float = ALPHA) -> tuple[float, float, float]:
-    """Mean, and the interval that holds it but for the error allowed."""
+    """Return the mean and the bounds of its confidence interval."""
     mean = statistics.fmean(values)
     if len(values) < 2:
         return mean, -math.inf, math.inf
--- a/leadrudder/experiment/pool.py
+++ b/leadrudder/experiment/pool.py
@@ -1,4 +1,4 @@
-"""Runs side by side in processes of their own: one that dies takes its run with it, and no other."""
+"""Executes runs in parallel worker processes, so that a crash loses only the run that caused it."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 from leadrudder.experiment.revisions import PolicyRevision
 
 WORKER_SCRIPT = Path(__file__).parent / "worker.py"
-INTERPRETER_ADDRESS_SPACE_MB = 512  # address space that an interpreter takes before it plays anything
+INTERPRETER_ADDRESS_SPACE_MB = 512  # address space of an idle worker, allowed on top of runs.most_mb
 RESULT_POLL_S = 0.2
 
 
 @dataclass(frozen=True)
 class Job:
-    """A run to be made."""
+    """A run to execute."""
 
     key: str
     case: Case
-    decisions: PolicyRevision
+    revision: PolicyRevision
     model: str  # digest of the model's sources
     folder: Path
 
 
 @dataclass
 class JobOutcome:
-    """What came of it: a result, or why there is none."""
+    """Outcome of a job: a result, or the error that prevented one."""
 
     job: Job
     result: dict[str, Any] | None
@@ -46,14 +46,14 @@
 @dataclass
 class _Worker:
     process: subprocess.Popen[str]
-    decisions: PolicyRevision
+    revision: PolicyRevision
     most_mb: int
     part: float = 0.0
 
 
 @dataclass
 class Pool:
-    """At most so many runs at once; plays once. parts: how far each that is out has come, for progress."""
+    """Runs jobs on up to `jobs` workers, once. progress_by_key: fraction done of each run in progress."""
 
     jobs: int
     progress_by_key: dict[str, float] = field(default_factory=dict)
@@ -62,18 +62,18 @@
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
     def run_jobs(self, jobs: Iterable[Job]) -> Iterator[JobOutcome | None]:
-        """Results as they come; None now and then, so that the caller can look at the time.
+        """Yield outcomes as they arrive, and None now and then, so that the caller can check its deadline.
 
-        Jobs are taken one by one as a worker is free. Closing the iterator stops all that is out.
+        Jobs are taken one by one as workers become free. Closing the iterator stops all runs in progress.
         """
-        waiting, source_lock = iter(jobs), threading.Lock()
+        pending, pending_lock = iter(jobs), threading.Lock()
         done: queue.Queue[JobOutcome | None] = queue.Queue()
 
         def serve(slot: int) -> None:
             try:
                 while not self._stopped.is_set():
-                    with source_lock:
-                        job = next(waiting, None)
+                    with pending_lock:
+                        job = next(pending, None)
                     if job is None:
                         return
                     done.put(self._run(slot, job))
@@ -84,16 +84,16 @@
         threads = [threading.Thread(target=serve, args=(i,), daemon=True) for i in range(self.jobs)]
         for thread in threads:
             thread.start()
-        left = len(threads)
+        active = len(threads)
         try:
-            while left:
+            while active:
                 try:
                     item = done.get(timeout=RESULT_POLL_S)
                 except queue.Empty:
                     yield None
                     continue
                 if item is None:
-                    left -= 1
+                    active -= 1
                 elif not self._stopped.is_set():
                     yield item
         finally:
@@ -106,14 +106,14 @@
         return self._stopped.is_set()
 
     def stop(self) -> None:
-        """No more runs; what is out is ended."""
+        """Start no more runs, and kill those in progress."""
         self._stopped.set()
         with self._lock:
             for worker in self._workers.values():
                 worker.process.kill()
 
     def _run(self, slot: int, job: Job) -> JobOutcome:
-        began = time.monotonic()
+        started_at = time.monotonic()
         worker = self._worker_for(slot, job)
         if worker is None:
             return JobOutcome(job, None, "stopped")
@@ -136,30 +136,28 @@
                 if "part" in answer:
                     self.progress_by_key[job.key] = answer["part"]
                     continue
-                took = time.monotonic() - began
+                wall_s = time.monotonic() - started_at
                 if "failed" in answer:
-                    self._end_worker(
-                        slot
-                    )  # after a failure its memory is no guide to what the next run needs
-                return JobOutcome(job, answer.get("result"), answer.get("failed", ""), took)
+                    self._end_worker(slot)  # memory left by a failed run would count against the next
+                return JobOutcome(job, answer.get("result"), answer.get("failed", ""), wall_s)
         except (OSError, ValueError):
-            pass  # it died while it was spoken to
+            pass  # the worker died during the exchange
         finally:
             self.progress_by_key.pop(job.key, None)
         code = worker.process.wait()
         self._end_worker(slot)
-        return JobOutcome(job, None, f"its process ended with {code}", time.monotonic() - began)
+        return JobOutcome(job, None, f"its process ended with {code}", time.monotonic() - started_at)
 
     def _worker_for(self, slot: int, job: Job) -> _Worker | None:
-        """The slot's process, if it plays these decisions; else a new one."""
+        """Return the slot's worker if it suits the job, else a new one; None once the pool is stopped."""
         most_mb = job.case.file.runs.most_mb + INTERPRETER_ADDRESS_SPACE_MB
         worker = self._workers.get(slot)
-        if worker is not None and worker.decisions == job.decisions and worker.most_mb == most_mb:
+        if worker is not None and worker.revision == job.revision and worker.most_mb == most_mb:
             return worker
         self._end_worker(slot)
-        tree, prefix = job.decisions.tree, job.decisions.compiled
-        expected = f"{job.decisions.digest if tree is None else ''}/{job.model}"
-        words = [
+        tree, prefix = job.revision.tree, job.revision.compiled
+        expected = f"{job.revision.digest if tree is None else ''}/{job.model}"
+        command = [
             sys.executable,
             "-P",
             str(WORKER_SCRIPT),
@@ -171,8 +169,8 @@
         with self._lock:
             if self._stopped.is_set():
                 return None
-            process = subprocess.Popen(words, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
-            worker = self._workers[slot] = _Worker(process, job.decisions, most_mb)
+            process = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
+            worker = self._workers[slot] = _Worker(process, job.revision, most_mb)
         return worker
 
     def _end_worker(self, slot: int) -> None:
@@ -185,5 +183,5 @@
         process.wait()
         for pipe in (process.stdin, process.stdout):
             if pipe is not None:
-                with contextlib.suppress(OSError):  # what was still to be written has no reader
+                with contextlib.suppress(OSError):  # flushing buffered input to a dead process fails
                     pipe.close()
--- a/leadrudder/experiment/report.py
+++ b/leadrudder/experiment/report.py
@@ -1,4 +1,4 @@
-"""A report of an experiment: charts as PNGs, all figures as CSV, and one page that holds everything."""
+"""Writes the report of an experiment: charts as PNG, all figures as CSV, and one self-contained HTML page."""
 
 from __future__ import annotations
 
@@ -27,29 +27,29 @@
 
 
 def write_report(runs: RunSet, name: str, about: str, folder: Path) -> list[Path]:
-    """Write the report into the folder; returns what was written, the page first."""
+    """Write the report into the folder; returns the written files, the page first."""
     folder.mkdir(parents=True, exist_ok=True)
     drawn = charts.draw_charts(runs, folder)
-    every = _write_runs_csv(runs, folder / "runs.csv")
+    runs_csv = _write_runs_csv(runs, folder / "runs.csv")
     summary = _summary_rows(runs)
-    short = folder / "summary.csv"
-    with short.open("w", newline="", encoding="utf-8") as file:
+    summary_csv = folder / "summary.csv"
+    with summary_csv.open("w", newline="", encoding="utf-8") as file:
         csv.writer(file).writerows(summary)
     page = folder / "report.html"
     page.write_text(_html_page(runs, name, about, drawn, summary), encoding="utf-8")
-    return [page, short, every, *(chart.path for chart in drawn)]
+    return [page, summary_csv, runs_csv, *(chart.path for chart in drawn)]
 
 
 def _write_runs_csv(runs: RunSet, path: Path) -> Path:
-    """A line a run, all figures."""
+    """Write one line per run with all of its figures."""
     figures = list(dict.fromkeys(name for row in runs.rows for name in row.figures))
-    head = ["key", "side", "policy", "ref", *runs.fields, "seed", "state", "broken", "digest", *figures]
+    header = ["key", "side", "policy", "ref", *runs.fields, "seed", "state", "broken", "digest", *figures]
     with path.open("w", newline="", encoding="utf-8") as file:
         writer = csv.writer(file)
-        writer.writerow(head)
+        writer.writerow(header)
         for row in runs.rows:
             broken = " ".join(f"{rule}:{times}" for rule, times in row.broken.items())
-            varied = [row.variant.get(field, "") for field in runs.fields]
+            variant_cells = [row.variant.get(field, "") for field in runs.fields]
             values = [f"{row.figures[name]:.6g}" if name in row.figures else "" for name in figures]
             writer.writerow(
                 [
@@ -57,7 +57,7 @@
                     row.side,
                     row.policy,
                     row.ref,
-                    *varied,
+                    *variant_cells,
                     row.seed,
                     row.state,
                     broken,
@@ -69,7 +69,7 @@
 
 
 def _summary_rows(runs: RunSet) -> list[list[str]]:
-    """A line for each variant and side: means with the halves of their intervals."""
+    """Return one line per variant and side: means with the half widths of their intervals."""
     lines = [["variant", "side", "seeds", *SUMMARY_FIGURES, "broke a rule"]]
     for variant in runs.variants():
         for side in runs.sides:
--- a/leadrudder/experiment/revisions.py
+++ b/leadrudder/experiment/revisions.py
@@ -1,6 +1,6 @@
-"""The decisions of another revision, unpacked and compiled beside the tool, so that both are played alike.
+"""Provides the policy of another git revision, unpacked and compiled, to compare it with this one.
 
-Only the decisions are the other revision's: the model, the files and the figures are the tool's own.
+Only the policy comes from that revision; model, file format and figures are always the tool's own.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 PACKAGE = Path(__file__).parent.parent
 REPOSITORY = PACKAGE.parent
-# What the module is made of; older revisions have looks.py for selection_context.py.
+# Sources of the policy; older revisions have looks.py in place of selection_context.py.
 POLICY_SOURCES = ("interface.py", "looks.py", "selection_context.py", "policy", "recovery", "state")
 MODEL_SOURCES = tuple(
     f"experiment/{name}.py"
@@ -36,12 +36,15 @@
 
 
 class RevisionError(Exception):
-    """A revision that is not there, or whose decisions cannot be played."""
+    """The revision does not exist, or the tool cannot run its policy."""
 
 
 @dataclass(frozen=True)
 class PolicyRevision:
-    """Where the sources of the decisions are, and what tells them from others; tree None: as they stand."""
+    """Location and digest of a policy's sources; tree is None for the working tree.
+
+    compiled: the prefix below which its compiled modules are.
+    """
 
     digest: str
     tree: Path | None = None
@@ -49,7 +52,7 @@
 
 
 def digest_sources(package: Path, names: tuple[str, ...]) -> str:
-    """Of the Python sources below these names."""
+    """Return a digest of the Python sources at or below these names."""
     total = hashlib.blake2b(digest_size=16)
     for name in names:
         path = package / name
@@ -61,45 +64,43 @@
 
 
 def working_tree_policy() -> PolicyRevision:
-    """The decisions as they stand here."""
+    """Return the policy of the working tree."""
     return PolicyRevision(digest_sources(PACKAGE, POLICY_SOURCES))
 
 
 def model_digest() -> str:
-    """What tells this model from others: its own sources."""
+    """Return the digest of the model's sources."""
     return digest_sources(PACKAGE, MODEL_SOURCES)
 
 
 def fetch_revision(ref: str, cache: Path) -> PolicyRevision:
-    """The decisions of a git revision, below the cache; RevisionError for what cannot be had."""
+    """Unpack the policy of a git revision into the cache; raises RevisionError if that is not possible."""
     if ref.startswith("-"):
         raise RevisionError(f"{ref!r} is no revision")
     commit = _git("rev-parse", "--verify", "--quiet", f"{ref}^{{commit}}", ref=ref).decode().strip()
     tree = cache / commit
     if not (tree / "whole").exists():
         archive = _git("archive", commit, ref=ref)
-        part = cache / f"{commit}.{os.getpid()}"
-        part.mkdir(parents=True, exist_ok=True)
-        subprocess.run(["tar", "-xf", "-", "-C", str(part)], input=archive, check=True)
-        (part / "whole").touch()
-        with contextlib.suppress(OSError):  # another run of the tool was quicker
-            part.rename(tree)
+        partial = cache / f"{commit}.{os.getpid()}"
+        partial.mkdir(parents=True, exist_ok=True)
+        subprocess.run(["tar", "-xf", "-", "-C", str(partial)], input=archive, check=True)
+        (partial / "whole").touch()
+        with contextlib.suppress(OSError):  # another process has unpacked it meanwhile
+            partial.rename(tree)
     if not (tree / REQUIRED_MODULE).is_file():
-        raise RevisionError(
-            f"revision {ref} has no {REQUIRED_MODULE}: its decisions are older than this tool can play"
-        )
+        raise RevisionError(f"revision {ref} has no {REQUIRED_MODULE}: its policy is too old for this tool")
     compiled = cache / f"{commit}.prefix" / "leadrudder-compiled"
     if (tree / "leadrudder" / "compile.py").is_file() and not compiled.exists():
         compiled.parent.mkdir(exist_ok=True)
-        # What cannot be compiled is interpreted: slower, and the same.
-        arguments = [sys.executable, "-c", _COMPILE_SCRIPT, str(tree), str(compiled)]
-        subprocess.run(arguments, cwd=tree, check=False, capture_output=True)
-    found = compiled.parent if compiled.exists() else None
-    return PolicyRevision(digest_sources(tree / "leadrudder", POLICY_SOURCES), tree, found)
+        # If compilation fails, the policy is interpreted: slower, with the same results.
+        command = [sys.executable, "-c", _COMPILE_SCRIPT, str(tree), str(compiled)]
+        subprocess.run(command, cwd=tree, check=False, capture_output=True)
+    prefix = compiled.parent if compiled.exists() else None
+    return PolicyRevision(digest_sources(tree / "leadrudder", POLICY_SOURCES), tree, prefix)
 
 
-def _git(*words: str, ref: str) -> bytes:
+def _git(*arguments: str, ref: str) -> bytes:
     try:
-        return subprocess.run(["git", *words], cwd=REPOSITORY, check=True, capture_output=True).stdout
+        return subprocess.run(["git", *arguments], cwd=REPOSITORY, check=True, capture_output=True).stdout
     except (OSError, subprocess.CalledProcessError):
         raise RevisionError(f"there is no revision {ref!r} in {REPOSITORY.name}'s history") from None
--- a/leadrudder/experiment/runner.py
+++ b/leadrudder/experiment/runner.py
@@ -1,4 +1,4 @@
-"""Makes the runs of an experiment that are not there yet, and keeps what came of them."""
+"""Executes the missing runs of an experiment and stores their results."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from leadrudder.experiment.spec import File
 from leadrudder.experiment.store import Row, Store
 
-CLAIM_POLL_S = 0.5  # between looks at what another process of the tool is making
+CLAIM_POLL_S = 0.5  # between checks for runs that another process has claimed
 
 
 @dataclass
 class Progress:
-    """How far it is: runs in all, made before, made now, and how many failed or broke a rule."""
+    """Progress of an experiment: how many runs are stored, completed, failed or violate a rule."""
 
     total: int
     already_stored: int = 0
@@ -32,7 +32,7 @@
     started_at: float = field(default_factory=time.monotonic)
 
     def remaining_s(self) -> float | None:
-        """Seconds that remain at the pace so far; None while there is none."""
+        """Estimate the remaining time at the rate so far; None until a rate can be computed."""
         done = self.completed + self.in_progress
         if done <= 0.2:
             return None
@@ -41,7 +41,7 @@
 
 @dataclass
 class Experiment:
-    """A checked file, ready to be played. folder: what its traces are relative to."""
+    """A validated file, ready to run. folder: base of its relative trace path; cache: unpacked revisions."""
 
     values: Mapping[str, Any]
     file: File
@@ -50,29 +50,29 @@
     _policy_revisions: dict[str, PolicyRevision] = field(default_factory=dict)
 
     def policy_revision(self, ref: str) -> PolicyRevision:
-        """Of a side; RevisionError for one that cannot be had."""
+        """Return the policy of a git revision, or of the working tree; may raise RevisionError."""
         if ref not in self._policy_revisions:
             self._policy_revisions[ref] = fetch_revision(ref, self.cache) if ref else working_tree_policy()
         return self._policy_revisions[ref]
 
     def jobs(self, seeds: range | None = None) -> list[Job]:
-        """All runs with their keys."""
+        """Return a job, with its key, for each run."""
         model = model_digest()
         jobs = []
         for case in plan.expand_cases(self.values, self.file, seeds):
-            decisions = self.policy_revision(case.side.ref)
-            digest = decisions.digest if case.side.policy == "leadrudder" else ""
-            key = plan.run_key(case, digest, model, self._trace(case))
-            jobs.append(Job(key, case, decisions, model, self.folder))
+            revision = self.policy_revision(case.side.ref)
+            digest = revision.digest if case.side.policy == "leadrudder" else ""
+            key = plan.run_key(case, digest, model, self._trace_digest(case))
+            jobs.append(Job(key, case, revision, model, self.folder))
         return jobs
 
-    def _trace(self, case: Case) -> str:
+    def _trace_digest(self, case: Case) -> str:
         if case.file.load.form != "trace":
             return ""
         try:
             return hashlib.blake2b((self.folder / case.file.load.trace).read_bytes()).hexdigest()
         except OSError:
-            return ""  # the run itself tells what is wrong
+            return ""  # the run itself reports the error
 
 
 def run_missing(
@@ -84,16 +84,16 @@
     budget_s: float | None = None,
     on_progress: Callable[[Progress], None] = lambda _: None,
 ) -> Progress:
-    """Make the runs that are missing, until all are there or the time is up.
+    """Execute the missing runs, until all are stored or the time budget is spent.
 
-    What another process makes meanwhile on the same file is waited for, and not made again.
+    A run that another process has claimed on the same results file is awaited, not repeated.
     """
     progress = Progress(len(jobs))
     missing = {job.key: job for job in jobs if not store.has(job.key)}
     progress.already_stored = sum(job.key not in missing for job in jobs)
 
-    def claimed() -> Iterator[Job]:
-        """Each as it is this process's turn to make it; taken by the pool's threads, one at a time."""
+    def claim_jobs() -> Iterator[Job]:
+        """Yield each job once this process holds its claim; the pool's threads consume it one at a time."""
         while missing and not pool.stopped:
             for key, job in list(missing.items()):
                 if store.claim(key):
@@ -103,31 +103,31 @@
                     del missing[key]
                     progress.already_stored += 1
             if missing:
-                time.sleep(CLAIM_POLL_S)  # the rest is out with others
+                time.sleep(CLAIM_POLL_S)  # other processes have claimed the rest
 
-    until = None if budget_s is None else progress.started_at + budget_s
-    results = pool.run_jobs(claimed())
-    for done in results:
-        if done is not None:
-            _store_outcome(store, experiment, done, progress)
+    stop_at = None if budget_s is None else progress.started_at + budget_s
+    results = pool.run_jobs(claim_jobs())
+    for outcome in results:
+        if outcome is not None:
+            _store_outcome(store, experiment, outcome, progress)
         progress.in_progress = sum(pool.progress_by_key.copy().values())
         on_progress(progress)
-        if until is not None and time.monotonic() > until:
+        if stop_at is not None and time.monotonic() > stop_at:
             pool.stop()
     return progress
 
 
-def _store_outcome(store: Store, experiment: Experiment, done: JobOutcome, progress: Progress) -> None:
-    case, result = done.job.case, done.result
+def _store_outcome(store: Store, experiment: Experiment, outcome: JobOutcome, progress: Progress) -> None:
+    case, result = outcome.job.case, outcome.result
     progress.completed += 1
     if result is None:
         progress.failed += 1
     elif result["broken"]:
         progress.violating += 1
-    found = result or {}
+    fields = result or {}
     store.add(
         Row(
-            key=done.job.key,
+            key=outcome.job.key,
             experiment=experiment.file.name,
             side=case.side.name,
             policy=case.side.policy,
@@ -136,22 +136,22 @@
             variant=dict(case.variant),
             seed=case.seed,
             state="failed" if result is None else "broken" if result["broken"] else "done",
-            figures=found.get("figures", {}),
-            course={name: found.get(name, []) for name in ("asked", "served", "troubles")},
-            latencies=found.get("latencies", {}),
-            broken=found.get("broken", {}),
-            digest=found.get("digest", ""),
-            steps=found.get("steps", 0),
-            wall_s=done.wall_s,
-            note=done.error or "; ".join(found.get("notes", [])),
+            figures=fields.get("figures", {}),
+            course={name: fields.get(name, []) for name in ("asked", "served", "troubles")},
+            latencies=fields.get("latencies", {}),
+            broken=fields.get("broken", {}),
+            digest=fields.get("digest", ""),
+            steps=fields.get("steps", 0),
+            wall_s=outcome.wall_s,
+            note=outcome.error or "; ".join(fields.get("notes", [])),
             file=_replayable_file(case.file, experiment.folder),
         )
     )
 
 
 def _replayable_file(file: File, folder: Path) -> dict[str, Any]:
-    """The file as a replay needs it, wherever that is asked for: with its trace's whole path."""
-    kept = file.model_dump(mode="json", by_alias=True)
+    """Return the file as JSON values with an absolute trace path, so that a replay works from any folder."""
+    values = file.model_dump(mode="json", by_alias=True)
     if file.load.form == "trace":
-        kept["load"]["trace"] = str(folder / file.load.trace)
-    return kept
+        values["load"]["trace"] = str(folder / file.load.trace)
+    return values
--- a/leadrudder/experiment/spec.py
+++ b/leadrudder/experiment/spec.py
@@ -1,6 +1,7 @@
-"""An experiment file as a typed model: fleet, load, callers, troubles, what varies, and what is compared.
+"""Typed model of an experiment file: fleet, load, callers, troubles, swept fields and compared sides.
 
-Names carry their units. Where a figure may be a pair [low, high], each seed draws its own from that range.
+Field names carry their units. A field that also accepts a pair [low, high] is sampled from that range for
+each seed. Class names, docstrings and descriptions are part of the published JSON Schema.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 Count = Annotated[int, Field(ge=1, le=20_000)]
 Factor = Annotated[float, Field(ge=1, le=1000, allow_inf_nan=False)]
 
-# A figure, or the pair [low, high] that a seed draws from.
+# A single value, or the pair [low, high] that each seed samples from.
 AmountOrRange = Amount | Annotated[list[Amount], Field(min_length=2, max_length=2)]
 PositiveOrRange = Positive | Annotated[list[Positive], Field(min_length=2, max_length=2)]
 FractionOrRange = Fraction | Annotated[list[Fraction], Field(min_length=2, max_length=2)]
--- a/leadrudder/experiment/store.py
+++ b/leadrudder/experiment/store.py
@@ -1,7 +1,7 @@
-"""Results in SQLite: a row a run, keyed by everything that went into it, so that none is made twice.
+"""Stores results in SQLite: one row per run, keyed by a digest of its inputs, so that no run is repeated.
 
-Several runs of the tool may share a file. A run that is out is claimed by its process; the claim of one that
-is gone counts no more.
+Several processes may share a file. A run in progress is claimed by its process; the claim of a process that
+has exited is void.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from typing import Any
 
 SCHEMA_VERSION = 1
-APPLICATION_ID = 0x4C524558  # in the file's header, so that another program's database is not taken for ours
+APPLICATION_ID = 0x4C524558  # in the file header, to recognize databases of other programs
 BUSY_TIMEOUT_S = 30.0
 
 _SCHEMA = """
@@ -48,12 +48,12 @@
 
 
 class StoreError(Exception):
-    """A results file that cannot be used; its text says which and why."""
+    """The results file cannot be used; the message names the file and the reason."""
 
 
 @dataclass(frozen=True)
 class Row:
-    """One run as it is kept."""
+    """The stored record of one run."""
 
     key: str
     experiment: str
@@ -83,11 +83,11 @@
 
 
 class Store:
-    """One results file."""
+    """A results file."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self._lock = threading.RLock()  # the pool's threads claim, and the main one keeps
+        self._lock = threading.RLock()  # the pool's threads claim runs, the main thread stores them
         try:
             self._db = sqlite3.connect(
                 path, timeout=BUSY_TIMEOUT_S, isolation_level=None, check_same_thread=False
@@ -96,7 +96,7 @@
             self._db.execute("PRAGMA journal_mode = WAL")
             self._db.execute("PRAGMA synchronous = NORMAL")
         except sqlite3.Error as error:
-            raise StoreError(f"{path}: is no results file, or is damaged: {error}") from None
+            raise StoreError(f"{path}: is not a results file, or is damaged: {error}") from None
         self._pid, self._born = os.getpid(), _process_start_time(os.getpid())
 
     def _open(self) -> None:
@@ -120,7 +120,7 @@
             raise StoreError(f"{self.path}: is damaged: {state}")
 
     def close(self) -> None:
-        """Give up what is claimed and not done, and close."""
+        """Release this process's claims and close the file."""
         try:
             self._db.execute("DELETE FROM claims WHERE pid = ? AND born = ?", (self._pid, self._born))
             self._db.close()
@@ -140,13 +140,13 @@
     # ------------------------------------------------------------ runs
 
     def has(self, key: str) -> bool:
-        """Whether this run was made; one that failed is made again."""
+        """Return whether a result of this run is stored; failed runs do not count and are repeated."""
         query = "SELECT 1 FROM runs WHERE key = ? AND state != 'failed'"
         with self._lock:
             return self._db.execute(query, (key,)).fetchone() is not None
 
     def claim(self, key: str) -> bool:
-        """Whether it is this process that is to make the run now."""
+        """Claim the run for this process; False if it is stored or claimed by another live process."""
         with self._lock, self._transaction():
             if self.has(key):
                 return False
@@ -157,24 +157,24 @@
             return True
 
     def add(self, row: Row) -> None:
-        """Keep a run; its claim ends with the same commit."""
+        """Store a run and release its claim in one transaction."""
         values = [
             json.dumps(getattr(row, name), sort_keys=True) if name in _JSON_COLUMNS else getattr(row, name)
             for name in _COLUMNS.split(", ")
         ]
-        marks = ", ".join("?" * (len(values) + 1))
+        placeholders = ", ".join("?" * (len(values) + 1))
         try:
             with self._lock, self._transaction():
                 self._db.execute(
-                    f"INSERT OR REPLACE INTO runs ({_COLUMNS}, made_at) VALUES ({marks})",
+                    f"INSERT OR REPLACE INTO runs ({_COLUMNS}, made_at) VALUES ({placeholders})",
                     (*values, time.time()),
                 )
                 self._db.execute("DELETE FROM claims WHERE key = ?", (row.key,))
         except sqlite3.Error as error:
-            raise StoreError(f"{self.path}: a run cannot be kept: {error}") from None
+            raise StoreError(f"{self.path}: a run cannot be stored: {error}") from None
 
     def rows(self, keys: list[str]) -> list[Row]:
-        """The runs of these keys that were made, in the order of the keys."""
+        """Return the stored runs of these keys, in the order of the keys."""
         found = []
         for key in keys:
             row = self._db.execute(f"SELECT {_COLUMNS} FROM runs WHERE key = ?", (key,)).fetchone()
@@ -183,18 +183,18 @@
         return found
 
     def all(self, experiment: str | None = None) -> list[Row]:
-        """All runs, of one experiment or of any, oldest first."""
+        """Return all runs, of one experiment or of any, oldest first."""
         where, values = ("WHERE experiment = ?", (experiment,)) if experiment else ("", ())
         query = f"SELECT {_COLUMNS} FROM runs {where} ORDER BY made_at, key"
         return [_row(row) for row in self._db.execute(query, values)]
 
-    def find(self, beginning: str) -> Row:
-        """The run whose key begins so; StoreError if there is none, or more than one."""
+    def find(self, key_prefix: str) -> Row:
+        """Return the run whose key has this prefix; raises StoreError unless there is exactly one."""
         query = f"SELECT {_COLUMNS} FROM runs WHERE substr(key, 1, ?) = ? LIMIT 2"
-        rows = self._db.execute(query, (len(beginning), beginning)).fetchall()
+        rows = self._db.execute(query, (len(key_prefix), key_prefix)).fetchall()
         if len(rows) != 1:
-            what = "no run" if not rows else "more than one run"
-            raise StoreError(f"{self.path}: {what} has a key that begins with {beginning!r}")
+            count = "no run" if not rows else "more than one run"
+            raise StoreError(f"{self.path}: {count} has a key that begins with {key_prefix!r}")
         return _row(rows[0])
 
 
@@ -204,7 +204,7 @@
 
 
 def _process_start_time(pid: int) -> str:
-    """When a process was started, in its kernel's own count: a number used again is another process."""
+    """Return a process's start time in kernel clock ticks, which tells apart processes that reuse a pid."""
     try:
         text = Path(f"/proc/{pid}/stat").read_text()
     except OSError:
--- a/leadrudder/experiment/worker.py
+++ b/leadrudder/experiment/worker.py
@@ -1,8 +1,8 @@
-"""A process that plays runs: jobs come as lines of JSON on standard input, results go out as lines of JSON.
+"""Worker process that executes runs: reads jobs as lines of JSON on stdin, writes results as lines of JSON.
 
-Started as a script, so that it can put the decisions of another revision in place before anything of the
-package is imported: python -P worker.py TREE PREFIX MOST_MB SOURCES, with - for TREE
-and PREFIX for the present decisions; SOURCES says of what the runs are to be made.
+It is started as a script, so that it can install the policy of another revision before any module of the
+package is imported: python -P worker.py TREE PREFIX MOST_MB SOURCES. TREE and PREFIX are - for the policy of
+the working tree; SOURCES is the expected digest of the policy and model sources.
 """
 
 from __future__ import annotations
@@ -16,27 +16,27 @@
 from pathlib import Path
 from typing import Any
 
-TOOL_PACKAGE = Path(__file__).resolve().parent.parent  # the package of the tool
+TOOL_PACKAGE = Path(__file__).resolve().parent.parent  # the tool's own leadrudder package
 
 
 def install_policy_revision(tree: str, prefix: str) -> None:
-    """Have leadrudder's decisions found in that tree, and everything else in the tool's own package."""
+    """Import the policy from that tree, and the experiment tool from its own package."""
     if tree == "-":
         sys.path.insert(0, str(TOOL_PACKAGE.parent))
         return
     sys.path.insert(0, tree)
-    own_prefix = sys.prefix
+    original_prefix = sys.prefix
     if prefix != "-":
-        sys.prefix = prefix  # compiled decisions are looked for below it; there is no other way to say so
+        sys.prefix = prefix  # leadrudder looks for compiled modules below sys.prefix only
     try:
         import leadrudder
     finally:
-        sys.prefix = own_prefix
+        sys.prefix = original_prefix
     leadrudder.__path__.append(str(TOOL_PACKAGE))
     for name in ("tool", "experiment"):
-        place = TOOL_PACKAGE / name / "__init__.py"
+        init_file = TOOL_PACKAGE / name / "__init__.py"
         spec = importlib.util.spec_from_file_location(
-            f"leadrudder.{name}", place, submodule_search_locations=[str(place.parent)]
+            f"leadrudder.{name}", init_file, submodule_search_locations=[str(init_file.parent)]
         )
         assert spec is not None and spec.loader is not None
         module = importlib.util.module_from_spec(spec)
@@ -46,24 +46,24 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Play until standard input ends."""
+    """Execute jobs until end of input."""
     tree, prefix, most_mb, expected = arguments
     install_policy_revision(tree, prefix)
     from leadrudder.experiment.revisions import model_digest, working_tree_policy
 
-    own = f"{working_tree_policy().digest if tree == '-' else ''}/{model_digest()}"
+    actual = f"{working_tree_policy().digest if tree == '-' else ''}/{model_digest()}"
     out = os.fdopen(os.dup(1), "w", buffering=1)
-    os.dup2(2, 1)  # what anything prints must not be taken for a result
-    most = int(most_mb) * 1024 * 1024
-    resource.setrlimit(resource.RLIMIT_AS, (most, most))
+    os.dup2(2, 1)  # output of library code must not be read as a result
+    limit_bytes = int(most_mb) * 1024 * 1024
+    resource.setrlimit(resource.RLIMIT_AS, (limit_bytes, limit_bytes))
 
     from leadrudder.experiment.play import decider_of, play
     from leadrudder.experiment.spec import File
 
     for line in sys.stdin:
         job: dict[str, Any] = json.loads(line)
-        if own != expected:
-            # Its key says what it is made of: a result of other sources under it would never be found out.
+        if actual != expected:
+            # The key identifies the sources; a result of other sources stored under it would go unnoticed.
             print(json.dumps({"failed": "the program has changed since this began"}), file=out)
             continue
         try:
