--- a/leadrudder/experiment/charts.py
+++ b/leadrudder/experiment/charts.py
@@ -110,13 +110,13 @@
     return figure, axes
 
 
-def _smooth(served: Sequence[float], asked: Sequence[float]) -> list[float]:
-    parts = []
+def _moving_share(served: Sequence[float], asked: Sequence[float]) -> list[float]:
+    shares = []
     for i in range(len(asked)):
         low = max(0, i - SMOOTHING_S + 1)
         total = sum(asked[low : i + 1])
-        parts.append(sum(served[low : i + 1]) / total if total else math.nan)
-    return parts
+        shares.append(sum(served[low : i + 1]) / total if total else math.nan)
+    return shares
 
 
 def _title_suffix(variant: dict[str, Any]) -> str:
@@ -133,7 +133,7 @@
         if not rows:
             continue
         warm_up = float(rows[0].file.get("warm_up_s", 0.0))
-        courses = [_smooth(row.course["served"], row.course["asked"]) for row in rows]
+        courses = [_moving_share(row.course["served"], row.course["asked"]) for row in rows]
         times = [warm_up + i + 1 for i in range(len(courses[0]))]
         means = [statistics.fmean(at) for at in zip(*courses, strict=True)]
         lowest_decile = [sorted(at)[len(at) // 10] for at in zip(*courses, strict=True)]
@@ -174,7 +174,7 @@
     if places is not values:
         axes.set_xticks(places, [str(value) for value in values])
     axes.set_xlabel(field)
-    axes.set_ylabel("\n".join(_wrapped(FIGURE_LABELS.get(name, name))))
+    axes.set_ylabel("\n".join(_wrap(FIGURE_LABELS.get(name, name))))
     axes.set_ylim(bottom=0.0)
     axes.legend(frameon=False)
     title = f"{FIGURE_LABELS.get(name, name).capitalize()}, by {field}: means with 95% intervals"
@@ -205,7 +205,7 @@
     axes.set_xlabel(x_field)
     axes.set_ylabel(y_field)
     axes.spines[:].set_visible(False)
-    figure.colorbar(image, label="\n".join(_wrapped(FIGURE_LABELS.get(name, name))))
+    figure.colorbar(image, label="\n".join(_wrap(FIGURE_LABELS.get(name, name))))
     return _save(figure, folder, f"heat-{side}-{name}", f"{side}: {FIGURE_LABELS.get(name, name)}")
 
 
@@ -277,7 +277,7 @@
     )
 
 
-def _wrapped(text: str, width: int = 34) -> list[str]:
+def _wrap(text: str, width: int = 34) -> list[str]:
     lines = [""]
     for word in text.split():
         if len(lines[-1]) + len(word) > width:
--- a/leadrudder/experiment/command.py
+++ b/leadrudder/experiment/command.py
@@ -185,13 +185,13 @@
         last = time.monotonic()
         left = progress.remaining_s()
         remaining = "" if left is None else f", {left:.0f} s left"
-        wrong = "".join(
+        problem_counts = "".join(
             f", {count} {what}"
             for count, what in ((progress.failed, "failed"), (progress.violating, "broke a rule"))
             if count
         )
         done = progress.already_stored + progress.completed
-        print(f"{done} of {progress.total} runs{wrong}{remaining}", file=sys.stderr)
+        print(f"{done} of {progress.total} runs{problem_counts}{remaining}", file=sys.stderr)
 
     return on_progress
 
@@ -269,18 +269,18 @@
         )
         rows = _rows_of(store, wanted)
     _print_table(rows)
-    wrong = [row for row in rows if row.state != "done"]
-    for row in wrong[:MAX_BAD_RUNS_SHOWN]:
+    bad_runs = [row for row in rows if row.state != "done"]
+    for row in bad_runs[:MAX_BAD_RUNS_SHOWN]:
         what = row.note or ", ".join(f"{rule} {times}" for rule, times in row.broken.items())
         print(f"{row.state}: {row.side} seed {row.seed} {row.variant or ''}: {what}")
         print(f"  replay: leadrudder experiment replay {row.key[:12]} --results {results}")
-    if len(wrong) > MAX_BAD_RUNS_SHOWN:
-        print(f"and {len(wrong) - MAX_BAD_RUNS_SHOWN} more that failed or broke a rule")
+    if len(bad_runs) > MAX_BAD_RUNS_SHOWN:
+        print(f"and {len(bad_runs) - MAX_BAD_RUNS_SHOWN} more that failed or broke a rule")
     print(
         f"runs={len(rows)} of={progress.total} made_now={progress.completed} failed={progress.failed}"
         f" broken={sum(row.state == 'broken' for row in rows)}"
     )
-    return EXIT_FINDINGS if wrong or len(rows) < progress.total else 0
+    return EXIT_FINDINGS if bad_runs or len(rows) < progress.total else 0
 
 
 def _print_table(rows: list[Row]) -> None:
@@ -376,7 +376,9 @@
         raise click.ClickException("there is no complete pair of runs: none finished in time, or all failed")
     print("\n".join(comparison.describe()))
     return (
-        EXIT_FINDINGS if any(one.verdict is Verdict.CANNOT_TELL for one in comparison.results.values()) else 0
+        EXIT_FINDINGS
+        if any(result.verdict is Verdict.CANNOT_TELL for result in comparison.results.values())
+        else 0
     )
 
 
@@ -420,16 +422,16 @@
     pool = Pool(1)
     with _stop_on_sigterm(pool):
         job = Job(row.key, case, revision, model_digest(), Path())
-        done = next((one for one in pool.run_jobs([job]) if one is not None), None)
-    if done is None or done.result is None:
-        failed = "it was stopped" if done is None else done.error
+        outcome = next((item for item in pool.run_jobs([job]) if item is not None), None)
+    if outcome is None or outcome.result is None:
+        failed = "it was stopped" if outcome is None else outcome.error
         print(f"failed: {failed}")
         return 0 if row.state == "failed" and row.note == failed else EXIT_FINDINGS
-    for name, value in done.result["figures"].items():
+    for name, value in outcome.result["figures"].items():
         print(f"{name}={value:.6g}")
-    for rule, times in done.result["broken"].items():
+    for rule, times in outcome.result["broken"].items():
         print(f"broken: {rule} {times} times")
-    digest = done.result["digest"]
+    digest = outcome.result["digest"]
     print(f"digest={digest} as_before={str(digest == row.digest).lower()} decisions={revision.digest}")
     return 0 if digest == row.digest else EXIT_FINDINGS
 
--- a/leadrudder/experiment/figures.py
+++ b/leadrudder/experiment/figures.py
@@ -48,12 +48,12 @@
 class Tally:
     """Worth requested and worth served in time, of one class, tenant or second."""
 
-    asked: float = 0.0
+    requested: float = 0.0
     served: float = 0.0
 
     @property
     def served_share(self) -> float:
-        return self.served / self.asked if self.asked else 1.0
+        return self.served / self.requested if self.requested else 1.0
 
 
 @dataclass(frozen=True)
@@ -76,33 +76,36 @@
 
     def __init__(self, clock: Clock, file: File) -> None:
         self._clock, self._file = clock, file
-        self._seconds = [Tally() for _ in range(int(file.length_s) + 1)]
-        self._requested_work_ms = [0.0] * len(self._seconds)
-        self._classes = [Tally() for _ in file.request_class]
-        self._tenants = [Tally() for _ in file.tenant]
+        self._second_tallies = [Tally() for _ in range(int(file.length_s) + 1)]
+        self._work_by_second_ms = [0.0] * len(self._second_tallies)
+        self._class_tallies = [Tally() for _ in file.request_class]
+        self._tenant_tallies = [Tally() for _ in file.tenant]
         self._latencies = [new_histogram() for _ in file.request_class]
-        self._warm_ms = 1000.0 * file.warm_up_s
+        self._warm_up_ms = 1000.0 * file.warm_up_s
         self._digest = hashlib.blake2b(digest_size=16)
         self.open_operations: dict[int, Operation] = {}
         self.request_count = self.tries = self.attempts = 0
-        self.answers: dict[str, int] = {}
-        self.late = 0
-        self._work_in_time = self._work_all = 0.0
+        self.answer_counts: dict[str, int] = {}
+        self.late_count = 0
+        self._work_in_time_ms = self._total_work_ms = 0.0
 
     def record_request(self, operation: Operation) -> None:
         self.open_operations[operation.number] = operation
-        if operation.at_ms < self._warm_ms:
+        if operation.at_ms < self._warm_up_ms:
             return
         self.request_count += 1
         for tally in self._tallies(operation):
-            tally.asked += operation.worth
+            tally.requested += operation.worth
         mean_ms = as_float(self._file.request_class[operation.class_index].work_ms)
-        self._requested_work_ms[int(operation.at_ms / 1000.0)] += operation.units * mean_ms
+        self._work_by_second_ms[int(operation.at_ms / 1000.0)] += operation.units * mean_ms
 
     def _tallies(self, operation: Operation) -> list[Tally]:
-        tallies = [self._seconds[int(operation.at_ms / 1000.0)], self._classes[operation.class_index]]
-        if self._tenants:
-            tallies.append(self._tenants[operation.tenant])
+        tallies = [
+            self._second_tallies[int(operation.at_ms / 1000.0)],
+            self._class_tallies[operation.class_index],
+        ]
+        if self._tenant_tallies:
+            tallies.append(self._tenant_tallies[operation.tenant])
         return tallies
 
     def record_end(self, operation: Operation, answer: str) -> None:
@@ -111,12 +114,12 @@
         operation.answer, operation.ended_ms = answer, now
         self._digest.update(_END_RECORD.pack(operation.number, _ANSWER_CODES[answer], now))
         del self.open_operations[operation.number]
-        if operation.at_ms < self._warm_ms:
+        if operation.at_ms < self._warm_up_ms:
             return
-        self.answers[answer] = self.answers.get(answer, 0) + 1
+        self.answer_counts[answer] = self.answer_counts.get(answer, 0) + 1
         self.tries += operation.tries
         self.attempts += operation.attempts
-        self._work_all += operation.work
+        self._total_work_ms += operation.work
         if answer != "served":
             return
         latency_ms = now - operation.at_ms
@@ -125,9 +128,9 @@
             max(HISTOGRAM_MIN_US, min(HISTOGRAM_MAX_US, int(1000.0 * latency_ms)))
         )
         if latency_ms <= request_class.aim_ms:
-            self._work_in_time += operation.work
+            self._work_in_time_ms += operation.work
         else:
-            self.late += 1
+            self.late_count += 1
         share = (
             1.0
             if latency_ms <= request_class.aim_ms
@@ -143,23 +146,23 @@
     def result(self, fleet: Fleet, troubles: list[TroubleInterval], notes: list[str]) -> Result:
         """Compute all figures, once the run has ended."""
         first, last = int(self._file.warm_up_s), int(self._file.length_s)
-        seconds = self._seconds[first:last]
-        asked, served = [t.asked for t in seconds], [t.served for t in seconds]
+        seconds = self._second_tallies[first:last]
+        asked, served = [t.requested for t in seconds], [t.served for t in seconds]
         possible = self._possible_service(fleet, first, last)
-        service = _smooth(asked, served, SMOOTHING_S)
+        service = _moving_share(asked, served, SMOOTHING_S)
         total = Tally(sum(asked), sum(served))
         figures = {
             "service": total.served_share,
-            "worst_10s": _worst(asked, served),
-            "worst_class": min((t.served_share for t in self._classes), default=1.0),
-            "worst_tenant": min((t.served_share for t in self._tenants), default=total.served_share),
+            "worst_10s": _worst_window(asked, served),
+            "worst_class": min((t.served_share for t in self._class_tallies), default=1.0),
+            "worst_tenant": min((t.served_share for t in self._tenant_tallies), default=total.served_share),
             "requests": float(self.request_count),
-            "tries_a_request": self.tries / max(1, sum(self.answers.values())),
-            "attempts_a_request": self.attempts / max(1, sum(self.answers.values())),
-            "late": self.late / max(1, self.request_count),
-            "wasted": 1.0 - self._work_in_time / self._work_all if self._work_all else 0.0,
+            "tries_a_request": self.tries / max(1, sum(self.answer_counts.values())),
+            "attempts_a_request": self.attempts / max(1, sum(self.answer_counts.values())),
+            "late": self.late_count / max(1, self.request_count),
+            "wasted": 1.0 - self._work_in_time_ms / self._total_work_ms if self._total_work_ms else 0.0,
             **{
-                f"ended_{what}": self.answers.get(what, 0) / max(1, self.request_count)
+                f"ended_{what}": self.answer_counts.get(what, 0) / max(1, self.request_count)
                 for what in _ANSWER_CODES
             },
             **_jam_figures(service, possible),
@@ -215,25 +218,25 @@
     def _possible_service(self, fleet: Fleet, first: int, last: int) -> list[float]:
         """Return, for each second, the fraction of the requested work that the fleet could do when warm."""
         capacity_ms = fleet.shape.capacity_per_s * fleet.shape.mean_work_ms
-        demand = _smooth(
+        demand = _moving_share(
             [1.0] * (last - first),
-            [w / capacity_ms for w in self._requested_work_ms[first:last]],
+            [w / capacity_ms for w in self._work_by_second_ms[first:last]],
             SMOOTHING_S,
         )
         return [min(1.0, 1.0 / x) if x > 0.0 else 1.0 for x in demand]
 
 
-def _smooth(asked: list[float], served: list[float], window: int) -> list[float]:
+def _moving_share(asked: list[float], served: list[float], window: int) -> list[float]:
     """Return the fraction served over the window of seconds that ends with each second."""
-    parts = []
+    shares = []
     for i in range(len(asked)):
         low = max(0, i - window + 1)
         total = sum(asked[low : i + 1])
-        parts.append(sum(served[low : i + 1]) / total if total else 1.0)
-    return parts
+        shares.append(sum(served[low : i + 1]) / total if total else 1.0)
+    return shares
 
 
-def _worst(asked: list[float], served: list[float]) -> float:
+def _worst_window(asked: list[float], served: list[float]) -> float:
     """Return the lowest fraction served in any window of WORST_WINDOW_S."""
     starts = range(max(1, len(asked) - WORST_WINDOW_S + 1))
     tallies = [Tally(sum(asked[i : i + WORST_WINDOW_S]), sum(served[i : i + WORST_WINDOW_S])) for i in starts]
@@ -242,7 +245,7 @@
 
 def _jam_figures(service: list[float], possible: list[float]) -> dict[str, float]:
     """Return the seconds in a jam, the longest jam, and whether the fleet tipped."""
-    jammed = [part < JAM_SERVED_SHARE * limit for part, limit in zip(service, possible, strict=True)]
+    jammed = [share < JAM_SERVED_SHARE * limit for share, limit in zip(service, possible, strict=True)]
     longest = current = 0
     for in_jam in jammed:
         current = current + 1 if in_jam else 0
@@ -259,6 +262,6 @@
     end = int(max(t.to_s for t in troubles)) - first
     baseline = sum(service[:begin]) / len(service[:begin]) if service[:begin] else 1.0
     for i in range(max(0, end), len(service)):
-        if all(part >= RECOVERED_SHARE * baseline for part in service[i : i + SMOOTHING_S]):
+        if all(share >= RECOVERED_SHARE * baseline for share in service[i : i + SMOOTHING_S]):
             return float(i - end)
     return float(max(0, len(service) - end))
--- a/leadrudder/experiment/loader.py
+++ b/leadrudder/experiment/loader.py
@@ -72,9 +72,9 @@
         file = File.model_validate(source.values)
     except ValidationError as error:
         return source, None, list(type_problems(source, error, File, _TYPE_PROBLEM_REASON))
-    problems = [_problem(source, finding) for finding in _semantic_findings(file)]
+    problems = [_problem_of(source, finding) for finding in _semantic_findings(file)]
     if not problems:
-        problems = [_problem(source, finding) for finding in _grid_findings(source, file)]
+        problems = [_problem_of(source, finding) for finding in _grid_findings(source, file)]
     problems.sort(key=lambda problem: (problem.line, problem.column))
     return source, None if problems else file, problems
 
@@ -83,12 +83,12 @@
     """The file named by `base` is missing, unreadable or circular."""
 
 
-def _with_base(source: Source, folder: Path, above: list[str]) -> Source:
+def _with_base(source: Source, folder: Path, ancestors: list[str]) -> Source:
     """Overlay the file on its base, recursively: tables are merged, all other values are replaced."""
     name = source.values.get("base", "")
     if not name or not isinstance(name, str):
         return source
-    if name in above:
+    if name in ancestors:
         raise _BaseFileError(f"{name!r} includes itself as a base")
     path, texts = folder / name, shipped_experiments()
     try:
@@ -97,21 +97,21 @@
         raise _BaseFileError(f"{name!r} is neither a file nor a shipped experiment") from None
     except Unreadable as error:
         raise _BaseFileError(f"{name!r} {error}") from None
-    base = _with_base(base, path.parent, [*above, name])
+    base = _with_base(base, path.parent, [*ancestors, name])
     return Source(source.name, _merge_tables(base.values, source.values), source.places)
 
 
 def _merge_tables(base: dict[str, Any], own: dict[str, Any]) -> dict[str, Any]:
     merged = dict(base)
     for name, value in own.items():
-        below = merged.get(name)
-        if isinstance(value, dict) and isinstance(below, dict):
-            value = _merge_tables(below, value)
+        base_value = merged.get(name)
+        if isinstance(value, dict) and isinstance(base_value, dict):
+            value = _merge_tables(base_value, value)
         merged[name] = value
     return merged
 
 
-def _problem(source: Source, finding: Finding) -> Problem:
+def _problem_of(source: Source, finding: Finding) -> Problem:
     line, column = source.place(finding.path)
     field = field_name(finding.path)
     return Problem(source.name, line, column, field, finding.rule, finding.what, finding.why, finding.right)
--- a/leadrudder/experiment/pool.py
+++ b/leadrudder/experiment/pool.py
@@ -29,7 +29,7 @@
     key: str
     case: Case
     revision: PolicyRevision
-    model: str  # digest of the model's sources
+    model_digest: str
     folder: Path
 
 
@@ -48,7 +48,7 @@
     process: subprocess.Popen[str]
     revision: PolicyRevision
     most_mb: int
-    part: float = 0.0
+    progress: float = 0.0
 
 
 @dataclass
@@ -67,28 +67,28 @@
         Jobs are taken one by one as workers become free. Closing the iterator stops all runs in progress.
         """
         pending, pending_lock = iter(jobs), threading.Lock()
-        done: queue.Queue[JobOutcome | None] = queue.Queue()
+        outcomes: queue.Queue[JobOutcome | None] = queue.Queue()
 
-        def serve(slot: int) -> None:
+        def run_slot(slot: int) -> None:
             try:
                 while not self._stopped.is_set():
                     with pending_lock:
                         job = next(pending, None)
                     if job is None:
                         return
-                    done.put(self._run(slot, job))
+                    outcomes.put(self._run_job(slot, job))
             finally:
                 self._end_worker(slot)
-                done.put(None)
+                outcomes.put(None)
 
-        threads = [threading.Thread(target=serve, args=(i,), daemon=True) for i in range(self.jobs)]
+        threads = [threading.Thread(target=run_slot, args=(i,), daemon=True) for i in range(self.jobs)]
         for thread in threads:
             thread.start()
         active = len(threads)
         try:
             while active:
                 try:
-                    item = done.get(timeout=RESULT_POLL_S)
+                    item = outcomes.get(timeout=RESULT_POLL_S)
                 except queue.Empty:
                     yield None
                     continue
@@ -112,7 +112,7 @@
             for worker in self._workers.values():
                 worker.process.kill()
 
-    def _run(self, slot: int, job: Job) -> JobOutcome:
+    def _run_job(self, slot: int, job: Job) -> JobOutcome:
         started_at = time.monotonic()
         worker = self._worker_for(slot, job)
         if worker is None:
@@ -156,7 +156,7 @@
             return worker
         self._end_worker(slot)
         tree, prefix = job.revision.tree, job.revision.compiled
-        expected = f"{job.revision.digest if tree is None else ''}/{job.model}"
+        expected = f"{job.revision.digest if tree is None else ''}/{job.model_digest}"
         command = [
             sys.executable,
             "-P",
--- a/leadrudder/experiment/runner.py
+++ b/leadrudder/experiment/runner.py
@@ -106,8 +106,8 @@
                 time.sleep(CLAIM_POLL_S)  # other processes have claimed the rest
 
     stop_at = None if budget_s is None else progress.started_at + budget_s
-    results = pool.run_jobs(claim_jobs())
-    for outcome in results:
+    outcomes = pool.run_jobs(claim_jobs())
+    for outcome in outcomes:
         if outcome is not None:
             _store_outcome(store, experiment, outcome, progress)
         progress.in_progress = sum(pool.progress_by_key.copy().values())
--- a/leadrudder/experiment/store.py
+++ b/leadrudder/experiment/store.py
@@ -92,14 +92,14 @@
             self._db = sqlite3.connect(
                 path, timeout=BUSY_TIMEOUT_S, isolation_level=None, check_same_thread=False
             )
-            self._open()
+            self._initialize()
             self._db.execute("PRAGMA journal_mode = WAL")
             self._db.execute("PRAGMA synchronous = NORMAL")
         except sqlite3.Error as error:
             raise StoreError(f"{path}: is not a results file, or is damaged: {error}") from None
         self._pid, self._born = os.getpid(), _process_start_time(os.getpid())
 
-    def _open(self) -> None:
+    def _initialize(self) -> None:
         with self._transaction():
             (application,) = self._db.execute("PRAGMA application_id").fetchone()
             (version,) = self._db.execute("PRAGMA user_version").fetchone()
@@ -179,14 +179,14 @@
         for key in keys:
             row = self._db.execute(f"SELECT {_COLUMNS} FROM runs WHERE key = ?", (key,)).fetchone()
             if row is not None:
-                found.append(_row(row))
+                found.append(_row_from_values(row))
         return found
 
     def all(self, experiment: str | None = None) -> list[Row]:
         """Return all runs, of one experiment or of any, oldest first."""
         where, values = ("WHERE experiment = ?", (experiment,)) if experiment else ("", ())
         query = f"SELECT {_COLUMNS} FROM runs {where} ORDER BY made_at, key"
-        return [_row(row) for row in self._db.execute(query, values)]
+        return [_row_from_values(row) for row in self._db.execute(query, values)]
 
     def find(self, key_prefix: str) -> Row:
         """Return the run whose key has this prefix; raises StoreError unless there is exactly one."""
@@ -195,10 +195,10 @@
         if len(rows) != 1:
             count = "no run" if not rows else "more than one run"
             raise StoreError(f"{self.path}: {count} has a key that begins with {key_prefix!r}")
-        return _row(rows[0])
+        return _row_from_values(rows[0])
 
 
-def _row(values: tuple[Any, ...]) -> Row:
+def _row_from_values(values: tuple[Any, ...]) -> Row:
     names = _COLUMNS.split(", ")
     return Row(**{n: json.loads(v) if n in _JSON_COLUMNS else v for n, v in zip(names, values, strict=True)})
 
--- a/tests/experiment/test_compare.py
+++ b/tests/experiment/test_compare.py
@@ -1,4 +1,4 @@
-"""Comparisons: a planted slowdown is found, equal sides are not told apart, and chance is not a finding."""
+"""Comparisons find a planted slowdown, and do not report a difference between equal sides."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from tests.experiment.small import experiment, values
 
 
-def test_equal_sides_are_told_apart_in_at_most_five_of_a_hundred_tries() -> None:
-    """Two sides whose runs differ by chance alone, looked at again and again as seeds are added."""
+def test_equal_sides_are_declared_different_in_at_most_five_percent_of_comparisons() -> None:
+    """Two sides that differ by chance alone are compared repeatedly as seeds are added."""
     rng = random.Random(1)
     look_schedule = paired.look_schedule(60)
     wrong = 0
@@ -36,7 +36,7 @@
     )
 
 
-def test_what_cannot_be_told_says_how_many_more_seeds_would() -> None:
+def test_an_inconclusive_comparison_estimates_the_missing_seeds() -> None:
     rng = random.Random(2)
     before = [rng.gauss(0.8, 0.1) for _ in range(8)]
     after = [x + rng.gauss(0.01, 0.1) for x in before]
@@ -46,34 +46,35 @@
     assert paired.compare([0.5], [0.9], 0.01).verdict is Verdict.CANNOT_TELL
 
 
-def _copied(tree: Path, held: float) -> PolicyRevision:
-    """The decisions as they stand, but that each request is held back for this part of what calls take."""
+def _policy_with_delay(tree: Path, delay_share: float) -> PolicyRevision:
+    """Copy the policy, with each request delayed by this fraction of the mean latency."""
     shutil.copytree(PACKAGE, tree / "leadrudder", ignore=shutil.ignore_patterns("__pycache__"))
     path = tree / "leadrudder" / "policy" / "decide.py"
     text = path.read_text()
     place = "        calm, out = self._admission.saturation.baseline_ms, len(self._attempts)\n"
     assert text.count(place) == 1
     wait = (
-        f"        if not last_resort and self._turn.now < request.arrived_at + {held} * self._latency.mean:\n"
+        "        if not last_resort and self._turn.now"
+        f" < request.arrived_at + {delay_share} * self._latency.mean:\n"
     )
     path.write_text(text.replace(place, f"{wait}            return False\n{place}"))
-    return PolicyRevision(f"held {held}", tree)
+    return PolicyRevision(f"held {delay_share}", tree)
 
 
-def test_a_slowdown_of_five_percent_in_the_policy_is_found_and_none_where_there_is_none(
+def test_a_five_percent_slowdown_of_the_policy_is_found_and_an_equal_policy_is_not(
     tmp_path: Path,
 ) -> None:
     made = values(runs__seeds=12, load__of_capacity=0.4)
     made["side"] = [{"name": "now"}, {"name": "same", "ref": "same"}, {"name": "slow", "ref": "slow"}]
-    told = experiment(tmp_path, made)
-    told._policy_revisions["same"] = _copied(tmp_path / "same", 0.0)
-    told._policy_revisions["slow"] = _copied(tmp_path / "slow", 0.05)
+    loaded = experiment(tmp_path, made)
+    loaded._policy_revisions["same"] = _policy_with_delay(tmp_path / "same", 0.0)
+    loaded._policy_revisions["slow"] = _policy_with_delay(tmp_path / "slow", 0.05)
     store = Store(tmp_path / "results.sqlite")
     verdicts = {}
     for other in ("slow", "same"):
         comparison = Comparison("now", other, "look.p50_ms", 0.5, 12)
-        wanted = comparison.undecided_jobs(told.jobs())
-        progress = run_missing(store, told, wanted, Pool(2))
+        wanted = comparison.undecided_jobs(loaded.jobs())
+        progress = run_missing(store, loaded, wanted, Pool(2))
         assert not progress.failed
         rows = {row.key: row for row in store.rows([job.key for job in wanted])}
         comparison.evaluate_look(len(comparison.look_schedule) - 1, wanted, rows)
--- a/tests/experiment/test_results.py
+++ b/tests/experiment/test_results.py
@@ -1,4 +1,4 @@
-"""Results: kept at once, never made twice, never mixed; and what cannot be played is told in a line."""
+"""Results are stored at once, never computed twice and never mixed; invalid input gives a one-line error."""
 
 from __future__ import annotations
 
@@ -27,30 +27,40 @@
 VARIED = ("load.swing", "callers.honour")
 
 
-def _made(path: Path, cache: Path, made: dict[str, Any], jobs: int = 2) -> list[tuple[str, str, str]]:
-    """Play what is missing; key, state and digest of each run."""
+def _run_all(path: Path, cache: Path, made: dict[str, Any], jobs: int = 2) -> list[tuple[str, str, str]]:
+    """Execute the missing runs; return key, state and digest of each run."""
     store = Store(path)
-    told = experiment(cache, made)
-    run_missing(store, told, told.jobs(), Pool(jobs))
-    rows = store.rows([job.key for job in told.jobs()])
+    loaded = experiment(cache, made)
+    run_missing(store, loaded, loaded.jobs(), Pool(jobs))
+    rows = store.rows([job.key for job in loaded.jobs()])
     store.close()
     return [(row.key, row.state, row.digest) for row in rows]
 
 
-def test_runs_come_out_the_same_on_any_number_of_processes(tmp_path: Path) -> None:
+def test_results_do_not_depend_on_the_number_of_workers(tmp_path: Path) -> None:
     made = values(length_s=2)
-    one = _made(tmp_path / "one.sqlite", tmp_path, made, 1)
-    assert one == _made(tmp_path / "three.sqlite", tmp_path, made, 3)
+    one = _run_all(tmp_path / "one.sqlite", tmp_path, made, 1)
+    assert one == _run_all(tmp_path / "three.sqlite", tmp_path, made, 3)
     assert [state for _, state, _ in one] == ["done"] * 4
     assert len({digest for _, _, digest in one}) == 4
 
 
-def test_two_runs_of_the_tool_on_one_file_share_the_work(tmp_path: Path) -> None:
+def test_concurrent_processes_share_the_runs_of_one_results_file(tmp_path: Path) -> None:
     file, path = tmp_path / "small.toml", tmp_path / "both.sqlite"
     file.write_text(TEXT.replace("seeds = 4", "seeds = 8"))
-    words = [sys.executable, "-m", "leadrudder.cli", "experiment", "run", str(file), "--jobs", "1", "--quiet"]
+    command_line = [
+        sys.executable,
+        "-m",
+        "leadrudder.cli",
+        "experiment",
+        "run",
+        str(file),
+        "--jobs",
+        "1",
+        "--quiet",
+    ]
     both = [
-        subprocess.Popen([*words, "--results", str(path)], stdout=subprocess.PIPE, text=True)
+        subprocess.Popen([*command_line, "--results", str(path)], stdout=subprocess.PIPE, text=True)
         for _ in range(2)
     ]
     made = 0
@@ -65,7 +75,7 @@
     store.close()
 
 
-def test_a_claim_counts_while_its_process_lives(tmp_path: Path) -> None:
+def test_a_claim_is_valid_while_its_process_lives(tmp_path: Path) -> None:
     path = tmp_path / "claims.sqlite"
     text = f"""
 import sys
@@ -88,12 +98,14 @@
         store.close()
 
 
-def test_a_kill_in_the_middle_loses_only_what_was_out(tmp_path: Path) -> None:
+def test_sigkill_loses_only_the_runs_in_progress(tmp_path: Path) -> None:
     file = tmp_path / "small.toml"
     file.write_text(TEXT.replace("seeds = 4", "seeds = 30").replace("length_s = 6", "length_s = 3"))
-    words = [sys.executable, "-m", "leadrudder.cli", "experiment", "run", str(file), "--jobs", "2"]
+    command_line = [sys.executable, "-m", "leadrudder.cli", "experiment", "run", str(file), "--jobs", "2"]
     path = tmp_path / "killed.sqlite"
-    with subprocess.Popen([*words, "--results", str(path)], stderr=subprocess.PIPE, text=True) as first:
+    with subprocess.Popen(
+        [*command_line, "--results", str(path)], stderr=subprocess.PIPE, text=True
+    ) as first:
         assert first.stderr is not None
         for line in first.stderr:
             if int(line.split()[0]) >= 2:
@@ -104,7 +116,7 @@
     kept = {row.key: row.digest for row in store.all()}
     store.close()
     assert 2 <= len(kept) < 30
-    done = subprocess.run([*words, "--results", str(path), "--quiet"], capture_output=True, text=True)
+    done = subprocess.run([*command_line, "--results", str(path), "--quiet"], capture_output=True, text=True)
     assert done.returncode == 0, done.stderr
     assert f"runs=30 of=30 made_now={30 - len(kept)} failed=0 broken=0" in done.stdout
     store = Store(path)
@@ -112,18 +124,18 @@
     store.close()
 
 
-def test_sigterm_ends_it_and_its_processes(tmp_path: Path) -> None:
+def test_sigterm_stops_the_command_and_its_workers(tmp_path: Path) -> None:
     file = tmp_path / "small.toml"
     file.write_text(TEXT.replace("length_s = 6", "length_s = 600"))
-    words = [sys.executable, "-m", "leadrudder.cli", "experiment", "run", str(file), "--jobs", "2"]
+    command_line = [sys.executable, "-m", "leadrudder.cli", "experiment", "run", str(file), "--jobs", "2"]
     with subprocess.Popen(
-        [*words, "--results", str(tmp_path / "r.sqlite")],
+        [*command_line, "--results", str(tmp_path / "r.sqlite")],
         stderr=subprocess.PIPE,
         text=True,
         start_new_session=True,
     ) as tool:
         assert tool.stderr is not None
-        tool.stderr.readline()  # it plays
+        tool.stderr.readline()  # runs are in progress
         tool.terminate()
         assert tool.wait() == 2
         assert "stopped" in tool.stderr.read()
@@ -131,22 +143,22 @@
             os.killpg(tool.pid, 0)
 
 
-def test_a_run_that_fails_is_told_and_the_others_go_on(tmp_path: Path) -> None:
+def test_a_failed_run_is_reported_and_the_others_continue(tmp_path: Path) -> None:
     endless = values(runs__most_steps=1000, length_s=2)
     result = played(runs__most_steps=1000, length_s=2)
     assert "more than 1000 steps" in result.notes[0] and "unanswered" in result.broken
-    assert {state for _, state, _ in _made(tmp_path / "e.sqlite", tmp_path, endless)} == {"broken"}
+    assert {state for _, state, _ in _run_all(tmp_path / "e.sqlite", tmp_path, endless)} == {"broken"}
     large = values(length_s=2, runs__most_mb=128, fleet__nodes=1)
     large["vary"] = [{"field": "fleet.tier.api.servers", "values": [4, 20000]}]
     large["load"]["of_capacity"] = 0.001
     large["runs"]["seeds"] = 1
-    states = [state for _, state, _ in _made(tmp_path / "m.sqlite", tmp_path, large)]
+    states = [state for _, state, _ in _run_all(tmp_path / "m.sqlite", tmp_path, large)]
     assert states == ["done", "failed"]
 
 
-def test_a_results_file_that_is_none_is_told_in_a_line(tmp_path: Path) -> None:
+def test_an_invalid_results_file_gives_a_one_line_error(tmp_path: Path) -> None:
     good = tmp_path / "good.sqlite"
-    _made(good, tmp_path, values(length_s=2, runs__seeds=1))
+    _run_all(good, tmp_path, values(length_s=2, runs__seeds=1))
     cut = tmp_path / "cut.sqlite"
     cut.write_bytes(good.read_bytes()[:5000])
     text = tmp_path / "text.sqlite"
@@ -200,7 +212,7 @@
         ("seeds = 4", "seeds = 4\nmost_runs = 3", "too-many-runs", "vary"),
     ],
 )
-def test_bad_experiments_are_told_with_their_place(
+def test_invalid_experiments_are_reported_with_their_place(
     tmp_path: Path, old: str, new: str, rule: str | None, place: str
 ) -> None:
     file = tmp_path / "bad.toml"
@@ -215,7 +227,7 @@
     assert problems[0].line >= 1 and problems[0].why and problems[0].right
 
 
-def test_a_grid_of_a_million_points_is_told_with_its_time_before_it_starts(tmp_path: Path) -> None:
+def test_a_grid_of_a_million_points_is_rejected_with_an_estimate_of_its_time(tmp_path: Path) -> None:
     file = tmp_path / "grid.toml"
     numbers = ", ".join(str(round(0.001 * i, 3)) for i in range(1, 1001))
     varied = "".join(
@@ -227,20 +239,20 @@
     assert "1000000 combinations" in problems[0].what and "hours" in problems[0].what
 
 
-def test_the_shipped_experiments_are_sound() -> None:
+def test_the_shipped_experiments_are_valid() -> None:
     assert {"bookings", "games"} <= set(shipped_experiments())
     for name in shipped_experiments():
         assert load(name)[2] == []
 
 
-def test_a_revision_that_cannot_be_played_is_told(tmp_path: Path) -> None:
+def test_an_unknown_revision_is_rejected(tmp_path: Path) -> None:
     with pytest.raises(RevisionError, match="no revision 'none-such'"):
         fetch_revision("none-such", tmp_path)
     with pytest.raises(RevisionError, match="no revision"):
         fetch_revision("--upload-pack=x", tmp_path)
 
 
-def test_a_run_of_another_revision_is_played_again_by_its_decisions(
+def test_replay_uses_the_policy_of_the_runs_revision(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     tree = tmp_path / "tree"
@@ -252,10 +264,10 @@
     other = PolicyRevision("another", tree)
     made = values(length_s=2, runs__seeds=1, load__of_capacity=0.9)
     made["side"] = [{"name": "then", "ref": "then"}]
-    told = experiment(tmp_path, made)
-    told._policy_revisions["then"] = other
+    loaded = experiment(tmp_path, made)
+    loaded._policy_revisions["then"] = other
     store = Store(tmp_path / "r.sqlite")
-    run_missing(store, told, told.jobs(), Pool(1))
+    run_missing(store, loaded, loaded.jobs(), Pool(1))
     (row,) = store.all()
     store.close()
     assert row.digest != played(length_s=2, load__of_capacity=0.9).digest
@@ -264,22 +276,26 @@
     assert f"digest={row.digest} as_before=true" in capsys.readouterr().out
 
 
-def test_a_trace_is_played_and_a_bad_one_is_told(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_trace_can_be_replayed_and_an_invalid_one_fails(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     trace = tmp_path / "day.csv"
     trace.write_text("at_ms,class,work_ms\n" + "".join(f"{i},look,5\n" for i in range(0, 1000, 10)))
     made = values(length_s=2)
     made["load"] = {"form": "trace", "trace": "day.csv"}
     apply_changes(made, {})
-    assert {state for _, state, _ in _made(tmp_path / "t.sqlite", tmp_path, made)} == {"done"}
-    key, _, digest = _made(tmp_path / "t.sqlite", tmp_path, made)[0]
+    assert {state for _, state, _ in _run_all(tmp_path / "t.sqlite", tmp_path, made)} == {"done"}
+    key, _, digest = _run_all(tmp_path / "t.sqlite", tmp_path, made)[0]
     results = ["--results", str(tmp_path / "t.sqlite")]
-    assert main(["experiment", "replay", key, *results]) == 0  # from wherever it is asked for
+    assert main(["experiment", "replay", key, *results]) == 0  # from any folder
     assert f"digest={digest} as_before=true" in capsys.readouterr().out
     trace.write_text("at_ms,class,work_ms\n5,look,5\n1,look,5\n")
-    assert {state for _, state, _ in _made(tmp_path / "t.sqlite", tmp_path, made)} == {"failed"}
+    assert {state for _, state, _ in _run_all(tmp_path / "t.sqlite", tmp_path, made)} == {"failed"}
 
 
-def test_the_command_runs_replays_and_compares(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_command_runs_replays_reports_and_compares(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     file, results = tmp_path / "small.toml", str(tmp_path / "r.sqlite")
     file.write_text(TEXT.replace("length_s = 6", "length_s = 2"))
     assert main(["experiment", "check", str(file)]) == 0
@@ -289,14 +305,14 @@
     store.close()
     assert main(["experiment", "replay", key[:10], "--results", results]) == 0
     assert "as_before=true" in capsys.readouterr().out
-    words = [str(file), "--results", results, "--set", "runs.seeds=1", "--quiet"]
-    assert main(["experiment", "run", *words, "--model", "whole"]) == 0
+    command_line = [str(file), "--results", results, "--set", "runs.seeds=1", "--quiet"]
+    assert main(["experiment", "run", *command_line, "--model", "whole"]) == 0
     store = Store(Path(results))
     whole = store.all()[-1]
     store.close()
     assert whole.model == "whole" and whole.digest != key
     assert main(["experiment", "replay", whole.key, "--results", results]) == 0
-    # The same runs under another experiment's names: not made again, and told as this one calls them.
+    # The same runs under another experiment's names: not repeated, and reported under these names.
     other = tmp_path / "other.toml"
     varied = '[[vary]]\nfield = "load.of_capacity"\nvalues = [0.6]\n[[side]]\nname = "here"\n'
     other.write_text(file.read_text() + varied)
