--- a/tests/experiment/small.py
+++ b/tests/experiment/small.py
@@ -1,4 +1,4 @@
-"""A small experiment, quick to play, and what tests change of it."""
+"""A small experiment that runs quickly, and helpers that tests vary it with."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 def values(**change: Any) -> dict[str, Any]:
-    """The file's values, with fields changed: dots are written as two underscores."""
+    """The values of the file with some fields changed; in keywords, two underscores stand for a dot."""
     file = changed(parse("small", TEXT).values, {k.replace("__", "."): v for k, v in change.items()})
     return file.model_dump(mode="json", by_alias=True, exclude_unset=True)
 
@@ -70,6 +70,6 @@
 
 
 def played(seed: int = 1, policy: str = "leadrudder", **change: Any) -> Result:
-    """One run, here."""
+    """One run, in this process."""
     file = changed(values(**change), {})
     return play(file, seed, decider_factory(policy, file.fleet.node.limit_each))
--- a/tests/experiment/test_connections.py
+++ b/tests/experiment/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections of modelled nodes: kept, counted at their server, closed when idle, and capped."""
+"""Connections of modelled nodes: pooled, counted at their server, closed when idle, and limited."""
 
 from __future__ import annotations
 
@@ -22,42 +22,42 @@
     return Server(clock, b"api-0", plan, terms, random.Random(1), 0)
 
 
-def test_one_that_is_idle_is_used_again_and_one_beyond_the_cap_is_turned_away() -> None:
+def test_idle_connections_are_reused_and_those_beyond_the_limit_refused() -> None:
     clock = Clock()
     api = server(clock, 2)
-    mine, other = ConnectionPool(clock, 30_000.0), ConnectionPool(clock, 30_000.0)
-    assert mine.acquire(api) == HANDSHAKE_MS and other.acquire(api) == HANDSHAKE_MS
-    assert mine.acquire(api) is None and api.connections == 2
-    mine.release(api, reusable=True)
-    assert other.acquire(api) is None, "idle at one node, it is held all the same"
-    assert mine.acquire(api) == 0.0 and mine.opened == 1
-    mine.release(api, reusable=False)  # a call that was given up takes its connection with it
-    assert api.connections == 1 and other.acquire(api) == HANDSHAKE_MS
-    other.close()
+    pool, other_pool = ConnectionPool(clock, 30_000.0), ConnectionPool(clock, 30_000.0)
+    assert pool.acquire(api) == HANDSHAKE_MS and other_pool.acquire(api) == HANDSHAKE_MS
+    assert pool.acquire(api) is None and api.connections == 2
+    pool.release(api, reusable=True)
+    assert other_pool.acquire(api) is None, "an idle connection of another node counts against the limit"
+    assert pool.acquire(api) == 0.0 and pool.opened == 1
+    pool.release(api, reusable=False)  # the connection of an abandoned call is closed
+    assert api.connections == 1 and other_pool.acquire(api) == HANDSHAKE_MS
+    other_pool.close()
     assert api.connections == 0
 
 
-def test_idle_ones_are_closed_after_half_of_the_servers_time_and_by_a_restart() -> None:
+def test_idle_connections_close_after_half_of_the_servers_timeout_and_on_restart() -> None:
     clock = Clock()
     api = server(clock, 8)
-    mine = ConnectionPool(clock, 4000.0)
+    pool = ConnectionPool(clock, 4000.0)
     for _ in range(3):
-        mine.acquire(api)
-    mine.release(api, reusable=True)
+        pool.acquire(api)
+    pool.release(api, reusable=True)
     clock.run(3500.0)
     assert api.connections == 2
     api.start()
-    mine.release(api, reusable=True)  # of the process that has ended
-    assert api.connections == 0 and mine.acquire(api) == HANDSHAKE_MS
-    mine.close()
+    pool.release(api, reusable=True)  # a connection to the former process
+    assert api.connections == 0 and pool.acquire(api) == HANDSHAKE_MS
+    pool.close()
 
 
-def test_in_a_fleet_a_cap_that_is_too_small_turns_calls_away_and_breaks_no_rule() -> None:
-    full = {}
-    for cap in (0, 3):
-        made = values(fleet__nodes=8, fleet__hot=0.25, fleet__hot_times=4.0)
-        made["fleet"]["tier"][0].update(connections=cap, handshake_ms=1.0)
-        result = play(changed(made, {}), 1, decider_factory("leadrudder"))
+def test_a_low_connection_limit_refuses_calls_and_breaks_no_rule() -> None:
+    refused = {}
+    for limit in (0, 3):
+        experiment = values(fleet__nodes=8, fleet__hot=0.25, fleet__hot_times=4.0)
+        experiment["fleet"]["tier"][0].update(connections=limit, handshake_ms=1.0)
+        result = play(changed(experiment, {}), 1, decider_factory("leadrudder"))
         assert result.broken == {} and result.figures["service"] > 0.3
-        full[cap] = result.figures.get("api.full", 0.0)
-    assert full[0] == 0.0 < full[3], full
+        refused[limit] = result.figures.get("api.full", 0.0)
+    assert refused[0] == 0.0 < refused[3], refused
--- a/tests/experiment/test_queueing.py
+++ b/tests/experiment/test_queueing.py
@@ -1,4 +1,4 @@
-"""The model before its judge: what queueing theory says of waiting times, and Little's law."""
+"""The modelled server against queueing theory: waiting times, sojourn times and Little's law."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from leadrudder.interface import Outcome
 
 MEAN_MS = 10.0
-WITHIN = 0.02
+RELATIVE_TOLERANCE = 0.02
 CALLS = 200_000
 
 
 class _Call:
-    """A call that needs nothing but the cores."""
+    """A call that needs only a core."""
 
     wait_ms = 0.0
 
@@ -41,12 +41,12 @@
         pass
 
     def on_abandoned(self) -> None:
-        raise AssertionError("nothing is given up here")
+        raise AssertionError("no call is abandoned in this test")
 
 
 @dataclass
 class _Drawn:
-    """What chance made of the load: the formulas are asked about this, so that less is left to chance."""
+    """Moments of the load as drawn, to evaluate the formulas at, which removes part of the noise."""
 
     calls: int = 0
     work: float = 0.0
@@ -57,10 +57,10 @@
         return self.work / (cores * self.span)
 
 
-def _played(
+def _run_server(
     cores: int, slots: int, load: float, spread: str, variation: float, calls: int
 ) -> tuple[Server, _Drawn]:
-    """A server after so many calls that came as a Poisson stream."""
+    """A server after a Poisson stream of this many calls."""
     kind = Kind(name="one", cores=cores, slots=slots, queue=1e6)
     drawn = _Drawn(calls)
     clock = Clock()
@@ -68,23 +68,23 @@
     rng = random.Random(5)
     rate = load * cores / MEAN_MS
 
-    def come(left: int) -> None:
+    def arrive(left: int) -> None:
         work = MEAN_MS * spread_of(rng, spread, variation)
         drawn.work += work
         drawn.squares += work * work
         drawn.span = clock.now
         server.receive(_Call(work))
         if left > 1:
-            clock.after(rng.expovariate(rate), come, left - 1)
+            clock.after(rng.expovariate(rate), arrive, left - 1)
 
-    clock.after(rng.expovariate(rate), come, calls)
+    clock.after(rng.expovariate(rate), arrive, calls)
     clock.run(1e12)
     assert server.request_count == 0
     return server, drawn
 
 
 def _erlang_c(cores: int, load: float) -> float:
-    """The chance to wait in M/M/c."""
+    """The probability of waiting in M/M/c."""
     offered = cores * load
     last = offered**cores / math.factorial(cores) / (1.0 - load)
     return last / (sum(offered**k / math.factorial(k) for k in range(cores)) + last)
@@ -99,23 +99,23 @@
         (1, 0.5, "lognormal", 1.0),  # M/G/1
     ],
 )
-def test_waiting_times_are_those_of_the_formulas(
+def test_mean_waiting_time_matches_queueing_theory(
     cores: int, load: float, spread: str, variation: float
 ) -> None:
-    server, drawn = _played(cores, 1, load, spread, variation, CALLS)
+    server, drawn = _run_server(cores, 1, load, spread, variation, CALLS)
     found, mean = drawn.load(cores), drawn.work / drawn.calls
     if cores == 1:  # Pollaczek and Khinchine
         expected = drawn.squares / drawn.span / (2.0 * (1.0 - found))
     else:
         expected = mean * _erlang_c(cores, found) / (cores * (1.0 - found))
-    assert server.total_queue_wait_ms / drawn.calls == pytest.approx(expected, rel=WITHIN)
-    # Little: requests here in the mean are arrivals a millisecond times the time that each is here.
+    assert server.total_queue_wait_ms / drawn.calls == pytest.approx(expected, rel=RELATIVE_TOLERANCE)
+    # Little's law: the mean number of requests is the arrival rate times the mean sojourn time.
     assert server.presence_integral_ms == pytest.approx(server.total_sojourn_ms, rel=1e-6)
 
 
-def test_shared_cores_keep_a_time_that_hangs_on_the_mean_work_alone() -> None:
-    """M/G/1 with processor sharing: the time spent is that of M/M/1, however the work is spread."""
-    server, drawn = _played(1, 20_000, 0.5, "lognormal", 1.5, CALLS)
+def test_sojourn_time_with_shared_cores_depends_on_the_mean_work_only() -> None:
+    """M/G/1 with processor sharing: the mean sojourn time is that of M/M/1, whatever the distribution."""
+    server, drawn = _run_server(1, 20_000, 0.5, "lognormal", 1.5, CALLS)
     expected = drawn.work / drawn.calls / (1.0 - drawn.load(1))
-    assert server.total_sojourn_ms / drawn.calls == pytest.approx(expected, rel=WITHIN)
+    assert server.total_sojourn_ms / drawn.calls == pytest.approx(expected, rel=RELATIVE_TOLERANCE)
     assert server.total_queue_wait_ms == 0.0
