--- a/leadrudder/experiment/callers.py
+++ b/leadrudder/experiment/callers.py
@@ -110,9 +110,8 @@
         self._back_off, self._honour_share = number(callers.back_off_ms), number(callers.honour)
         self._notice_ms = 1000.0 * number(callers.notice_s)
         self._excluded: dict[int, float] = {}  # front nodes known to be down, and until when
-        self._node_weights = self._draw_weights(
-            random.Random(f"{seed}/hot")
-        )  # weights of front nodes; empty: equal
+        # Empty: all front nodes get equal shares.
+        self._node_weights = self._draw_weights(random.Random(f"{seed}/hot"))
 
     def _draw_weights(self, rng: random.Random) -> list[float]:
         nodes = len(self._fleet.front_nodes)
