--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -27,7 +27,7 @@
 from leadrudder.emulation.fleet import Fleet, Plan
 from leadrudder.protocol.mesh_pb2 import Item
 from leadrudder.simulation.loop import VirtualLoop
-from leadrudder.simulation.network import Untapped, VirtualTransport
+from leadrudder.simulation.network import NullObserver, VirtualTransport
 from leadrudder.simulation.scheduler import Step
 
 PAGE = Path(__file__).resolve().parent.parent / "docs/CAPACITY.md"
@@ -39,13 +39,13 @@
 OFF_LINE = 0.2  # part by which a point may be off its line
 
 
-class ByteTap(Untapped):
+class ByteTap(NullObserver):
     """Counts what each process hands to its connections."""
 
     def __init__(self) -> None:
         self.by_process: Counter[str] = Counter()
 
-    def sent(self, source: VirtualTransport, data: bytes) -> None:
+    def bytes_sent(self, source: VirtualTransport, data: bytes) -> None:
         self.by_process[source.loop.name] += len(data)
 
 
@@ -72,7 +72,7 @@
 def measure(nodes: int) -> Figures:
     """One mesh of so many nodes in calm, then one change."""
     spent: Counter[str] = Counter()
-    enter = VirtualLoop.enter
+    enter = VirtualLoop.run_step
 
     def timed(loop: VirtualLoop, step: Step) -> None:
         began = time.process_time()
@@ -80,9 +80,9 @@
         spent[loop.name] += time.process_time() - began  # type: ignore[assignment]
 
     tap = ByteTap()
-    with mock.patch.object(VirtualLoop, "enter", timed):
+    with mock.patch.object(VirtualLoop, "run_step", timed):
         fleet = Fleet(1, plan(nodes))
-        fleet.network.tap = tap
+        fleet.network.observer = tap
         informed_s = _until(fleet, lambda: all(m.station and m.station.ready() for m in fleet.side))
         fleet.play(max(SETTLED_S, fleet.now))
         spent.clear()
--- a/leadrudder/emulation/fleet.py
+++ b/leadrudder/emulation/fleet.py
@@ -18,8 +18,8 @@
 from leadrudder.data_plane.program import DataPlaneNode
 from leadrudder.emulation.standins import Asked, Clients, Server, Wish, Work, call, request
 from leadrudder.simulation.loop import VirtualLoop
-from leadrudder.simulation.network import Network, Untapped
-from leadrudder.simulation.scheduler import MICROSECONDS, Scheduler
+from leadrudder.simulation.network import Network, NullObserver
+from leadrudder.simulation.scheduler import US_PER_S, Scheduler
 from leadrudder.simulation.world import EPOCH_S, NodePlatform
 from leadrudder.storage.store import MemoryStore, Store
 
@@ -110,7 +110,7 @@
     def __init__(self, seed: int, plan: Plan, *, possession: bool = False) -> None:
         self.plan, self.seed, self._possession = plan, seed, possession
         self.scheduler = Scheduler(f"fleet/{seed}")
-        self.network = Network(self.scheduler, f"fleet/{seed}", Untapped())
+        self.network = Network(self.scheduler, f"fleet/{seed}", NullObserver())
         self.faults: list[str] = []
         self.core = [
             Machine(f"core-{i}", f"z{i % plan.zones}", f"10.{i % plan.zones}.0.{1 + i}")
@@ -134,7 +134,7 @@
 
     @property
     def now(self) -> float:
-        return self.scheduler.now / MICROSECONDS
+        return self.scheduler.now / US_PER_S
 
     @property
     def wall(self) -> float:
@@ -142,11 +142,11 @@
         return EPOCH_S + self.now
 
     def at(self, when: float, do: Callable[[], object]) -> None:
-        self.scheduler.timer(int(when * MICROSECONDS), None, "plan", do)
+        self.scheduler.schedule_timer(int(when * US_PER_S), None, "plan", do)
 
     def play(self, until: float) -> None:
         """All that happens until then."""
-        end = int(until * MICROSECONDS)
+        end = int(until * US_PER_S)
         while (due := self.scheduler.next_due()) is not None and due <= end:
             self.scheduler.run_one()
         self.scheduler.now = max(self.scheduler.now, end)
@@ -253,7 +253,7 @@
 
     def stand_still(self, machine: Machine, kind: str, span_s: float) -> None:
         """A process does nothing for a while; what was due meanwhile it does afterwards."""
-        machine.loops[kind].frozen_until = int((self.now + span_s) * MICROSECONDS)
+        machine.loops[kind].frozen_until_us = int((self.now + span_s) * US_PER_S)
 
     # ------------------------------------------------------------ operators and clients
 
@@ -297,7 +297,7 @@
                 self.plan.traffic[1],
                 self._rng(machine.name, "clients"),
             )
-            with loop.running():
+            with loop.as_running_loop():
                 machine.clients.start()
 
     # ------------------------------------------------------------ what is seen
--- a/leadrudder/experiment/whole.py
+++ b/leadrudder/experiment/whole.py
@@ -31,7 +31,7 @@
 from leadrudder.policy.decide import Balancer
 from leadrudder.simulation.framing import Frame, Framing, answer, request
 from leadrudder.simulation.loop import VirtualLoop
-from leadrudder.simulation.network import Network, Untapped, VirtualTransport
+from leadrudder.simulation.network import Network, NullObserver, VirtualTransport
 from leadrudder.simulation.scheduler import Scheduler
 from leadrudder.simulation.standins.client import Call as ClientCall
 from leadrudder.simulation.standins.client import NodeClient
@@ -58,7 +58,7 @@
         entry = Entry(None, call, args)
         # Up to the next microsecond: rounded down, what is nearly done would be looked at for ever.
         due = self.scheduler.now + max(0, math.ceil(1000.0 * delay_ms))
-        self.scheduler.timer(due, None, "model", self._make, entry)
+        self.scheduler.schedule_timer(due, None, "model", self._make, entry)
         return entry
 
     def begin(self) -> None:
@@ -84,7 +84,7 @@
             scheduler.run_one()
             if scheduler.steps > self._most:
                 raise Endless(f"more than {self._most} steps by {self.now / 1000.0:.1f} s of virtual time")
-        scheduler.timer(end, None, "until", _nothing)
+        scheduler.schedule_timer(end, None, "until", _nothing)
         while (due := scheduler.next_due()) is not None and due <= end:
             scheduler.run_one()
         self.now = until_ms
@@ -99,8 +99,8 @@
     """The simulation's network with this fleet's latencies."""
 
     def __init__(self, scheduler: Scheduler, seed: str, way: Callable[[int, int], float]) -> None:
-        super().__init__(scheduler, seed, Untapped())
-        self.weather.split = 0.0
+        super().__init__(scheduler, seed, NullObserver())
+        self.conditions.split_share = 0.0
         self.zones: dict[str, int] = {}
         self._fleet_way = way
 
@@ -397,9 +397,9 @@
         old = self._loops.get(server.name)
         if old is not None:
             old.kill()
-        if host in self.network.weather.silent:
-            self.network.weather.silent.discard(host)
-            self.network.back(host)
+        if host in self.network.conditions.silent_hosts:
+            self.network.conditions.silent_hosts.discard(host)
+            self.network.host_returned(host)
         loop = self.process(server.name.decode(), host, server.plan.zone)
         self._loops[server.name] = loop
         self.network.listen(loop, lambda: ServerSide(self, server), (host, PORT))
@@ -432,7 +432,7 @@
 
     def stop(self, server: Server, *, silent: bool = False) -> None:
         if silent:
-            self.network.weather.silent.add(self.hosts[server.name])
+            self.network.conditions.silent_hosts.add(self.hosts[server.name])
         super().stop(server, silent=silent)
         if not silent:
             self._loops[server.name].kill()
--- a/leadrudder/simulation/command.py
+++ b/leadrudder/simulation/command.py
@@ -121,7 +121,7 @@
     except OSError as error:
         raise click.ClickException(f"{trace} cannot be written: {error}") from None
     try:
-        result = play(setup, progress=progress, tap=writer.tap)
+        result = play(setup, progress=progress, observe=writer.observe)
         writer.finish(result)
     finally:
         writer.close()
--- a/leadrudder/simulation/injector.py
+++ b/leadrudder/simulation/injector.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, TypeVar
 
 from leadrudder.simulation.faults import Fault
-from leadrudder.simulation.network import Strike
+from leadrudder.simulation.network import ConnectionCut
 from leadrudder.simulation.standins.server import StandInServer
 
 if TYPE_CHECKING:
@@ -68,7 +68,7 @@
 
     def _later(self, wait_us: int, call: Callable[[], None]) -> None:
         scheduler = self._world.scheduler
-        scheduler.timer(scheduler.now + wait_us, None, "injector", call)
+        scheduler.schedule_timer(scheduler.now + wait_us, None, "injector", call)
 
     @staticmethod
     def _pick(items: list[T], fault: Fault) -> T | None:
@@ -94,11 +94,11 @@
         setattr(trouble, name, value)
         self._for(fault.span_ms, lambda: setattr(trouble, name, usual))
 
-    def _with_weather(self, fault: Fault, name: str, value: object) -> None:
-        weather = self._world.network.weather
-        usual = getattr(type(weather)(), name)
-        setattr(weather, name, value)
-        self._for(fault.span_ms, lambda: setattr(weather, name, usual))
+    def _with_conditions(self, fault: Fault, name: str, value: object) -> None:
+        conditions = self._world.network.conditions
+        usual = getattr(type(conditions)(), name)
+        setattr(conditions, name, value)
+        self._for(fault.span_ms, lambda: setattr(conditions, name, usual))
 
     def _with_manners(self, fault: Fault, name: str, value: float) -> None:
         manners = self._world.callers.manners
@@ -109,22 +109,22 @@
     # ------------------------------------------------------------ the network
 
     def _tail(self, fault: Fault) -> None:
-        self._with_weather(fault, "tail", 0.05 + 0.3 * fault.level)
+        self._with_conditions(fault, "tail_share", 0.05 + 0.3 * fault.level)
 
     def _shatter(self, fault: Fault) -> None:
-        self._with_weather(fault, "split", 0.5 + 0.5 * fault.level)
+        self._with_conditions(fault, "split_share", 0.5 + 0.5 * fault.level)
 
     def _coincide(self, fault: Fault) -> None:
-        self._with_weather(fault, "grain_us", 1000 if fault.level < 0.7 else 5000)
+        self._with_conditions(fault, "arrival_grain_us", 1000 if fault.level < 0.7 else 5000)
 
     def _slow_link(self, fault: Fault) -> None:
         server = self._server(fault)
         if server is not None:
-            extra = self._world.network.weather.extra_us
+            extra = self._world.network.conditions.extra_latency_us
             extra[server.loop.host] = int(2_000 + 40_000 * fault.level**2)
             self._for(fault.span_ms, partial(_discard, extra, server.loop.host))
 
-    def _strike(self, fault: Fault, part: float, *, answers: bool = False) -> None:
+    def _cut_connections(self, fault: Fault, delivered_share: float, *, answers: bool = False) -> None:
         """The next messages between a server and each of its callers' machines are cut."""
         world = self._world
         server = self._server(fault)
@@ -134,22 +134,22 @@
         times = 1 + int(fault.level * 3)
         for host in here:
             source, target = (server.loop.host, host) if answers else (host, server.loop.host)
-            world.network.weather.strikes.append(Strike(source, target, part, times))
-        strikes = world.network.weather.strikes
-        mine = strikes[-len(here) :] if here else []
-        self._for(3000, lambda: _remove(strikes, mine))
+            world.network.conditions.cuts.append(ConnectionCut(source, target, delivered_share, times))
+        cuts = world.network.conditions.cuts
+        mine = cuts[-len(here) :] if here else []
+        self._for(3000, lambda: _remove(cuts, mine))
 
     def _reset_before(self, fault: Fault) -> None:
-        self._strike(fault, 0.0)
+        self._cut_connections(fault, 0.0)
 
     def _reset_within(self, fault: Fault) -> None:
-        self._strike(fault, 0.1 + 0.8 * fault.level)
+        self._cut_connections(fault, 0.1 + 0.8 * fault.level)
 
     def _reset_after(self, fault: Fault) -> None:
-        self._strike(fault, 1.0)
+        self._cut_connections(fault, 1.0)
 
     def _reset_answer(self, fault: Fault) -> None:
-        self._strike(fault, (0.0, 0.5, 1.0)[fault.target % 3], answers=True)
+        self._cut_connections(fault, (0.0, 0.5, 1.0)[fault.target % 3], answers=True)
 
     def _half_open(self, fault: Fault) -> None:
         server = self._server(fault)
@@ -158,11 +158,11 @@
 
     def _cut_off(self, host: str, span_ms: int) -> None:
         world = self._world
-        world.network.weather.silent.add(host)
+        world.network.conditions.silent_hosts.add(host)
 
         def back() -> None:
-            world.network.weather.silent.discard(host)
-            world.network.back(host)
+            world.network.conditions.silent_hosts.discard(host)
+            world.network.host_returned(host)
 
         self._for(span_ms, back)
 
@@ -177,17 +177,17 @@
         chosen = [servers[(first + i) % len(servers)] for i in range(count)] if len(servers) > 1 else []
         for server in chosen:
             host = server.loop.host
-            world.network.weather.silent.add(host)
+            world.network.conditions.silent_hosts.add(host)
             self._for(fault.span_ms, partial(self._back_cold, server, fault))
 
     def _back_cold(self, server: StandInServer, fault: Fault) -> None:
         world = self._world
         host = server.loop.host
-        for transport in [t for t in world.network.open if t.host == host]:
-            transport.deaf = True
-            transport.peer.deaf = True
-        world.network.weather.silent.discard(host)
-        world.network.back(host)
+        for transport in [t for t in world.network.open_transports if t.host == host]:
+            transport.blackholed = True
+            transport.peer.blackholed = True
+        world.network.conditions.silent_hosts.discard(host)
+        world.network.host_returned(host)
         if server in world.servers[server.tier]:
             self._replace(server, fault, server.name)
 
@@ -299,7 +299,7 @@
 
             def wake() -> None:
                 if server.loop.alive:
-                    with server.loop.running():
+                    with server.loop.as_running_loop():
                         server.wake()
 
             self._for(fault.span_ms, wake)
@@ -336,16 +336,16 @@
         world = self._world
         tier = self._tier(fault)
         old = world.discoveries[tier]
-        if not old.loop.alive or old.loop.host in world.network.weather.silent:
+        if not old.loop.alive or old.loop.host in world.network.conditions.silent_hosts:
             return
         host = f"10.9.{tier}.{2 + fault.target % 200}"
-        if world.network.listener((host, DISCOVERY_PORT)) is not None:
+        if world.network.listener_at((host, DISCOVERY_PORT)) is not None:
             return
         new = world.discoveries[tier] = world.start_discovery(tier, host)
         for node in world.nodes:
             if node.tier == tier and node.loop is not None:
                 world.write_config(node, new.address, 1, old.registry.listing())
-                node.loop.signal(signal.SIGHUP)
+                node.loop.deliver_signal(signal.SIGHUP)
         self._later(int(500_000 + 2_000_000 * fault.level), old.loop.kill)
 
     # ------------------------------------------------------------ nodes
@@ -366,7 +366,7 @@
             return
         world, loop = self._world, node.loop
         known = self._list_of(node, fault)
-        loop.signal(signal.SIGTERM)
+        loop.deliver_signal(signal.SIGTERM)
         self._notice(node, TERM_ANNOUNCED_US, fault)
 
         restarting = node
@@ -404,7 +404,7 @@
             return
         world.front.nodes.pop(node.name, None)
         world.start_node(node, known)
-        with world.callers.loop.running():
+        with world.callers.loop.as_running_loop():
             world.callers.look_for(node.name, node.address)
 
     def _node_reload(self, fault: Fault) -> None:
@@ -414,12 +414,12 @@
             if fault.target % 2:
                 node.files["config.json"] = good[: int(fault.level * len(good))]
                 self._for(50, lambda: node.files.update({"config.json": good}))
-            node.loop.signal(signal.SIGHUP)
+            node.loop.deliver_signal(signal.SIGHUP)
 
     def _node_frozen(self, fault: Fault) -> None:
         node = self._pick([n for n in self._world.nodes if n.loop is not None], fault)
         if node is not None and node.loop is not None:
-            node.loop.frozen_until = self._world.scheduler.now + fault.span_ms * 1000
+            node.loop.frozen_until_us = self._world.scheduler.now + fault.span_ms * 1000
 
     # ------------------------------------------------------------ callers
 
@@ -446,7 +446,7 @@
     items.pop(name, None)
 
 
-def _remove(strikes: list[Strike], mine: list[Strike]) -> None:
-    for strike in mine:
-        if strike in strikes:
-            strikes.remove(strike)
+def _remove(cuts: list[ConnectionCut], mine: list[ConnectionCut]) -> None:
+    for cut in mine:
+        if cut in cuts:
+            cuts.remove(cut)
--- a/leadrudder/simulation/loop.py
+++ b/leadrudder/simulation/loop.py
@@ -13,12 +13,12 @@
 from contextlib import contextmanager
 from typing import TYPE_CHECKING, Any
 
-from leadrudder.simulation.scheduler import MICROSECONDS, Process, Scheduler, Step
+from leadrudder.simulation.scheduler import US_PER_S, Process, Scheduler, Step
 
 if TYPE_CHECKING:
     from leadrudder.simulation.network import Network, VirtualServer, VirtualTransport
 
-GRAIN = 1000  # microseconds: uvloop's timers and its clock count whole milliseconds
+TIMER_RESOLUTION_US = 1000  # microseconds: uvloop's timers and its clock count whole milliseconds
 
 
 class VirtualHandle(asyncio.TimerHandle):
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        due: int,
+        due_us: int,
         callback: Callable[..., object],
         args: tuple[Any, ...],
         loop: VirtualLoop,
@@ -40,7 +40,7 @@
         self._cancelled = False
         self._loop = loop
         self._context = contextvars.copy_context() if context is None else context
-        self._when = due / MICROSECONDS
+        self._when = due_us / US_PER_S
         self._scheduled = False
         self.step: Step | None = None
 
@@ -51,18 +51,18 @@
             if step is not None and not step.cancelled:
                 step.cancelled = True
                 if self._scheduled:
-                    self._loop.timers -= 1
-            self._callback = _nothing
+                    self._loop.live_timers -= 1
+            self._callback = _cancelled_callback
             self._args = ()
 
     def run(self) -> None:
         """What the step does."""
         if self._scheduled:
-            self._loop.timers -= 1
+            self._loop.live_timers -= 1
         self._context.run(self._callback, *self._args)
 
 
-def _nothing() -> None:
+def _cancelled_callback() -> None:
     """Stands where a cancelled callback was, so that it keeps nothing alive."""
 
 
@@ -75,41 +75,41 @@
         host: str,
         scheduler: Scheduler,
         network: Network,
-        on_fault: Callable[[VirtualLoop, str], None],
+        on_error: Callable[[VirtualLoop, str], None],
     ) -> None:
-        Process.__init__(self, name, scheduler.new_process_number())
+        Process.__init__(self, name, scheduler.allocate_process_number())
         self.host = host
         self.scheduler = scheduler
         self.network = network
-        self.timers = 0  # live ones
+        self.live_timers = 0  # live ones
         self.transports: dict[VirtualTransport, None] = {}
         self.servers: dict[VirtualServer, None] = {}
         self._signals: dict[int, tuple[Callable[..., object], tuple[Any, ...]]] = {}
         self._tasks: weakref.WeakSet[asyncio.Task[Any]] = weakref.WeakSet()
-        self._on_fault = on_fault
+        self._on_process_error = on_error
 
     # ------------------------------------------------------------ running
 
     @contextmanager
-    def running(self) -> Iterator[None]:
+    def as_running_loop(self) -> Iterator[None]:
         """Code within is this process's: get_running_loop() returns its loop."""
-        before = asyncio._get_running_loop()
+        previous = asyncio._get_running_loop()
         asyncio._set_running_loop(self)
         try:
             yield
         finally:
-            asyncio._set_running_loop(before)
+            asyncio._set_running_loop(previous)
 
-    def enter(self, step: Step) -> None:
+    def run_step(self, step: Step) -> None:
         asyncio._set_running_loop(self)
         try:
-            step.call(*step.args)
+            step.callback(*step.args)
         except Exception as error:  # asyncio would log it and go on: here it is a finding
-            self._on_fault(self, f"{step.label}: {type(error).__name__}: {error}")
+            self._on_process_error(self, f"{step.label}: {type(error).__name__}: {error}")
         finally:
             asyncio._set_running_loop(None)
 
-    def tasks(self) -> list[asyncio.Task[Any]]:
+    def unfinished_tasks(self) -> list[asyncio.Task[Any]]:
         """Those that have not ended."""
         return [task for task in self._tasks if not task.done()]
 
@@ -124,31 +124,33 @@
         for transport in list(self.transports):
             transport.process_died()
         self.network.process_died(self)
-        for task in self.tasks():
+        for task in self.unfinished_tasks():
             task._log_destroy_pending = False  # type: ignore[attr-defined]  # it is meant to be left behind
             coro = task.get_coro()
             if inspect.iscoroutine(coro) and inspect.getcoroutinestate(coro) == inspect.CORO_CREATED:
                 coro.close()  # it never began; Python would warn of that
 
-    def signal(self, number: int) -> None:
+    def deliver_signal(self, number: int) -> None:
         """Deliver a signal that the process handles; without a handler it dies."""
-        found = self._signals.get(number)
-        if found is None:
+        handler = self._signals.get(number)
+        if handler is None:
             self.kill()
         else:
-            self.scheduler.timer(self.scheduler.now, self, f"signal {number}", found[0], *found[1])
+            self.scheduler.schedule_timer(
+                self.scheduler.now, self, f"signal {number}", handler[0], *handler[1]
+            )
 
     # ------------------------------------------------------------ asyncio's interface
 
     def time(self) -> float:
-        return (self.scheduler.now // GRAIN * GRAIN) / MICROSECONDS
+        return (self.scheduler.now // TIMER_RESOLUTION_US * TIMER_RESOLUTION_US) / US_PER_S
 
     def call_soon(  # type: ignore[override]
         self, callback: Callable[..., object], *args: Any, context: contextvars.Context | None = None
     ) -> asyncio.Handle:
         scheduler = self.scheduler
         handle = VirtualHandle(scheduler.now, callback, args, self, context)
-        handle.step = scheduler.soon(self, _label(callback), handle.run)
+        handle.step = scheduler.schedule_soon(self, _callback_label(callback), handle.run)
         return handle
 
     def call_later(  # type: ignore[override]
@@ -158,9 +160,13 @@
         *args: Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
-        wait = round(delay * MICROSECONDS / GRAIN) * GRAIN
-        due = self.scheduler.now // GRAIN * GRAIN + wait if wait > 0 else self.scheduler.now
-        return self._timer(due, callback, args, context)
+        delay_us = round(delay * US_PER_S / TIMER_RESOLUTION_US) * TIMER_RESOLUTION_US
+        due_us = (
+            self.scheduler.now // TIMER_RESOLUTION_US * TIMER_RESOLUTION_US + delay_us
+            if delay_us > 0
+            else self.scheduler.now
+        )
+        return self._timer(due_us, callback, args, context)
 
     def call_at(  # type: ignore[override]
         self,
@@ -173,15 +179,15 @@
 
     def _timer(
         self,
-        due: int,
+        due_us: int,
         callback: Callable[..., object],
         args: tuple[Any, ...],
         context: contextvars.Context | None,
     ) -> asyncio.TimerHandle:
-        handle = VirtualHandle(due, callback, args, self, context)
+        handle = VirtualHandle(due_us, callback, args, self, context)
         handle._scheduled = True
-        self.timers += 1
-        handle.step = self.scheduler.timer(due, self, _label(callback), handle.run)
+        self.live_timers += 1
+        handle.step = self.scheduler.schedule_timer(due_us, self, _callback_label(callback), handle.run)
         return handle
 
     def create_future(self) -> asyncio.Future[Any]:
@@ -200,7 +206,7 @@
 
     def spawn(self, coro: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
         """A task of this process, begun from outside of it."""
-        with self.running():
+        with self.as_running_loop():
             return self.create_task(coro)
 
     async def create_connection(
@@ -230,8 +236,8 @@
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
         error = context.get("exception")
-        self._on_fault(self, f"{context.get('message')}: {type(error).__name__}: {error}")
+        self._on_process_error(self, f"{context.get('message')}: {type(error).__name__}: {error}")
 
 
-def _label(callback: Callable[..., object]) -> str:
+def _callback_label(callback: Callable[..., object]) -> str:
     return getattr(callback, "__qualname__", None) or type(callback).__name__
--- a/leadrudder/simulation/network.py
+++ b/leadrudder/simulation/network.py
@@ -1,8 +1,8 @@
 """A network in memory: listeners, connections and what befalls the bytes between them.
 
 A connection is two transports and two pipes. A pipe carries pieces, each with the instant at which it is
-in; it keeps their order, splits what is written at any place and merges what is there at once. What befalls
-it comes from Weather: latencies with tails, machines that fall silent, links that are cut at a chosen byte.
+in; it keeps their order, splits writes at any place and merges what is there at once. Delays and
+failures come from NetworkConditions: latency tails, silent machines, links cut at a chosen byte.
 
 The model is TCP as a program meets it, from RFC 9293 and the sockets interface:
 
@@ -22,53 +22,53 @@
 from typing import Any, Protocol, cast
 
 from leadrudder.simulation.loop import VirtualLoop
-from leadrudder.simulation.scheduler import MICROSECONDS, Scheduler
+from leadrudder.simulation.scheduler import US_PER_S, Scheduler
 
 Address = tuple[str, int]
 
-HIGH_WATER = 64 * 1024  # bytes held for a peer that does not read before its writer is told to pause
-LOW_WATER = 16 * 1024
-WINDOW = 128 * 1024  # bytes that may be under way or unread on a connection
-FIRST_PORT = 20_000
-BACK_RESET_US = 200_000  # a machine that is back hears of an old connection by what is sent again
+HIGH_WATER_BYTES = 64 * 1024  # bytes held for a peer that does not read before its writer is told to pause
+LOW_WATER_BYTES = 16 * 1024
+WINDOW_BYTES = 128 * 1024  # bytes that may be under way or unread on a connection
+FIRST_EPHEMERAL_PORT = 20_000
+RETURN_RESET_US = 200_000  # a machine that is back hears of an old connection by what is sent again
 
 
-class Tap(Protocol):
+class NetworkObserver(Protocol):
     """Who watches what passes: the oracle. All calls come in the order of what happened."""
 
-    def knocked(self, loop: VirtualLoop, address: Address) -> None:
+    def connection_requested(self, loop: VirtualLoop, address: Address) -> None:
         """A process asks for a connection."""
 
-    def opened(self, client: VirtualTransport) -> None:
+    def connection_accepted(self, client: VirtualTransport) -> None:
         """The listening machine has accepted a connection."""
 
-    def sent(self, source: VirtualTransport, data: bytes) -> None:
+    def bytes_sent(self, source: VirtualTransport, data: bytes) -> None:
         """These bytes were handed to the machine of their writer."""
 
-    def arrived(self, target: VirtualTransport, data: bytes) -> None:
+    def bytes_received(self, target: VirtualTransport, data: bytes) -> None:
         """These bytes were handed to the process that reads them."""
 
-    def ended(self, transport: VirtualTransport, why: str) -> None:
+    def connection_ended(self, transport: VirtualTransport, why: str) -> None:
         """This side is over: 'closed' by its process, or 'reset', 'finished', 'killed' by the other or the
         network."""
 
 
-class Untapped:
+class NullObserver:
     """Nobody watches."""
 
-    def knocked(self, loop: VirtualLoop, address: Address) -> None: ...
+    def connection_requested(self, loop: VirtualLoop, address: Address) -> None: ...
 
-    def opened(self, client: VirtualTransport) -> None: ...
+    def connection_accepted(self, client: VirtualTransport) -> None: ...
 
-    def sent(self, source: VirtualTransport, data: bytes) -> None: ...
+    def bytes_sent(self, source: VirtualTransport, data: bytes) -> None: ...
 
-    def arrived(self, target: VirtualTransport, data: bytes) -> None: ...
+    def bytes_received(self, target: VirtualTransport, data: bytes) -> None: ...
 
-    def ended(self, transport: VirtualTransport, why: str) -> None: ...
+    def connection_ended(self, transport: VirtualTransport, why: str) -> None: ...
 
 
 @dataclass(slots=True)
-class Strike:
+class ConnectionCut:
     """Cut the next connection between two hosts on which a message is written.
 
     part: how much of that piece still arrives: 0.0 none of it, 1.0 all of it.
@@ -76,39 +76,39 @@
 
     source: str
     target: str
-    part: float
-    left: int = 1
+    delivered_share: float
+    remaining: int = 1
 
 
 @dataclass
-class Weather:
+class NetworkConditions:
     """What the network does to everybody, and to some."""
 
-    base_us: int = 300
-    spread_us: int = 400
-    tail: float = 0.01  # part of the pieces that take long
-    tail_us: int = 20_000
-    grain_us: int = 1  # instants of arrival are multiples of this: a coarse one makes them coincide
-    split: float = 0.1  # part of the writes that are split
-    silent: set[str] = field(default_factory=set)  # hosts; only asked for membership
-    extra_us: dict[str, int] = field(default_factory=dict)  # by host, both ways
-    strikes: list[Strike] = field(default_factory=list)
+    base_latency_us: int = 300
+    latency_spread_us: int = 400
+    tail_share: float = 0.01  # part of the pieces that take long
+    tail_latency_us: int = 20_000
+    arrival_grain_us: int = 1  # instants of arrival are multiples of this: a coarse one makes them coincide
+    split_share: float = 0.1  # part of the writes that are split
+    silent_hosts: set[str] = field(default_factory=set)  # hosts; only asked for membership
+    extra_latency_us: dict[str, int] = field(default_factory=dict)  # by host, both ways
+    cuts: list[ConnectionCut] = field(default_factory=list)
 
 
 class Network:
     """All listeners and connections of a world."""
 
-    def __init__(self, scheduler: Scheduler, seed: str, tap: Tap) -> None:
+    def __init__(self, scheduler: Scheduler, seed: str, observer: NetworkObserver) -> None:
         self.scheduler = scheduler
-        self.weather = Weather()
-        self.tap = tap
-        self.open: dict[VirtualTransport, None] = {}
+        self.conditions = NetworkConditions()
+        self.observer = observer
+        self.open_transports: dict[VirtualTransport, None] = {}
         self._seed = seed
         self._listeners: dict[Address, VirtualServer] = {}
-        self._connections = 0
+        self._connection_count = 0
         self._ports: dict[str, int] = {}
         # Held here, as the machine holds them: nobody else does while nothing is heard of the other side.
-        self._openings: dict[_Opening, None] = {}
+        self._pending_connections: dict[_PendingConnection, None] = {}
 
     def listen(
         self, loop: VirtualLoop, factory: Callable[[], asyncio.BaseProtocol], address: Address
@@ -126,11 +126,11 @@
         if self._listeners.get(server.address) is server:
             del self._listeners[server.address]
 
-    def listener(self, address: Address) -> VirtualServer | None:
+    def listener_at(self, address: Address) -> VirtualServer | None:
         return self._listeners.get(address)
 
     def _next_port(self, host: str) -> int:
-        port = self._ports.get(host, FIRST_PORT)
+        port = self._ports.get(host, FIRST_EPHEMERAL_PORT)
         self._ports[host] = port + 1
         return port
 
@@ -139,67 +139,67 @@
     ) -> tuple[VirtualTransport, asyncio.BaseProtocol]:
         """A connection to a listener; ConnectionRefusedError where there is none, never where all is
         silent."""
-        self._connections += 1
-        rng = random.Random(f"{self._seed}/connection/{self._connections}")
-        opening = _Opening(self, loop, address, rng)
-        self._openings[opening] = None
+        self._connection_count += 1
+        rng = random.Random(f"{self._seed}/connection/{self._connection_count}")
+        pending = _PendingConnection(self, loop, address, rng)
+        self._pending_connections[pending] = None
         try:
-            await opening.accepted
+            await pending.established
         except asyncio.CancelledError:
-            opening.withdraw()
+            pending.cancel()
             raise
         finally:
-            self._openings.pop(opening, None)
+            self._pending_connections.pop(pending, None)
         protocol = factory()
-        here = opening.pair[0]
-        if here.over:
+        here = pending.sides[0]
+        if here.ended:
             raise ConnectionResetError(104, "reset while it came up")
         here.protocol = protocol
         protocol.connection_made(here)
-        here.begin()
+        here.start()
         return here, protocol
 
     def latency(self, rng: random.Random, one: str, other: str) -> int:
         """Microseconds that one piece takes between two hosts."""
-        weather = self.weather
-        wait = weather.base_us + rng.random() * weather.spread_us
-        if rng.random() < weather.tail:
-            wait += weather.tail_us * rng.random() ** 2
-        return int(wait) + weather.extra_us.get(one, 0) + weather.extra_us.get(other, 0)
+        conditions = self.conditions
+        wait = conditions.base_latency_us + rng.random() * conditions.latency_spread_us
+        if rng.random() < conditions.tail_share:
+            wait += conditions.tail_latency_us * rng.random() ** 2
+        return int(wait) + conditions.extra_latency_us.get(one, 0) + conditions.extra_latency_us.get(other, 0)
 
-    def instant(self, wait: int) -> int:
+    def arrival_at(self, wait: int) -> int:
         """The instant of an arrival so far from now, on the grain."""
-        grain = self.weather.grain_us
-        return -(-(self.scheduler.now + wait) // grain) * grain
+        grain_us = self.conditions.arrival_grain_us
+        return -(-(self.scheduler.now + wait) // grain_us) * grain_us
 
-    def hears(self, one: str, other: str) -> bool:
+    def reachable(self, one: str, other: str) -> bool:
         """Whether anything passes between two hosts."""
-        silent = self.weather.silent
+        silent = self.conditions.silent_hosts
         return not silent or (one not in silent and other not in silent)
 
-    def take_strike(self, source: str, target: str) -> Strike | None:
-        """The strike that is due on this link."""
-        for strike in self.weather.strikes:
-            if strike.source == source and strike.target == target:
-                strike.left -= 1
-                if not strike.left:
-                    self.weather.strikes.remove(strike)
-                return strike
+    def take_cut(self, source: str, target: str) -> ConnectionCut | None:
+        """The cut that is due on this link."""
+        for cut in self.conditions.cuts:
+            if cut.source == source and cut.target == target:
+                cut.remaining -= 1
+                if not cut.remaining:
+                    self.conditions.cuts.remove(cut)
+                return cut
         return None
 
     def process_died(self, loop: VirtualLoop) -> None:
         """Nobody waits any longer for the connections that a process was opening."""
-        for opening in [opening for opening in self._openings if opening.loop is loop]:
-            del self._openings[opening]
+        for pending in [pending for pending in self._pending_connections if pending.loop is loop]:
+            del self._pending_connections[pending]
 
-    def back(self, host: str) -> None:
+    def host_returned(self, host: str) -> None:
         """A machine that vanished is back, and knows nothing of the connections that it had."""
-        for transport in list(self.open):
-            if transport.host == host and transport.deaf:
-                transport.forget()
+        for transport in list(self.open_transports):
+            if transport.host == host and transport.blackholed:
+                transport.connection_forgotten()
 
 
-class _Opening:
+class _PendingConnection:
     """A connection on its way up: the listener's side is there half a round trip before the caller's."""
 
     def __init__(self, network: Network, loop: VirtualLoop, address: Address, rng: random.Random) -> None:
@@ -207,48 +207,50 @@
         self.loop = loop
         self._address = address
         self._rng = rng
-        self.accepted: asyncio.Future[None] = loop.create_future()
-        self.pair: tuple[VirtualTransport, VirtualTransport]
-        self._made = False
-        network.tap.knocked(loop, address)
-        if network.hears(loop.host, address[0]):
+        self.established: asyncio.Future[None] = loop.create_future()
+        self.sides: tuple[VirtualTransport, VirtualTransport]
+        self._accepted = False
+        network.observer.connection_requested(loop, address)
+        if network.reachable(loop.host, address[0]):
             wait = network.latency(rng, loop.host, address[0])
-            network.scheduler.network(network.instant(wait), None, "knock", self._knock)
+            network.scheduler.schedule_delivery(network.arrival_at(wait), None, "knock", self._reach_listener)
 
-    def _knock(self) -> None:
+    def _reach_listener(self) -> None:
         network, (host, port) = self._network, self._address
-        if not self.loop.alive or not network.hears(self.loop.host, host):
+        if not self.loop.alive or not network.reachable(self.loop.host, host):
             return
-        server = network.listener(self._address)
-        wait = network.instant(network.latency(self._rng, host, self.loop.host))
+        server = network.listener_at(self._address)
+        wait = network.arrival_at(network.latency(self._rng, host, self.loop.host))
         if server is None:
-            network.scheduler.network(wait, self.loop, "refused", self._refused)
+            network.scheduler.schedule_delivery(wait, self.loop, "refused", self._refused)
             return
         source = (self.loop.host, network._next_port(self.loop.host))
         here = VirtualTransport(network, self.loop, source, (host, port), self._rng)
         there = VirtualTransport(network, server.loop, (host, port), source, self._rng)
-        here.meet(there)
-        self.pair, self._made = (here, there), True
-        network.tap.opened(here)
-        network.scheduler.network(network.scheduler.now, server.loop, "accept", server.accept, there)
-        network.scheduler.network(wait, self.loop, "connected", self._connected)
+        here.attach_peer(there)
+        self.sides, self._accepted = (here, there), True
+        network.observer.connection_accepted(here)
+        network.scheduler.schedule_delivery(
+            network.scheduler.now, server.loop, "accept", server.accept, there
+        )
+        network.scheduler.schedule_delivery(wait, self.loop, "connected", self._connected)
 
     def _connected(self) -> None:
-        here = self.pair[0]
-        if not self._network.hears(self.loop.host, self._address[0]):
-            here.deaf = True
+        here = self.sides[0]
+        if not self._network.reachable(self.loop.host, self._address[0]):
+            here.blackholed = True
             return
-        if not self.accepted.done():
-            self.accepted.set_result(None)
+        if not self.established.done():
+            self.established.set_result(None)
 
     def _refused(self) -> None:
-        if not self.accepted.done():
-            self.accepted.set_exception(ConnectionRefusedError(111, "refused"))
+        if not self.established.done():
+            self.established.set_exception(ConnectionRefusedError(111, "refused"))
 
-    def withdraw(self) -> None:
+    def cancel(self) -> None:
         """The caller does not wait any longer: what came up meanwhile is closed."""
-        if self._made:
-            self.pair[0].abort()
+        if self._accepted:
+            self.sides[0].abort()
 
 
 class VirtualServer:
@@ -282,11 +284,11 @@
         if not self._serving:
             transport.abort()
             return
-        if transport.over:
+        if transport.ended:
             return
         transport.protocol = self._factory()
         transport.protocol.connection_made(transport)
-        transport.begin()
+        transport.start()
 
 
 class _Socket:
@@ -302,14 +304,14 @@
 class _Pipe:
     """One direction of a connection."""
 
-    __slots__ = ("cut", "last_due", "pieces", "size", "target")
+    __slots__ = ("last_due_us", "segments", "severed", "size_bytes", "target")
 
     def __init__(self, target: VirtualTransport) -> None:
         self.target = target
-        self.pieces: deque[tuple[int, bytes | None]] = deque()  # None: the end of what was sent
-        self.last_due = 0
-        self.size = 0
-        self.cut = False  # nothing more gets through
+        self.segments: deque[tuple[int, bytes | None]] = deque()  # None: the end of what was sent
+        self.last_due_us = 0
+        self.size_bytes = 0
+        self.severed = False  # nothing more gets through
 
 
 class VirtualTransport(asyncio.Transport):
@@ -324,35 +326,35 @@
         self.host = loop.host
         self.local, self.remote = local, remote
         self.protocol: asyncio.BaseProtocol | None = None
-        self.over = False  # its process has been told, or will be, that it is lost
-        self.deaf = False  # bytes were lost on the way: only a reset ends this connection
+        self.ended = False  # its process has been told, or will be, that it is lost
+        self.blackholed = False  # bytes were lost on the way: only a reset ends this connection
         self.peer: VirtualTransport
         self._pipe: _Pipe
         self._rng = rng
         self._buffer = bytearray()
-        self._inbox: list[bytes] = []
-        self._inbox_size = 0
-        self._end_in = False  # the peer's end has come in
-        self._end_told = False
-        self._begun = False
+        self._received: list[bytes] = []
+        self._received_bytes = 0
+        self._eof_received = False  # the peer's end has come in
+        self._eof_delivered = False
+        self._started = False
         self._reading = True
         self._closing = False
-        self._ending = False  # write_eof was called
-        self._end_sent = False
-        self._paused_writer = False
+        self._eof_requested = False  # write_eof was called
+        self._eof_sent = False
+        self._writing_paused = False
 
-    def meet(self, other: VirtualTransport) -> None:
+    def attach_peer(self, other: VirtualTransport) -> None:
         """Join two sides."""
         self.peer, other.peer = other, self
         self._pipe, other._pipe = _Pipe(other), _Pipe(self)
         for side in (self, other):
-            self.network.open[side] = None
+            self.network.open_transports[side] = None
             side.loop.transports[side] = None
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """The process knows of it: what came in meanwhile is handed over."""
-        self._begun = True
-        self._schedule_read()
+        self._started = True
+        self._schedule_delivery()
 
     # ------------------------------------------------------------ asyncio's interface
 
@@ -367,7 +369,7 @@
         return self.protocol
 
     def is_closing(self) -> bool:
-        return self._closing or self.over
+        return self._closing or self.ended
 
     def is_reading(self) -> bool:
         return self._reading and not self.is_closing()
@@ -378,7 +380,7 @@
     def resume_reading(self) -> None:
         if not self._reading:
             self._reading = True
-            self._schedule_read()
+            self._schedule_delivery()
 
     def get_write_buffer_size(self) -> int:
         return len(self._buffer)
@@ -387,215 +389,227 @@
         return True
 
     def write(self, data: bytes | bytearray | memoryview[Any]) -> None:
-        if self.is_closing() or self._ending:
+        if self.is_closing() or self._eof_requested:
             return
         self._buffer += data
-        self._pump()
-        if len(self._buffer) > HIGH_WATER and not self._paused_writer:
-            self._paused_writer = True
+        self._transmit()
+        if len(self._buffer) > HIGH_WATER_BYTES and not self._writing_paused:
+            self._writing_paused = True
             self._protocol_call("pause_writing")
 
     def write_eof(self) -> None:
         if not self.is_closing():
-            self._ending = True
-            self._pump()
+            self._eof_requested = True
+            self._transmit()
 
     def close(self) -> None:
         if self.is_closing():
             return
         self._closing = True
         if not self._buffer:
-            self._finish("closed", None)
+            self._end("closed", None)
 
     def abort(self) -> None:
-        if self.over:
+        if self.ended:
             return
         self._buffer.clear()
-        self._finish("closed", None)
+        self._end("closed", None)
 
     # ------------------------------------------------------------ sending
 
-    def _pump(self) -> None:
+    def _transmit(self) -> None:
         """Hand to the machine what the window lets through."""
         pipe = self._pipe
-        room = WINDOW - pipe.size - pipe.target._inbox_size
+        room = WINDOW_BYTES - pipe.size_bytes - pipe.target._received_bytes
         if self._buffer and room > 0:
             data = bytes(self._buffer[:room])
             del self._buffer[:room]
-            self.network.scheduler.mix(data)
-            self.network.tap.sent(self, data)
-            self._ship(data)
-        if self._paused_writer and len(self._buffer) <= LOW_WATER:
-            self._paused_writer = False
+            self.network.scheduler.mix_into_digest(data)
+            self.network.observer.bytes_sent(self, data)
+            self._split_into_segments(data)
+        if self._writing_paused and len(self._buffer) <= LOW_WATER_BYTES:
+            self._writing_paused = False
             self._protocol_call("resume_writing")
         if self._buffer:
             return
-        if self._ending and not self._end_sent:
-            self._end_sent = True
-            self._put(None)
-        if self._closing and not self.over:
-            self._finish("closed", None)
-
-    def _ship(self, data: bytes) -> None:
-        strike = self.network.take_strike(self.host, self.peer.host) if self.network.weather.strikes else None
-        if strike is not None:
-            keep = round(strike.part * len(data))
+        if self._eof_requested and not self._eof_sent:
+            self._eof_sent = True
+            self._send_segment(None)
+        if self._closing and not self.ended:
+            self._end("closed", None)
+
+    def _split_into_segments(self, data: bytes) -> None:
+        cut = self.network.take_cut(self.host, self.peer.host) if self.network.conditions.cuts else None
+        if cut is not None:
+            keep = round(cut.delivered_share * len(data))
             if keep:
-                self._put(data[:keep])
-            self._cut()
+                self._send_segment(data[:keep])
+            self._sever()
             return
-        if len(data) > 1 and self._rng.random() < self.network.weather.split:
+        if len(data) > 1 and self._rng.random() < self.network.conditions.split_share:
             for _ in range(1 + int(self._rng.random() * 3)):
                 if len(data) > 1:
                     at = 1 + int(self._rng.random() * (len(data) - 1))
-                    self._put(data[:at])
+                    self._send_segment(data[:at])
                     data = data[at:]
-        self._put(data)
+        self._send_segment(data)
 
-    def _put(self, data: bytes | None) -> None:
+    def _send_segment(self, data: bytes | None) -> None:
         pipe, network = self._pipe, self.network
-        if pipe.cut:
+        if pipe.severed:
             return
-        if not network.hears(self.host, self.peer.host):
-            self.deaf = self.peer.deaf = True
-        if self.deaf:
+        if not network.reachable(self.host, self.peer.host):
+            self.blackholed = self.peer.blackholed = True
+        if self.blackholed:
             return
-        due = max(pipe.last_due, network.instant(network.latency(self._rng, self.host, self.peer.host)))
-        pipe.last_due = due
-        pipe.pieces.append((due, data))
-        pipe.size += len(data) if data else 0
-        network.scheduler.network(due, None, "piece", self.peer._take_in)
+        due = max(pipe.last_due_us, network.arrival_at(network.latency(self._rng, self.host, self.peer.host)))
+        pipe.last_due_us = due
+        pipe.segments.append((due, data))
+        pipe.size_bytes += len(data) if data else 0
+        network.scheduler.schedule_delivery(due, None, "piece", self.peer._receive_segments)
 
-    def _cut(self) -> None:
+    def _sever(self) -> None:
         """The network resets the connection, behind what is under way in this direction."""
         pipe = self._pipe
-        pipe.cut = self.peer._pipe.cut = True
-        due = max(pipe.last_due, self.network.scheduler.now + 1)
-        self.network.scheduler.network(due, None, "cut", self.peer.reset)
-        back = self.network.instant(self.network.latency(self._rng, self.host, self.peer.host))
-        self.network.scheduler.network(max(back, due), None, "cut", self.reset)
+        pipe.severed = self.peer._pipe.severed = True
+        due = max(pipe.last_due_us, self.network.scheduler.now + 1)
+        self.network.scheduler.schedule_delivery(due, None, "cut", self.peer.reset)
+        back = self.network.arrival_at(self.network.latency(self._rng, self.host, self.peer.host))
+        self.network.scheduler.schedule_delivery(max(back, due), None, "cut", self.reset)
 
     # ------------------------------------------------------------ receiving
 
-    def _take_in(self) -> None:
+    def _receive_segments(self) -> None:
         """A piece reaches this side's machine, with all that is there at the same instant."""
         pipe = self.peer._pipe
         now = self.network.scheduler.now
         took = False
-        while pipe.pieces and pipe.pieces[0][0] <= now:
-            _, data = pipe.pieces.popleft()
+        while pipe.segments and pipe.segments[0][0] <= now:
+            _, data = pipe.segments.popleft()
             took = True
             if data is not None:
-                pipe.size -= len(data)
-            if not self.network.hears(self.host, self.peer.host):
-                self.deaf = self.peer.deaf = True
-            if self.deaf:
+                pipe.size_bytes -= len(data)
+            if not self.network.reachable(self.host, self.peer.host):
+                self.blackholed = self.peer.blackholed = True
+            if self.blackholed:
                 continue
             if data is None:
-                self._end_in = True
-            elif self.over or not self.loop.alive:
-                self._reject()
+                self._eof_received = True
+            elif self.ended or not self.loop.alive:
+                self._send_reset()
                 return
             else:
-                self._inbox.append(data)
-                self._inbox_size += len(data)
-        if took and not self.over:
-            self._schedule_read()
+                self._received.append(data)
+                self._received_bytes += len(data)
+        if took and not self.ended:
+            self._schedule_delivery()
 
-    def _reject(self) -> None:
+    def _send_reset(self) -> None:
         """This side has closed with something unread, or is written to: the peer is told by a reset."""
-        wait = self.network.instant(self.network.latency(self._rng, self.host, self.peer.host))
-        wait = self._pipe.last_due = max(wait, self._pipe.last_due)
-        self.network.scheduler.network(wait, None, "reset", self.peer.reset)
+        wait = self.network.arrival_at(self.network.latency(self._rng, self.host, self.peer.host))
+        wait = self._pipe.last_due_us = max(wait, self._pipe.last_due_us)
+        self.network.scheduler.schedule_delivery(wait, None, "reset", self.peer.reset)
 
-    def _schedule_read(self) -> None:
-        if self._begun and not self.over:
-            self.network.scheduler.network(self.network.scheduler.now, self.loop, "read", self._read)
+    def _schedule_delivery(self) -> None:
+        if self._started and not self.ended:
+            self.network.scheduler.schedule_delivery(
+                self.network.scheduler.now, self.loop, "read", self._deliver
+            )
 
-    def _read(self) -> None:
+    def _deliver(self) -> None:
         """Hand over what is there, as one read of a socket does."""
-        if self.over or not self._reading or self._closing or not self._begun:
+        if self.ended or not self._reading or self._closing or not self._started:
             return
         protocol = cast(asyncio.Protocol, self.protocol)
-        if self._inbox:
-            data = b"".join(self._inbox)
-            self._inbox.clear()
-            self._inbox_size = 0
-            self.network.tap.arrived(self, data)
+        if self._received:
+            data = b"".join(self._received)
+            self._received.clear()
+            self._received_bytes = 0
+            self.network.observer.bytes_received(self, data)
             if self.peer._buffer:  # it may write on; this model does not delay what tells it so
-                self.network.scheduler.network(
-                    self.network.scheduler.now, self.peer.loop, "window", self.peer._pump
+                self.network.scheduler.schedule_delivery(
+                    self.network.scheduler.now, self.peer.loop, "window", self.peer._transmit
                 )
             protocol.data_received(data)
-        if self._end_in and not self._inbox and not self._end_told and not self.over and self._reading:
-            self._end_told = True
+        if (
+            self._eof_received
+            and not self._received
+            and not self._eof_delivered
+            and not self.ended
+            and self._reading
+        ):
+            self._eof_delivered = True
             if not protocol.eof_received():
                 self.close()
 
-    def unread(self) -> bool:
+    def has_unread_input(self) -> bool:
         """What poll says of the socket: bytes or the end are there, or a reset."""
-        pieces = self.peer._pipe.pieces
-        there = bool(pieces) and pieces[0][0] <= self.network.scheduler.now and not self.deaf
-        return bool(self._inbox) or self._end_in or there or self.over
+        pieces = self.peer._pipe.segments
+        there = bool(pieces) and pieces[0][0] <= self.network.scheduler.now and not self.blackholed
+        return bool(self._received) or self._eof_received or there or self.ended
 
     # ------------------------------------------------------------ the end
 
-    def _finish(self, why: str, error: Exception | None) -> None:
+    def _end(self, why: str, error: Exception | None) -> None:
         """This side is over: the other learns by an end or a reset, the process by connection_lost."""
-        if self.over:
+        if self.ended:
             return
-        unread = self._inbox_size > 0
-        self.over = True
-        self._leave(why)
+        unread = self._received_bytes > 0
+        self.ended = True
+        self._deregister(why)
         if why == "closed":
             if unread:
-                self._reject()
-            elif not self._end_sent:
-                self._end_sent = True
-                self._put(None)
-        self._tell_lost(error)
+                self._send_reset()
+            elif not self._eof_sent:
+                self._eof_sent = True
+                self._send_segment(None)
+        self._notify_lost(error)
 
-    def _tell_lost(self, error: Exception | None) -> None:
+    def _notify_lost(self, error: Exception | None) -> None:
         # The other side may stay half open for good, and must not keep this one's protocol alive.
         protocol, self.protocol = self.protocol, None
         if self.loop.alive and protocol is not None:
-            self.network.scheduler.soon(self.loop, "connection_lost", protocol.connection_lost, error)
+            self.network.scheduler.schedule_soon(
+                self.loop, "connection_lost", protocol.connection_lost, error
+            )
 
-    def _leave(self, why: str) -> None:
-        self._inbox.clear()
-        self._inbox_size = 0
+    def _deregister(self, why: str) -> None:
+        self._received.clear()
+        self._received_bytes = 0
         self._buffer.clear()
-        self.network.open.pop(self, None)
+        self.network.open_transports.pop(self, None)
         self.loop.transports.pop(self, None)
-        self.network.tap.ended(self, why)
+        self.network.observer.connection_ended(self, why)
 
     def reset(self) -> None:
         """The peer or the network resets the connection: what was not read is lost."""
-        if self.over or not self.network.hears(self.host, self.peer.host):
+        if self.ended or not self.network.reachable(self.host, self.peer.host):
             return
-        self._finish("reset", ConnectionResetError(104, "reset by peer"))
+        self._end("reset", ConnectionResetError(104, "reset by peer"))
 
     def process_died(self) -> None:
         """The machine closes what its process had open."""
-        if self.over:
+        if self.ended:
             return
-        self.over = True
+        self.ended = True
         self.protocol = None
-        self._leave("killed")
-        if not self.deaf:
-            self._reject()
+        self._deregister("killed")
+        if not self.blackholed:
+            self._send_reset()
 
-    def forget(self) -> None:
+    def connection_forgotten(self) -> None:
         """This machine came back without knowing of the connection: the peer hears so when it sends again."""
-        self._finish("killed", ConnectionResetError(104, "forgotten"))
-        wait = BACK_RESET_US + int(self._rng.random() * 4 * BACK_RESET_US)
-        self.network.scheduler.network(self.network.scheduler.now + wait, None, "reset", self.peer.reset)
+        self._end("killed", ConnectionResetError(104, "forgotten"))
+        wait = RETURN_RESET_US + int(self._rng.random() * 4 * RETURN_RESET_US)
+        self.network.scheduler.schedule_delivery(
+            self.network.scheduler.now + wait, None, "reset", self.peer.reset
+        )
 
     def _protocol_call(self, name: str) -> None:
-        if self.protocol is not None and not self.over:
+        if self.protocol is not None and not self.ended:
             getattr(self.protocol, name)()
 
 
 def seconds(microseconds: int) -> float:
     """Microseconds of virtual time in seconds."""
-    return microseconds / MICROSECONDS
+    return microseconds / US_PER_S
--- a/leadrudder/simulation/oracle.py
+++ b/leadrudder/simulation/oracle.py
@@ -23,7 +23,7 @@
 from leadrudder.simulation.framing import Frame, Framing
 from leadrudder.simulation.loop import VirtualLoop
 from leadrudder.simulation.network import Address, VirtualTransport
-from leadrudder.simulation.scheduler import MICROSECONDS, Scheduler
+from leadrudder.simulation.scheduler import US_PER_S, Scheduler
 
 TOLERANCE_US = 50_000
 LEFT_US = 10_000  # before its time is over, as its node counts it: a round trip, and less than nodes reserve
@@ -54,7 +54,7 @@
     step: int
 
     def __str__(self) -> str:
-        return f"{self.rule} at {self.at_us / MICROSECONDS:.6f} s, step {self.step}: {self.text}"
+        return f"{self.rule} at {self.at_us / US_PER_S:.6f} s, step {self.step}: {self.text}"
 
 
 @dataclass(slots=True, eq=False)
@@ -204,7 +204,7 @@
 
     def tally(self, what: str) -> None:
         """A figure of one second, over all nodes."""
-        second = self._scheduler.now // MICROSECONDS
+        second = self._scheduler.now // US_PER_S
         of = self.seconds.setdefault(what, {})
         of[second] = of.get(second, 0) + 1
 
@@ -249,15 +249,15 @@
         """A node neither watches nor has asked for as long as it must."""
         if self._nodes.get(watch.loop) is not watch or watch.asked_us != asked_us or watch.lists:
             return
-        if watch.loop.frozen_until + TOLERANCE_US > self._scheduler.now:
-            watch.asked_us = watch.loop.frozen_until
+        if watch.loop.frozen_until_us + TOLERANCE_US > self._scheduler.now:
+            watch.asked_us = watch.loop.frozen_until_us
             self._plan_ask(watch)
             return
         self.report("list-not-asked", f"{watch.loop.name} neither watches nor has asked since {asked_us} us")
 
     # ------------------------------------------------------------ the tap
 
-    def knocked(self, loop: VirtualLoop, address: Address) -> None:
+    def connection_requested(self, loop: VirtualLoop, address: Address) -> None:
         watch = self._nodes.get(loop)
         if watch is not None and address in self._discovery:
             watch.asked_us = self._scheduler.now
@@ -265,7 +265,7 @@
             self.tally("list calls")
             self._plan_ask(watch)
 
-    def opened(self, client: VirtualTransport) -> None:
+    def connection_accepted(self, client: VirtualTransport) -> None:
         watch = self._nodes.get(client.loop)
         if watch is not None:
             if client.remote in self._discovery:
@@ -280,7 +280,7 @@
         if watch is not None:
             self._callers[server] = CallerSide(watch, Framing(answers=False), Framing(answers=True))
 
-    def sent(self, source: VirtualTransport, data: bytes) -> None:
+    def bytes_sent(self, source: VirtualTransport, data: bytes) -> None:
         caller = self._callers.get(source)
         if caller is not None:
             self._answers_sent(caller, data)
@@ -290,7 +290,7 @@
             for frame in server.requests.feed(data):
                 self._attempt(server, frame)
 
-    def arrived(self, target: VirtualTransport, data: bytes) -> None:
+    def bytes_received(self, target: VirtualTransport, data: bytes) -> None:
         caller = self._callers.get(target)
         if caller is not None:
             self._requests_came(caller, data)
@@ -303,7 +303,7 @@
         if watch is not None and target in watch.lists:
             self._list_came(watch.lists[target], data)
 
-    def ended(self, transport: VirtualTransport, why: str) -> None:
+    def connection_ended(self, transport: VirtualTransport, why: str) -> None:
         watch = self._nodes.get(transport.loop)
         if watch is not None and watch.lists.pop(transport, None) is not None:
             watch.asked_us = max(watch.asked_us, self._scheduler.now)
@@ -337,7 +337,7 @@
                 side.node,
                 frame,
                 now,
-                now + int((budget or 3.0) * MICROSECONDS) + TOLERANCE_US,
+                now + int((budget or 3.0) * US_PER_S) + TOLERANCE_US,
                 self._terms.effects.get(name, "none"),
                 name,
             )
@@ -362,8 +362,8 @@
             self._forget(owed)
             return
         loop = owed.node.loop
-        if loop.frozen_until + TOLERANCE_US > self._scheduler.now:
-            self._at(loop.frozen_until + TOLERANCE_US + 1, partial(self._overdue, owed))
+        if loop.frozen_until_us + TOLERANCE_US > self._scheduler.now:
+            self._at(loop.frozen_until_us + TOLERANCE_US + 1, partial(self._overdue, owed))
             return
         self._forget(owed)
         self.report("lost", f"{_name(owed)} on {loop.name} got no answer within its time")
@@ -374,7 +374,7 @@
         Those who leave earlier, or whose request was long on its way, say nothing of the node.
         """
         over_us = owed.due_us - TOLERANCE_US
-        frozen = owed.node.loop.frozen_until + TOLERANCE_US >= over_us
+        frozen = owed.node.loop.frozen_until_us + TOLERANCE_US >= over_us
         if not owed.answered and owed.left_us >= over_us - LEFT_US and not frozen:
             self.report("not-in-time", f"{_name(owed)} on {owed.node.loop.name} had no answer when it left")
 
@@ -388,7 +388,7 @@
     def _caller_ended(self, side: CallerSide, transport: VirtualTransport, why: str) -> None:
         """A node's side of a caller's connection is over."""
         for owed in side.waiting:
-            if why == "closed" and not (owed.excused or side.bad or side.closes or transport.deaf):
+            if why == "closed" and not (owed.excused or side.bad or side.closes or transport.blackholed):
                 self.report(
                     "lost", f"{_name(owed)}: {side.node.loop.name} closed its connection without an answer"
                 )
@@ -418,7 +418,7 @@
             side.node.closed[identity] = owed
         if (
             self._scheduler.now > owed.due_us
-            and owed.node.loop.frozen_until + TOLERANCE_US < self._scheduler.now
+            and owed.node.loop.frozen_until_us + TOLERANCE_US < self._scheduler.now
         ):
             self.report("late", f"{_name(owed)} was answered {frame.status} after its time")
         if frame.status == 200:
--- a/leadrudder/simulation/play.py
+++ b/leadrudder/simulation/play.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, field
 
 from leadrudder.simulation.faults import Fault
-from leadrudder.simulation.network import Tap
+from leadrudder.simulation.network import NetworkObserver
 from leadrudder.simulation.oracle import Violation
-from leadrudder.simulation.scheduler import MICROSECONDS
+from leadrudder.simulation.scheduler import US_PER_S
 from leadrudder.simulation.world import World
 
 STRETCH = 5000  # steps between two looks at the clock and the tap of progress
@@ -55,7 +55,7 @@
     setup: Setup,
     *,
     progress: Progress | None = None,
-    tap: Callable[[World], Tap] | None = None,
+    observe: Callable[[World], NetworkObserver] | None = None,
 ) -> Result:
     """Play to the number of steps or the first violation, then until all is quiet.
 
@@ -68,7 +68,7 @@
         nodes=setup.nodes,
         kinds=setup.kinds,
         faults=None if setup.faults is None else list(setup.faults),
-        tap=tap,
+        observe=observe,
         heavy=setup.heavy,
     )
     try:
@@ -76,7 +76,7 @@
             before = world.scheduler.steps
             world.play(min(STRETCH, setup.steps - before))
             if progress is not None:
-                progress(world.scheduler.steps, world.scheduler.now / MICROSECONDS)
+                progress(world.scheduler.steps, world.scheduler.now / US_PER_S)
             if world.scheduler.steps == before:
                 break
         world.settle()
@@ -86,7 +86,7 @@
             world.scheduler.digest(),
             tuple(world.violations),
             tuple(world.planned),
-            world.scheduler.now / MICROSECONDS,
+            world.scheduler.now / US_PER_S,
             time.perf_counter() - began,
             dict(world.oracle.counts),
         )
--- a/leadrudder/simulation/scheduler.py
+++ b/leadrudder/simulation/scheduler.py
@@ -14,11 +14,14 @@
 from collections.abc import Callable
 from typing import Any
 
-MICROSECONDS = 1_000_000
+US_PER_S = 1_000_000
 # The places of steps that are due at the same instant; the lowest comes first.
-SOON = -1.0  # callbacks that a process asked for: in the order in which it asked
-TIMER_FROM, TIMER_TO = -2.0, 1.0  # a third of the timers come before those, the others among the network
-NETWORK_FROM, NETWORK_TO = 0.0, 1.0
+SOON_ORDER = -1.0  # callbacks that a process asked for: in the order in which it asked
+TIMER_ORDER_MIN, TIMER_ORDER_MAX = (
+    -2.0,
+    1.0,
+)  # a third of the timers come before those, the others among the network
+DELIVERY_ORDER_MIN, DELIVERY_ORDER_MAX = 0.0, 1.0
 
 _STEP = struct.Struct("<QII")
 
@@ -26,20 +29,20 @@
 class Step:
     """One thing to do at an instant. A process that is None stands for the world itself."""
 
-    __slots__ = ("args", "call", "cancelled", "due", "label", "process")
+    __slots__ = ("args", "callback", "cancelled", "due", "label", "process")
 
     def __init__(
         self,
         due: int,
         process: Process | None,
         label: str,
-        call: Callable[..., object],
+        callback: Callable[..., object],
         args: tuple[Any, ...],
     ) -> None:
         self.due = due
         self.process = process
         self.label = label
-        self.call = call
+        self.callback = callback
         self.args = args
         self.cancelled = False
 
@@ -51,11 +54,11 @@
         self.name = name
         self.number = number
         self.alive = True
-        self.frozen_until = 0
+        self.frozen_until_us = 0
 
-    def enter(self, step: Step) -> None:
+    def run_step(self, step: Step) -> None:
         """Run one of its steps."""
-        step.call(*step.args)
+        step.callback(*step.args)
 
 
 class Scheduler:
@@ -64,48 +67,59 @@
     def __init__(self, seed: str) -> None:
         self.now = 0
         self.steps = 0
-        self.at_this_instant = 0  # steps run at the present one
-        self.last = ""  # what the last step was
+        self.steps_at_this_instant = 0  # steps run at the present one
+        self.last_label = ""  # what the last step was
         self._heap: list[tuple[int, float, int, Step]] = []
-        self._number = 0
-        self._order = random.Random(f"{seed}/order")
+        self._sequence = 0
+        self._order_rng = random.Random(f"{seed}/order")
         self._digest = hashlib.blake2b(digest_size=16)
-        self._labels: dict[str, int] = {}
-        self._processes = 0
+        self._label_ids: dict[str, int] = {}
+        self._process_count = 0
 
-    def new_process_number(self) -> int:
+    def allocate_process_number(self) -> int:
         """Numbers are given in the order of creation, and so are the same at every play."""
-        self._processes += 1
-        return self._processes
+        self._process_count += 1
+        return self._process_count
 
-    def soon(self, process: Process, label: str, call: Callable[..., object], *args: Any) -> Step:
+    def schedule_soon(
+        self, process: Process, label: str, callback: Callable[..., object], *args: Any
+    ) -> Step:
         """After what that process asked for before, at this instant."""
-        return self._push(self.now, SOON, process, label, call, args)
+        return self._push(self.now, SOON_ORDER, process, label, callback, args)
 
-    def timer(
-        self, due: int, process: Process | None, label: str, call: Callable[..., object], *args: Any
+    def schedule_timer(
+        self, due: int, process: Process | None, label: str, callback: Callable[..., object], *args: Any
     ) -> Step:
-        """At an instant, at the earliest now; its place there is drawn."""
-        return self._push(due, self._order.uniform(TIMER_FROM, TIMER_TO), process, label, call, args)
+        """At an instant, at the earliest now; its order there is drawn."""
+        return self._push(
+            due, self._order_rng.uniform(TIMER_ORDER_MIN, TIMER_ORDER_MAX), process, label, callback, args
+        )
 
-    def network(
-        self, due: int, process: Process | None, label: str, call: Callable[..., object], *args: Any
+    def schedule_delivery(
+        self, due: int, process: Process | None, label: str, callback: Callable[..., object], *args: Any
     ) -> Step:
         """As a timer, but never before what a process asked for soon."""
-        return self._push(due, self._order.uniform(NETWORK_FROM, NETWORK_TO), process, label, call, args)
+        return self._push(
+            due,
+            self._order_rng.uniform(DELIVERY_ORDER_MIN, DELIVERY_ORDER_MAX),
+            process,
+            label,
+            callback,
+            args,
+        )
 
     def _push(
         self,
         due: int,
-        place: float,
+        order: float,
         process: Process | None,
         label: str,
-        call: Callable[..., object],
+        callback: Callable[..., object],
         args: tuple[Any, ...],
     ) -> Step:
-        step = Step(max(due, self.now), process, label, call, args)
-        self._number += 1
-        heapq.heappush(self._heap, (step.due, place, self._number, step))
+        step = Step(max(due, self.now), process, label, callback, args)
+        self._sequence += 1
+        heapq.heappush(self._heap, (step.due, order, self._sequence, step))
         return step
 
     def next_due(self) -> int | None:
@@ -118,40 +132,40 @@
         """Run the next step; False when there is none."""
         heap = self._heap
         while heap:
-            due, place, _, step = heapq.heappop(heap)
+            due, order, _, step = heapq.heappop(heap)
             if step.cancelled:
                 continue
             process = step.process
             if process is not None:
                 if not process.alive:
                     continue
-                if process.frozen_until > due:
+                if process.frozen_until_us > due:
                     # What was due while its core was away is all there when it is back, in the same order.
-                    self._number += 1
-                    heapq.heappush(heap, (process.frozen_until, place, self._number, step))
+                    self._sequence += 1
+                    heapq.heappush(heap, (process.frozen_until_us, order, self._sequence, step))
                     continue
-            self.at_this_instant = self.at_this_instant + 1 if due == self.now else 0
+            self.steps_at_this_instant = self.steps_at_this_instant + 1 if due == self.now else 0
             self.now = due
-            self.last = step.label
+            self.last_label = step.label
             self.steps += 1
-            self._note(step)
+            self._add_to_digest(step)
             step.cancelled = True  # it cannot be called off any more
             if process is None:
-                step.call(*step.args)
+                step.callback(*step.args)
             else:
-                process.enter(step)
+                process.run_step(step)
             return True
         return False
 
-    def _note(self, step: Step) -> None:
-        label = self._labels.get(step.label)
+    def _add_to_digest(self, step: Step) -> None:
+        label = self._label_ids.get(step.label)
         if label is None:
-            label = self._labels[step.label] = len(self._labels)
+            label = self._label_ids[step.label] = len(self._label_ids)
             self._digest.update(step.label.encode())
         process = step.process
         self._digest.update(_STEP.pack(self.now, process.number if process is not None else 0, label))
 
-    def mix(self, data: bytes) -> None:
+    def mix_into_digest(self, data: bytes) -> None:
         """Take what passed on the network into the digest."""
         self._digest.update(data)
 
--- a/leadrudder/simulation/standins/callers.py
+++ b/leadrudder/simulation/standins/callers.py
@@ -16,7 +16,7 @@
 from leadrudder.simulation.loop import VirtualLoop
 from leadrudder.simulation.network import Address, VirtualTransport
 from leadrudder.simulation.oracle import Oracle
-from leadrudder.simulation.scheduler import MICROSECONDS
+from leadrudder.simulation.scheduler import US_PER_S
 from leadrudder.simulation.site import CLASSES, TENANTS, Site
 from leadrudder.simulation.standins.client import Call, NodeClient
 
@@ -197,7 +197,7 @@
             return True
         if operation.name == "varaus" or self.site.group != "all":
             return False
-        next_us = (self._deadlines[operation.name] + 0.5) * MICROSECONDS
+        next_us = (self._deadlines[operation.name] + 0.5) * US_PER_S
         return bool(self.loop.scheduler.now + next_us < operation.began_us + self.site.window_ms * 1000)
 
     def _again(self, operation: Operation, wait_s: float) -> None:
@@ -207,7 +207,7 @@
         if operation.name == "siirto" and not self._may_repeat(operation) and operation.tries:
             self._end()
             return
-        if not operation.tries and self.loop.scheduler.now - operation.began_us > 3 * MICROSECONDS:
+        if not operation.tries and self.loop.scheduler.now - operation.began_us > 3 * US_PER_S:
             self._end()  # there has been no node for so long
             return
         self.loop.call_later(wait_s, self._try, operation)
--- a/leadrudder/simulation/standins/reports.py
+++ b/leadrudder/simulation/standins/reports.py
@@ -6,10 +6,10 @@
 from collections import deque
 from enum import Enum
 
-from leadrudder.simulation.scheduler import MICROSECONDS
+from leadrudder.simulation.scheduler import US_PER_S
 
-PERIOD_US = MICROSECONDS  # between two looks at itself
-LATE_US = 3 * MICROSECONDS
+PERIOD_US = US_PER_S  # between two looks at itself
+LATE_US = 3 * US_PER_S
 NOISE = 0.1
 
 
--- a/leadrudder/simulation/standins/server.py
+++ b/leadrudder/simulation/standins/server.py
@@ -17,14 +17,14 @@
 from leadrudder.simulation.loop import VirtualLoop
 from leadrudder.simulation.network import Address, VirtualTransport
 from leadrudder.simulation.oracle import Oracle
-from leadrudder.simulation.scheduler import MICROSECONDS
+from leadrudder.simulation.scheduler import US_PER_S
 from leadrudder.simulation.standins.client import NodeClient
 from leadrudder.simulation.standins.reports import Reporter
 
 START_SHARE = 0.3  # of its capacity that a cold server has
 FALL_MULTIPLE = 4.0
-FALL_WINDOW_US = MICROSECONDS
-MEMORY_SLACK_US = MICROSECONDS  # a server's memory of keys is no shorter than it says
+FALL_WINDOW_US = US_PER_S
+MEMORY_SLACK_US = US_PER_S  # a server's memory of keys is no shorter than it says
 LARGE = 0.01  # part of the answers that fill several windows
 LARGE_BODY = 60_000
 TOLD_CLOSE_S = 0.3  # between an answer that tells the close and the close
@@ -191,7 +191,7 @@
         repeat = key is not None and self._keys.seen(key, now)
         if key is not None and not repeat and self._keys.ran_elsewhere(key, now):
             self.oracle.ran_keyed(self.tier, frame.target, self.name)
-        self._queue.append(Job(frame, connection, work, repeat, now + int(left * MICROSECONDS)))
+        self._queue.append(Job(frame, connection, work, repeat, now + int(left * US_PER_S)))
         self._work()
 
     def _weigh(self, work_ms: float) -> None:
@@ -265,12 +265,12 @@
             "X-Request-Id": f"{self._rng.getrandbits(64):016x}",
             "X-Class": name,
             "X-Tenant": "kampaamo",
-            "X-Deadline": f"{budget_us / MICROSECONDS:.3f}",
+            "X-Deadline": f"{budget_us / US_PER_S:.3f}",
         }
         if effect == "keyed":
             headers["Idempotency-Key"] = f"{job.frame.headers['idempotency-key']}.{job.left}"
         data = request("GET" if effect == "safe" else "POST", f"{job.frame.target}.{job.left}", headers)
-        self._inner.ask(data, budget_us / MICROSECONDS, lambda frame, _: self._inner_done(job, frame))
+        self._inner.ask(data, budget_us / US_PER_S, lambda frame, _: self._inner_done(job, frame))
 
     def _inner_done(self, job: Job, frame: Frame | None) -> None:
         if frame is not None and frame.status == 200:
--- a/leadrudder/simulation/trace.py
+++ b/leadrudder/simulation/trace.py
@@ -12,7 +12,7 @@
 
 from leadrudder.simulation.faults import Fault, PlanError, from_json, to_json
 from leadrudder.simulation.loop import VirtualLoop
-from leadrudder.simulation.network import Address, Tap, VirtualTransport
+from leadrudder.simulation.network import Address, NetworkObserver, VirtualTransport
 from leadrudder.simulation.play import Result, Setup
 from leadrudder.simulation.world import World
 
@@ -46,7 +46,7 @@
     def _put(self, item: dict[str, Any]) -> None:
         self._file.write(json.dumps(item, separators=(",", ":")) + "\n")
 
-    def tap(self, world: World) -> Tap:
+    def observe(self, world: World) -> NetworkObserver:
         """Stands between the network and the oracle."""
         return _TraceTap(world, self._put)
 
@@ -86,25 +86,25 @@
             self._told += 1
         self._put({"us": scheduler.now, "step": scheduler.steps, "what": what, **more})
 
-    def knocked(self, loop: VirtualLoop, address: Address) -> None:
+    def connection_requested(self, loop: VirtualLoop, address: Address) -> None:
         self._event("connect", by=loop.name, to=_text(address))
-        self._oracle.knocked(loop, address)
+        self._oracle.connection_requested(loop, address)
 
-    def opened(self, client: VirtualTransport) -> None:
+    def connection_accepted(self, client: VirtualTransport) -> None:
         self._event("accept", by=client.peer.loop.name, to=client.loop.name, port=client.local[1])
-        self._oracle.opened(client)
+        self._oracle.connection_accepted(client)
 
-    def sent(self, source: VirtualTransport, data: bytes) -> None:
+    def bytes_sent(self, source: VirtualTransport, data: bytes) -> None:
         self._event("send", **_sides(source), bytes=len(data), text=_first(data))
-        self._oracle.sent(source, data)
+        self._oracle.bytes_sent(source, data)
 
-    def arrived(self, target: VirtualTransport, data: bytes) -> None:
+    def bytes_received(self, target: VirtualTransport, data: bytes) -> None:
         self._event("read", **_sides(target), bytes=len(data), text=_first(data))
-        self._oracle.arrived(target, data)
+        self._oracle.bytes_received(target, data)
 
-    def ended(self, transport: VirtualTransport, why: str) -> None:
+    def connection_ended(self, transport: VirtualTransport, why: str) -> None:
         self._event("end", **_sides(transport), why=why)
-        self._oracle.ended(transport, why)
+        self._oracle.connection_ended(transport, why)
 
 
 def _sides(transport: VirtualTransport) -> dict[str, Any]:
--- a/leadrudder/simulation/world.py
+++ b/leadrudder/simulation/world.py
@@ -25,9 +25,9 @@
 from leadrudder.simulation.faults import Fault, draw
 from leadrudder.simulation.injector import DISCOVERY_PORT, Injector
 from leadrudder.simulation.loop import VirtualLoop
-from leadrudder.simulation.network import Address, Network, Tap, VirtualTransport
+from leadrudder.simulation.network import Address, Network, NetworkObserver, VirtualTransport
 from leadrudder.simulation.oracle import Oracle, Violation
-from leadrudder.simulation.scheduler import MICROSECONDS, Scheduler
+from leadrudder.simulation.scheduler import US_PER_S, Scheduler
 from leadrudder.simulation.site import MODELS, ZONES, Site
 from leadrudder.simulation.standins.callers import Callers, Front
 from leadrudder.simulation.standins.discovery import Registry, Row, StandInDiscovery
@@ -59,15 +59,15 @@
         self._files = files
 
     def monotonic(self) -> float:
-        return self._scheduler.now / MICROSECONDS
+        return self._scheduler.now / US_PER_S
 
     def wall(self) -> float:
-        return EPOCH_S + self._scheduler.now / MICROSECONDS
+        return EPOCH_S + self._scheduler.now / US_PER_S
 
     @staticmethod
     def has_unread_input(transport: asyncio.Transport) -> bool:
         assert isinstance(transport, VirtualTransport)
-        return transport.unread()
+        return transport.has_unread_input()
 
     def read_text(self, path: str) -> str:
         try:
@@ -104,7 +104,7 @@
         nodes: int = 2,
         faults: list[Fault] | None = None,
         kinds: tuple[str, ...] = (),
-        tap: Callable[[World], Tap] | None = None,
+        observe: Callable[[World], NetworkObserver] | None = None,
         heavy: bool = False,
     ) -> None:
         self.seed = seed
@@ -112,7 +112,7 @@
         self.scheduler = Scheduler(seed)
         self.oracle = Oracle(self.scheduler, self.site.terms())
         self.planned: list[Fault] = []  # those that were played so far
-        self.network = Network(self.scheduler, seed, tap(self) if tap is not None else self.oracle)
+        self.network = Network(self.scheduler, seed, observe(self) if observe is not None else self.oracle)
         self.processes: list[VirtualLoop] = []  # those that live, and some that died lately
         self.front = Front()
         self.rng = Random(f"{seed}/world")
@@ -135,12 +135,12 @@
         """A new process on a machine."""
         # Typeshed calls asyncio's base class abstract; what it does not have here raises, as there.
         loop = VirtualLoop(  # type: ignore[abstract]
-            name, host, self.scheduler, self.network, self._on_fault
+            name, host, self.scheduler, self.network, self._on_process_error
         )
         self.processes = [*(p for p in self.processes if p.alive), loop]
         return loop
 
-    def _on_fault(self, loop: VirtualLoop, text: str) -> None:
+    def _on_process_error(self, loop: VirtualLoop, text: str) -> None:
         self.oracle.report("exception", f"in {loop.name}: {text}")
 
     def _build(self) -> None:
@@ -278,9 +278,11 @@
     def _node_ended(self, host: NodeHost, loop: VirtualLoop, task: asyncio.Task[Any]) -> None:
         """Its main coroutine has returned: the process is at its end, and must leave nothing behind."""
         if task.cancelled() or (error := task.exception()) is None:
-            left = [t for t in loop.tasks() if t is not task]
+            left = [t for t in loop.unfinished_tasks() if t is not task]
             # Told lost by now or at this instant: what is still open after that was forgotten.
-            self.scheduler.timer(self.scheduler.now + 1000, None, "exit", self._exit, host, loop, len(left))
+            self.scheduler.schedule_timer(
+                self.scheduler.now + 1000, None, "exit", self._exit, host, loop, len(left)
+            )
             return
         self.oracle.report("crash", f"{host.name}: {type(error).__name__}: {error}")
         self._exit(host, loop, 0)
@@ -290,9 +292,10 @@
             return
         if loop.transports or loop.servers:
             self.oracle.report("leak", f"{loop.name} ended with {len(loop.transports)} connections open")
-        if loop.tasks():
+        if loop.unfinished_tasks():
             self.oracle.report(
-                "leak", f"{loop.name} ended with {len(loop.tasks())} tasks, {tasks} at its last step"
+                "leak",
+                f"{loop.name} ended with {len(loop.unfinished_tasks())} tasks, {tasks} at its last step",
             )
         self.end_node(host)
 
@@ -315,7 +318,7 @@
                 if discovery.registry is self.registries[tier] and discovery.loop.alive:
                     discovery.announce()
 
-        self.scheduler.timer(self.scheduler.now + delay_ms * 1000, None, "publish", tell)
+        self.scheduler.schedule_timer(self.scheduler.now + delay_ms * 1000, None, "publish", tell)
 
     def list_delay(self, fault: Fault) -> int:
         low, high = LIST_DELAY_MS
@@ -355,7 +358,7 @@
             faults = [f for f in self._given if start <= f.at_ms < self._faults_seen]
         for fault in faults:
             self.planned.append(fault)
-            self.scheduler.timer(fault.at_ms * 1000, None, fault.kind, self.injector.begin, fault)
+            self.scheduler.schedule_timer(fault.at_ms * 1000, None, fault.kind, self.injector.begin, fault)
 
     def settle(self) -> None:
         """End all faults, send no more, wait until all is quiet, and look whether the nodes are at rest."""
@@ -366,8 +369,8 @@
             self.callers.stop()
             for server in [s for tier in self.servers for s in tier]:
                 server.close_idle()
-            end = self.scheduler.now + int(QUIET_S * MICROSECONDS)
-            self._run_until(end - int(REST_S * MICROSECONDS))
+            end = self.scheduler.now + int(QUIET_S * US_PER_S)
+            self._run_until(end - int(REST_S * US_PER_S))
             asked = self.oracle.asked()
             self._run_until(end)
             if not self.oracle.violations:
@@ -386,9 +389,10 @@
     def _check_spin(self) -> None:
         """A process that calls itself again and again at one instant burns its core, and stops the clock
         here."""
-        if self.scheduler.at_this_instant > MOST_AT_ONE_INSTANT:
+        if self.scheduler.steps_at_this_instant > MOST_AT_ONE_INSTANT:
             self.oracle.report(
-                "spin", f"{self.scheduler.at_this_instant} steps at one instant, {self.scheduler.last}"
+                "spin",
+                f"{self.scheduler.steps_at_this_instant} steps at one instant, {self.scheduler.last_label}",
             )
 
     def _check_memory(self) -> None:
@@ -420,8 +424,8 @@
                 "bytes of bodies": node._listener._body_bytes,
                 "callers' connections": len(node._listener._connections),
                 "servers' connections": node._upstream.open_connection_count(),
-                "tasks": max(0, len(loop.tasks()) - 1),  # its main one
-                "timers": max(0, loop.timers - TIMERS_AT_REST),
+                "tasks": max(0, len(loop.unfinished_tasks()) - 1),  # its main one
+                "timers": max(0, loop.live_timers - TIMERS_AT_REST),
             }
             again = self.oracle.asked()[loop.name] - asked.get(loop.name, 0)
             if again > MOST_ASKED_AT_REST:
--- a/tests/mesh/test_emulation.py
+++ b/tests/mesh/test_emulation.py
@@ -224,7 +224,7 @@
         machine = fleet.side[0]
         assert machine.server is not None and machine.station is not None
         machine.server.draining = True
-        with machine.loops["station"].running():
+        with machine.loops["station"].as_running_loop():
             machine.station.terminate()
         machine.loops["clients"].kill()  # they go with the machine
         asked = len(fleet.asked())
@@ -249,7 +249,7 @@
         fleet.play(14.0)
         holder = next(m for m in fleet.core if m.signalbox and self.holds(m, fleet))
         assert holder.signalbox is not None
-        with holder.loops["signalbox"].running():
+        with holder.loops["signalbox"].as_running_loop():
             holder.signalbox.terminate()
         fleet.play(15.0)
         fleet.kill(holder, "signalbox")
--- a/tests/simulation/stubs.py
+++ b/tests/simulation/stubs.py
@@ -6,7 +6,7 @@
 from typing import cast
 
 from leadrudder.simulation.loop import VirtualLoop
-from leadrudder.simulation.network import Network, Untapped, VirtualTransport
+from leadrudder.simulation.network import Network, NullObserver, VirtualTransport
 from leadrudder.simulation.scheduler import Scheduler
 
 
@@ -50,7 +50,7 @@
 
     def __init__(self, seed: str = "1") -> None:
         self.scheduler = Scheduler(seed)
-        self.network = Network(self.scheduler, seed, Untapped())
+        self.network = Network(self.scheduler, seed, NullObserver())
         self.faults: list[str] = []
         self.here = self.process("here", "10.0.0.1")
         self.there = self.process("there", "10.0.0.2")
--- a/tests/simulation/test_hard_cases.py
+++ b/tests/simulation/test_hard_cases.py
@@ -90,5 +90,5 @@
     world = World("1")
     world.play(3000)
     world.close()
-    assert not world.network.open and not world.network._listeners
+    assert not world.network.open_transports and not world.network._listeners
     assert world.processes and not any(loop.alive for loop in world.processes)
--- a/tests/simulation/test_herd.py
+++ b/tests/simulation/test_herd.py
@@ -68,14 +68,14 @@
 def test_nodes_that_are_told_to_move_do_not_ask_in_the_same_instant(monkeypatch: pytest.MonkeyPatch) -> None:
     """All get SIGHUP at once, and discovery answers one call after another."""
     asked: list[int] = []
-    knocked = Oracle.knocked
+    connection_requested = Oracle.connection_requested
 
     def knock(self: Oracle, loop: VirtualLoop, address: Address) -> None:
         if address[1] == DISCOVERY_PORT:
             asked.append(self._scheduler.now)
-        knocked(self, loop, address)
+        connection_requested(self, loop, address)
 
-    monkeypatch.setattr(Oracle, "knocked", knock)
+    monkeypatch.setattr(Oracle, "connection_requested", knock)
     world = World("2", nodes=NODES, faults=[Fault("list-moved", 2500, 7, 1, 0.5)])
     try:
         world.play(30_000)
--- a/tests/simulation/test_loop.py
+++ b/tests/simulation/test_loop.py
@@ -8,14 +8,14 @@
 import pytest
 
 from leadrudder.simulation.loop import VirtualLoop
-from leadrudder.simulation.network import Network, Untapped
+from leadrudder.simulation.network import Network, NullObserver
 from leadrudder.simulation.scheduler import Scheduler
 
 
 def _world(seed: str = "1") -> tuple[Scheduler, VirtualLoop, list[str]]:
     scheduler = Scheduler(seed)
     faults: list[str] = []
-    network = Network(scheduler, seed, Untapped())
+    network = Network(scheduler, seed, NullObserver())
     loop = VirtualLoop(  # type: ignore[abstract]
         "p", "10.0.0.1", scheduler, network, lambda _, text: faults.append(text)
     )
@@ -34,13 +34,15 @@
         loop.call_later(delay, lambda name=name: seen.append((name, loop.time())))
     _run(scheduler)
     assert seen == [("now", 0.0), ("soon", 0.25), ("late", 3600.0)]
-    assert loop.timers == 0
+    assert loop.live_timers == 0
 
 
 def test_time_and_timers_count_whole_milliseconds_as_uvloops_do() -> None:
     scheduler, loop, _ = _world()
     seen: list[float] = []
-    scheduler.timer(1700, None, "x", lambda: loop.call_later(0.0016, lambda: seen.append(scheduler.now)))
+    scheduler.schedule_timer(
+        1700, None, "x", lambda: loop.call_later(0.0016, lambda: seen.append(scheduler.now))
+    )
     _run(scheduler)
     assert seen == [3000]
 
@@ -52,14 +54,14 @@
     handle.cancel()
     handle.cancel()
     _run(scheduler)
-    assert not seen and loop.timers == 0 and handle.cancelled()
+    assert not seen and loop.live_timers == 0 and handle.cancelled()
 
 
 def test_callbacks_soon_keep_their_order_and_come_before_the_network() -> None:
     for seed in range(20):
         scheduler, loop, _ = _world(str(seed))
         seen: list[int] = []
-        scheduler.network(0, loop, "n", seen.append, 3)
+        scheduler.schedule_delivery(0, loop, "n", seen.append, 3)
         loop.call_soon(seen.append, 1)
         loop.call_soon(seen.append, 2)
         _run(scheduler)
@@ -72,7 +74,7 @@
         scheduler, loop, _ = _world(str(seed))
         seen: list[str] = []
         loop.call_later(0.005, seen.append, "timer")
-        scheduler.network(5000, loop, "reply", seen.append, "reply")
+        scheduler.schedule_delivery(5000, loop, "reply", seen.append, "reply")
         _run(scheduler)
         orders.add(tuple(seen))
     assert orders == {("timer", "reply"), ("reply", "timer")}
@@ -82,8 +84,8 @@
     scheduler, loop, _ = _world()
     seen: list[tuple[int, int]] = []
     for number, due in enumerate((1000, 2000, 9000)):
-        scheduler.timer(due, loop, "x", lambda number=number: seen.append((number, scheduler.now)))
-    loop.frozen_until = 5000
+        scheduler.schedule_timer(due, loop, "x", lambda number=number: seen.append((number, scheduler.now)))
+    loop.frozen_until_us = 5000
     _run(scheduler)
     assert sorted(seen) == [(0, 5000), (1, 5000), (2, 9000)]
 
@@ -105,7 +107,7 @@
 
     loop.spawn(main())
     _run(scheduler)
-    assert seen == [3.0] and not faults and not loop.tasks()
+    assert seen == [3.0] and not faults and not loop.unfinished_tasks()
 
 
 def test_an_exception_that_the_loop_would_swallow_is_told() -> None:
@@ -129,7 +131,7 @@
         seen.append(2)
 
     loop.spawn(main())
-    scheduler.timer(500_000, None, "kill", loop.kill)
+    scheduler.schedule_timer(500_000, None, "kill", loop.kill)
     _run(scheduler)
     assert not seen and not faults and loop.is_closed()
 
@@ -138,11 +140,11 @@
     scheduler, loop, _ = _world()
     seen: list[int] = []
     loop.add_signal_handler(15, seen.append, 15)
-    loop.signal(15)
+    loop.deliver_signal(15)
     _run(scheduler)
     assert seen == [15] and loop.alive
     assert loop.remove_signal_handler(15) and not loop.remove_signal_handler(15)
-    loop.signal(15)
+    loop.deliver_signal(15)
     assert not loop.alive
 
 
