--- a/bench/window.py
+++ b/bench/window.py
@@ -20,7 +20,7 @@
 from leadrudder.consensus.lease import MAINTENANCE
 from leadrudder.emulation.fleet import Bookings, Fleet, Machine, Plan
 from leadrudder.emulation.standins import Wish
-from leadrudder.simulation.world import EPOCH_S
+from leadrudder.simulation.world import START_UNIX_TIME_S
 
 SLOTS, WORK_S, LOAD = 6, 0.1, 0.7
 SERVICES = {"kal": 8, "var": 4}
@@ -66,7 +66,7 @@
 
 def contracts(*, approved: bool) -> dict[str, Any]:
     """Of one tenant for each service; not approved: its hours are twelve hours away."""
-    hour = int(EPOCH_S // 3600) % 24
+    hour = int(START_UNIX_TIME_S // 3600) % 24
     far = f"{(hour + 12) % 24:02d}:00", f"{(hour + 13) % 24:02d}:00"
     begin, end = ("00:00", "24:00") if approved else far
     days = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"]
@@ -126,8 +126,8 @@
     fleet = Fleet(seed, plan(), possession=True)
     machine = fleet.side[seed % SERVICES["kal"]]
     order = {
-        "from": EPOCH_S + LENT_S - 3.0,
-        "to": EPOCH_S + LENT_S + HELD_S + WORKS_S + RETURN_S + 8.0,
+        "from": START_UNIX_TIME_S + LENT_S - 3.0,
+        "to": START_UNIX_TIME_S + LENT_S + HELD_S + WORKS_S + RETURN_S + 8.0,
         "machines": [machine.name],
         "works": f"{WORKS_S}s",
         "return": f"{RETURN_S}s",
--- a/leadrudder/emulation/fleet.py
+++ b/leadrudder/emulation/fleet.py
@@ -20,7 +20,7 @@
 from leadrudder.simulation.loop import VirtualLoop
 from leadrudder.simulation.network import Network, NullObserver
 from leadrudder.simulation.scheduler import US_PER_S, Scheduler
-from leadrudder.simulation.world import EPOCH_S, NodePlatform
+from leadrudder.simulation.world import START_UNIX_TIME_S, NodePlatform
 from leadrudder.storage.store import MemoryStore, Store
 
 CONTROL, OUT, READY, LINKS, APP = 7000, 7001, 7002, 7100, 8000
@@ -139,7 +139,7 @@
     @property
     def wall(self) -> float:
         """Unix time on every machine."""
-        return EPOCH_S + self.now
+        return START_UNIX_TIME_S + self.now
 
     def at(self, when: float, do: Callable[[], object]) -> None:
         self.scheduler.schedule_timer(int(when * US_PER_S), None, "plan", do)
--- a/leadrudder/experiment/whole.py
+++ b/leadrudder/experiment/whole.py
@@ -29,15 +29,14 @@
 from leadrudder.node.config import load_config
 from leadrudder.node.node import Node as RealNode
 from leadrudder.policy.decide import Balancer
-from leadrudder.simulation.framing import Frame, Framing, answer, request
+from leadrudder.simulation.framing import WireMessage, WireParser, encode_request, encode_response
 from leadrudder.simulation.loop import VirtualLoop
 from leadrudder.simulation.network import Network, NullObserver, VirtualTransport
 from leadrudder.simulation.scheduler import Scheduler
-from leadrudder.simulation.standins.client import Call as ClientCall
-from leadrudder.simulation.standins.client import NodeClient
+from leadrudder.simulation.standins.client import ClientCall, NodeClient
 from leadrudder.simulation.standins.discovery import Registry as Rows
 from leadrudder.simulation.standins.discovery import Row, StandInDiscovery
-from leadrudder.simulation.world import EPOCH_S, NodePlatform
+from leadrudder.simulation.world import START_UNIX_TIME_S, NodePlatform
 
 PORT = 8000
 IDLE_MS = 30_000.0
@@ -154,7 +153,7 @@
 
     def __init__(self, fleet: WholeFleet, server: Server) -> None:
         self._fleet, self._server = fleet, server
-        self._framing = Framing(answers=False)
+        self._framing = WireParser(responses=False)
         self._call: WireCall | None = None
         self.transport: VirtualTransport
 
@@ -164,7 +163,7 @@
     def data_received(self, data: bytes) -> None:
         for frame in self._framing.feed(data):
             if frame.target == "/health":
-                self.transport.write(answer(503 if self._server.draining else 200))
+                self.transport.write(encode_response(503 if self._server.draining else 200))
                 continue
             taken = self._fleet.asked[frame.headers["x-request-id"]]
             taken.ask.operation.attempts += 1
@@ -181,11 +180,11 @@
         self._call = None
         told = f'X-Load: {{"util":{load[0]:.4f},"inflight":{load[1]:.2f}}}\r\n' if load else ""
         if outcome is Outcome.OK:
-            self.transport.write(answer(200, b"{}", told))
+            self.transport.write(encode_response(200, b"{}", told))
         elif outcome is Outcome.FULL:
-            self.transport.write(answer(503, headers=f"X-Not-Run: 1\r\n{told}"))
+            self.transport.write(encode_response(503, headers=f"X-Not-Run: 1\r\n{told}"))
         else:
-            self.transport.write(answer(500, headers=told))
+            self.transport.write(encode_response(500, headers=told))
 
     def connection_lost(self, exc: Exception | None) -> None:
         call, self._call = self._call, None
@@ -258,10 +257,10 @@
         if kind.effect == "keyed":
             headers["Idempotency-Key"] = f"{ask.key:x}-{ask.inner:x}-{self.tier}"
         fleet.asked[name] = taken
-        data = request("GET" if kind.effect == "safe" else "POST", f"/api/{name}", headers)
+        data = encode_request("GET" if kind.effect == "safe" else "POST", f"/api/{name}", headers)
         # The caller's own clock decides when it leaves; this one only bounds what is left lying.
-        call = self._client.ask(data, ask.budget_ms / 1000.0 + 1.0, functools.partial(self._answered, taken))
-        if not call.over:
+        call = self._client.send(data, ask.budget_ms / 1000.0 + 1.0, functools.partial(self._answered, taken))
+        if not call.ended:
             self._calls[taken] = call
         return taken
 
@@ -275,9 +274,9 @@
         if self.alive and self.fleet.clock.now >= taken.deadline - 0.5:
             self._counts.breaks("lost")
         if call is not None:
-            self._client.give_up(call, "gone")
+            self._client.abandon(call, "gone")
 
-    def _answered(self, taken: Taken, frame: Frame | None, why: str) -> None:
+    def _answered(self, taken: Taken, frame: WireMessage | None, why: str) -> None:
         self._calls.pop(taken, None)
         if taken.closed:
             return
@@ -324,14 +323,14 @@
         if self._pending.get(entry.server) != news:
             return
         del self._pending[entry.server]
-        self.rows.change([self._row(entry)])
+        self.rows.apply_rows([self._row(entry)])
         self._discovery.announce()
 
     def _row(self, entry: api.ServerEntry) -> Row:
         fleet = self._fleet
         lifecycle = {Readiness.READY: "SERVING", Readiness.DRAINING: "DRAINING", Readiness.GONE: "DELETED"}
         name = entry.server.decode()
-        started = EPOCH_S * 1000.0 + fleet.clock.scheduler_ms(entry.started_ms)
+        started = START_UNIX_TIME_S * 1000.0 + fleet.clock.scheduler_ms(entry.started_ms)
         return {
             "instanceId": name,
             "hostPort": f"{fleet.hosts[entry.server]}:{PORT}",
@@ -418,7 +417,7 @@
             "seed": f"{seed:016x}",
             "discovery": f"{registry.address[0]}:{registry.address[1]}",
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 1024},
-            "known": registry.rows.listing(),
+            "known": registry.rows.full_list(),
             "settings": nested(settings, self.file),
         }
         if tier:
--- a/leadrudder/simulation/injector.py
+++ b/leadrudder/simulation/injector.py
@@ -312,8 +312,8 @@
     def _list_down(self, fault: Fault) -> None:
         for discovery in self._world.discoveries:
             if discovery.loop.alive:
-                discovery.go_down()
-                self._for(fault.span_ms, discovery.come_up)
+                discovery.stop_serving()
+                self._for(fault.span_ms, discovery.resume_serving)
 
     def _list_silent(self, fault: Fault) -> None:
         discovery = self._world.discoveries[self._tier(fault)]
@@ -326,11 +326,11 @@
 
     def _list_back(self, fault: Fault) -> None:
         discovery = self._world.discoveries[self._tier(fault)]
-        discovery.tell_past(fault.target)
-        self._for(fault.span_ms, lambda: discovery.tell_present() if discovery.loop.alive else None)
+        discovery.send_past_list(fault.target)
+        self._for(fault.span_ms, lambda: discovery.send_current_list() if discovery.loop.alive else None)
 
     def _list_garbage(self, fault: Fault) -> None:
-        self._world.discoveries[self._tier(fault)].tell_garbage()
+        self._world.discoveries[self._tier(fault)].send_garbage()
 
     def _list_moved(self, fault: Fault) -> None:
         world = self._world
@@ -344,7 +344,7 @@
         new = world.discoveries[tier] = world.start_discovery(tier, host)
         for node in world.nodes:
             if node.tier == tier and node.loop is not None:
-                world.write_config(node, new.address, 1, old.registry.listing())
+                world.write_config(node, new.address, 1, old.registry.full_list())
                 node.loop.deliver_signal(signal.SIGHUP)
         self._later(int(500_000 + 2_000_000 * fault.level), old.loop.kill)
 
@@ -394,7 +394,7 @@
         """The list that a node will start from: as it is, or a past one."""
         registry = self._world.registries[node.tier]
         if fault.target % 2 or not registry.past:
-            return registry.listing()
+            return registry.full_list()
         version, rows = registry.past[fault.target % len(registry.past)]
         return {"generation": version, "reset": True, "instances": rows}
 
--- a/leadrudder/simulation/oracle.py
+++ b/leadrudder/simulation/oracle.py
@@ -20,7 +20,7 @@
 from functools import partial
 from typing import Any
 
-from leadrudder.simulation.framing import Frame, Framing
+from leadrudder.simulation.framing import WireMessage, WireParser
 from leadrudder.simulation.loop import VirtualLoop
 from leadrudder.simulation.network import Address, VirtualTransport
 from leadrudder.simulation.scheduler import US_PER_S, Scheduler
@@ -78,7 +78,7 @@
     """A request that a node was handed."""
 
     node: NodeWatch
-    frame: Frame
+    message: WireMessage
     taken_us: int
     due_us: int
     effect: str
@@ -95,8 +95,8 @@
     """A caller's connection as its node sees it."""
 
     node: NodeWatch
-    requests: Framing
-    answers: Framing
+    requests: WireParser
+    answers: WireParser
     waiting: deque[Owed] = field(default_factory=deque)
     left: bool = False  # the caller's own side is over
     bad: bool = False  # the caller sent what is no request: what else it sent is not owed
@@ -109,8 +109,8 @@
 
     node: NodeWatch
     address: Address
-    requests: Framing
-    answers: Framing
+    requests: WireParser
+    answers: WireParser
     waiting: deque[tuple[Owed | None, Attempt | None]] = field(default_factory=deque)
     spent: str = ""  # why no further request may go out on it
 
@@ -120,7 +120,7 @@
     """A node's connection to discovery."""
 
     node: NodeWatch
-    answers: Framing
+    answers: WireParser
     rest: bytes = b""
 
 
@@ -269,16 +269,16 @@
         watch = self._nodes.get(client.loop)
         if watch is not None:
             if client.remote in self._discovery:
-                watch.lists[client] = ListSide(watch, Framing(answers=True))
+                watch.lists[client] = ListSide(watch, WireParser(responses=True))
             else:
                 self.tally("connections")
                 self._servers[client] = ServerSide(
-                    watch, client.remote, Framing(answers=False), Framing(answers=True)
+                    watch, client.remote, WireParser(responses=False), WireParser(responses=True)
                 )
         server = client.peer
         watch = self._nodes.get(server.loop)
         if watch is not None:
-            self._callers[server] = CallerSide(watch, Framing(answers=False), Framing(answers=True))
+            self._callers[server] = CallerSide(watch, WireParser(responses=False), WireParser(responses=True))
 
     def bytes_sent(self, source: VirtualTransport, data: bytes) -> None:
         caller = self._callers.get(source)
@@ -287,8 +287,8 @@
             return
         server = self._servers.get(source)
         if server is not None:
-            for frame in server.requests.feed(data):
-                self._attempt(server, frame)
+            for message in server.requests.feed(data):
+                self._attempt(server, message)
 
     def bytes_received(self, target: VirtualTransport, data: bytes) -> None:
         caller = self._callers.get(target)
@@ -330,12 +330,12 @@
         if side.closes:
             return
         now = self._scheduler.now
-        for frame in side.requests.feed(data):
-            name = frame.headers.get("x-class", "")
-            budget = _seconds(frame.headers.get("x-deadline", ""))
+        for message in side.requests.feed(data):
+            name = message.headers.get("x-class", "")
+            budget = _seconds(message.headers.get("x-deadline", ""))
             owed = Owed(
                 side.node,
-                frame,
+                message,
                 now,
                 now + int((budget or 3.0) * US_PER_S) + TOLERANCE_US,
                 self._terms.effects.get(name, "none"),
@@ -346,7 +346,7 @@
             owed.excused = side.left
             side.waiting.append(owed)
             self.count("taken")
-            identity = frame.headers.get("x-request-id", "")
+            identity = message.headers.get("x-request-id", "")
             if identity and identity not in side.node.open and budget is not None:
                 side.node.open[identity] = owed
             self._at(owed.due_us, partial(self._overdue, owed))
@@ -379,7 +379,7 @@
             self.report("not-in-time", f"{_name(owed)} on {owed.node.loop.name} had no answer when it left")
 
     def _forget(self, owed: Owed) -> None:
-        node, identity = owed.node, owed.frame.headers.get("x-request-id", "")
+        node, identity = owed.node, owed.message.headers.get("x-request-id", "")
         if node.open.get(identity) is owed:
             del node.open[identity]
         if node.closed.get(identity) is owed:
@@ -395,24 +395,24 @@
             owed.excused = True
 
     def _answers_sent(self, side: CallerSide, data: bytes) -> None:
-        for frame in side.answers.feed(data):
-            self.count(f"answer_{frame.status}")
-            if frame.headers.get("connection") == "close":
+        for message in side.answers.feed(data):
+            self.count(f"answer_{message.status}")
+            if message.headers.get("connection") == "close":
                 side.closes = True
             if side.waiting:
                 owed = side.waiting.popleft()
-                self._judge_answer(owed, frame, side)
+                self._judge_answer(owed, message, side)
                 if side.closes:
                     for other in side.waiting:
                         other.excused = True
-            elif not (frame.status in EARLY and (side.requests.within or side.bad)):
-                self.report("answer-unasked", f"{side.node.loop.name} answered {frame.status} to nothing")
+            elif not (message.status in EARLY and (side.requests.has_partial_message or side.bad)):
+                self.report("answer-unasked", f"{side.node.loop.name} answered {message.status} to nothing")
         if side.answers.malformed:
             self.report("answer-malformed", f"{side.node.loop.name} wrote no answer: {data[:60]!r}")
 
-    def _judge_answer(self, owed: Owed, frame: Frame, side: CallerSide) -> None:
+    def _judge_answer(self, owed: Owed, message: WireMessage, side: CallerSide) -> None:
         owed.answered = True
-        identity = owed.frame.headers.get("x-request-id", "")
+        identity = owed.message.headers.get("x-request-id", "")
         if side.node.open.get(identity) is owed:
             del side.node.open[identity]
             side.node.closed[identity] = owed
@@ -420,11 +420,11 @@
             self._scheduler.now > owed.due_us
             and owed.node.loop.frozen_until_us + TOLERANCE_US < self._scheduler.now
         ):
-            self.report("late", f"{_name(owed)} was answered {frame.status} after its time")
-        if frame.status == 200:
-            if owed.frame.target != "/ready" and frame.body not in owed.bodies:
+            self.report("late", f"{_name(owed)} was answered {message.status} after its time")
+        if message.status == 200:
+            if owed.message.target != "/ready" and message.body not in owed.bodies:
                 self.report("untrue", f"{_name(owed)} was served with what no server made for it")
-        elif frame.status in REFUSALS and owed.effect != "none":
+        elif message.status in REFUSALS and owed.effect != "none":
             self._judge_refusal(owed)
 
     def _judge_refusal(self, owed: Owed) -> None:
@@ -442,12 +442,12 @@
 
     # ------------------------------------------------------------ attempts
 
-    def _attempt(self, side: ServerSide, frame: Frame) -> None:
+    def _attempt(self, side: ServerSide, message: WireMessage) -> None:
         """A node has written a whole request to a server."""
         self._judge_drain(side)
         if side.spent:
             self.report("reused", f"{side.node.loop.name} sent to {side.address} again {side.spent}")
-        identity = frame.headers.get("x-request-id")
+        identity = message.headers.get("x-request-id")
         if identity is None:
             side.waiting.append((None, None))  # a probe
             self.count("probes")
@@ -497,22 +497,22 @@
                 self.report("keyed-elsewhere", f"{_name(owed)} is repeated outside of its {group}")
 
     def _answers_came(self, side: ServerSide, data: bytes) -> None:
-        for frame in side.answers.feed(data):
-            if 100 <= frame.status < 200:
+        for message in side.answers.feed(data):
+            if 100 <= message.status < 200:
                 continue
             if not side.waiting:
                 side.spent = "after an answer to nothing"
                 continue
-            if frame.headers.get("connection", "").lower() == "close":
+            if message.headers.get("connection", "").lower() == "close":
                 side.spent = "after it was told the close"
             owed, attempt = side.waiting.popleft()
             if attempt is None:
                 continue
-            attempt.status, attempt.over = frame.status, True
-            attempt.not_run = frame.status in (503, 504) and frame.headers.get("x-not-run") == "1"
-            if owed is not None and frame.status == 200:
-                owed.bodies.append(frame.body)
-        if not side.waiting and (side.answers.within or side.answers.malformed):
+            attempt.status, attempt.over = message.status, True
+            attempt.not_run = message.status in (503, 504) and message.headers.get("x-not-run") == "1"
+            if owed is not None and message.status == 200:
+                owed.bodies.append(message.body)
+        if not side.waiting and (side.answers.has_partial_message or side.answers.malformed):
             side.spent = "after more than an answer"
 
     def _told(self, node: NodeWatch, address: Address) -> Told | None:
@@ -536,9 +536,9 @@
     # ------------------------------------------------------------ lists
 
     def _list_came(self, side: ListSide, data: bytes) -> None:
-        for frame in side.answers.feed(data):
-            side.rest += frame.body
-        side.rest += side.answers.take_body()
+        for message in side.answers.feed(data):
+            side.rest += message.body
+        side.rest += side.answers.take_partial_body()
         *lines, side.rest = side.rest.split(b"\n")
         for line in lines:
             try:
@@ -582,7 +582,7 @@
 
 
 def _name(owed: Owed) -> str:
-    return f"{owed.name or owed.frame.target} {owed.frame.headers.get('x-request-id', '')}"
+    return f"{owed.name or owed.message.target} {owed.message.headers.get('x-request-id', '')}"
 
 
 def _where(attempt: Attempt) -> str:
--- a/leadrudder/simulation/standins/callers.py
+++ b/leadrudder/simulation/standins/callers.py
@@ -12,13 +12,13 @@
 from dataclasses import dataclass
 from typing import cast
 
-from leadrudder.simulation.framing import Frame, request
+from leadrudder.simulation.framing import WireMessage, encode_request
 from leadrudder.simulation.loop import VirtualLoop
 from leadrudder.simulation.network import Address, VirtualTransport
 from leadrudder.simulation.oracle import Oracle
 from leadrudder.simulation.scheduler import US_PER_S
 from leadrudder.simulation.site import CLASSES, TENANTS, Site
-from leadrudder.simulation.standins.client import Call, NodeClient
+from leadrudder.simulation.standins.client import ClientCall, NodeClient
 
 RETRIES = 2
 SHARES = (0.1, 0.48, 0.42)  # of the classes
@@ -138,9 +138,9 @@
         if rng.random() < 0.5:
             headers["X-Cost-Hint"] = f"{rng.uniform(0.5, 2.0) * self.site.work_ms * 1000:.0f}"
         if operation.name == "haku":
-            return request("GET", operation.path, headers), timeout
+            return encode_request("GET", operation.path, headers), timeout
         size = LARGE_BODY if rng.random() < LARGE else rng.randrange(200)
-        return request("POST", operation.path, headers, b"x" * size), timeout
+        return encode_request("POST", operation.path, headers, b"x" * size), timeout
 
     def _of_same_id(self, data: bytes) -> bytes:
         """Another request under the id of this one: a safe one, as it may come when the first is done."""
@@ -152,7 +152,7 @@
             "X-Tenant": TENANTS[0][0],
             "X-Deadline": "2.000",
         }
-        return request("GET", f"/api/haku-{self._number}", headers)
+        return encode_request("GET", f"/api/haku-{self._number}", headers)
 
     # ------------------------------------------------------------ tries
 
@@ -169,22 +169,22 @@
         client = self._clients.get(found[1])
         if client is None:
             client = self._clients[found[1]] = NodeClient(self.loop, found[1])
-        call = client.ask(data, timeout, lambda frame, why: self._answered(operation, frame, why))
+        call = client.send(data, timeout, lambda message, why: self._answered(operation, message, why))
         if self.manners.same_id and self._rng.random() < self.manners.same_id:
             self.loop.spawn(self._open_rude(found[1], self._of_same_id(data), False))
         if self._rng.random() < self.manners.leave:
-            self.loop.call_later(self._rng.random() * 0.3, client.give_up, call, "left")
+            self.loop.call_later(self._rng.random() * 0.3, client.abandon, call, "left")
 
-    def _answered(self, operation: Operation, frame: Frame | None, why: str) -> None:
-        what = str(frame.status) if frame is not None else why
+    def _answered(self, operation: Operation, message: WireMessage | None, why: str) -> None:
+        what = str(message.status) if message is not None else why
         self.oracle.count(f"client_{what}")
-        if frame is not None and frame.status == 200:
+        if message is not None and message.status == 200:
             self.oracle.count("served")
             self._end()
         elif why == "left":
             self._end()
-        elif frame is not None and frame.status in (429, 503):
-            wait = float(frame.headers.get("retry-after", "0.05"))
+        elif message is not None and message.status in (429, 503):
+            wait = float(message.headers.get("retry-after", "0.05"))
             self._again(operation, wait * self._rng.uniform(1.0, 1.5) + 0.01)
         elif why == "refused" or self._may_repeat(operation):
             self._again(operation, self._rng.uniform(0.1, 0.4))
@@ -219,11 +219,11 @@
         """Ask a node that has started whether it is ready, until it is or another starts in its place."""
         client = NodeClient(self.loop, address)
 
-        def ask() -> Call:
-            return client.ask(request("GET", "/ready", {}), 1.0, heard)
+        def ask() -> ClientCall:
+            return client.send(encode_request("GET", "/ready", {}), 1.0, heard)
 
-        def heard(frame: Frame | None, _: str) -> None:
-            if frame is not None and frame.status == 200:
+        def heard(message: WireMessage | None, _: str) -> None:
+            if message is not None and message.status == 200:
                 client.close()
                 self.front.nodes[name] = address
             elif self._coming:
--- a/leadrudder/simulation/standins/client.py
+++ b/leadrudder/simulation/standins/client.py
@@ -7,33 +7,33 @@
 from dataclasses import dataclass
 from typing import cast
 
-from leadrudder.simulation.framing import Frame, Framing
+from leadrudder.simulation.framing import WireMessage, WireParser
 from leadrudder.simulation.loop import VirtualLoop
 from leadrudder.simulation.network import Address, VirtualTransport
 
-MOST_IDLE = 8
+MAX_IDLE_CONNECTIONS = 8
 
 
 @dataclass(slots=True, eq=False)
-class Call:
-    """One request and what becomes of it. done is called once: with the answer, or None and why there is
+class ClientCall:
+    """One request until it has a response or failed.
     none."""
 
     data: bytes
     timeout_s: float
-    done: Callable[[Frame | None, str], None]
-    sent_again: bool = False
-    over: bool = False
+    on_done: Callable[[WireMessage | None, str], None]
+    resent: bool = False
+    ended: bool = False
     timer: asyncio.TimerHandle | None = None
     connection: ClientConnection | None = None
 
-    def end(self, answer: Frame | None, why: str) -> None:
-        if self.over:
+    def end(self, response: WireMessage | None, reason: str) -> None:
+        if self.ended:
             return
-        self.over = True
+        self.ended = True
         if self.timer is not None:
             self.timer.cancel()
-        self.done(answer, why)
+        self.on_done(response, reason)
 
 
 class ClientConnection(asyncio.Protocol):
@@ -41,45 +41,45 @@
 
     def __init__(self, client: NodeClient) -> None:
         self._client = client
-        self._framing = Framing(answers=True)
-        self._call: Call | None = None
+        self._parser = WireParser(responses=True)
+        self._call: ClientCall | None = None
         self._used = False
         self.transport: VirtualTransport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(VirtualTransport, transport)
 
-    def carry(self, call: Call) -> None:
+    def dispatch(self, call: ClientCall) -> None:
         self._call = call
         call.connection = self
         self.transport.write(call.data)
 
-    def leave(self) -> None:
+    def abort(self) -> None:
         """The client goes away: nobody reads here any more."""
         self._call = None
         self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        for frame in self._framing.feed(data):
+        for message in self._parser.feed(data):
             call, self._call = self._call, None
             self._used = True
-            if frame.headers.get("connection") == "close":
+            if message.headers.get("connection") == "close":
                 self.transport.close()
             else:
-                self._client.rest(self)
+                self._client.release(self)
             if call is not None:
-                call.end(frame, "")
+                call.end(message, "")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._client.lost(self)
+        self._client.discard(self)
         call, self._call = self._call, None
-        if call is None or call.over:
+        if call is None or call.ended:
             return
-        crossed = exc is None and self._used and not self._framing.within
-        if crossed and not call.sent_again:
-            # The node closed between requests, and this one crossed that: it was not read.
-            call.sent_again = True
-            self._client.carry(call, fresh=True)
+        crossed_close = exc is None and self._used and not self._parser.has_partial_message
+        if crossed_close and not call.resent:
+            # The node closed between requests, and this one crossed_close that: it was not read.
+            call.resent = True
+            self._client.dispatch(call, fresh=True)
             return
         call.end(None, "closed" if exc is None else "reset")
 
@@ -93,49 +93,51 @@
         self._idle: list[ClientConnection] = []
         self._closed = False
 
-    def ask(self, data: bytes, timeout_s: float, done: Callable[[Frame | None, str], None]) -> Call:
+    def send(
+        self, data: bytes, timeout_s: float, on_done: Callable[[WireMessage | None, str], None]
+    ) -> ClientCall:
         """Send one request; it is given up after the time-out, by closing its connection."""
-        call = Call(data, timeout_s, done)
-        call.timer = self.loop.call_later(timeout_s, self.give_up, call, "timeout")
-        self.carry(call)
+        call = ClientCall(data, timeout_s, on_done)
+        call.timer = self.loop.call_later(timeout_s, self.abandon, call, "timeout")
+        self.dispatch(call)
         return call
 
-    def give_up(self, call: Call, why: str) -> None:
-        """Close the call's connection; the request has no answer."""
-        if call.over:
+    def abandon(self, call: ClientCall, reason: str) -> None:
+        """Close the call's connection; the request has no response."""
+        if call.ended:
             return
         connection = call.connection
-        call.end(None, why)
+        call.end(None, reason)
         if connection is not None and connection._call is call:
-            connection.leave()
+            connection.abort()
 
-    def carry(self, call: Call, *, fresh: bool = False) -> None:
+    def dispatch(self, call: ClientCall, *, fresh: bool = False) -> None:
         while self._idle and not fresh:
             connection = self._idle.pop()
             if not connection.transport.is_closing():
-                connection.carry(call)
+                connection.dispatch(call)
                 return
         self.loop.spawn(self._open(call))
 
-    async def _open(self, call: Call) -> None:
+    async def _open(self, call: ClientCall) -> None:
         try:
             _, connection = await self.loop.create_connection(lambda: ClientConnection(self), *self.address)
         except OSError:
             call.end(None, "refused")
             return
-        if call.over or connection.transport.is_closing():
+        if call.ended or connection.transport.is_closing():
             call.end(None, "reset")
             connection.transport.abort()
         else:
-            connection.carry(call)
+            connection.dispatch(call)
 
-    def rest(self, connection: ClientConnection) -> None:
-        if self._closed or len(self._idle) >= MOST_IDLE:
+    def release(self, connection: ClientConnection) -> None:
+        if self._closed or len(self._idle) >= MAX_IDLE_CONNECTIONS:
             connection.transport.close()
         else:
             self._idle.append(connection)
 
-    def lost(self, connection: ClientConnection) -> None:
+    def discard(self, connection: ClientConnection) -> None:
         if connection in self._idle:
             self._idle.remove(connection)
 
--- a/leadrudder/simulation/standins/discovery.py
+++ b/leadrudder/simulation/standins/discovery.py
@@ -8,12 +8,12 @@
 from typing import Any, cast
 from urllib.parse import parse_qs, urlsplit
 
-from leadrudder.simulation.framing import Frame, Framing, answer, chunk
+from leadrudder.simulation.framing import WireMessage, WireParser, encode_chunk, encode_response
 from leadrudder.simulation.loop import VirtualLoop
 from leadrudder.simulation.network import Address, VirtualTransport
 
-PULSE_S = 2.0
-KEPT = 64  # versions whose changes are remembered
+HEARTBEAT_S = 2.0
+MAX_KEPT_VERSIONS = 64  # versions whose changes are remembered
 
 Row = dict[str, Any]
 
@@ -27,41 +27,41 @@
     changes: list[tuple[int, list[Row]]] = field(default_factory=list)
     past: list[tuple[int, list[Row]]] = field(default_factory=list)  # whole lists
 
-    def change(self, rows: list[Row]) -> None:
+    def apply_rows(self, rows: list[Row]) -> None:
         """A new version: these rows are as given, DELETED ones gone."""
-        self.past = [*self.past[-KEPT:], (self.version, self.whole())]
+        self.past = [*self.past[-MAX_KEPT_VERSIONS:], (self.version, self.all_rows())]
         self.version += 1
         for row in rows:
             if row["lifecycle"] == "DELETED":
                 self.rows.pop(row["instanceId"], None)
             else:
                 self.rows[row["instanceId"]] = row
-        self.changes = [*self.changes[-KEPT:], (self.version, rows)]
+        self.changes = [*self.changes[-MAX_KEPT_VERSIONS:], (self.version, rows)]
 
-    def whole(self) -> list[Row]:
+    def all_rows(self) -> list[Row]:
         return list(self.rows.values())
 
-    def listing(self) -> dict[str, Any]:
+    def full_list(self) -> dict[str, Any]:
         """The whole list, in discovery's form."""
-        return {"generation": self.version, "reset": True, "instances": self.whole()}
+        return {"generation": self.version, "reset": True, "instances": self.all_rows()}
 
-    def since(self, version: int) -> dict[str, Any] | None:
+    def changes_since(self, version: int) -> dict[str, Any] | None:
         """What changed after a version; the whole list where that is not known any more; None for no
         change."""
         if version == self.version:
             return None
         if version > self.version or not self.changes or version < self.changes[0][0] - 1:
-            return self.listing()
+            return self.full_list()
         rows = [row for at, changed in self.changes if at > version for row in changed]
         return {"generation": self.version, "reset": False, "instances": rows}
 
 
-class _Watch(asyncio.Protocol):
+class _WatchConnection(asyncio.Protocol):
     """One connection; a watch once it has asked for one."""
 
     def __init__(self, discovery: StandInDiscovery) -> None:
         self._discovery = discovery
-        self._framing = Framing(answers=False)
+        self._parser = WireParser(responses=False)
         self._timer: asyncio.TimerHandle | None = None
         self.transport: VirtualTransport
 
@@ -69,32 +69,32 @@
         self.transport = cast(VirtualTransport, transport)
 
     def data_received(self, data: bytes) -> None:
-        for frame in self._framing.feed(data):
-            self._asked(frame)
+        for message in self._parser.feed(data):
+            self._on_request(message)
 
-    def _asked(self, frame: Frame) -> None:
-        parts = urlsplit(frame.target)
+    def _on_request(self, message: WireMessage) -> None:
+        parts = urlsplit(message.target)
         query = parse_qs(parts.query)
         registry = self._discovery.registry
         if "watch" not in query:
-            self.transport.write(answer(200, json.dumps(registry.listing()).encode()))
+            self.transport.write(encode_response(200, json.dumps(registry.full_list()).encode()))
             return
         self.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self._discovery.watches[self] = None
-        news = registry.since(int(query.get("from", ["0"])[0]))
-        self.tell(json.dumps(news).encode() if news is not None else b"")
-        self._pulse()
+        update = registry.changes_since(int(query.get("from", ["0"])[0]))
+        self.send_line(json.dumps(update).encode() if update is not None else b"")
+        self._schedule_heartbeat()
 
-    def _pulse(self) -> None:
-        self._timer = self._discovery.loop.call_later(PULSE_S, self._beat)
+    def _schedule_heartbeat(self) -> None:
+        self._timer = self._discovery.loop.call_later(HEARTBEAT_S, self._send_heartbeat)
 
-    def _beat(self) -> None:
-        self.tell(b"")
-        self._pulse()
+    def _send_heartbeat(self) -> None:
+        self.send_line(b"")
+        self._schedule_heartbeat()
 
-    def tell(self, line: bytes) -> None:
+    def send_line(self, line: bytes) -> None:
         """One line of the watch."""
-        self.transport.write(chunk(line + b"\n"))
+        self.transport.write(encode_chunk(line + b"\n"))
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._discovery.watches.pop(self, None)
@@ -109,39 +109,39 @@
         self.loop = loop
         self.address = address
         self.registry = registry
-        self.watches: dict[_Watch, None] = {}
-        self._server = loop.network.listen(loop, lambda: _Watch(self), address)
+        self.watches: dict[_WatchConnection, None] = {}
+        self._server = loop.network.listen(loop, lambda: _WatchConnection(self), address)
 
     def announce(self) -> None:
         """Tell all watches of the last version."""
         _, rows = self.registry.changes[-1]
-        self._tell({"generation": self.registry.version, "reset": False, "instances": rows})
+        self._broadcast({"generation": self.registry.version, "reset": False, "instances": rows})
 
-    def tell_past(self, back: int) -> None:
+    def send_past_list(self, versions_back: int) -> None:
         """A list of the past, whole, as a replica tells it that lags behind."""
         past = self.registry.past
         if past:
-            version, rows = past[-1 - back % len(past)]
-            self._tell({"generation": version, "reset": True, "instances": rows})
+            version, rows = past[-1 - versions_back % len(past)]
+            self._broadcast({"generation": version, "reset": True, "instances": rows})
 
-    def tell_present(self) -> None:
-        self._tell(self.registry.listing())
+    def send_current_list(self) -> None:
+        self._broadcast(self.registry.full_list())
 
-    def tell_garbage(self) -> None:
+    def send_garbage(self) -> None:
         for watch in list(self.watches):
-            watch.tell(b'{"generation": 1, "instances": [{"instanceId"')
+            watch.send_line(b'{"generation": 1, "instances": [{"instanceId"')
 
-    def _tell(self, line: dict[str, Any]) -> None:
+    def _broadcast(self, line: dict[str, Any]) -> None:
         data = json.dumps(line).encode()
         for watch in list(self.watches):
-            watch.tell(data)
+            watch.send_line(data)
 
-    def go_down(self) -> None:
+    def stop_serving(self) -> None:
         """Reset what is open, refuse what comes."""
         self._server.close()
         for watch in list(self.watches):
             watch.transport.abort()
 
-    def come_up(self) -> None:
+    def resume_serving(self) -> None:
         if self.loop.alive and not self._server.is_serving():
-            self._server = self.loop.network.listen(self.loop, lambda: _Watch(self), self.address)
+            self._server = self.loop.network.listen(self.loop, lambda: _WatchConnection(self), self.address)
--- a/leadrudder/simulation/standins/server.py
+++ b/leadrudder/simulation/standins/server.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import cast
 
-from leadrudder.simulation.framing import Frame, Framing, answer, request
+from leadrudder.simulation.framing import WireMessage, WireParser, encode_request, encode_response
 from leadrudder.simulation.loop import VirtualLoop
 from leadrudder.simulation.network import Address, VirtualTransport
 from leadrudder.simulation.oracle import Oracle
@@ -77,7 +77,7 @@
 class Job:
     """A request that was accepted."""
 
-    frame: Frame
+    message: WireMessage
     connection: ServerConnection
     work_ms: float
     repeat: bool
@@ -90,7 +90,7 @@
 
     def __init__(self, server: StandInServer) -> None:
         self._server = server
-        self._framing = Framing(answers=False)
+        self._parser = WireParser(responses=False)
         self._idle_timer: asyncio.TimerHandle | None = None
         self.transport: VirtualTransport
 
@@ -111,8 +111,8 @@
 
     def data_received(self, data: bytes) -> None:
         self._cancel_idle()
-        for frame in self._framing.feed(data):
-            self._server.take(frame, self)
+        for message in self._parser.feed(data):
+            self._server.take(message, self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._cancel_idle()
@@ -171,27 +171,27 @@
 
     # ------------------------------------------------------------ taking
 
-    def take(self, frame: Frame, connection: ServerConnection) -> None:
+    def take(self, message: WireMessage, connection: ServerConnection) -> None:
         """A whole request."""
-        if frame.target == "/health":
-            connection.transport.write(answer(503 if self.trouble.draining else 200))
+        if message.target == "/health":
+            connection.transport.write(encode_response(503 if self.trouble.draining else 200))
             connection.rest()
             return
         # Heavy work is rare, and hangs on the operation: a repeat is as heavy as the first.
-        weight = random.Random(f"{frame.target}/{self.tier}").expovariate(1.0)
+        weight = random.Random(f"{message.target}/{self.tier}").expovariate(1.0)
         work = self._work_ms * (0.2 + 0.8 * min(weight, 5.0))
         self._weigh(work)
         if self.trouble.draining or self.trouble.full or len(self._queue) >= self._queue_most:
-            connection.transport.write(answer(503, headers=TURNED_AWAY))
+            connection.transport.write(encode_response(503, headers=TURNED_AWAY))
             connection.rest()
             return
         now = self.loop.scheduler.now
-        left = float(frame.headers.get("x-deadline", "3"))
-        key = frame.headers.get("idempotency-key")
+        left = float(message.headers.get("x-deadline", "3"))
+        key = message.headers.get("idempotency-key")
         repeat = key is not None and self._keys.seen(key, now)
         if key is not None and not repeat and self._keys.ran_elsewhere(key, now):
-            self.oracle.ran_keyed(self.tier, frame.target, self.name)
-        self._queue.append(Job(frame, connection, work, repeat, now + int(left * US_PER_S)))
+            self.oracle.ran_keyed(self.tier, message.target, self.name)
+        self._queue.append(Job(message, connection, work, repeat, now + int(left * US_PER_S)))
         self._work()
 
     def _weigh(self, work_ms: float) -> None:
@@ -222,17 +222,17 @@
             self._held += 1
             if self.loop.scheduler.now >= job.until_us:
                 self._held -= 1
-                job.connection.transport.write(answer(504, headers=TURNED_AWAY))
+                job.connection.transport.write(encode_response(504, headers=TURNED_AWAY))
                 job.connection.rest()
                 continue
             self._working += 1
             self._begin(job)
 
     def _begin(self, job: Job) -> None:
-        headers = job.frame.headers
-        operation = job.frame.target
+        headers = job.message.headers
+        operation = job.message.target
         if not job.repeat:
-            self.oracle.ran(self.tier, operation, headers.get("x-class", _class_of(job.frame)), self.name)
+            self.oracle.ran(self.tier, operation, headers.get("x-class", _class_of(job.message)), self.name)
         span = job.work_ms * self.trouble.slow / (self.speed * self._share())
         self._reporter.worked(int(1000.0 * span))
         self.loop.call_later(span / 1000.0, self._worked, job)
@@ -259,7 +259,7 @@
             self._answer(job, 500)
             return
         job.left -= 1
-        name = _class_of(job.frame)
+        name = _class_of(job.message)
         effect = self._effects[name]
         headers = {
             "X-Request-Id": f"{self._rng.getrandbits(64):016x}",
@@ -268,12 +268,14 @@
             "X-Deadline": f"{budget_us / US_PER_S:.3f}",
         }
         if effect == "keyed":
-            headers["Idempotency-Key"] = f"{job.frame.headers['idempotency-key']}.{job.left}"
-        data = request("GET" if effect == "safe" else "POST", f"{job.frame.target}.{job.left}", headers)
-        self._inner.ask(data, budget_us / US_PER_S, lambda frame, _: self._inner_done(job, frame))
-
-    def _inner_done(self, job: Job, frame: Frame | None) -> None:
-        if frame is not None and frame.status == 200:
+            headers["Idempotency-Key"] = f"{job.message.headers['idempotency-key']}.{job.left}"
+        data = encode_request(
+            "GET" if effect == "safe" else "POST", f"{job.message.target}.{job.left}", headers
+        )
+        self._inner.send(data, budget_us / US_PER_S, lambda message, _: self._inner_done(job, message))
+
+    def _inner_done(self, job: Job, message: WireMessage | None) -> None:
+        if message is not None and message.status == 200:
             self._next_inner(job)
         else:
             self._answer(job, 500)
@@ -291,20 +293,20 @@
             status = 503  # of a gateway before it, say: it tells nothing of whether the request ran
         told = trouble.close_told > 0.0 and rng.random() < trouble.close_told
         self._made += 1
-        body = f"{job.frame.target} {self.name} {self._made} ".encode()
+        body = f"{job.message.target} {self.name} {self._made} ".encode()
         if rng.random() < LARGE:
             body += b"." * (LARGE_BODY - len(body))
         headers = self._reporter.header(self.loop.scheduler.now, self._held)
         if told:
             headers += "Connection: close\r\n"
-        data = answer(status, body if status == 200 else b"", headers)
+        data = encode_response(status, body if status == 200 else b"", headers)
         if rng.random() < trouble.spoilt:
             transport.write(_spoil(data, rng))
             transport.close()
             return
         if rng.random() < trouble.surplus:
             data += rng.choice(
-                (answer(200, b"surplus"), b"\r\n", b"HTTP/1.1 200 X\r\nContent-Length: 3\r\n\r\nab")
+                (encode_response(200, b"surplus"), b"\r\n", b"HTTP/1.1 200 X\r\nContent-Length: 3\r\n\r\nab")
             )
         transport.write(data)
         if trouble.close_idle:
@@ -342,6 +344,6 @@
     return rng.choice(ways)()
 
 
-def _class_of(frame: Frame) -> str:
+def _class_of(message: WireMessage) -> str:
     """Nodes need not pass the class on: the path tells it, as callers of this site write it."""
-    return frame.target.rsplit("/", 1)[-1].split("-", 1)[0]
+    return message.target.rsplit("/", 1)[-1].split("-", 1)[0]
--- a/leadrudder/simulation/world.py
+++ b/leadrudder/simulation/world.py
@@ -37,7 +37,7 @@
 PASSING = frozenset(
     {Attempt, UpstreamCall, ClientConnection, UpstreamConnection, HttpExchange, PendingRequest, Request}
 )
-EPOCH_S = 1_800_000_000.0  # Unix time at which a world begins
+START_UNIX_TIME_S = 1_800_000_000.0  # Unix time at which a world begins
 EPISODE_MS = 10_000  # of virtual time, for which faults are drawn at once
 FAULTS = 14  # in an episode
 QUIET_S = 30.0  # after the load, until all is at rest
@@ -62,7 +62,7 @@
         return self._scheduler.now / US_PER_S
 
     def wall(self) -> float:
-        return EPOCH_S + self._scheduler.now / US_PER_S
+        return START_UNIX_TIME_S + self._scheduler.now / US_PER_S
 
     @staticmethod
     def has_unread_input(transport: asyncio.Transport) -> bool:
@@ -151,12 +151,12 @@
                 name, address = self.new_server_name(tier)
                 self.registries[tier].rows[name] = self.row(tier, name, address, 0)
         for tier in reversed(range(self.site.tiers)):
-            for row in self.registries[tier].whole():
+            for row in self.registries[tier].all_rows():
                 self.start_server(tier, row, cold=False)
         for ordinal in range(self.site.nodes):
             node = NodeHost(f"n{ordinal}", 0, ordinal, f"10.1.0.{ordinal + 1}")
             self.nodes.append(node)
-            self.start_node(node, self.registries[0].listing())
+            self.start_node(node, self.registries[0].full_list())
         self.callers = Callers(
             self.process("callers", "10.0.0.1"), self.oracle, self.site, self.front, self.seed
         )
@@ -187,7 +187,7 @@
             "cell": number % 3,
             "lifecycle": lifecycle,
             "weight": 1.0,
-            "startedAtMs": EPOCH_S * 1000 + started_us / 1000 if started_us else 0,
+            "startedAtMs": START_UNIX_TIME_S * 1000 + started_us / 1000 if started_us else 0,
         }
 
     def start_server(self, tier: int, row: Row, *, cold: bool) -> StandInServer:
@@ -232,7 +232,7 @@
             found = NodeHost(f"n-{name}", tier, sum(n.tier == tier for n in self.nodes), host)
             self.nodes.append(found)
         if found.loop is None:
-            self.start_node(found, self.registries[tier].listing())
+            self.start_node(found, self.registries[tier].full_list())
         return found
 
     # ------------------------------------------------------------ nodes
@@ -313,7 +313,7 @@
         """Discovery learns of a change and tells it, later."""
 
         def tell() -> None:
-            self.registries[tier].change(rows)
+            self.registries[tier].apply_rows(rows)
             for discovery in self.discoveries:
                 if discovery.registry is self.registries[tier] and discovery.loop.alive:
                     discovery.announce()
--- a/tests/mesh/test_emulation.py
+++ b/tests/mesh/test_emulation.py
@@ -32,7 +32,12 @@
 
 
 def order(*machines: str, **changes: Any) -> dict[str, Any]:
-    given = {"from": world.EPOCH_S + 8.0, "to": world.EPOCH_S + 36.0, "works": "5s", "return": "3s"}
+    given = {
+        "from": world.START_UNIX_TIME_S + 8.0,
+        "to": world.START_UNIX_TIME_S + 36.0,
+        "works": "5s",
+        "return": "3s",
+    }
     return {**given, "machines": list(machines), **changes}
 
 
