--- a/leadrudder/simulation/command.py
+++ b/leadrudder/simulation/command.py
@@ -9,7 +9,7 @@
 
 import click
 
-from leadrudder.simulation.faults import KINDS, PlanError, check_kinds
+from leadrudder.simulation.faults import FAULT_KINDS, PlanError, validate_kinds
 from leadrudder.simulation.play import Result, Setup, digest_of, play, play_many
 from leadrudder.simulation.shrink import shrink as cut_down
 from leadrudder.simulation.trace import TraceError, Writer, read
@@ -39,7 +39,7 @@
 
 def _kinds(_: click.Context, __: click.Parameter, text: str) -> tuple[str, ...]:
     try:
-        return tuple(check_kinds(kind for kind in text.split(",") if kind))
+        return tuple(validate_kinds(kind for kind in text.split(",") if kind))
     except PlanError as error:
         raise click.BadParameter(str(error)) from None
 
@@ -75,8 +75,8 @@
     how to replay it. 2: this cannot be played.
     """
     if list_faults:
-        for name, kind in KINDS.items():
-            print(f"{name:14} {kind.what}")
+        for name, kind in FAULT_KINDS.items():
+            print(f"{name:14} {kind.description}")
         return 0
     if sum(x is not None for x in (seed, seeds, shrinking, replay)) != 1:
         raise click.UsageError("one of --seed, --seeds, --shrink and --replay is wanted")
--- a/leadrudder/simulation/site.py
+++ b/leadrudder/simulation/site.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from leadrudder.simulation.oracle import Terms
+from leadrudder.simulation.oracle import OracleSettings
 
 CLASSES = ("haku", "siirto", "varaus")  # safe, keyed and unsafe
 TENANTS = (("kampaamo", 0.5), ("hierojat", 0.3), ("korjaamo", 0.2))
@@ -122,15 +122,15 @@
             "weights": "nominal",
         }
 
-    def terms(self) -> Terms:
+    def oracle_settings(self) -> OracleSettings:
         """The same, as the oracle needs it."""
         profiles = self.profiles()
-        return Terms(
+        return OracleSettings(
             effects={p["name"]: p["effect"] for p in profiles},
-            groups={p["name"]: p.get("group", "all") for p in profiles},
-            windows_us={p["name"]: int(1000 * p.get("windowMs", 0.0)) for p in profiles},
-            grace_us=250_000,
-            must_ask_us=0 if self.pushed else 2_000_000,
-            most_attempts=self.attempts,
+            dedup_groups={p["name"]: p.get("group", "all") for p in profiles},
+            dedup_windows_us={p["name"]: int(1000 * p.get("windowMs", 0.0)) for p in profiles},
+            drain_grace_us=250_000,
+            max_poll_interval_us=0 if self.pushed else 2_000_000,
+            max_attempts=self.attempts,
             may_duplicate=self.may_duplicate,
         )
--- a/leadrudder/simulation/standins/client.py
+++ b/leadrudder/simulation/standins/client.py
@@ -17,7 +17,9 @@
 @dataclass(slots=True, eq=False)
 class ClientCall:
     """One request until it has a response or failed.
-    none."""
+
+    on_done is called once, with the response, or with None and the reason why there is none.
+    """
 
     data: bytes
     timeout_s: float
--- a/leadrudder/simulation/standins/server.py
+++ b/leadrudder/simulation/standins/server.py
@@ -190,7 +190,7 @@
         key = message.headers.get("idempotency-key")
         repeat = key is not None and self._keys.seen(key, now)
         if key is not None and not repeat and self._keys.ran_elsewhere(key, now):
-            self.oracle.ran_keyed(self.tier, message.target, self.name)
+            self.oracle.keyed_repeat_ran(self.tier, message.target, self.name)
         self._queue.append(Job(message, connection, work, repeat, now + int(left * US_PER_S)))
         self._work()
 
@@ -232,7 +232,9 @@
         headers = job.message.headers
         operation = job.message.target
         if not job.repeat:
-            self.oracle.ran(self.tier, operation, headers.get("x-class", _class_of(job.message)), self.name)
+            self.oracle.effect_started(
+                self.tier, operation, headers.get("x-class", _class_of(job.message)), self.name
+            )
         span = job.work_ms * self.trouble.slow / (self.speed * self._share())
         self._reporter.worked(int(1000.0 * span))
         self.loop.call_later(span / 1000.0, self._worked, job)
--- a/leadrudder/simulation/trace.py
+++ b/leadrudder/simulation/trace.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any, TextIO
 
-from leadrudder.simulation.faults import Fault, PlanError, from_json, to_json
+from leadrudder.simulation.faults import Fault, PlanError, faults_from_json, faults_to_json
 from leadrudder.simulation.loop import VirtualLoop
 from leadrudder.simulation.network import Address, NetworkObserver, VirtualTransport
 from leadrudder.simulation.play import Result, Setup
@@ -39,7 +39,7 @@
                 "nodes": setup.nodes,
                 "heavy": setup.heavy,
                 "kinds": list(setup.kinds),
-                "plan": None if setup.faults is None else to_json(setup.faults),
+                "plan": None if setup.faults is None else faults_to_json(setup.faults),
             }
         )
 
@@ -61,7 +61,7 @@
                     "violations": [str(violation) for violation in result.violations],
                     "counts": dict(sorted(result.counts.items())),
                 },
-                "plan": to_json(result.plan),
+                "plan": faults_to_json(result.plan),
             }
         )
 
@@ -82,7 +82,7 @@
         scheduler = self._world.scheduler
         planned = self._world.planned
         while self._told < len(planned) and planned[self._told].at_ms * 1000 <= scheduler.now:
-            self._put({"fault": to_json([planned[self._told]])[0]})
+            self._put({"fault": faults_to_json([planned[self._told]])[0]})
             self._told += 1
         self._put({"us": scheduler.now, "step": scheduler.steps, "what": what, **more})
 
@@ -136,7 +136,7 @@
     if not isinstance(last, dict) or "end" not in last:
         raise TraceError(f"{path}: the trace breaks off before its end")
     try:
-        plan: list[Fault] = from_json(last["plan"])
+        plan: list[Fault] = faults_from_json(last["plan"])
         setup = Setup(
             str(head["seed"]),
             int(head["steps"]),
--- a/leadrudder/simulation/world.py
+++ b/leadrudder/simulation/world.py
@@ -22,7 +22,7 @@
 from leadrudder.node.node import Node, PendingRequest
 from leadrudder.node.servers import UpstreamCall, UpstreamConnection
 from leadrudder.policy.attempts import Attempt, Request
-from leadrudder.simulation.faults import Fault, draw
+from leadrudder.simulation.faults import Fault, draw_faults
 from leadrudder.simulation.injector import DISCOVERY_PORT, Injector
 from leadrudder.simulation.loop import VirtualLoop
 from leadrudder.simulation.network import Address, Network, NetworkObserver, VirtualTransport
@@ -110,7 +110,7 @@
         self.seed = seed
         self.site = Site.draw(seed, nodes, heavy=heavy)
         self.scheduler = Scheduler(seed)
-        self.oracle = Oracle(self.scheduler, self.site.terms())
+        self.oracle = Oracle(self.scheduler, self.site.oracle_settings())
         self.planned: list[Fault] = []  # those that were played so far
         self.network = Network(self.scheduler, seed, observe(self) if observe is not None else self.oracle)
         self.processes: list[VirtualLoop] = []  # those that live, and some that died lately
@@ -168,7 +168,7 @@
     def start_discovery(self, tier: int, host: str) -> StandInDiscovery:
         loop = self.process(f"discovery-{tier}", host)
         address = (host, DISCOVERY_PORT)
-        self.oracle.is_discovery(address)
+        self.oracle.add_discovery_address(address)
         return StandInDiscovery(loop, address, self.registries[tier])
 
     def new_server_name(self, tier: int) -> tuple[str, Address]:
@@ -253,7 +253,7 @@
             },
             platform,
         )
-        self.oracle.watch_node(loop, known)
+        self.oracle.node_started(loop, known)
 
         async def main() -> None:
             node = host.node = Node(config, platform)
@@ -303,7 +303,7 @@
         """The process is gone, by itself or by SIGKILL."""
         loop = host.loop
         if loop is not None:
-            self.oracle.node_over(loop)
+            self.oracle.node_ended(loop)
             loop.kill()
         host.loop = host.node = None
 
@@ -353,7 +353,7 @@
         start = self._faults_seen
         self._faults_seen += EPISODE_MS
         if self._given is None:
-            faults = draw(self.seed, start, EPISODE_MS, FAULTS, self._kinds)
+            faults = draw_faults(self.seed, start, EPISODE_MS, FAULTS, self._kinds)
         else:
             faults = [f for f in self._given if start <= f.at_ms < self._faults_seen]
         for fault in faults:
@@ -371,7 +371,7 @@
                 server.close_idle()
             end = self.scheduler.now + int(QUIET_S * US_PER_S)
             self._run_until(end - int(REST_S * US_PER_S))
-            asked = self.oracle.asked()
+            asked = self.oracle.discovery_call_counts()
             self._run_until(end)
             if not self.oracle.violations:
                 self._check_rest(asked)
@@ -427,7 +427,7 @@
                 "tasks": max(0, len(loop.unfinished_tasks()) - 1),  # its main one
                 "timers": max(0, loop.live_timers - TIMERS_AT_REST),
             }
-            again = self.oracle.asked()[loop.name] - asked.get(loop.name, 0)
+            again = self.oracle.discovery_call_counts()[loop.name] - asked.get(loop.name, 0)
             if again > MOST_ASKED_AT_REST:
                 self.oracle.report(
                     "restless", f"{loop.name} asked for its list {again} times while all was quiet"
--- a/tests/simulation/test_faults.py
+++ b/tests/simulation/test_faults.py
@@ -4,36 +4,44 @@
 
 import pytest
 
-from leadrudder.simulation.faults import KINDS, Fault, PlanError, check_kinds, draw, from_json, to_json
+from leadrudder.simulation.faults import (
+    FAULT_KINDS,
+    Fault,
+    PlanError,
+    draw_faults,
+    faults_from_json,
+    faults_to_json,
+    validate_kinds,
+)
 from leadrudder.simulation.injector import Injector
 
 
 def test_a_plan_hangs_on_its_seed_alone_and_lies_within_its_span() -> None:
-    plan = draw("a", 10_000, 5_000, 200)
-    assert plan == draw("a", 10_000, 5_000, 200) != draw("b", 10_000, 5_000, 200)
+    plan = draw_faults("a", 10_000, 5_000, 200)
+    assert plan == draw_faults("a", 10_000, 5_000, 200) != draw_faults("b", 10_000, 5_000, 200)
     assert all(10_000 <= fault.at_ms < 15_000 for fault in plan)
     assert [fault.at_ms for fault in plan] == sorted(fault.at_ms for fault in plan)
     for fault in plan:
-        kind = KINDS[fault.kind]
-        assert kind.shortest_ms <= fault.span_ms <= kind.longest_ms and 0.0 <= fault.level <= 1.0
+        kind = FAULT_KINDS[fault.kind]
+        assert kind.min_span_ms <= fault.span_ms <= kind.max_span_ms and 0.0 <= fault.level <= 1.0
 
 
 def test_every_kind_is_drawn_sooner_or_later_and_can_be_injected() -> None:
-    usual = {kind for kind, what in KINDS.items() if what.weight}
-    assert {fault.kind for fault in draw("a", 0, 10_000, 3000)} == usual
-    asked = set(KINDS) - usual
-    assert asked and {fault.kind for fault in draw("a", 0, 1000, 50, tuple(asked))} == asked
-    for kind in KINDS:
+    usual = {kind for kind, what in FAULT_KINDS.items() if what.weight}
+    assert {fault.kind for fault in draw_faults("a", 0, 10_000, 3000)} == usual
+    asked = set(FAULT_KINDS) - usual
+    assert asked and {fault.kind for fault in draw_faults("a", 0, 1000, 50, tuple(asked))} == asked
+    for kind in FAULT_KINDS:
         assert callable(getattr(Injector, "_" + kind.replace("-", "_")))
 
 
 def test_only_the_kinds_that_are_asked_for_are_drawn() -> None:
-    assert {fault.kind for fault in draw("a", 0, 1000, 50, ("hang", "drain"))} == {"hang", "drain"}
+    assert {fault.kind for fault in draw_faults("a", 0, 1000, 50, ("hang", "drain"))} == {"hang", "drain"}
 
 
 def test_a_plan_survives_being_written_and_read() -> None:
-    plan = draw("a", 0, 1000, 20)
-    assert from_json(to_json(plan)) == plan
+    plan = draw_faults("a", 0, 1000, 20)
+    assert faults_from_json(faults_to_json(plan)) == plan
 
 
 @pytest.mark.parametrize(
@@ -48,10 +56,10 @@
 )
 def test_what_is_no_plan_is_told(raw: object, text: str) -> None:
     with pytest.raises(PlanError, match=text):
-        from_json(raw)
+        faults_from_json(raw)
 
 
 def test_an_unknown_kind_is_told_with_those_that_are_known() -> None:
     with pytest.raises(PlanError, match="unknown fault 'earthquake'; known are tail"):
-        check_kinds(["hang", "earthquake"])
+        validate_kinds(["hang", "earthquake"])
     assert Fault("hang", 1, 2, 3, 0.5).kind == "hang"
--- a/tests/simulation/test_herd.py
+++ b/tests/simulation/test_herd.py
@@ -33,7 +33,7 @@
         world.play(STEPS)
         assert not world.violations, world.violations
         assert world.oracle.counts["faults"] == len(HERD) and world.oracle.counts["served"] > 200
-        return world, {what: max(of.values()) for what, of in world.oracle.seconds.items()}
+        return world, {what: max(of.values()) for what, of in world.oracle.counts_per_second.items()}
     finally:
         world.close()
 
--- a/tests/simulation/test_shrink.py
+++ b/tests/simulation/test_shrink.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from leadrudder.simulation.faults import Fault, draw
+from leadrudder.simulation.faults import Fault, draw_faults
 from leadrudder.simulation.play import Setup
 from leadrudder.simulation.shrink import ddmin, shrink
 from tests.simulation.planted_faults import fault_swallowed, reset_taken_for_never_ran
@@ -14,7 +14,7 @@
 
 @pytest.mark.parametrize("needed", [(), (0,), (39,), (3, 17), (0, 20, 39), (5, 6, 7, 8)])
 def test_ddmin_keeps_just_what_is_needed(needed: tuple[int, ...]) -> None:
-    plan = draw("a", 0, 10_000, 40)
+    plan = draw_faults("a", 0, 10_000, 40)
     wanted = [plan[i] for i in needed]
     tries = 0
 
