--- a/bench/simulation.py
+++ b/bench/simulation.py
@@ -18,7 +18,7 @@
 import sys
 import time
 
-from leadrudder.simulation.play import Result, Setup, digest_of, play, play_many
+from leadrudder.simulation.runner import RunResult, RunSetup, combined_digest, run_many, run_world
 
 PROGRESS_S = 5.0
 
@@ -27,7 +27,7 @@
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0
 
 
-def _long(steps: int) -> tuple[Result, float]:
+def _long(steps: int) -> tuple[RunResult, float]:
     told = time.monotonic()
     tenth = 0.0
 
@@ -39,19 +39,19 @@
             told = time.monotonic()
             print(f"one core: {done} of {steps} steps, {virtual_s:.0f} virtual s", file=sys.stderr)
 
-    return play(Setup("bench", steps), progress=progress), tenth
+    return run_world(RunSetup("bench", steps), progress=progress), tenth
 
 
 def _short(seeds: int, steps: int, jobs: int) -> tuple[str, float, int]:
     began = time.monotonic()
     results = []
-    for result in play_many([Setup(str(seed), steps) for seed in range(seeds)], jobs):
+    for result in run_many([RunSetup(str(seed), steps) for seed in range(seeds)], jobs):
         results.append(result)
         if len(results) % 25 == 0:
             print(f"{jobs} cores: {len(results)} of {seeds} seeds", file=sys.stderr)
     bad = sum(bool(result.violations) for result in results)
     total = sum(result.steps for result in results)
-    return digest_of(results), total / (time.monotonic() - began), bad
+    return combined_digest(results), total / (time.monotonic() - began), bad
 
 
 def main() -> int:
--- a/leadrudder/simulation/command.py
+++ b/leadrudder/simulation/command.py
@@ -10,16 +10,16 @@
 import click
 
 from leadrudder.simulation.faults import FAULT_KINDS, PlanError, validate_kinds
-from leadrudder.simulation.play import Result, Setup, digest_of, play, play_many
-from leadrudder.simulation.shrink import shrink as cut_down
-from leadrudder.simulation.trace import TraceError, Writer, read
+from leadrudder.simulation.runner import RunResult, RunSetup, combined_digest, run_many, run_world
+from leadrudder.simulation.shrink import shrink_plan
+from leadrudder.simulation.trace import TraceError, TraceWriter, read_trace
 
 PROGRESS_S = 1.0
-MOST_NODES = 64
-FINDINGS = 1
+MAX_NODES = 64
+EXIT_VIOLATIONS = 1
 
 
-class _Range(click.ParamType[tuple[int, int]]):
+class _SeedRange(click.ParamType[tuple[int, int]]):
     """A:B, the whole numbers from A up to but not with B."""
 
     name = "A:B"
@@ -46,11 +46,11 @@
 
 @click.command()
 @click.option("--seed", type=str, help="Play this seed.")
-@click.option("--seeds", type=_Range(), help="Play the seeds from A up to but not with B, on all cores.")
+@click.option("--seeds", type=_SeedRange(), help="Play the seeds from A up to but not with B, on all cores.")
 @click.option("--shrink", "shrinking", type=str, metavar="SEED", help="Cut a failing seed's plan down.")
 @click.option("--replay", type=click.Path(path_type=Path), help="Play a trace again; the digest must agree.")
 @click.option("--steps", type=click.IntRange(1), default=100_000, show_default=True, help="Of each play.")
-@click.option("--nodes", type=click.IntRange(1, MOST_NODES), default=2, show_default=True, help="In front.")
+@click.option("--nodes", type=click.IntRange(1, MAX_NODES), default=2, show_default=True, help="In front.")
 @click.option("--faults", callback=_kinds, default="", help="Draw only faults of these kinds: NAME,NAME.")
 @click.option("--heavy", is_flag=True, help="Sites near what a cold fleet bears.")
 @click.option("--trace", type=click.Path(path_type=Path), help="Write down what happens.")
@@ -83,52 +83,52 @@
     if trace is not None and seeds is not None:
         raise click.UsageError("--trace is for one play, not for --seeds")
     if seeds is not None:
-        return _play_seeds(
-            [Setup(str(n), steps, nodes, faults, heavy=heavy) for n in range(*seeds)], seeds, jobs
+        return _run_seeds(
+            [RunSetup(str(n), steps, nodes, faults, heavy=heavy) for n in range(*seeds)], seeds, jobs
         )
     if shrinking is not None:
-        return _shrink(Setup(shrinking, steps, nodes, faults, heavy=heavy), trace)
+        return _shrink(RunSetup(shrinking, steps, nodes, faults, heavy=heavy), trace)
     expected: str | None = None
     if replay is not None:
         try:
-            setup, expected = read(replay)
+            setup, expected = read_trace(replay)
         except TraceError as error:
             raise click.ClickException(str(error)) from None
     else:
         assert seed is not None
-        setup = Setup(seed, steps, nodes, faults, heavy=heavy)
-    result = _play_traced(setup, trace)
-    code = _tell(result)
+        setup = RunSetup(seed, steps, nodes, faults, heavy=heavy)
+    result = _run_traced(setup, trace)
+    code = _print_result(result)
     if expected is not None and expected != result.digest:
         print(f"leadrudder: the trace ended with digest {expected}: the program is another", file=sys.stderr)
-        return FINDINGS
+        return EXIT_VIOLATIONS
     return code
 
 
-def _play_traced(setup: Setup, trace: Path | None) -> Result:
-    told = time.monotonic()
+def _run_traced(setup: RunSetup, trace: Path | None) -> RunResult:
+    printed_at = time.monotonic()
 
     def progress(steps: int, virtual_s: float) -> None:
-        nonlocal told
-        if time.monotonic() - told >= PROGRESS_S:
-            told = time.monotonic()
+        nonlocal printed_at
+        if time.monotonic() - printed_at >= PROGRESS_S:
+            printed_at = time.monotonic()
             print(f"{steps} of {setup.steps} steps, {virtual_s:.1f} s of virtual time", file=sys.stderr)
 
     if trace is None:
-        return play(setup, progress=progress)
+        return run_world(setup, progress=progress)
     try:
-        writer = Writer(trace, setup)
+        writer = TraceWriter(trace, setup)
     except OSError as error:
         raise click.ClickException(f"{trace} cannot be written: {error}") from None
     try:
-        result = play(setup, progress=progress, observe=writer.observe)
+        result = run_world(setup, progress=progress, observe=writer.observe)
         writer.finish(result)
     finally:
         writer.close()
     return result
 
 
-def _tell(result: Result) -> int:
+def _print_result(result: RunResult) -> int:
     """The last line, after what was found and how to see it again."""
     setup = result.setup
     for violation in result.violations:
@@ -144,31 +144,31 @@
         f"seed={setup.seed} steps={result.steps} digest={result.digest}"
         f" violations={len(result.violations)} steps_per_s={result.steps_per_s:.0f}"
     )
-    return FINDINGS if result.violations else 0
+    return EXIT_VIOLATIONS if result.violations else 0
 
 
-def _play_seeds(setups: list[Setup], seeds: tuple[int, int], jobs: int) -> int:
-    began = told = time.monotonic()
-    results: list[Result] = []
-    for result in play_many(setups, min(jobs, len(setups))):
+def _run_seeds(setups: list[RunSetup], seeds: tuple[int, int], jobs: int) -> int:
+    started = printed_at = time.monotonic()
+    results: list[RunResult] = []
+    for result in run_many(setups, min(jobs, len(setups))):
         results.append(result)
         if result.violations:
-            _tell(result)
-        if time.monotonic() - told >= PROGRESS_S:
-            told = time.monotonic()
-            bad = sum(bool(r.violations) for r in results)
-            print(f"{len(results)} of {len(setups)} seeds, {bad} with violations", file=sys.stderr)
+            _print_result(result)
+        if time.monotonic() - printed_at >= PROGRESS_S:
+            printed_at = time.monotonic()
+            violated = sum(bool(r.violations) for r in results)
+            print(f"{len(results)} of {len(setups)} seeds, {violated} with violations", file=sys.stderr)
     steps = sum(result.steps for result in results)
-    bad = sum(bool(result.violations) for result in results)
+    violated = sum(bool(result.violations) for result in results)
     print(
-        f"seeds={seeds[0]}:{seeds[1]} plays={len(results)} steps={steps} digest={digest_of(results)}"
-        f" violations={bad} steps_per_s={steps / (time.monotonic() - began):.0f}"
+        f"seeds={seeds[0]}:{seeds[1]} plays={len(results)} steps={steps} digest={combined_digest(results)}"
+        f" violations={violated} steps_per_s={steps / (time.monotonic() - started):.0f}"
     )
-    return FINDINGS if bad else 0
+    return EXIT_VIOLATIONS if violated else 0
 
 
-def _shrink(setup: Setup, trace: Path | None) -> int:
-    found = cut_down(setup, lambda line: print(line, file=sys.stderr))
+def _shrink(setup: RunSetup, trace: Path | None) -> int:
+    found = shrink_plan(setup, lambda line: print(line, file=sys.stderr))
     if found is None:
         raise click.ClickException(f"seed {setup.seed} breaks no rule within {setup.steps} steps")
     whole, least = found
@@ -177,6 +177,6 @@
         print(f"matters: {fault.kind} at {fault.at_ms} ms, {figures}")
     print(f"cut down from {len(whole.plan)} to {len(least.plan)} faults")
     if trace is not None:
-        least = _play_traced(least.setup, trace)
+        least = _run_traced(least.setup, trace)
         print(f"replay: leadrudder simulate --replay {trace}")
-    return _tell(least)
+    return _print_result(least)
--- a/leadrudder/simulation/injector.py
+++ b/leadrudder/simulation/injector.py
@@ -20,53 +20,53 @@
 
 T = TypeVar("T")
 
-SILENT_PART = 0.12  # of a tier's servers may fall silent at once
-DRAIN_S = 1.0  # that a draining server finishes what it has before it goes
+SILENT_SHARE = 0.12  # of a tier's servers may fall silent at once
+DRAIN_TIME_S = 1.0  # that a draining server finishes what it has before it goes
 DISCOVERY_PORT = 8500
-TERM_ANNOUNCED_US = (200_000, 400_000)  # the front sends to a node for so long after its SIGTERM
-KILLED_MS = 3_700  # SIGKILL after SIGTERM at the earliest, as the platform's page has it
-DEAD_NOTICED_US = (920_000, 2_000_000)  # and to a dead one for so long
+TERM_NOTICE_RANGE_US = (200_000, 400_000)  # the front sends to a node for so long after its SIGTERM
+SIGKILL_DELAY_MS = 3_700  # SIGKILL after SIGTERM at the earliest, as the platform's page has it
+DEATH_NOTICE_RANGE_US = (920_000, 2_000_000)  # and to a dead one for so long
 
 
 class Injector:
     """Begins and ends faults."""
 
     def __init__(self, world: World) -> None:
-        self.list_late_ms = 0
+        self.extra_list_delay_ms = 0
         self._world = world
-        self._ends: dict[int, Callable[[], None]] = {}
-        self._number = 0
-        self._over = False
+        self._pending_ends: dict[int, Callable[[], None]] = {}
+        self._sequence = 0
+        self._stopped = False
 
-    def begin(self, fault: Fault) -> None:
+    def inject(self, fault: Fault) -> None:
         """The fault's instant has come."""
-        if self._over:
+        if self._stopped:
             return
         self._world.oracle.count("faults")
         getattr(self, "_" + fault.kind.replace("-", "_"))(fault)
 
-    def calm(self) -> None:
+    def end_all(self) -> None:
         """End everything that lasts; nothing begins any more."""
-        self._over = True
-        for end in list(self._ends.values()):
+        self._stopped = True
+        for end in list(self._pending_ends.values()):
             end()
-        self._ends.clear()
+        self._pending_ends.clear()
 
     # ------------------------------------------------------------ helpers
 
-    def _for(self, span_ms: int, end: Callable[[], None]) -> None:
+    def _end_after(self, span_ms: int, end: Callable[[], None]) -> None:
         """Call the end after a span, or when all is to be calm, once."""
-        self._number += 1
-        number = self._number
+        self._sequence += 1
+        number = self._sequence
 
         def once() -> None:
-            if self._ends.pop(number, None) is not None:
+            if self._pending_ends.pop(number, None) is not None:
                 end()
 
-        self._ends[number] = end
-        self._later(span_ms * 1000, once)
+        self._pending_ends[number] = end
+        self._schedule(span_ms * 1000, once)
 
-    def _later(self, wait_us: int, call: Callable[[], None]) -> None:
+    def _schedule(self, wait_us: int, call: Callable[[], None]) -> None:
         scheduler = self._world.scheduler
         scheduler.schedule_timer(scheduler.now + wait_us, None, "injector", call)
 
@@ -79,50 +79,50 @@
 
     def _server(self, fault: Fault) -> StandInServer | None:
         """A server that runs and is not draining; never the last of its tier."""
-        servers = [s for s in self._world.servers[self._tier(fault)] if not s.trouble.draining]
+        servers = [s for s in self._world.servers[self._tier(fault)] if not s.faults.draining]
         return self._pick(servers, fault) if len(servers) > 1 else None
 
     def _front_node(self, fault: Fault) -> NodeHost | None:
         return self._pick([n for n in self._world.nodes if not n.tier and n.loop is not None], fault)
 
-    def _with_trouble(self, fault: Fault, name: str, value: object) -> None:
+    def _change_server_faults(self, fault: Fault, name: str, value: object) -> None:
         server = self._server(fault)
         if server is None:
             return
-        trouble = server.trouble
-        usual = getattr(type(trouble)(), name)
-        setattr(trouble, name, value)
-        self._for(fault.span_ms, lambda: setattr(trouble, name, usual))
+        faults = server.faults
+        default = getattr(type(faults)(), name)
+        setattr(faults, name, value)
+        self._end_after(fault.span_ms, lambda: setattr(faults, name, default))
 
-    def _with_conditions(self, fault: Fault, name: str, value: object) -> None:
+    def _change_conditions(self, fault: Fault, name: str, value: object) -> None:
         conditions = self._world.network.conditions
-        usual = getattr(type(conditions)(), name)
+        default = getattr(type(conditions)(), name)
         setattr(conditions, name, value)
-        self._for(fault.span_ms, lambda: setattr(conditions, name, usual))
+        self._end_after(fault.span_ms, lambda: setattr(conditions, name, default))
 
-    def _with_manners(self, fault: Fault, name: str, value: float) -> None:
-        manners = self._world.callers.manners
-        usual = getattr(type(manners)(), name)
-        setattr(manners, name, value)
-        self._for(fault.span_ms, lambda: setattr(manners, name, usual))
+    def _change_behaviour(self, fault: Fault, name: str, value: float) -> None:
+        behaviour = self._world.callers.behaviour
+        default = getattr(type(behaviour)(), name)
+        setattr(behaviour, name, value)
+        self._end_after(fault.span_ms, lambda: setattr(behaviour, name, default))
 
     # ------------------------------------------------------------ the network
 
     def _tail(self, fault: Fault) -> None:
-        self._with_conditions(fault, "tail_share", 0.05 + 0.3 * fault.level)
+        self._change_conditions(fault, "tail_share", 0.05 + 0.3 * fault.level)
 
     def _shatter(self, fault: Fault) -> None:
-        self._with_conditions(fault, "split_share", 0.5 + 0.5 * fault.level)
+        self._change_conditions(fault, "split_share", 0.5 + 0.5 * fault.level)
 
     def _coincide(self, fault: Fault) -> None:
-        self._with_conditions(fault, "arrival_grain_us", 1000 if fault.level < 0.7 else 5000)
+        self._change_conditions(fault, "arrival_grain_us", 1000 if fault.level < 0.7 else 5000)
 
     def _slow_link(self, fault: Fault) -> None:
         server = self._server(fault)
         if server is not None:
             extra = self._world.network.conditions.extra_latency_us
             extra[server.loop.host] = int(2_000 + 40_000 * fault.level**2)
-            self._for(fault.span_ms, partial(_discard, extra, server.loop.host))
+            self._end_after(fault.span_ms, partial(_remove_key, extra, server.loop.host))
 
     def _cut_connections(self, fault: Fault, delivered_share: float, *, answers: bool = False) -> None:
         """The next messages between a server and each of its callers' machines are cut."""
@@ -130,14 +130,14 @@
         server = self._server(fault)
         if server is None:
             return
-        here = [n.host for n in world.nodes if n.tier == server.tier]
+        callers = [n.host for n in world.nodes if n.tier == server.tier]
         times = 1 + int(fault.level * 3)
-        for host in here:
+        for host in callers:
             source, target = (server.loop.host, host) if answers else (host, server.loop.host)
             world.network.conditions.cuts.append(ConnectionCut(source, target, delivered_share, times))
         cuts = world.network.conditions.cuts
-        mine = cuts[-len(here) :] if here else []
-        self._for(3000, lambda: _remove(cuts, mine))
+        added = cuts[-len(callers) :] if callers else []
+        self._end_after(3000, lambda: _remove_cuts(cuts, added))
 
     def _reset_before(self, fault: Fault) -> None:
         self._cut_connections(fault, 0.0)
@@ -154,17 +154,17 @@
     def _half_open(self, fault: Fault) -> None:
         server = self._server(fault)
         if server is not None:
-            self._cut_off(server.loop.host, fault.span_ms)
+            self._isolate_host(server.loop.host, fault.span_ms)
 
-    def _cut_off(self, host: str, span_ms: int) -> None:
+    def _isolate_host(self, host: str, span_ms: int) -> None:
         world = self._world
         world.network.conditions.silent_hosts.add(host)
 
-        def back() -> None:
+        def restore() -> None:
             world.network.conditions.silent_hosts.discard(host)
             world.network.host_returned(host)
 
-        self._for(span_ms, back)
+        self._end_after(span_ms, restore)
 
     # ------------------------------------------------------------ servers
 
@@ -172,15 +172,15 @@
         """Machines vanish at once; they come back with new processes that know nothing."""
         world = self._world
         servers = world.servers[self._tier(fault)]
-        count = max(1, int(SILENT_PART * len(servers)))
+        count = max(1, int(SILENT_SHARE * len(servers)))
         first = fault.target % len(servers) if servers else 0
         chosen = [servers[(first + i) % len(servers)] for i in range(count)] if len(servers) > 1 else []
         for server in chosen:
             host = server.loop.host
             world.network.conditions.silent_hosts.add(host)
-            self._for(fault.span_ms, partial(self._back_cold, server, fault))
+            self._end_after(fault.span_ms, partial(self._return_cold, server, fault))
 
-    def _back_cold(self, server: StandInServer, fault: Fault) -> None:
+    def _return_cold(self, server: StandInServer, fault: Fault) -> None:
         world = self._world
         host = server.loop.host
         for transport in [t for t in world.network.open_transports if t.host == host]:
@@ -189,29 +189,29 @@
         world.network.conditions.silent_hosts.discard(host)
         world.network.host_returned(host)
         if server in world.servers[server.tier]:
-            self._replace(server, fault, server.name)
+            self._replace_server(server, fault, server.name)
 
-    def _replace(self, server: StandInServer, fault: Fault, name: str) -> None:
+    def _replace_server(self, server: StandInServer, fault: Fault, name: str) -> None:
         """A cold process takes the place of a server, at its address; discovery tells later."""
         world = self._world
         tier, address = server.tier, server.address
         if server not in world.servers[tier]:
             return  # another fault has replaced it meanwhile
         world.stop_server(server)
-        row = world.row(tier, name, address, world.scheduler.now)
+        row = world.make_row(tier, name, address, world.scheduler.now)
         world.start_server(tier, row, cold=True)
         rows = [row]
         if name != server.name:
-            rows.insert(0, {**world.row(tier, server.name, address, 0), "lifecycle": "DELETED"})
-        world.publish(tier, rows, world.list_delay(fault))
+            rows.insert(0, {**world.make_row(tier, server.name, address, 0), "lifecycle": "DELETED"})
+        world.publish(tier, rows, world.list_delay_ms(fault))
 
     def _crash(self, fault: Fault) -> None:
         server = self._server(fault)
         if server is None:
             return
-        server.trouble.draining = True  # not to be picked again
+        server.faults.draining = True  # not to be picked again
         server.loop.kill()
-        self._for(fault.span_ms, partial(self._replace, server, fault, server.name))
+        self._end_after(fault.span_ms, partial(self._replace_server, server, fault, server.name))
 
     def _release(self, fault: Fault) -> None:
         """Half of a tier at once: what is left is warm, what comes is cold, and the load is what it was.
@@ -222,18 +222,18 @@
         if any(world.scheduler.now - server.started_us < server.cold_us for server in servers):
             return
         for server in servers[::2]:
-            name, _ = world.new_server_name(server.tier)
-            server.trouble.draining = True
-            self._replace(server, fault, name)
+            name, _ = world.allocate_server(server.tier)
+            server.faults.draining = True
+            self._replace_server(server, fault, name)
 
     def _reuse(self, fault: Fault) -> None:
         server = self._server(fault)
         if server is None:
             return
-        server.trouble.draining = True
+        server.faults.draining = True
         server.loop.kill()
-        name, _ = self._world.new_server_name(server.tier)
-        self._for(fault.span_ms, partial(self._replace, server, fault, name))
+        name, _ = self._world.allocate_server(server.tier)
+        self._end_after(fault.span_ms, partial(self._replace_server, server, fault, name))
 
     def _drain(self, fault: Fault) -> None:
         """Discovery tells that a server drains; some turn calls away before that is told. Then it goes."""
@@ -242,70 +242,70 @@
         if server is None:
             return
         tier = server.tier
-        draining = world.row(tier, server.name, server.address, server.started_us, "DRAINING")
+        draining = world.make_row(tier, server.name, server.address, server.started_us, "DRAINING")
         if server.started_us < 0:
             draining["startedAtMs"] = 0
-        delay = world.list_delay(fault)
+        delay = world.list_delay_ms(fault)
         world.publish(tier, [draining], delay)
         if fault.target % 2:
-            server.trouble.draining = True
-        self._later(delay * 1000, lambda: setattr(server.trouble, "draining", True))
+            server.faults.draining = True
+        self._schedule(delay * 1000, lambda: setattr(server.faults, "draining", True))
 
         leaving = server
 
-        def go() -> None:
+        def leave() -> None:
             if leaving not in world.servers[tier]:
                 return
             world.stop_server(leaving)
-            name, address = world.new_server_name(tier)
-            row = world.row(tier, name, address, world.scheduler.now)
+            name, address = world.allocate_server(tier)
+            row = world.make_row(tier, name, address, world.scheduler.now)
             world.start_server(tier, row, cold=True)
             world.publish(tier, [{**draining, "lifecycle": "DELETED"}], 10)
-            world.publish(tier, [row], world.list_delay(fault))
+            world.publish(tier, [row], world.list_delay_ms(fault))
 
-        self._for(delay + int(1000 * DRAIN_S) + fault.span_ms, go)
+        self._end_after(delay + int(1000 * DRAIN_TIME_S) + fault.span_ms, leave)
 
     def _slow(self, fault: Fault) -> None:
-        self._with_trouble(fault, "slow", 2.0 + 10.0 * fault.level)
+        self._change_server_faults(fault, "slowdown", 2.0 + 10.0 * fault.level)
 
     def _slow_all(self, fault: Fault) -> None:
         for server in self._world.servers[self._tier(fault)]:
-            trouble = server.trouble
-            trouble.slow = 1.3 + 1.7 * fault.level
-            self._for(fault.span_ms, partial(setattr, trouble, "slow", 1.0))
+            faults = server.faults
+            faults.slowdown = 1.3 + 1.7 * fault.level
+            self._end_after(fault.span_ms, partial(setattr, faults, "slowdown", 1.0))
 
     def _full(self, fault: Fault) -> None:
-        self._with_trouble(fault, "full", True)
+        self._change_server_faults(fault, "full", True)
 
     def _errors(self, fault: Fault) -> None:
-        self._with_trouble(fault, "errors", 0.1 + 0.9 * fault.level)
+        self._change_server_faults(fault, "error_share", 0.1 + 0.9 * fault.level)
 
     def _spoilt(self, fault: Fault) -> None:
-        self._with_trouble(fault, "spoilt", 0.1 + 0.9 * fault.level)
+        self._change_server_faults(fault, "malformed_share", 0.1 + 0.9 * fault.level)
 
     def _unmarked(self, fault: Fault) -> None:
-        self._with_trouble(fault, "unmarked", 0.1 + 0.9 * fault.level)
+        self._change_server_faults(fault, "unmarked_share", 0.1 + 0.9 * fault.level)
 
     def _close_told(self, fault: Fault) -> None:
-        self._with_trouble(fault, "close_told", 0.1 + 0.9 * fault.level)
+        self._change_server_faults(fault, "announced_close_share", 0.1 + 0.9 * fault.level)
 
     def _surplus(self, fault: Fault) -> None:
-        self._with_trouble(fault, "surplus", 0.2 + 0.8 * fault.level)
+        self._change_server_faults(fault, "surplus_share", 0.2 + 0.8 * fault.level)
 
     def _hang(self, fault: Fault) -> None:
         server = self._server(fault)
         if server is not None:
-            server.trouble.hang = True
+            server.faults.hanging = True
 
-            def wake() -> None:
+            def resume() -> None:
                 if server.loop.alive:
                     with server.loop.as_running_loop():
-                        server.wake()
+                        server.resume()
 
-            self._for(fault.span_ms, wake)
+            self._end_after(fault.span_ms, resume)
 
     def _close_idle(self, fault: Fault) -> None:
-        self._with_trouble(fault, "close_idle", True)
+        self._change_server_faults(fault, "close_after_answer", True)
 
     # ------------------------------------------------------------ discovery
 
@@ -313,21 +313,25 @@
         for discovery in self._world.discoveries:
             if discovery.loop.alive:
                 discovery.stop_serving()
-                self._for(fault.span_ms, discovery.resume_serving)
+                self._end_after(fault.span_ms, discovery.resume_serving)
 
     def _list_silent(self, fault: Fault) -> None:
         discovery = self._world.discoveries[self._tier(fault)]
-        self._cut_off(discovery.loop.host, fault.span_ms)
+        self._isolate_host(discovery.loop.host, fault.span_ms)
 
     def _list_late(self, fault: Fault) -> None:
-        late = int(500 + 4000 * fault.level)
-        self.list_late_ms += late
-        self._for(fault.span_ms, lambda: setattr(self, "list_late_ms", self.list_late_ms - late))
+        extra_ms = int(500 + 4000 * fault.level)
+        self.extra_list_delay_ms += extra_ms
+        self._end_after(
+            fault.span_ms, lambda: setattr(self, "extra_list_delay_ms", self.extra_list_delay_ms - extra_ms)
+        )
 
     def _list_back(self, fault: Fault) -> None:
         discovery = self._world.discoveries[self._tier(fault)]
         discovery.send_past_list(fault.target)
-        self._for(fault.span_ms, lambda: discovery.send_current_list() if discovery.loop.alive else None)
+        self._end_after(
+            fault.span_ms, lambda: discovery.send_current_list() if discovery.loop.alive else None
+        )
 
     def _list_garbage(self, fault: Fault) -> None:
         self._world.discoveries[self._tier(fault)].send_garbage()
@@ -346,7 +350,7 @@
             if node.tier == tier and node.loop is not None:
                 world.write_config(node, new.address, 1, old.registry.full_list())
                 node.loop.deliver_signal(signal.SIGHUP)
-        self._later(int(500_000 + 2_000_000 * fault.level), old.loop.kill)
+        self._schedule(int(500_000 + 2_000_000 * fault.level), old.loop.kill)
 
     # ------------------------------------------------------------ nodes
 
@@ -354,43 +358,43 @@
         node = self._front_node(fault)
         if node is None:
             return
-        known = self._list_of(node, fault)
+        known = self._start_list(node, fault)
         self._world.end_node(node)
-        self._notice(node, DEAD_NOTICED_US, fault)
-        self._for(fault.span_ms, partial(self._start_again, node, known))
+        self._leave_front(node, DEATH_NOTICE_RANGE_US, fault)
+        self._end_after(fault.span_ms, partial(self._restart_node, node, known))
 
     def _node_restart(self, fault: Fault) -> None:
         """SIGTERM; the front hears soon, the process ends by itself or is killed, and starts again."""
         node = self._front_node(fault)
-        if node is None or node.loop is None or node.name not in self._world.front.nodes:
+        if node is None or node.loop is None or node.name not in self._world.front.ready_nodes:
             return
         world, loop = self._world, node.loop
-        known = self._list_of(node, fault)
+        known = self._start_list(node, fault)
         loop.deliver_signal(signal.SIGTERM)
-        self._notice(node, TERM_ANNOUNCED_US, fault)
+        self._leave_front(node, TERM_NOTICE_RANGE_US, fault)
 
         restarting = node
 
-        def killed() -> None:
+        def check_killed() -> None:
             if restarting.loop is loop:
                 # What SIGKILL finds unanswered was taken and lost.
                 world.oracle.report(
-                    "crash", f"{restarting.name} had not ended {KILLED_MS / 1000} s after SIGTERM"
+                    "crash", f"{restarting.name} had not ended {SIGKILL_DELAY_MS / 1000} s after SIGTERM"
                 )
 
-        self._later(KILLED_MS * 1000, killed)
-        self._later((KILLED_MS + fault.span_ms) * 1000, partial(self._start_again, node, known))
+        self._schedule(SIGKILL_DELAY_MS * 1000, check_killed)
+        self._schedule((SIGKILL_DELAY_MS + fault.span_ms) * 1000, partial(self._restart_node, node, known))
 
-    def _notice(self, node: NodeHost, span_us: tuple[int, int], fault: Fault) -> None:
+    def _leave_front(self, node: NodeHost, span_us: tuple[int, int], fault: Fault) -> None:
         """The front stops sending there, after a while."""
         low, high = span_us
         front, starts = self._world.front, node.starts
-        self._later(
+        self._schedule(
             int(low + (high - low) * fault.level),
-            lambda: _discard(front.nodes, node.name) if node.starts == starts else None,
+            lambda: _remove_key(front.ready_nodes, node.name) if node.starts == starts else None,
         )
 
-    def _list_of(self, node: NodeHost, fault: Fault) -> dict[str, object]:
+    def _start_list(self, node: NodeHost, fault: Fault) -> dict[str, object]:
         """The list that a node will start from: as it is, or a past one."""
         registry = self._world.registries[node.tier]
         if fault.target % 2 or not registry.past:
@@ -398,14 +402,14 @@
         version, rows = registry.past[fault.target % len(registry.past)]
         return {"generation": version, "reset": True, "instances": rows}
 
-    def _start_again(self, node: NodeHost, known: dict[str, object]) -> None:
+    def _restart_node(self, node: NodeHost, known: dict[str, object]) -> None:
         world = self._world
         if node.loop is not None:
             return
-        world.front.nodes.pop(node.name, None)
+        world.front.ready_nodes.pop(node.name, None)
         world.start_node(node, known)
         with world.callers.loop.as_running_loop():
-            world.callers.look_for(node.name, node.address)
+            world.callers.await_ready(node.name, node.address)
 
     def _node_reload(self, fault: Fault) -> None:
         node = self._front_node(fault)
@@ -413,7 +417,7 @@
             good = node.files["config.json"]
             if fault.target % 2:
                 node.files["config.json"] = good[: int(fault.level * len(good))]
-                self._for(50, lambda: node.files.update({"config.json": good}))
+                self._end_after(50, lambda: node.files.update({"config.json": good}))
             node.loop.deliver_signal(signal.SIGHUP)
 
     def _node_frozen(self, fault: Fault) -> None:
@@ -424,29 +428,29 @@
     # ------------------------------------------------------------ callers
 
     def _leave(self, fault: Fault) -> None:
-        self._with_manners(fault, "leave", 0.1 + 0.5 * fault.level)
+        self._change_behaviour(fault, "leave_share", 0.1 + 0.5 * fault.level)
 
     def _flood(self, fault: Fault) -> None:
-        self._with_manners(fault, "rate", 2.0 + 4.0 * fault.level)
+        self._change_behaviour(fault, "rate_factor", 2.0 + 4.0 * fault.level)
 
     def _same_id(self, fault: Fault) -> None:
-        self._with_manners(fault, "same_id", 0.05 + 0.4 * fault.level)
+        self._change_behaviour(fault, "same_id_share", 0.05 + 0.4 * fault.level)
 
     def _rude(self, fault: Fault) -> None:
-        self._with_manners(fault, "rude", 0.05 + 0.4 * fault.level)
+        self._change_behaviour(fault, "malformed_share", 0.05 + 0.4 * fault.level)
 
     def _pipeline(self, fault: Fault) -> None:
-        self._with_manners(fault, "pipeline", 0.05 + 0.2 * fault.level)
+        self._change_behaviour(fault, "pipeline_share", 0.05 + 0.2 * fault.level)
 
     def _slow_reader(self, fault: Fault) -> None:
-        self._with_manners(fault, "slow_reader", 0.05 + 0.2 * fault.level)
+        self._change_behaviour(fault, "slow_reader_share", 0.05 + 0.2 * fault.level)
 
 
-def _discard(items: dict[str, T], name: str) -> None:
+def _remove_key(items: dict[str, T], name: str) -> None:
     items.pop(name, None)
 
 
-def _remove(cuts: list[ConnectionCut], mine: list[ConnectionCut]) -> None:
-    for cut in mine:
+def _remove_cuts(cuts: list[ConnectionCut], added: list[ConnectionCut]) -> None:
+    for cut in added:
         if cut in cuts:
             cuts.remove(cut)
--- a/leadrudder/simulation/play.py
+++ b/leadrudder/simulation/runner.py
@@ -14,11 +14,11 @@
 from leadrudder.simulation.scheduler import US_PER_S
 from leadrudder.simulation.world import World
 
-STRETCH = 5000  # steps between two looks at the clock and the tap of progress
+STEPS_PER_SLICE = 5000  # steps between two looks at the clock and the tap of progress
 
 
 @dataclass(frozen=True, slots=True)
-class Setup:
+class RunSetup:
     """All that a play hangs on. faults None: drawn from the seed, of these kinds (all where there are
     none)."""
 
@@ -31,10 +31,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
+class RunResult:
     """What came of a play; equal setups give equal digests."""
 
-    setup: Setup
+    setup: RunSetup
     steps: int
     digest: str
     violations: tuple[Violation, ...]
@@ -51,18 +51,18 @@
 Progress = Callable[[int, float], None]
 
 
-def play(
-    setup: Setup,
+def run_world(
+    setup: RunSetup,
     *,
     progress: Progress | None = None,
     observe: Callable[[World], NetworkObserver] | None = None,
-) -> Result:
+) -> RunResult:
     """Play to the number of steps or the first violation, then until all is quiet.
 
-    progress is called now and then with the steps played and the virtual seconds. tap: stands before the
+    progress is called now and then with the steps played and the virtual seconds. tap: stands steps_before the
     oracle and hands on to it.
     """
-    began = time.perf_counter()
+    started = time.perf_counter()
     world = World(
         setup.seed,
         nodes=setup.nodes,
@@ -73,38 +73,38 @@
     )
     try:
         while world.scheduler.steps < setup.steps and not world.violations:
-            before = world.scheduler.steps
-            world.play(min(STRETCH, setup.steps - before))
+            steps_before = world.scheduler.steps
+            world.run(min(STEPS_PER_SLICE, setup.steps - steps_before))
             if progress is not None:
                 progress(world.scheduler.steps, world.scheduler.now / US_PER_S)
-            if world.scheduler.steps == before:
+            if world.scheduler.steps == steps_before:
                 break
         world.settle()
-        return Result(
+        return RunResult(
             setup,
             world.scheduler.steps,
             world.scheduler.digest(),
             tuple(world.violations),
-            tuple(world.planned),
+            tuple(world.injected),
             world.scheduler.now / US_PER_S,
-            time.perf_counter() - began,
+            time.perf_counter() - started,
             dict(world.oracle.counts),
         )
     finally:
         world.close()
 
 
-def play_many(setups: Iterable[Setup], jobs: int) -> Iterator[Result]:
+def run_many(setups: Iterable[RunSetup], jobs: int) -> Iterator[RunResult]:
     """Play on so many cores; results come in the order of the setups."""
     if jobs <= 1:
-        yield from map(play, setups)
+        yield from map(run_world, setups)
         return
     # Fresh interpreters: what a fork inherits must not matter, and here it cannot.
     with multiprocessing.get_context("spawn").Pool(jobs) as pool:
-        yield from pool.imap(play, setups)
+        yield from pool.imap(run_world, setups)
 
 
-def digest_of(results: Iterable[Result]) -> str:
+def combined_digest(results: Iterable[RunResult]) -> str:
     """One digest for many plays, in order."""
     total = hashlib.blake2b(digest_size=16)
     for result in results:
--- a/leadrudder/simulation/site.py
+++ b/leadrudder/simulation/site.py
@@ -9,10 +9,10 @@
 
 from leadrudder.simulation.oracle import OracleSettings
 
-CLASSES = ("haku", "siirto", "varaus")  # safe, keyed and unsafe
+REQUEST_CLASSES = ("haku", "siirto", "varaus")  # safe, keyed and unsafe
 TENANTS = (("kampaamo", 0.5), ("hierojat", 0.3), ("korjaamo", 0.2))
 ZONES = ("sali-1", "sali-2")
-MODELS = ("vakio", "hidas")
+MACHINE_TYPES = ("vakio", "hidas")
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,17 +22,17 @@
     tiers: int
     nodes: int  # of the front
     servers: tuple[int, ...]  # of each tier
-    pushed: bool
+    lists_pushed: bool
     may_duplicate: bool
-    group: str
-    window_ms: float
-    attempts: int
-    cold_ms: float
+    dedup_group: str
+    dedup_window_ms: float
+    max_attempts: int
+    cold_start_ms: float
     conn_idle_ms: float
-    rate: float  # callers' requests a second
-    work_ms: float  # mean, on one core of a usual machine
-    queue: int  # calls that may wait at a server
-    reports: str = "off"  # of load, with answers: off, honest, or mixed with bad ones
+    requests_per_s: float  # callers' requests a second
+    mean_work_ms: float  # mean, on one core of a usual machine
+    queue_limit: int  # calls that may wait at a server
+    load_reports: str = "off"  # of load, with answers: off, honest, or mixed with bad ones
 
     @classmethod
     def draw(cls, seed: str, nodes: int, *, heavy: bool = False) -> Site:
@@ -54,18 +54,20 @@
             tiers=tiers,
             nodes=nodes,
             servers=servers,
-            pushed=rng.random() < 0.3,
+            lists_pushed=rng.random() < 0.3,
             may_duplicate=rng.random() < 0.7,
-            group=rng.choices(("all", "zone", "cell"), (0.6, 0.2, 0.2))[0],
-            window_ms=rng.choice((7500.0, 7500.0, 1500.0)),
-            attempts=rng.randint(2, 5),
-            cold_ms=max(rng.choice((1000.0, 4000.0, 8800.0)), 4000.0 * heavy),
+            dedup_group=rng.choices(("all", "zone", "cell"), (0.6, 0.2, 0.2))[0],
+            dedup_window_ms=rng.choice((7500.0, 7500.0, 1500.0)),
+            max_attempts=rng.randint(2, 5),
+            cold_start_ms=max(rng.choice((1000.0, 4000.0, 8800.0)), 4000.0 * heavy),
             conn_idle_ms=rng.choice((1000.0, 5000.0, 15000.0)),
-            rate=load * first * 1000.0 / work / tiers,
-            work_ms=work,
-            queue=rng.choice((4, 20, 60)),
+            requests_per_s=load * first * 1000.0 / work / tiers,
+            mean_work_ms=work,
+            queue_limit=rng.choice((4, 20, 60)),
             # A source of its own: sites without reports stay what they were.
-            reports=random.Random(f"{seed}/reports").choices(("off", "honest", "mixed"), (0.5, 0.2, 0.3))[0],
+            load_reports=random.Random(f"{seed}/reports").choices(
+                ("off", "honest", "mixed"), (0.5, 0.2, 0.3)
+            )[0],
         )
 
     def profiles(self) -> list[dict[str, Any]]:
@@ -78,26 +80,26 @@
                 "aimMs": 2000.0,
                 "deadlineMs": 5000.0,
                 "worth": 3.0,
-                "group": self.group,
-                "windowMs": self.window_ms,
+                "group": self.dedup_group,
+                "windowMs": self.dedup_window_ms,
             },
             {"name": "varaus", "effect": "unsafe", "aimMs": 1500.0, "deadlineMs": 4000.0, "worth": 9.0},
         ]
 
     def settings(self, tier: int, ordinal: int) -> dict[str, Any]:
         """A node's settings, nested as in its configuration."""
-        told = {"columns": ["utilization", "outstanding"], "how": "inline"}
+        load_info = {"columns": ["utilization", "outstanding"], "how": "inline"}
         return {
             "azs": list(ZONES),
             "balancers": self.nodes if tier == 0 else self.servers[tier - 1],
             "ordinal": ordinal,
             "stage": tier,
             "layers": [f"tier-{i}" for i in range(self.tiers)],
-            "models": list(MODELS),
-            "loadInfo": {"columns": [], "how": "off"} if self.reports == "off" else told,
+            "models": list(MACHINE_TYPES),
+            "loadInfo": {"columns": [], "how": "off"} if self.load_reports == "off" else load_info,
             "guarantees": {
                 "answerSlackMs": 20.0,
-                "coldMs": self.cold_ms,
+                "coldMs": self.cold_start_ms,
                 "fallMultiple": 4.0,
                 "mustAskInMs": 2000.0,
                 "overloadForMs": 1000.0,
@@ -112,11 +114,11 @@
                 "mayDuplicate": self.may_duplicate,
                 "probes": True,
                 "retryAfter": True,
-                "tryLimit": self.attempts,
+                "tryLimit": self.max_attempts,
             },
             "profiles": self.profiles(),
-            "registryMode": "pushed" if self.pushed else "on_request",
-            "tenants": [{"name": n, "fraction": f, "quotaPerS": f * self.rate} for n, f in TENANTS],
+            "registryMode": "pushed" if self.lists_pushed else "on_request",
+            "tenants": [{"name": n, "fraction": f, "quotaPerS": f * self.requests_per_s} for n, f in TENANTS],
             "overShareWorth": 0.05,
             "tickMs": 1.0,
             "weights": "nominal",
@@ -130,7 +132,7 @@
             dedup_groups={p["name"]: p.get("group", "all") for p in profiles},
             dedup_windows_us={p["name"]: int(1000 * p.get("windowMs", 0.0)) for p in profiles},
             drain_grace_us=250_000,
-            max_poll_interval_us=0 if self.pushed else 2_000_000,
-            max_attempts=self.attempts,
+            max_poll_interval_us=0 if self.lists_pushed else 2_000_000,
+            max_attempts=self.max_attempts,
             may_duplicate=self.may_duplicate,
         )
--- a/leadrudder/simulation/standins/callers.py
+++ b/leadrudder/simulation/standins/callers.py
@@ -17,106 +17,108 @@
 from leadrudder.simulation.network import Address, VirtualTransport
 from leadrudder.simulation.oracle import Oracle
 from leadrudder.simulation.scheduler import US_PER_S
-from leadrudder.simulation.site import CLASSES, TENANTS, Site
+from leadrudder.simulation.site import REQUEST_CLASSES, TENANTS, Site
 from leadrudder.simulation.standins.client import ClientCall, NodeClient
 
-RETRIES = 2
-SHARES = (0.1, 0.48, 0.42)  # of the classes
+MAX_RETRIES = 2
+CLASS_SHARES = (0.1, 0.48, 0.42)  # of the classes
 SLOW_READ_S = 1.5
-LARGE = 0.01
-LARGE_BODY = 50_000
-READY_S = 0.1  # between two looks at a node that started
+LARGE_BODY_SHARE = 0.01
+LARGE_BODY_BYTES = 50_000
+READY_POLL_S = 0.1  # between two looks at a node that started
 
 
 @dataclass
-class Manners:
+class CallerBehaviour:
     """How callers behave now; parts are of what they do."""
 
-    rate: float = 1.0  # times the usual
-    leave: float = 0.0
-    rude: float = 0.0
-    same_id: float = 0.0
-    pipeline: float = 0.0
-    slow_reader: float = 0.0
+    rate_factor: float = 1.0  # times the usual
+    leave_share: float = 0.0
+    malformed_share: float = 0.0
+    same_id_share: float = 0.0
+    pipeline_share: float = 0.0
+    slow_reader_share: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
 class Operation:
     """What a customer wants done, over all its tries."""
 
-    name: str
+    class_name: str
     path: str
     key: str
     tenant: str
-    began_us: int
-    tries: int = 0
+    started_us: int
+    attempts: int = 0
 
 
-class Front:
+class FrontBalancer:
     """The layer that deals out connections among the nodes: it takes a node in once /ready has answered
     200."""
 
     def __init__(self) -> None:
-        self.nodes: dict[str, Address] = {}
+        self.ready_nodes: dict[str, Address] = {}
 
     def choose(self, rng: random.Random) -> tuple[str, Address] | None:
-        return rng.choice(list(self.nodes.items())) if self.nodes else None
+        return rng.choice(list(self.ready_nodes.items())) if self.ready_nodes else None
 
 
 class Callers:
     """All clients, as one process."""
 
-    def __init__(self, loop: VirtualLoop, oracle: Oracle, site: Site, front: Front, seed: str) -> None:
+    def __init__(
+        self, loop: VirtualLoop, oracle: Oracle, site: Site, front: FrontBalancer, seed: str
+    ) -> None:
         self.loop = loop
         self.oracle = oracle
         self.site = site
         self.front = front
-        self.manners = Manners()
-        self.open = 0  # operations that wait for an answer or a retry
+        self.behaviour = CallerBehaviour()
+        self.open_operations = 0  # operations that wait for an answer or a retry
         self._rng = random.Random(f"{seed}/callers")
         self._clients: dict[Address, NodeClient] = {}
         self._number = 0
-        self._coming = False
+        self._arriving = False
         self._deadlines = {p["name"]: p["deadlineMs"] / 1000.0 for p in site.profiles()}
 
     # ------------------------------------------------------------ arrivals
 
     def start(self) -> None:
-        self._coming = True
-        self._plan()
+        self._arriving = True
+        self._schedule_arrival()
 
     def stop(self) -> None:
         """No new operation; connections that are idle close."""
-        self._coming = False
+        self._arriving = False
         for client in self._clients.values():
             client.close()
         self._clients.clear()
 
-    def _plan(self) -> None:
-        rate = self.site.rate * self.manners.rate
-        self.loop.call_later(self._rng.expovariate(rate), self._come)
+    def _schedule_arrival(self) -> None:
+        rate = self.site.requests_per_s * self.behaviour.rate_factor
+        self.loop.call_later(self._rng.expovariate(rate), self._arrive)
 
-    def _come(self) -> None:
-        if not self._coming:
+    def _arrive(self) -> None:
+        if not self._arriving:
             return
-        self._plan()
-        rng, manners = self._rng, self.manners
-        if rng.random() < manners.rude:
-            self._be_rude(self._rude_bytes())
+        self._schedule_arrival()
+        rng, behaviour = self._rng, self.behaviour
+        if rng.random() < behaviour.malformed_share:
+            self._send_raw(self._malformed_bytes())
             return
-        if rng.random() < manners.pipeline:
-            self._be_rude(b"".join(self._request(self._operation())[0] for _ in range(rng.randint(2, 20))))
+        if rng.random() < behaviour.pipeline_share:
+            self._send_raw(b"".join(self._request(self._operation())[0] for _ in range(rng.randint(2, 20))))
             return
-        if rng.random() < manners.slow_reader:
-            self._be_rude(self._request(self._operation())[0], slow=True)
+        if rng.random() < behaviour.slow_reader_share:
+            self._send_raw(self._request(self._operation())[0], slow=True)
             return
-        self.open += 1
-        self._try(self._operation())
+        self.open_operations += 1
+        self._attempt(self._operation())
 
     def _operation(self) -> Operation:
         rng = self._rng
         self._number += 1
-        name = rng.choices(CLASSES, SHARES)[0]
+        name = rng.choices(REQUEST_CLASSES, CLASS_SHARES)[0]
         tenant = rng.choices([t[0] for t in TENANTS], [t[1] for t in TENANTS])[0]
         return Operation(
             name, f"/api/{name}-{self._number}", f"k{self._number}", tenant, self.loop.scheduler.now
@@ -124,25 +126,25 @@
 
     def _request(self, operation: Operation) -> tuple[bytes, float]:
         rng = self._rng
-        timeout = self._deadlines[operation.name] * rng.uniform(0.5, 0.8)
+        timeout = self._deadlines[operation.class_name] * rng.uniform(0.5, 0.8)
         headers = {
             "X-Request-Id": f"{rng.getrandbits(64):016x}",
-            "X-Class": operation.name,
+            "X-Class": operation.class_name,
             "X-Tenant": operation.tenant,
             "X-Deadline": f"{timeout:.3f}",
         }
-        if operation.name == "siirto":
+        if operation.class_name == "siirto":
             headers["Idempotency-Key"] = operation.key
-        if operation.tries:
+        if operation.attempts:
             headers["X-Retry"] = "1"
         if rng.random() < 0.5:
-            headers["X-Cost-Hint"] = f"{rng.uniform(0.5, 2.0) * self.site.work_ms * 1000:.0f}"
-        if operation.name == "haku":
+            headers["X-Cost-Hint"] = f"{rng.uniform(0.5, 2.0) * self.site.mean_work_ms * 1000:.0f}"
+        if operation.class_name == "haku":
             return encode_request("GET", operation.path, headers), timeout
-        size = LARGE_BODY if rng.random() < LARGE else rng.randrange(200)
+        size = LARGE_BODY_BYTES if rng.random() < LARGE_BODY_SHARE else rng.randrange(200)
         return encode_request("POST", operation.path, headers, b"x" * size), timeout
 
-    def _of_same_id(self, data: bytes) -> bytes:
+    def _with_same_id(self, data: bytes) -> bytes:
         """Another request under the id of this one: a safe one, as it may come when the first is done."""
         identity = data.partition(b"X-Request-Id: ")[2].partition(b"\r\n")[0].decode()
         self._number += 1
@@ -156,66 +158,68 @@
 
     # ------------------------------------------------------------ tries
 
-    def _try(self, operation: Operation) -> None:
-        if not self._coming:
-            self._end()
+    def _attempt(self, operation: Operation) -> None:
+        if not self._arriving:
+            self._finish()
             return
         found = self.front.choose(self._rng)
         if found is None:
-            self._again(operation, 0.2)
+            self._retry_later(operation, 0.2)
             return
-        operation.tries += 1
+        operation.attempts += 1
         data, timeout = self._request(operation)
         client = self._clients.get(found[1])
         if client is None:
             client = self._clients[found[1]] = NodeClient(self.loop, found[1])
-        call = client.send(data, timeout, lambda message, why: self._answered(operation, message, why))
-        if self.manners.same_id and self._rng.random() < self.manners.same_id:
-            self.loop.spawn(self._open_rude(found[1], self._of_same_id(data), False))
-        if self._rng.random() < self.manners.leave:
+        call = client.send(data, timeout, lambda message, why: self._on_response(operation, message, why))
+        if self.behaviour.same_id_share and self._rng.random() < self.behaviour.same_id_share:
+            self.loop.spawn(self._open_raw(found[1], self._with_same_id(data), False))
+        if self._rng.random() < self.behaviour.leave_share:
             self.loop.call_later(self._rng.random() * 0.3, client.abandon, call, "left")
 
-    def _answered(self, operation: Operation, message: WireMessage | None, why: str) -> None:
+    def _on_response(self, operation: Operation, message: WireMessage | None, why: str) -> None:
         what = str(message.status) if message is not None else why
         self.oracle.count(f"client_{what}")
         if message is not None and message.status == 200:
             self.oracle.count("served")
-            self._end()
+            self._finish()
         elif why == "left":
-            self._end()
+            self._finish()
         elif message is not None and message.status in (429, 503):
             wait = float(message.headers.get("retry-after", "0.05"))
-            self._again(operation, wait * self._rng.uniform(1.0, 1.5) + 0.01)
-        elif why == "refused" or self._may_repeat(operation):
-            self._again(operation, self._rng.uniform(0.1, 0.4))
+            self._retry_later(operation, wait * self._rng.uniform(1.0, 1.5) + 0.01)
+        elif why == "refused" or self._may_retry(operation):
+            self._retry_later(operation, self._rng.uniform(0.1, 0.4))
         else:
-            self._end()
+            self._finish()
 
-    def _may_repeat(self, operation: Operation) -> bool:
+    def _may_retry(self, operation: Operation) -> bool:
         """Whether trying again after a failure is harmless: the key outlives the whole next try."""
-        if operation.name == "haku":
+        if operation.class_name == "haku":
             return True
-        if operation.name == "varaus" or self.site.group != "all":
+        if operation.class_name == "varaus" or self.site.dedup_group != "all":
             return False
-        next_us = (self._deadlines[operation.name] + 0.5) * US_PER_S
-        return bool(self.loop.scheduler.now + next_us < operation.began_us + self.site.window_ms * 1000)
+        next_us = (self._deadlines[operation.class_name] + 0.5) * US_PER_S
+        return bool(
+            self.loop.scheduler.now + next_us < operation.started_us + self.site.dedup_window_ms * 1000
+        )
 
-    def _again(self, operation: Operation, wait_s: float) -> None:
-        if operation.tries > RETRIES or not self._coming:
-            self._end()
+    def _retry_later(self, operation: Operation, wait_s: float) -> None:
+        if operation.attempts > MAX_RETRIES or not self._arriving:
+            self._finish()
             return
-        if operation.name == "siirto" and not self._may_repeat(operation) and operation.tries:
-            self._end()
+        if operation.class_name == "siirto" and not self._may_retry(operation) and operation.attempts:
+            self._finish()
             return
-        if not operation.tries and self.loop.scheduler.now - operation.began_us > 3 * US_PER_S:
-            self._end()  # there has been no node for so long
+        if not operation.attempts and self.loop.scheduler.now - operation.started_us > 3 * US_PER_S:
+            self._finish()  # there has been no node for so long
             return
-        self.loop.call_later(wait_s, self._try, operation)
+        self.loop.call_later(wait_s, self._attempt, operation)
 
-    def _end(self) -> None:
-        self.open -= 1
+    def _finish(self) -> None:
+        self.open_operations -= 1
 
-    def look_for(self, name: str, address: Address) -> None:
+    def await_ready(self, name: str, address: Address) -> None:
         """Ask a node that has started whether it is ready, until it is or another starts in its place."""
         client = NodeClient(self.loop, address)
 
@@ -225,15 +229,15 @@
         def heard(message: WireMessage | None, _: str) -> None:
             if message is not None and message.status == 200:
                 client.close()
-                self.front.nodes[name] = address
-            elif self._coming:
-                self.loop.call_later(READY_S, ask)
+                self.front.ready_nodes[name] = address
+            elif self._arriving:
+                self.loop.call_later(READY_POLL_S, ask)
 
         ask()
 
     # ------------------------------------------------------------ others
 
-    def _rude_bytes(self) -> bytes:
+    def _malformed_bytes(self) -> bytes:
         rng = self._rng
         good = self._request(self._operation())[0]
         return rng.choice(
@@ -249,23 +253,23 @@
             )
         )
 
-    def _be_rude(self, data: bytes, *, slow: bool = False) -> None:
+    def _send_raw(self, data: bytes, *, slow: bool = False) -> None:
         found = self.front.choose(self._rng)
         if found is not None:
-            self.loop.spawn(self._open_rude(found[1], data, slow))
+            self.loop.spawn(self._open_raw(found[1], data, slow))
 
-    async def _open_rude(self, address: Address, data: bytes, slow: bool) -> None:
+    async def _open_raw(self, address: Address, data: bytes, slow: bool) -> None:
         stay = self._rng.uniform(0.05, 4.0)
         try:
             _, protocol = await self.loop.create_connection(
-                lambda: _Rude(self.loop, data, stay, slow), *address
+                lambda: _RawConnection(self.loop, data, stay, slow), *address
             )
         except OSError:
             return
-        assert isinstance(protocol, _Rude)
+        assert isinstance(protocol, _RawConnection)
 
 
-class _Rude(asyncio.Protocol):
+class _RawConnection(asyncio.Protocol):
     """A connection that writes what it was given, and leaves after a while."""
 
     def __init__(self, loop: VirtualLoop, data: bytes, stay_s: float, slow: bool) -> None:
--- a/leadrudder/simulation/trace.py
+++ b/leadrudder/simulation/trace.py
@@ -13,24 +13,24 @@
 from leadrudder.simulation.faults import Fault, PlanError, faults_from_json, faults_to_json
 from leadrudder.simulation.loop import VirtualLoop
 from leadrudder.simulation.network import Address, NetworkObserver, VirtualTransport
-from leadrudder.simulation.play import Result, Setup
+from leadrudder.simulation.runner import RunResult, RunSetup
 from leadrudder.simulation.world import World
 
 FORMAT = "leadrudder-trace"
 VERSION = 1
-MOST_LINE = 120  # bytes of a message's beginning that are kept
+MAX_TEXT_BYTES = 120  # bytes of a message's beginning that are kept
 
 
 class TraceError(Exception):
     """A file that is no trace of this version."""
 
 
-class Writer:
+class TraceWriter:
     """Writes a trace as the play goes: its memory does not grow with the play."""
 
-    def __init__(self, path: Path, setup: Setup) -> None:
+    def __init__(self, path: Path, setup: RunSetup) -> None:
         self._file: TextIO = path.open("w", encoding="utf-8")
-        self._put(
+        self._write_line(
             {
                 "format": FORMAT,
                 "version": VERSION,
@@ -43,16 +43,16 @@
             }
         )
 
-    def _put(self, item: dict[str, Any]) -> None:
+    def _write_line(self, item: dict[str, Any]) -> None:
         self._file.write(json.dumps(item, separators=(",", ":")) + "\n")
 
     def observe(self, world: World) -> NetworkObserver:
         """Stands between the network and the oracle."""
-        return _TraceTap(world, self._put)
+        return _TraceObserver(world, self._write_line)
 
-    def finish(self, result: Result) -> None:
+    def finish(self, result: RunResult) -> None:
         """The last line; the plan is told there too, also where it was drawn."""
-        self._put(
+        self._write_line(
             {
                 "end": {
                     "steps": result.steps,
@@ -69,81 +69,88 @@
         self._file.close()
 
 
-class _TraceTap:
+class _TraceObserver:
     """Writes down what passes, and hands it on."""
 
-    def __init__(self, world: World, put: Any) -> None:
+    def __init__(self, world: World, write_line: Any) -> None:
         self._world = world
         self._oracle = world.oracle
-        self._put = put
-        self._told = 0
+        self._write_line = write_line
+        self._faults_written = 0
 
-    def _event(self, what: str, **more: Any) -> None:
+    def _write_event(self, what: str, **more: Any) -> None:
         scheduler = self._world.scheduler
-        planned = self._world.planned
-        while self._told < len(planned) and planned[self._told].at_ms * 1000 <= scheduler.now:
-            self._put({"fault": faults_to_json([planned[self._told]])[0]})
-            self._told += 1
-        self._put({"us": scheduler.now, "step": scheduler.steps, "what": what, **more})
+        planned = self._world.injected
+        while (
+            self._faults_written < len(planned)
+            and planned[self._faults_written].at_ms * 1000 <= scheduler.now
+        ):
+            self._write_line({"fault": faults_to_json([planned[self._faults_written]])[0]})
+            self._faults_written += 1
+        self._write_line({"us": scheduler.now, "step": scheduler.steps, "what": what, **more})
 
     def connection_requested(self, loop: VirtualLoop, address: Address) -> None:
-        self._event("connect", by=loop.name, to=_text(address))
+        self._write_event("connect", by=loop.name, to=_format_address(address))
         self._oracle.connection_requested(loop, address)
 
     def connection_accepted(self, client: VirtualTransport) -> None:
-        self._event("accept", by=client.peer.loop.name, to=client.loop.name, port=client.local[1])
+        self._write_event("accept", by=client.peer.loop.name, to=client.loop.name, port=client.local[1])
         self._oracle.connection_accepted(client)
 
     def bytes_sent(self, source: VirtualTransport, data: bytes) -> None:
-        self._event("send", **_sides(source), bytes=len(data), text=_first(data))
+        self._write_event("send", **_addresses(source), bytes=len(data), text=_prefix(data))
         self._oracle.bytes_sent(source, data)
 
     def bytes_received(self, target: VirtualTransport, data: bytes) -> None:
-        self._event("read", **_sides(target), bytes=len(data), text=_first(data))
+        self._write_event("read", **_addresses(target), bytes=len(data), text=_prefix(data))
         self._oracle.bytes_received(target, data)
 
     def connection_ended(self, transport: VirtualTransport, why: str) -> None:
-        self._event("end", **_sides(transport), why=why)
+        self._write_event("end", **_addresses(transport), why=why)
         self._oracle.connection_ended(transport, why)
 
 
-def _sides(transport: VirtualTransport) -> dict[str, Any]:
-    return {"by": transport.loop.name, "at": _text(transport.local), "with": _text(transport.remote)}
+def _addresses(transport: VirtualTransport) -> dict[str, Any]:
+    return {
+        "by": transport.loop.name,
+        "at": _format_address(transport.local),
+        "with": _format_address(transport.remote),
+    }
 
 
-def _text(address: Address) -> str:
+def _format_address(address: Address) -> str:
     return f"{address[0]}:{address[1]}"
 
 
-def _first(data: bytes) -> str:
-    return data[:MOST_LINE].decode("latin-1")
+def _prefix(data: bytes) -> str:
+    return data[:MAX_TEXT_BYTES].decode("latin-1")
 
 
-def read(path: Path) -> tuple[Setup, str]:
+def read_trace(path: Path) -> tuple[RunSetup, str]:
     """A trace's setup, with its plan as it was played, and the digest at its end.
 
     TraceError with one line that says what is wrong.
     """
     try:
         lines = path.read_text(encoding="utf-8").splitlines()
-        head, last = json.loads(lines[0]), json.loads(lines[-1])
+        header, last = json.loads(lines[0]), json.loads(lines[-1])
     except (OSError, ValueError, IndexError) as error:
         raise TraceError(f"{path}: not a trace: {error}") from None
-    if not isinstance(head, dict) or head.get("format") != FORMAT:
+    if not isinstance(header, dict) or header.get("format") != FORMAT:
         raise TraceError(f"{path}: not a trace of leadrudder")
-    if head.get("version") != VERSION:
-        raise TraceError(f"{path}: a trace of version {head.get('version')}; this reads {VERSION}")
+    if header.get("version") != VERSION:
+        raise TraceError(f"{path}: a trace of version {header.get('version')}; this reads {VERSION}")
     if not isinstance(last, dict) or "end" not in last:
         raise TraceError(f"{path}: the trace breaks off before its end")
     try:
         plan: list[Fault] = faults_from_json(last["plan"])
-        setup = Setup(
-            str(head["seed"]),
-            int(head["steps"]),
-            int(head["nodes"]),
-            tuple(str(kind) for kind in head["kinds"]),
+        setup = RunSetup(
+            str(header["seed"]),
+            int(header["steps"]),
+            int(header["nodes"]),
+            tuple(str(kind) for kind in header["kinds"]),
             tuple(plan),
-            heavy=bool(head.get("heavy", False)),
+            heavy=bool(header.get("heavy", False)),
         )
         return setup, str(last["end"]["digest"])
     except (KeyError, TypeError, ValueError, PlanError) as error:
--- a/leadrudder/simulation/world.py
+++ b/leadrudder/simulation/world.py
@@ -28,27 +28,27 @@
 from leadrudder.simulation.network import Address, Network, NetworkObserver, VirtualTransport
 from leadrudder.simulation.oracle import Oracle, Violation
 from leadrudder.simulation.scheduler import US_PER_S, Scheduler
-from leadrudder.simulation.site import MODELS, ZONES, Site
-from leadrudder.simulation.standins.callers import Callers, Front
+from leadrudder.simulation.site import MACHINE_TYPES, ZONES, Site
+from leadrudder.simulation.standins.callers import Callers, FrontBalancer
 from leadrudder.simulation.standins.discovery import Registry, Row, StandInDiscovery
-from leadrudder.simulation.standins.server import Keys, StandInServer
+from leadrudder.simulation.standins.server import KeyMemory, StandInServer
 
 # What a node makes for one request or connection: none is left when all is quiet.
-PASSING = frozenset(
+PER_REQUEST_TYPES = frozenset(
     {Attempt, UpstreamCall, ClientConnection, UpstreamConnection, HttpExchange, PendingRequest, Request}
 )
 START_UNIX_TIME_S = 1_800_000_000.0  # Unix time at which a world begins
-EPISODE_MS = 10_000  # of virtual time, for which faults are drawn at once
-FAULTS = 14  # in an episode
-QUIET_S = 30.0  # after the load, until all is at rest
-REST_S = 10.0  # the last part of that, in which nothing is left to do
-LIST_DELAY_MS = (50, 1500)  # until discovery tells of a change
+FAULT_WINDOW_MS = 10_000  # of virtual time, for which faults are drawn at once
+FAULTS_PER_WINDOW = 14  # in an episode
+SETTLE_S = 30.0  # after the load, until all is at rest
+FINAL_REST_S = 10.0  # the last part of that, in which nothing is left to do
+LIST_DELAY_RANGE_MS = (50, 1500)  # until discovery tells of a change
 NODE_PORT, SERVER_PORT = 8000, 8000
 # At rest: a sweep of callers' and one of servers' connections, the watch's silence, the module's next timer
 # and one to come of a call for the list; the rest is a margin for what is on its way at that moment.
-TIMERS_AT_REST = 8
-MOST_ASKED_AT_REST = 2
-MOST_AT_ONE_INSTANT = 5000  # steps: a flood that coincides brings some hundreds
+MAX_TIMERS_AT_REST = 8
+MAX_DISCOVERY_CALLS_AT_REST = 2
+MAX_STEPS_AT_ONE_INSTANT = 5000  # steps: a flood that coincides brings some hundreds
 
 
 class NodePlatform:
@@ -111,27 +111,27 @@
         self.site = Site.draw(seed, nodes, heavy=heavy)
         self.scheduler = Scheduler(seed)
         self.oracle = Oracle(self.scheduler, self.site.oracle_settings())
-        self.planned: list[Fault] = []  # those that were played so far
+        self.injected: list[Fault] = []  # those that were played so far
         self.network = Network(self.scheduler, seed, observe(self) if observe is not None else self.oracle)
         self.processes: list[VirtualLoop] = []  # those that live, and some that died lately
-        self.front = Front()
+        self.front = FrontBalancer()
         self.rng = Random(f"{seed}/world")
         self.registries = [Registry() for _ in range(self.site.tiers)]
         self.discoveries: list[StandInDiscovery] = []
         self.servers: list[list[StandInServer]] = [[] for _ in range(self.site.tiers)]
         self.nodes: list[NodeHost] = []
         self.injector = Injector(self)
-        self._given = faults
-        self._kinds = kinds
-        self._keys: dict[Any, Keys] = {}
-        self._everywhere: list[dict[str, int]] = [{} for _ in range(self.site.tiers)]
-        self._numbers = 0
-        self._faults_seen = 0
+        self._given_faults = faults
+        self._fault_kinds = kinds
+        self._seen_keys: dict[Any, KeyMemory] = {}
+        self._tier_wide_keys: list[dict[str, int]] = [{} for _ in range(self.site.tiers)]
+        self._server_count = 0
+        self._planned_until_ms = 0
         self._build()
 
     # ------------------------------------------------------------ building
 
-    def process(self, name: str, host: str) -> VirtualLoop:
+    def start_process(self, name: str, host: str) -> VirtualLoop:
         """A new process on a machine."""
         # Typeshed calls asyncio's base class abstract; what it does not have here raises, as there.
         loop = VirtualLoop(  # type: ignore[abstract]
@@ -148,8 +148,8 @@
             host = f"10.9.{tier}.1"
             self.discoveries.append(self.start_discovery(tier, host))
             for _ in range(self.site.servers[tier]):
-                name, address = self.new_server_name(tier)
-                self.registries[tier].rows[name] = self.row(tier, name, address, 0)
+                name, address = self.allocate_server(tier)
+                self.registries[tier].rows[name] = self.make_row(tier, name, address, 0)
         for tier in reversed(range(self.site.tiers)):
             for row in self.registries[tier].all_rows():
                 self.start_server(tier, row, cold=False)
@@ -158,24 +158,26 @@
             self.nodes.append(node)
             self.start_node(node, self.registries[0].full_list())
         self.callers = Callers(
-            self.process("callers", "10.0.0.1"), self.oracle, self.site, self.front, self.seed
+            self.start_process("callers", "10.0.0.1"), self.oracle, self.site, self.front, self.seed
         )
         for node in self.nodes:
             if not node.tier:
-                self.callers.look_for(node.name, node.address)
+                self.callers.await_ready(node.name, node.address)
         self.callers.start()
 
     def start_discovery(self, tier: int, host: str) -> StandInDiscovery:
-        loop = self.process(f"discovery-{tier}", host)
+        loop = self.start_process(f"discovery-{tier}", host)
         address = (host, DISCOVERY_PORT)
         self.oracle.add_discovery_address(address)
         return StandInDiscovery(loop, address, self.registries[tier])
 
-    def new_server_name(self, tier: int) -> tuple[str, Address]:
-        self._numbers += 1
-        return f"s{tier}-{self._numbers}", (f"10.2.{tier}.{self._numbers}", SERVER_PORT)
+    def allocate_server(self, tier: int) -> tuple[str, Address]:
+        self._server_count += 1
+        return f"s{tier}-{self._server_count}", (f"10.2.{tier}.{self._server_count}", SERVER_PORT)
 
-    def row(self, tier: int, name: str, address: Address, started_us: int, lifecycle: str = "SERVING") -> Row:
+    def make_row(
+        self, tier: int, name: str, address: Address, started_us: int, lifecycle: str = "SERVING"
+    ) -> Row:
         """A server as discovery lists it; zone, kind and cell are those of its machine, whoever runs
         there."""
         number = int(address[0].rsplit(".", 1)[1])
@@ -183,7 +185,7 @@
             "instanceId": name,
             "hostPort": f"{address[0]}:{address[1]}",
             "zone": ZONES[number % 2],
-            "machineType": MODELS[number % 3 == 0],
+            "machineType": MACHINE_TYPES[number % 3 == 0],
             "cell": number % 3,
             "lifecycle": lifecycle,
             "weight": 1.0,
@@ -194,13 +196,13 @@
         """A server's process, and the node beside it where there is a tier behind."""
         host, port = row["hostPort"].rsplit(":", 1)
         name = row["instanceId"]
-        loop = self.process(name, host)
+        loop = self.start_process(name, host)
         inner: Address | None = None
         if tier + 1 < self.site.tiers:
             inner = self._sidecar(tier + 1, name, host).address
-        group = {"all": 0, "zone": row["zone"], "cell": row["cell"]}[self.site.group]
-        keys = self._keys.setdefault(
-            (tier, group), Keys(int(self.site.window_ms * 1000), self._everywhere[tier])
+        group = {"all": 0, "zone": row["zone"], "cell": row["cell"]}[self.site.dedup_group]
+        keys = self._seen_keys.setdefault(
+            (tier, group), KeyMemory(int(self.site.dedup_window_ms * 1000), self._tier_wide_keys[tier])
         )
         now = self.scheduler.now
         server = StandInServer(
@@ -210,15 +212,15 @@
             name=name,
             address=(host, int(port)),
             started_us=now if cold else -1_000_000_000,
-            cold_us=int(self.site.cold_ms * 1000),
-            speed=1.0 if row["machineType"] == MODELS[0] else 0.6,
-            queue=self.site.queue,
+            cold_us=int(self.site.cold_start_ms * 1000),
+            speed=1.0 if row["machineType"] == MACHINE_TYPES[0] else 0.6,
+            queue=self.site.queue_limit,
             idle_s=self.site.conn_idle_ms / 1000.0,
-            work_ms=self.site.work_ms,
+            work_ms=self.site.mean_work_ms,
             effects={p["name"]: p["effect"] for p in self.site.profiles()},
             keys=keys,
             inner=inner,
-            reports=self.site.reports,
+            reports=self.site.load_reports,
             seed=self.seed,
         )
         self.servers[tier].append(server)
@@ -240,7 +242,7 @@
     def start_node(self, host: NodeHost, known: dict[str, Any]) -> None:
         """A node's process, as `run` starts it; with the list that it had when it ended."""
         host.starts += 1
-        loop = host.loop = self.process(f"{host.name}.{host.starts}", host.host)
+        loop = host.loop = self.start_process(f"{host.name}.{host.starts}", host.host)
         discovery = self.discoveries[host.tier].address
         seed = Random(f"{self.seed}/node/{host.name}/{host.starts}").getrandbits(64)
         self.write_config(host, discovery, seed, known)
@@ -261,7 +263,7 @@
             await node.wait()
 
         task = loop.spawn(main())
-        task.add_done_callback(lambda done: self._node_ended(host, loop, done))
+        task.add_done_callback(lambda done: self._on_node_ended(host, loop, done))
 
     def write_config(self, host: NodeHost, discovery: Address, seed: int, known: dict[str, Any]) -> None:
         """The file that a node reads at its start, and again at SIGHUP."""
@@ -275,19 +277,19 @@
         }
         host.files["config.json"] = json.dumps(raw)
 
-    def _node_ended(self, host: NodeHost, loop: VirtualLoop, task: asyncio.Task[Any]) -> None:
+    def _on_node_ended(self, host: NodeHost, loop: VirtualLoop, task: asyncio.Task[Any]) -> None:
         """Its main coroutine has returned: the process is at its end, and must leave nothing behind."""
         if task.cancelled() or (error := task.exception()) is None:
-            left = [t for t in loop.unfinished_tasks() if t is not task]
+            unfinished = [t for t in loop.unfinished_tasks() if t is not task]
             # Told lost by now or at this instant: what is still open after that was forgotten.
             self.scheduler.schedule_timer(
-                self.scheduler.now + 1000, None, "exit", self._exit, host, loop, len(left)
+                self.scheduler.now + 1000, None, "exit", self._check_exit, host, loop, len(unfinished)
             )
             return
         self.oracle.report("crash", f"{host.name}: {type(error).__name__}: {error}")
-        self._exit(host, loop, 0)
+        self._check_exit(host, loop, 0)
 
-    def _exit(self, host: NodeHost, loop: VirtualLoop, tasks: int) -> None:
+    def _check_exit(self, host: NodeHost, loop: VirtualLoop, tasks: int) -> None:
         if not loop.alive:
             return
         if loop.transports or loop.servers:
@@ -320,9 +322,9 @@
 
         self.scheduler.schedule_timer(self.scheduler.now + delay_ms * 1000, None, "publish", tell)
 
-    def list_delay(self, fault: Fault) -> int:
-        low, high = LIST_DELAY_MS
-        return low + int(fault.level * (high - low)) + self.injector.list_late_ms
+    def list_delay_ms(self, fault: Fault) -> int:
+        low, high = LIST_DELAY_RANGE_MS
+        return low + int(fault.level * (high - low)) + self.injector.extra_list_delay_ms
 
     def stop_server(self, server: StandInServer) -> None:
         """Its process ends, and the node beside it."""
@@ -336,41 +338,41 @@
 
     # ------------------------------------------------------------ playing
 
-    def play(self, steps: int) -> None:
+    def run(self, steps: int) -> None:
         """Run so many steps, faults included; ends early at a violation."""
         end = self.scheduler.steps + steps
         scheduler, oracle = self.scheduler, self.oracle
-        with _quiet_log(self):
+        with _log_to_oracle(self):
             while scheduler.steps < end and not oracle.violations:
-                if scheduler.now >= self._faults_seen * 1000:
-                    self._plan_episode()
+                if scheduler.now >= self._planned_until_ms * 1000:
+                    self._plan_faults()
                 if not scheduler.run_one():
                     break
                 oracle.after_step()
                 self._check_spin()
 
-    def _plan_episode(self) -> None:
-        start = self._faults_seen
-        self._faults_seen += EPISODE_MS
-        if self._given is None:
-            faults = draw_faults(self.seed, start, EPISODE_MS, FAULTS, self._kinds)
+    def _plan_faults(self) -> None:
+        start = self._planned_until_ms
+        self._planned_until_ms += FAULT_WINDOW_MS
+        if self._given_faults is None:
+            faults = draw_faults(self.seed, start, FAULT_WINDOW_MS, FAULTS_PER_WINDOW, self._fault_kinds)
         else:
-            faults = [f for f in self._given if start <= f.at_ms < self._faults_seen]
+            faults = [f for f in self._given_faults if start <= f.at_ms < self._planned_until_ms]
         for fault in faults:
-            self.planned.append(fault)
-            self.scheduler.schedule_timer(fault.at_ms * 1000, None, fault.kind, self.injector.begin, fault)
+            self.injected.append(fault)
+            self.scheduler.schedule_timer(fault.at_ms * 1000, None, fault.kind, self.injector.inject, fault)
 
     def settle(self) -> None:
         """End all faults, send no more, wait until all is quiet, and look whether the nodes are at rest."""
         if self.oracle.violations:
             return
-        with _quiet_log(self):
-            self.injector.calm()
+        with _log_to_oracle(self):
+            self.injector.end_all()
             self.callers.stop()
             for server in [s for tier in self.servers for s in tier]:
                 server.close_idle()
-            end = self.scheduler.now + int(QUIET_S * US_PER_S)
-            self._run_until(end - int(REST_S * US_PER_S))
+            end = self.scheduler.now + int(SETTLE_S * US_PER_S)
+            self._run_until(end - int(FINAL_REST_S * US_PER_S))
             asked = self.oracle.discovery_call_counts()
             self._run_until(end)
             if not self.oracle.violations:
@@ -389,7 +391,7 @@
     def _check_spin(self) -> None:
         """A process that calls itself again and again at one instant burns its core, and stops the clock
         here."""
-        if self.scheduler.steps_at_this_instant > MOST_AT_ONE_INSTANT:
+        if self.scheduler.steps_at_this_instant > MAX_STEPS_AT_ONE_INSTANT:
             self.oracle.report(
                 "spin",
                 f"{self.scheduler.steps_at_this_instant} steps at one instant, {self.scheduler.last_label}",
@@ -399,12 +401,12 @@
         """What belongs to a request or a connection is not kept alive by anything: a table, a timer, a
         closure."""
         gc.collect()
-        left: dict[str, int] = {}
-        for thing in gc.get_objects():
-            if type(thing) in PASSING:
-                name = type(thing).__name__
-                left[name] = left.get(name, 0) + 1
-        for name, count in sorted(left.items()):
+        counts: dict[str, int] = {}
+        for item in gc.get_objects():
+            if type(item) in PER_REQUEST_TYPES:
+                name = type(item).__name__
+                counts[name] = counts.get(name, 0) + 1
+        for name, count in sorted(counts.items()):
             self.oracle.report("leak", f"{count} of {name} are still held at rest")
 
     def _check_rest(self, asked: dict[str, int]) -> None:
@@ -425,10 +427,10 @@
                 "callers' connections": len(node._listener._connections),
                 "servers' connections": node._upstream.open_connection_count(),
                 "tasks": max(0, len(loop.unfinished_tasks()) - 1),  # its main one
-                "timers": max(0, loop.live_timers - TIMERS_AT_REST),
+                "timers": max(0, loop.live_timers - MAX_TIMERS_AT_REST),
             }
             again = self.oracle.discovery_call_counts()[loop.name] - asked.get(loop.name, 0)
-            if again > MOST_ASKED_AT_REST:
+            if again > MAX_DISCOVERY_CALLS_AT_REST:
                 self.oracle.report(
                     "restless", f"{loop.name} asked for its list {again} times while all was quiet"
                 )
@@ -448,7 +450,7 @@
         return self.oracle.violations
 
 
-class _Faults(logging.Handler):
+class _OracleLogHandler(logging.Handler):
     """What a node logs as a fault is a finding: it went on all the same, and would tell nobody else."""
 
     def __init__(self, world: World) -> None:
@@ -464,11 +466,11 @@
 
 
 @contextmanager
-def _quiet_log(world: World) -> Iterator[None]:
+def _log_to_oracle(world: World) -> Iterator[None]:
     """The nodes' log goes to the oracle while a world is played."""
     log = logging.getLogger("leadrudder")
-    handler = _Faults(world)
-    before = (log.level, log.propagate)
+    handler = _OracleLogHandler(world)
+    previous = (log.level, log.propagate)
     log.addHandler(handler)
     log.setLevel(logging.ERROR)
     log.propagate = False
@@ -476,5 +478,5 @@
         yield
     finally:
         log.removeHandler(handler)
-        log.setLevel(before[0])
-        log.propagate = before[1]
+        log.setLevel(previous[0])
+        log.propagate = previous[1]
--- a/tests/simulation/test_command.py
+++ b/tests/simulation/test_command.py
@@ -12,7 +12,7 @@
 import pytest
 
 from leadrudder.cli import main
-from leadrudder.simulation import play as play_module
+from leadrudder.simulation import runner
 from tests.simulation.planted_faults import reset_taken_for_never_ran
 
 LAST = re.compile(r"seed=(\S+) steps=(\d+) digest=([0-9a-f]{32}) violations=(\d+) steps_per_s=\d+")
@@ -89,8 +89,8 @@
         lines.append(capsys.readouterr().out.splitlines()[-1].rpartition(" ")[0])
     assert lines[0] == lines[1]
     assert re.match(r"seeds=1:4 plays=3 steps=\d+ digest=[0-9a-f]{32} violations=0", lines[0])
-    results = list(play_module.play_many([play_module.Setup("1", 1500)], 1))
-    assert play_module.digest_of(results) != play_module.digest_of([])
+    results = list(runner.run_many([runner.RunSetup("1", 1500)], 1))
+    assert runner.combined_digest(results) != runner.combined_digest([])
 
 
 def test_the_kinds_of_faults_are_told(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/simulation/test_hard_cases.py
+++ b/tests/simulation/test_hard_cases.py
@@ -5,16 +5,16 @@
 import pytest
 
 from leadrudder.simulation.faults import Fault
-from leadrudder.simulation.play import Result, Setup, play
+from leadrudder.simulation.runner import RunResult, RunSetup, run_world
 from leadrudder.simulation.world import World
 from tests.simulation.planted_faults import terms_without_end
 
 SEEDS = range(1, 5)
 
 
-def _play(seed: int, *faults: tuple[str, int, int, int, float], steps: int = 9000) -> Result:
+def _play(seed: int, *faults: tuple[str, int, int, int, float], steps: int = 9000) -> RunResult:
     plan = tuple(Fault(kind, at, target, span, level) for kind, at, target, span, level in faults)
-    result = play(Setup(f"hard-{seed}", steps, faults=plan))
+    result = run_world(RunSetup(f"hard-{seed}", steps, faults=plan))
     assert result.counts.get("faults", 0) == len(plan), "not every fault had its time"
     return result
 
@@ -88,7 +88,7 @@
 
 def test_a_world_is_empty_after_its_end() -> None:
     world = World("1")
-    world.play(3000)
+    world.run(3000)
     world.close()
     assert not world.network.open_transports and not world.network._listeners
     assert world.processes and not any(loop.alive for loop in world.processes)
--- a/tests/simulation/test_herd.py
+++ b/tests/simulation/test_herd.py
@@ -30,7 +30,7 @@
 def _busiest(seed: str) -> tuple[World, dict[str, int]]:
     world = World(seed, nodes=NODES, faults=HERD)
     try:
-        world.play(STEPS)
+        world.run(STEPS)
         assert not world.violations, world.violations
         assert world.oracle.counts["faults"] == len(HERD) and world.oracle.counts["served"] > 200
         return world, {what: max(of.values()) for what, of in world.oracle.counts_per_second.items()}
@@ -45,7 +45,7 @@
     assert most["list calls"] <= LIST_CALLS, most
     assert 0 < most["probes"] <= PROBES, most
     # No more new connections than one for each call that is asked for, and two a node.
-    assert most["connections"] <= 1.1 * world.site.rate + 2 * NODES, most
+    assert most["connections"] <= 1.1 * world.site.requests_per_s + 2 * NODES, most
 
 
 def test_pauses_that_do_not_grow_break_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -78,8 +78,8 @@
     monkeypatch.setattr(Oracle, "connection_requested", knock)
     world = World("2", nodes=NODES, faults=[Fault("list-moved", 2500, 7, 1, 0.5)])
     try:
-        world.play(30_000)
-        assert not world.violations and not world.site.pushed
+        world.run(30_000)
+        assert not world.violations and not world.site.lists_pushed
         moved = [at // 10_000 for at in asked if at >= 2_500_000]  # by hundredths of a second
         assert len(moved) == NODES and max(map(moved.count, moved)) <= NODES // 4
     finally:
--- a/tests/simulation/test_planted_faults.py
+++ b/tests/simulation/test_planted_faults.py
@@ -4,26 +4,26 @@
 
 import pytest
 
-from leadrudder.simulation.play import Setup, play
+from leadrudder.simulation.runner import RunSetup, run_world
 from tests.simulation.planted_faults import PLANTS, Planted
 
 STEPS = 12_000
 
 
-def _setup(planted: Planted, seed: int) -> Setup:
-    return Setup(str(seed), STEPS, kinds=planted.kinds, heavy=planted.heavy)
+def _setup(planted: Planted, seed: int) -> RunSetup:
+    return RunSetup(str(seed), STEPS, kinds=planted.kinds, heavy=planted.heavy)
 
 
 @pytest.mark.parametrize("planted", PLANTS, ids=lambda planted: planted.plant.__name__)
 def test_a_planted_bug_is_found_and_played_again(planted: Planted, monkeypatch: pytest.MonkeyPatch) -> None:
     planted.plant(monkeypatch)
     for seed in range(1, planted.within + 1):
-        found = play(_setup(planted, seed))
+        found = run_world(_setup(planted, seed))
         if found.violations:
             break
     assert found.violations, f"not found within {planted.within} seeds"
     assert found.violations[0].rule in planted.rules, found.violations[0]
-    again = play(found.setup)
+    again = run_world(found.setup)
     assert (again.digest, again.violations, again.steps) == (found.digest, found.violations, found.steps)
 
 
@@ -35,6 +35,6 @@
 def test_the_node_as_it_is_breaks_no_rule_on_the_same_seeds(kinds: tuple[str, ...], heavy: bool) -> None:
     most = max(planted.within for planted in PLANTS if (planted.kinds, planted.heavy) == (kinds, heavy))
     for seed in range(1, most + 1):
-        result = play(Setup(str(seed), STEPS, kinds=kinds, heavy=heavy))
+        result = run_world(RunSetup(str(seed), STEPS, kinds=kinds, heavy=heavy))
         assert not result.violations, (seed, result.violations)
         assert result.counts["taken"] > 50 and result.counts["served"] > 20, result.counts
--- a/tests/simulation/test_regressions.py
+++ b/tests/simulation/test_regressions.py
@@ -7,22 +7,22 @@
 
 import pytest
 
-from leadrudder.simulation.play import Setup, play
+from leadrudder.simulation.runner import RunSetup, run_world
 
 FOUND = [
     # Calls the module again and again at one instant: a timer less than half a millisecond away fired at
     # once.
-    Setup("1", 8_000),
+    RunSetup("1", 8_000),
     # 38 live timers in a sidecar at rest: each that was overtaken armed another one, for good.
-    Setup("58", 20_000),
+    RunSetup("58", 20_000),
     # A watch without news was taken for a call without a reply: discovery was asked anew every second.
-    Setup("k785107", 15_000, 1, ("rude", "flood", "tail", "reset-answer")),
-    Setup("k653776", 15_000, 3, ("list-down", "node-reload", "slow-link", "slow-all")),
+    RunSetup("k785107", 15_000, 1, ("rude", "flood", "tail", "reset-answer")),
+    RunSetup("k653776", 15_000, 3, ("list-down", "node-reload", "slow-link", "slow-all")),
 ]
 
 
 @pytest.mark.parametrize("setup", FOUND, ids=lambda setup: setup.seed)
-def test_what_was_found_stays_mended(setup: Setup) -> None:
-    result = play(setup)
+def test_what_was_found_stays_mended(setup: RunSetup) -> None:
+    result = run_world(setup)
     assert not result.violations, result.violations
     assert result.steps >= setup.steps
--- a/tests/simulation/test_shrink.py
+++ b/tests/simulation/test_shrink.py
@@ -7,8 +7,8 @@
 import pytest
 
 from leadrudder.simulation.faults import Fault, draw_faults
-from leadrudder.simulation.play import Setup
-from leadrudder.simulation.shrink import ddmin, shrink
+from leadrudder.simulation.runner import RunSetup
+from leadrudder.simulation.shrink import ddmin, shrink_plan
 from tests.simulation.planted_faults import fault_swallowed, reset_taken_for_never_ran
 
 
@@ -31,7 +31,7 @@
 def test_a_failing_play_is_cut_down_to_the_faults_that_matter(monkeypatch: pytest.MonkeyPatch) -> None:
     reset_taken_for_never_ran(monkeypatch)
     lines: list[str] = []
-    found = shrink(Setup("5", 8000), lines.append)
+    found = shrink_plan(RunSetup("5", 8000), lines.append)
     assert found is not None and lines
     whole, least = found
     assert least.violations[0].rule == whole.violations[0].rule == "unsafe-repeated"
@@ -41,9 +41,9 @@
 
 def test_a_bug_that_needs_no_fault_is_cut_down_to_none(monkeypatch: pytest.MonkeyPatch) -> None:
     fault_swallowed(monkeypatch)
-    found = shrink(Setup("1", 5000))
+    found = shrink_plan(RunSetup("1", 5000))
     assert found is not None and found[1].plan == ()
 
 
 def test_a_play_that_breaks_nothing_is_told() -> None:
-    assert shrink(Setup("1", 500)) is None
+    assert shrink_plan(RunSetup("1", 500)) is None
