--- a/leadrudder/simulation/__init__.py
+++ b/leadrudder/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""A deterministic rehearsal of whole nodes: virtual time, a network in memory, faults drawn from a seed."""
+"""Deterministic simulation of whole nodes: virtual time, an in-memory network, faults drawn from a seed."""
--- a/leadrudder/simulation/command.py
+++ b/leadrudder/simulation/command.py
@@ -1,4 +1,4 @@
-"""leadrudder simulate: play seeds, trace them, replay them, cut them down."""
+"""The command `leadrudder simulate`: runs seeds, and traces, replays or shrinks single runs."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class _SeedRange(click.ParamType[tuple[int, int]]):
-    """A:B, the whole numbers from A up to but not with B."""
+    """A:B, the integers from A up to and excluding B."""
 
     name = "A:B"
 
@@ -129,7 +129,7 @@
 
 
 def _print_result(result: RunResult) -> int:
-    """The last line, after what was found and how to see it again."""
+    """Prints violations, how to reproduce them, and the summary line; returns the exit code."""
     setup = result.setup
     for violation in result.violations:
         print(f"violation: {violation}")
--- a/leadrudder/simulation/faults.py
+++ b/leadrudder/simulation/faults.py
@@ -1,8 +1,8 @@
-"""The fault plan: what befalls a world and when, drawn from one seed, kept as data.
+"""Fault plans: the faults of a run and their times, drawn from one seed and kept as data.
 
-A plan is a list of faults; each has a kind, an instant, and figures whose meaning its kind gives. It can be
-written, read again and cut down: the world draws nothing from the plan's own random source, so that leaving a
-fault out changes nothing else of what was drawn.
+A plan is a list of faults; each has a kind, a time, and parameters whose meaning depends on the kind. It can be
+written, read and reduced: the world does not share the plan's random source, so removing a fault does not change
+any other draw.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 
 
 class PlanError(Exception):
-    """A plan that cannot be used; its text says which part."""
+    """An invalid plan; the message says which part."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One thing that goes wrong.
+    """One fault.
 
-    at_ms: virtual time at which it begins. target: picks among what is there then, modulo its number.
-    span_ms: how long it lasts, where it lasts. level: how bad, in [0, 1].
+    at_ms: virtual time of its start. target: picks a candidate, modulo their number at that time.
+    span_ms: duration of kinds that last. level: severity in [0, 1].
     """
 
     kind: str
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultKind:
-    """What a kind of fault does, and how often it is drawn."""
+    """A kind of fault: its description, the weight with which it is drawn, and its range of durations."""
 
     description: str
     weight: float
@@ -98,15 +98,15 @@
 
 
 def draw_faults(seed: str, start_ms: int, span_ms: int, count: int, kinds: Sequence[str] = ()) -> list[Fault]:
-    """Faults within a span of time; kinds: only of these. PlanError for a kind that is unknown."""
+    """Draws faults within a span of time, of these kinds or of all. PlanError for an unknown kind."""
     allowed = validate_kinds(kinds) or list(FAULT_KINDS)
     rng = random.Random(f"{seed}/faults/{start_ms}")
-    # One of no weight is drawn only when it is asked for by its name: seeds without it stay what they were.
+    # A kind with weight 0 is drawn only when requested by name, so that it does not change other seeds' draws.
     weights = [FAULT_KINDS[kind].weight or float(bool(kinds)) for kind in allowed]
     faults = []
     for kind in rng.choices(allowed, weights, k=count):
         fault_kind = FAULT_KINDS[kind]
-        # Squared: most are short, some last.
+        # The square makes most faults short and a few long.
         span = fault_kind.min_span_ms + (fault_kind.max_span_ms - fault_kind.min_span_ms) * rng.random() ** 2
         faults.append(
             Fault(
@@ -121,7 +121,7 @@
 
 
 def validate_kinds(kinds: Iterable[str]) -> list[str]:
-    """The kinds, if all of them are known; PlanError else."""
+    """Returns the kinds; PlanError if one is unknown."""
     kinds = list(kinds)
     for kind in kinds:
         if kind not in FAULT_KINDS:
@@ -130,12 +130,12 @@
 
 
 def faults_to_json(faults: Iterable[Fault]) -> list[dict[str, Any]]:
-    """A plan as it is written to a trace."""
+    """The JSON form of a plan, as in traces."""
     return [asdict(fault) for fault in faults]
 
 
 def faults_from_json(raw: Any) -> list[Fault]:
-    """A plan from a trace; PlanError if it is none."""
+    """Reads a plan from its JSON form; PlanError if it is invalid."""
     if not isinstance(raw, list):
         raise PlanError("the plan is not a list of faults")
     faults = []
--- a/leadrudder/simulation/framing.py
+++ b/leadrudder/simulation/framing.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 framing for the stand-ins and the oracle: bytes in, whole messages out.
+"""HTTP/1.1 parser and encoder of the stand-ins and the oracle.
 
-The oracle judges the node from what passed on sockets, so it must not read with the node's parser. This is
-for well-formed messages only: of anything else it says that it is malformed, and reads no further.
+The oracle checks the node independently, so it must not use the node's own parser. This one reads well-formed
+messages only: it marks anything else as malformed and stops there.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class WireMessage:
-    """A whole message. start_line: the parts of its first line."""
+    """A complete HTTP message. start_line: the parts of its first line."""
 
     start_line: list[str]
     headers: dict[str, str] = field(default_factory=dict)
@@ -21,12 +21,12 @@
 
     @property
     def status(self) -> int:
-        """Of an answer."""
+        """The status of a response."""
         return int(self.start_line[1])
 
     @property
     def target(self) -> str:
-        """Of a request."""
+        """The target of a request."""
         return self.start_line[1]
 
 
@@ -39,11 +39,11 @@
         self._responses = responses
         self._buffer = bytearray()
         self._message: WireMessage | None = None
-        self._body_bytes_needed = 0  # of the body; -1: it lasts until the end, -2: it comes in chunks
+        self._body_bytes_needed = 0  # -1: the body ends with the connection, -2: it is chunked
         self.malformed = False
 
     def feed(self, data: bytes) -> list[WireMessage]:
-        """The messages that are whole now."""
+        """Adds data and returns the messages that it completes."""
         self._buffer += data
         messages: list[WireMessage] = []
         while not self.malformed and (message := self._next_message()) is not None:
@@ -52,7 +52,7 @@
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether a part of a message is there."""
+        """Whether an incomplete message is buffered."""
         return bool(self._buffer) or self._message is not None
 
     def _next_message(self) -> WireMessage | None:
@@ -93,7 +93,7 @@
         return True
 
     def _parse_start_line(self, message: WireMessage) -> bool:
-        """Read the first line and the length."""
+        """Checks the first line and determines the length of the body."""
         length = message.headers.get("content-length")
         if self._responses:
             if len(message.start_line) < 2 or not message.start_line[1].isdigit():
@@ -112,7 +112,7 @@
         return True
 
     def _parse_chunks(self, message: WireMessage) -> WireMessage | None:
-        """A chunk is added when it is whole; the empty one ends the message."""
+        """Adds complete chunks to the body; the empty chunk ends the message."""
         while True:
             end = self._buffer.find(b"\r\n")
             if end < 0:
@@ -131,7 +131,7 @@
                 return message
 
     def take_partial_body(self) -> bytes:
-        """What has come of an unfinished message's body so far; it is taken away."""
+        """Removes and returns the body received so far of an incomplete message."""
         message = self._message
         if message is None:
             return b""
@@ -142,17 +142,17 @@
 
 
 def encode_request(method: str, target: str, headers: dict[str, str], body: bytes = b"") -> bytes:
-    """A request's bytes."""
+    """Encodes a request."""
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
     length = f"Content-Length: {len(body)}\r\n" if body or method == "POST" else ""
     return f"{method} {target} HTTP/1.1\r\nHost: api.internal\r\n{lines}{length}\r\n".encode() + body
 
 
 def encode_response(status: int, body: bytes = b"", headers: str = "") -> bytes:
-    """An answer's bytes."""
+    """Encodes a response."""
     return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{headers}\r\n".encode() + body
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """One chunk of an answer that stays open."""
+    """Encodes one chunk of a chunked response."""
     return b"%x\r\n%s\r\n" % (len(data), data)
--- a/leadrudder/simulation/injector.py
+++ b/leadrudder/simulation/injector.py
@@ -1,7 +1,7 @@
-"""Carries out the fault plan: each kind of fault on what is there at its instant, and its end.
+"""Injects the faults of a plan and ends them after their span.
 
-A fault picks its target by a number modulo what is there, so that a plan stays playable when other faults are
-left out of it.
+A fault picks its target by a number modulo the candidates that exist at its time, so that a plan still runs when
+other faults are removed from it.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 T = TypeVar("T")
 
-SILENT_SHARE = 0.12  # of a tier's servers may fall silent at once
-DRAIN_TIME_S = 1.0  # that a draining server finishes what it has before it goes
+SILENT_SHARE = 0.12  # of a tier's servers that vanish at once
+DRAIN_TIME_S = 1.0  # in which a draining server finishes its open calls
 DISCOVERY_PORT = 8500
-TERM_NOTICE_RANGE_US = (200_000, 400_000)  # the front sends to a node for so long after its SIGTERM
-SIGKILL_DELAY_MS = 3_700  # SIGKILL after SIGTERM at the earliest, as the platform's page has it
-DEATH_NOTICE_RANGE_US = (920_000, 2_000_000)  # and to a dead one for so long
+TERM_NOTICE_RANGE_US = (200_000, 400_000)  # from a node's SIGTERM until the front stops sending to it
+SIGKILL_DELAY_MS = 3_700  # the shortest time from SIGTERM to SIGKILL that the platform documents
+DEATH_NOTICE_RANGE_US = (920_000, 2_000_000)  # from a node's death until the front stops sending to it
 
 
 class Injector:
@@ -39,14 +39,14 @@
         self._stopped = False
 
     def inject(self, fault: Fault) -> None:
-        """The fault's instant has come."""
+        """Starts a fault; its method is named after its kind."""
         if self._stopped:
             return
         self._world.oracle.count("faults")
         getattr(self, "_" + fault.kind.replace("-", "_"))(fault)
 
     def end_all(self) -> None:
-        """End everything that lasts; nothing begins any more."""
+        """Ends all faults that last, and starts no more."""
         self._stopped = True
         for end in list(self._pending_ends.values()):
             end()
@@ -55,7 +55,7 @@
     # ------------------------------------------------------------ helpers
 
     def _end_after(self, span_ms: int, end: Callable[[], None]) -> None:
-        """Call the end after a span, or when all is to be calm, once."""
+        """Calls `end` once, after the span or in end_all."""
         self._sequence += 1
         number = self._sequence
 
@@ -78,7 +78,7 @@
         return fault.target // 7 % self._world.site.tiers
 
     def _server(self, fault: Fault) -> StandInServer | None:
-        """A server that runs and is not draining; never the last of its tier."""
+        """A running server that is not draining; None rather than the last one of its tier."""
         servers = [s for s in self._world.servers[self._tier(fault)] if not s.faults.draining]
         return self._pick(servers, fault) if len(servers) > 1 else None
 
@@ -125,7 +125,7 @@
             self._end_after(fault.span_ms, partial(_remove_key, extra, server.loop.host))
 
     def _cut_connections(self, fault: Fault, delivered_share: float, *, answers: bool = False) -> None:
-        """The next messages between a server and each of its callers' machines are cut."""
+        """Cuts the next messages between a server and each host that calls it."""
         world = self._world
         server = self._server(fault)
         if server is None:
@@ -169,7 +169,7 @@
     # ------------------------------------------------------------ servers
 
     def _silent(self, fault: Fault) -> None:
-        """Machines vanish at once; they come back with new processes that know nothing."""
+        """Several hosts vanish at once and return with new, cold processes."""
         world = self._world
         servers = world.servers[self._tier(fault)]
         count = max(1, int(SILENT_SHARE * len(servers)))
@@ -192,11 +192,11 @@
             self._replace_server(server, fault, server.name)
 
     def _replace_server(self, server: StandInServer, fault: Fault, name: str) -> None:
-        """A cold process takes the place of a server, at its address; discovery tells later."""
+        """Starts a cold process at a server's address in its place; discovery announces it later."""
         world = self._world
         tier, address = server.tier, server.address
         if server not in world.servers[tier]:
-            return  # another fault has replaced it meanwhile
+            return  # replaced by another fault in the meantime
         world.stop_server(server)
         row = world.make_row(tier, name, address, world.scheduler.now)
         world.start_server(tier, row, cold=True)
@@ -209,14 +209,14 @@
         server = self._server(fault)
         if server is None:
             return
-        server.faults.draining = True  # not to be picked again
+        server.faults.draining = True  # excludes it from further faults
         server.loop.kill()
         self._end_after(fault.span_ms, partial(self._replace_server, server, fault, server.name))
 
     def _release(self, fault: Fault) -> None:
-        """Half of a tier at once: what is left is warm, what comes is cold, and the load is what it was.
+        """Replaces half of a tier's servers by cold ones at once, under unchanged load.
 
-        As releases do, it waits for what the last one has started.
+        Does nothing while a server is still cold, since a release waits until the previous one is complete.
         """
         world, servers = self._world, self._world.servers[self._tier(fault)]
         if any(world.scheduler.now - server.started_us < server.cold_us for server in servers):
@@ -236,7 +236,7 @@
         self._end_after(fault.span_ms, partial(self._replace_server, server, fault, name))
 
     def _drain(self, fault: Fault) -> None:
-        """Discovery tells that a server drains; some turn calls away before that is told. Then it goes."""
+        """Discovery announces that a server drains, then it leaves; some refuse calls before the announcement."""
         world = self._world
         server = self._server(fault)
         if server is None:
@@ -364,7 +364,7 @@
         self._end_after(fault.span_ms, partial(self._restart_node, node, known))
 
     def _node_restart(self, fault: Fault) -> None:
-        """SIGTERM; the front hears soon, the process ends by itself or is killed, and starts again."""
+        """SIGTERM: the front stops sending, the process must end before SIGKILL, and starts again."""
         node = self._front_node(fault)
         if node is None or node.loop is None or node.name not in self._world.front.ready_nodes:
             return
@@ -377,7 +377,7 @@
 
         def check_killed() -> None:
             if restarting.loop is loop:
-                # What SIGKILL finds unanswered was taken and lost.
+                # SIGKILL would lose the requests that the node has accepted and not answered.
                 world.oracle.report(
                     "crash", f"{restarting.name} had not ended {SIGKILL_DELAY_MS / 1000} s after SIGTERM"
                 )
@@ -386,7 +386,7 @@
         self._schedule((SIGKILL_DELAY_MS + fault.span_ms) * 1000, partial(self._restart_node, node, known))
 
     def _leave_front(self, node: NodeHost, span_us: tuple[int, int], fault: Fault) -> None:
-        """The front stops sending there, after a while."""
+        """The front stops sending to a node after a delay."""
         low, high = span_us
         front, starts = self._world.front, node.starts
         self._schedule(
@@ -395,7 +395,7 @@
         )
 
     def _start_list(self, node: NodeHost, fault: Fault) -> dict[str, object]:
-        """The list that a node will start from: as it is, or a past one."""
+        """The server list that a restarted node begins with: the current one or an old one."""
         registry = self._world.registries[node.tier]
         if fault.target % 2 or not registry.past:
             return registry.full_list()
--- a/leadrudder/simulation/loop.py
+++ b/leadrudder/simulation/loop.py
@@ -1,6 +1,6 @@
-"""An event loop on virtual time: asyncio's interface, one for each simulated process.
+"""An asyncio event loop on virtual time, one per simulated process.
 
-It has what a node uses, and raises NotImplementedError for the rest, as asyncio's own base class does.
+It implements what a node uses; the other methods raise NotImplementedError, as in asyncio's base class.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 if TYPE_CHECKING:
     from leadrudder.simulation.network import Network, VirtualServer, VirtualTransport
 
-TIMER_RESOLUTION_US = 1000  # microseconds: uvloop's timers and its clock count whole milliseconds
+TIMER_RESOLUTION_US = 1000  # as in uvloop, whose clock and timers count whole milliseconds
 
 
 class VirtualHandle(asyncio.TimerHandle):
-    """A callback that waits for its instant."""
+    """A scheduled callback."""
 
     __slots__ = ("step",)
 
@@ -34,7 +34,7 @@
         loop: VirtualLoop,
         context: contextvars.Context | None,
     ) -> None:
-        # The base class asks the loop for debug flags and a traceback; a million times that is felt.
+        # Skips the base class's constructor: its debug flags and traceback are costly over a million callbacks.
         self._callback = callback
         self._args = args
         self._cancelled = False
@@ -56,18 +56,18 @@
             self._args = ()
 
     def run(self) -> None:
-        """What the step does."""
+        """Runs the callback, as the action of its step."""
         if self._scheduled:
             self._loop.live_timers -= 1
         self._context.run(self._callback, *self._args)
 
 
 def _cancelled_callback() -> None:
-    """Stands where a cancelled callback was, so that it keeps nothing alive."""
+    """Replaces the callback of a cancelled handle, so that the handle keeps nothing alive."""
 
 
 class VirtualLoop(asyncio.AbstractEventLoop, Process):
-    """The loop of one process, and the process itself: killed, it runs no callback any more."""
+    """The event loop of one process, and the process itself; once killed, it runs no more callbacks."""
 
     def __init__(
         self,
@@ -81,7 +81,7 @@
         self.host = host
         self.scheduler = scheduler
         self.network = network
-        self.live_timers = 0  # live ones
+        self.live_timers = 0  # pending timers that were not cancelled
         self.transports: dict[VirtualTransport, None] = {}
         self.servers: dict[VirtualServer, None] = {}
         self._signals: dict[int, tuple[Callable[..., object], tuple[Any, ...]]] = {}
@@ -92,7 +92,7 @@
 
     @contextmanager
     def as_running_loop(self) -> Iterator[None]:
-        """Code within is this process's: get_running_loop() returns its loop."""
+        """Makes get_running_loop() return this loop within the block."""
         previous = asyncio._get_running_loop()
         asyncio._set_running_loop(self)
         try:
@@ -104,34 +104,34 @@
         asyncio._set_running_loop(self)
         try:
             step.callback(*step.args)
-        except Exception as error:  # asyncio would log it and go on: here it is a finding
+        except Exception as error:  # asyncio would log it and continue; the simulation reports it
             self._on_process_error(self, f"{step.label}: {type(error).__name__}: {error}")
         finally:
             asyncio._set_running_loop(None)
 
     def unfinished_tasks(self) -> list[asyncio.Task[Any]]:
-        """Those that have not ended."""
+        """The tasks that are not done."""
         return [task for task in self._tasks if not task.done()]
 
     def kill(self) -> None:
-        """End at once, as by SIGKILL: no callback runs any more, and the machine closes what was open."""
+        """Ends the process at once, as by SIGKILL; its host closes what it had open."""
         if not self.alive:
             return
         self.alive = False
-        self._signals.clear()  # they hold the whole program
+        self._signals.clear()  # the handlers refer to the whole program
         for server in list(self.servers):
             server.close()
         for transport in list(self.transports):
             transport.process_died()
         self.network.process_died(self)
         for task in self.unfinished_tasks():
-            task._log_destroy_pending = False  # type: ignore[attr-defined]  # it is meant to be left behind
+            task._log_destroy_pending = False  # type: ignore[attr-defined]  # abandoned on purpose
             coro = task.get_coro()
             if inspect.iscoroutine(coro) and inspect.getcoroutinestate(coro) == inspect.CORO_CREATED:
-                coro.close()  # it never began; Python would warn of that
+                coro.close()  # avoids Python's warning about a coroutine that was never awaited
 
     def deliver_signal(self, number: int) -> None:
-        """Deliver a signal that the process handles; without a handler it dies."""
+        """Delivers a signal; kills the process if it has no handler."""
         handler = self._signals.get(number)
         if handler is None:
             self.kill()
@@ -205,7 +205,7 @@
         return task
 
     def spawn(self, coro: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """A task of this process, begun from outside of it."""
+        """Creates a task of this process from outside of it."""
         with self.as_running_loop():
             return self.create_task(coro)
 
--- a/leadrudder/simulation/network.py
+++ b/leadrudder/simulation/network.py
@@ -1,15 +1,15 @@
-"""A network in memory: listeners, connections and what befalls the bytes between them.
+"""An in-memory network: listeners, connections and their segments.
 
-A connection is two transports and two pipes. A pipe carries pieces, each with the instant at which it is
-in; it keeps their order, splits writes at any place and merges what is there at once. Delays and
-failures come from NetworkConditions: latency tails, silent machines, links cut at a chosen byte.
+A connection is two transports and two pipes. A pipe carries segments in order, each with its arrival time;
+writes may be split at any byte, and segments that arrive together are merged into one read. Delays and
+failures come from NetworkConditions: latency tails, silent hosts, connections cut at a chosen byte.
 
-The model is TCP as a program meets it, from RFC 9293 and the sockets interface:
+The model is TCP as a program sees it, from RFC 9293 and the sockets interface:
 
-- a closed port refuses after a round trip, a silent machine says nothing at all;
-- closing with unread input, or being written to after the close, resets the connection;
-- a reset overtakes nothing that was read, and loses what was not;
-- a machine that vanished and came back resets what it knows nothing of, when it next hears of it.
+- a closed port refuses after a round trip; a silent host does not answer at all;
+- closing with unread input, or receiving data after the close, resets the connection;
+- a reset leaves data that was read untouched and discards data that was not;
+- a host that vanished and returned resets connections that it does not know when it next receives a segment.
 """
 
 from __future__ import annotations
@@ -26,35 +26,34 @@
 
 Address = tuple[str, int]
 
-HIGH_WATER_BYTES = 64 * 1024  # bytes held for a peer that does not read before its writer is told to pause
+HIGH_WATER_BYTES = 64 * 1024  # unsent bytes above which the writer is paused
 LOW_WATER_BYTES = 16 * 1024
-WINDOW_BYTES = 128 * 1024  # bytes that may be under way or unread on a connection
+WINDOW_BYTES = 128 * 1024  # in flight or unread in one direction of a connection
 FIRST_EPHEMERAL_PORT = 20_000
-RETURN_RESET_US = 200_000  # a machine that is back hears of an old connection by what is sent again
+RETURN_RESET_US = 200_000  # a returned host learns of an old connection by a retransmission
 
 
 class NetworkObserver(Protocol):
-    """Who watches what passes: the oracle. All calls come in the order of what happened."""
+    """Observes network events in the order in which they happen, as the oracle does."""
 
     def connection_requested(self, loop: VirtualLoop, address: Address) -> None:
-        """A process asks for a connection."""
+        """A process starts to connect."""
 
     def connection_accepted(self, client: VirtualTransport) -> None:
-        """The listening machine has accepted a connection."""
+        """The listening host has accepted a connection."""
 
     def bytes_sent(self, source: VirtualTransport, data: bytes) -> None:
-        """These bytes were handed to the machine of their writer."""
+        """The writer's process has handed these bytes to its host."""
 
     def bytes_received(self, target: VirtualTransport, data: bytes) -> None:
-        """These bytes were handed to the process that reads them."""
+        """These bytes were delivered to the reading process."""
 
     def connection_ended(self, transport: VirtualTransport, why: str) -> None:
-        """This side is over: 'closed' by its process, or 'reset', 'finished', 'killed' by the other or the
-        network."""
+        """This end is over: 'closed' by its process, 'reset' by the peer or the network, or 'killed'."""
 
 
 class NullObserver:
-    """Nobody watches."""
+    """Ignores all events."""
 
     def connection_requested(self, loop: VirtualLoop, address: Address) -> None: ...
 
@@ -69,9 +68,9 @@
 
 @dataclass(slots=True)
 class ConnectionCut:
-    """Cut the next connection between two hosts on which a message is written.
+    """Resets the next connection from one host to another on which data is written.
 
-    part: how much of that piece still arrives: 0.0 none of it, 1.0 all of it.
+    delivered_share: the share of that data that still arrives, from 0.0 to 1.0. remaining: connections to cut.
     """
 
     source: str
@@ -82,21 +81,21 @@
 
 @dataclass
 class NetworkConditions:
-    """What the network does to everybody, and to some."""
+    """Latencies and failures of the network, for all hosts and for single ones."""
 
     base_latency_us: int = 300
     latency_spread_us: int = 400
-    tail_share: float = 0.01  # part of the pieces that take long
+    tail_share: float = 0.01  # of the segments that get tail latency
     tail_latency_us: int = 20_000
-    arrival_grain_us: int = 1  # instants of arrival are multiples of this: a coarse one makes them coincide
-    split_share: float = 0.1  # part of the writes that are split
-    silent_hosts: set[str] = field(default_factory=set)  # hosts; only asked for membership
-    extra_latency_us: dict[str, int] = field(default_factory=dict)  # by host, both ways
+    arrival_grain_us: int = 1  # arrival times are multiples of this; a coarse grain makes them coincide
+    split_share: float = 0.1  # of the writes that are split
+    silent_hosts: set[str] = field(default_factory=set)  # never iterated: its order is not deterministic
+    extra_latency_us: dict[str, int] = field(default_factory=dict)  # by host, in both directions
     cuts: list[ConnectionCut] = field(default_factory=list)
 
 
 class Network:
-    """All listeners and connections of a world."""
+    """All listeners and connections of one world."""
 
     def __init__(self, scheduler: Scheduler, seed: str, observer: NetworkObserver) -> None:
         self.scheduler = scheduler
@@ -107,13 +106,13 @@
         self._listeners: dict[Address, VirtualServer] = {}
         self._connection_count = 0
         self._ports: dict[str, int] = {}
-        # Held here, as the machine holds them: nobody else does while nothing is heard of the other side.
+        # Keeps them alive as a kernel does: no other reference exists while the peer is silent.
         self._pending_connections: dict[_PendingConnection, None] = {}
 
     def listen(
         self, loop: VirtualLoop, factory: Callable[[], asyncio.BaseProtocol], address: Address
     ) -> VirtualServer:
-        """Listen at an address; port 0 takes the host's next. OSError if it is taken."""
+        """Listens at an address; port 0 takes the host's next port. OSError if it is in use."""
         host, port = address
         port = port or self._next_port(host)
         if (host, port) in self._listeners:
@@ -137,8 +136,7 @@
     async def connect(
         self, loop: VirtualLoop, factory: Callable[[], asyncio.BaseProtocol], address: Address
     ) -> tuple[VirtualTransport, asyncio.BaseProtocol]:
-        """A connection to a listener; ConnectionRefusedError where there is none, never where all is
-        silent."""
+        """Connects to a listener; ConnectionRefusedError if there is none. Waits forever on a silent host."""
         self._connection_count += 1
         rng = random.Random(f"{self._seed}/connection/{self._connection_count}")
         pending = _PendingConnection(self, loop, address, rng)
@@ -160,7 +158,7 @@
         return here, protocol
 
     def latency(self, rng: random.Random, one: str, other: str) -> int:
-        """Microseconds that one piece takes between two hosts."""
+        """The latency of one segment between two hosts, in microseconds."""
         conditions = self.conditions
         wait = conditions.base_latency_us + rng.random() * conditions.latency_spread_us
         if rng.random() < conditions.tail_share:
@@ -168,17 +166,17 @@
         return int(wait) + conditions.extra_latency_us.get(one, 0) + conditions.extra_latency_us.get(other, 0)
 
     def arrival_at(self, wait: int) -> int:
-        """The instant of an arrival so far from now, on the grain."""
+        """The arrival time after this latency, rounded up to the arrival grain."""
         grain_us = self.conditions.arrival_grain_us
         return -(-(self.scheduler.now + wait) // grain_us) * grain_us
 
     def reachable(self, one: str, other: str) -> bool:
-        """Whether anything passes between two hosts."""
+        """Whether segments pass between two hosts."""
         silent = self.conditions.silent_hosts
         return not silent or (one not in silent and other not in silent)
 
     def take_cut(self, source: str, target: str) -> ConnectionCut | None:
-        """The cut that is due on this link."""
+        """Consumes the cut that is due on this link, if any."""
         for cut in self.conditions.cuts:
             if cut.source == source and cut.target == target:
                 cut.remaining -= 1
@@ -188,19 +186,19 @@
         return None
 
     def process_died(self, loop: VirtualLoop) -> None:
-        """Nobody waits any longer for the connections that a process was opening."""
+        """Drops the pending connections of a process."""
         for pending in [pending for pending in self._pending_connections if pending.loop is loop]:
             del self._pending_connections[pending]
 
     def host_returned(self, host: str) -> None:
-        """A machine that vanished is back, and knows nothing of the connections that it had."""
+        """Brings a vanished host back, which has forgotten its connections."""
         for transport in list(self.open_transports):
             if transport.host == host and transport.blackholed:
                 transport.connection_forgotten()
 
 
 class _PendingConnection:
-    """A connection on its way up: the listener's side is there half a round trip before the caller's."""
+    """A connection being established; the listener's end exists half a round trip before the caller's."""
 
     def __init__(self, network: Network, loop: VirtualLoop, address: Address, rng: random.Random) -> None:
         self._network = network
@@ -248,13 +246,13 @@
             self.established.set_exception(ConnectionRefusedError(111, "refused"))
 
     def cancel(self) -> None:
-        """The caller does not wait any longer: what came up meanwhile is closed."""
+        """Closes the connection if it was accepted, since the caller has stopped waiting."""
         if self._accepted:
             self.sides[0].abort()
 
 
 class VirtualServer:
-    """A listening socket, as asyncio's Server shows it."""
+    """A listening socket with the interface of asyncio's Server."""
 
     def __init__(
         self,
@@ -280,7 +278,7 @@
         self.network.unlisten(self)
 
     def accept(self, transport: VirtualTransport) -> None:
-        """Hand a connection to the process; one that came while it stopped listening is reset."""
+        """Hands a connection to the process; resets it if the process has stopped listening."""
         if not self._serving:
             transport.abort()
             return
@@ -292,7 +290,7 @@
 
 
 class _Socket:
-    """The one thing that is asked of a listening socket."""
+    """The only part of a listening socket that is used."""
 
     def __init__(self, address: Address) -> None:
         self._address = address
@@ -308,14 +306,14 @@
 
     def __init__(self, target: VirtualTransport) -> None:
         self.target = target
-        self.segments: deque[tuple[int, bytes | None]] = deque()  # None: the end of what was sent
+        self.segments: deque[tuple[int, bytes | None]] = deque()  # due time and data; None is the end of stream
         self.last_due_us = 0
         self.size_bytes = 0
-        self.severed = False  # nothing more gets through
+        self.severed = False  # later segments are dropped
 
 
 class VirtualTransport(asyncio.Transport):
-    """One side of a connection."""
+    """One end of a connection."""
 
     def __init__(
         self, network: Network, loop: VirtualLoop, local: Address, remote: Address, rng: random.Random
@@ -326,15 +324,15 @@
         self.host = loop.host
         self.local, self.remote = local, remote
         self.protocol: asyncio.BaseProtocol | None = None
-        self.ended = False  # its process has been told, or will be, that it is lost
-        self.blackholed = False  # bytes were lost on the way: only a reset ends this connection
+        self.ended = False  # connection_lost was or will be called
+        self.blackholed = False  # segments were lost for good: only a reset ends this connection
         self.peer: VirtualTransport
         self._pipe: _Pipe
         self._rng = rng
         self._buffer = bytearray()
         self._received: list[bytes] = []
         self._received_bytes = 0
-        self._eof_received = False  # the peer's end has come in
+        self._eof_received = False  # by this host
         self._eof_delivered = False
         self._started = False
         self._reading = True
@@ -344,7 +342,7 @@
         self._writing_paused = False
 
     def attach_peer(self, other: VirtualTransport) -> None:
-        """Join two sides."""
+        """Connects two ends with each other."""
         self.peer, other.peer = other, self
         self._pipe, other._pipe = _Pipe(other), _Pipe(self)
         for side in (self, other):
@@ -352,7 +350,7 @@
             side.loop.transports[side] = None
 
     def start(self) -> None:
-        """The process knows of it: what came in meanwhile is handed over."""
+        """Starts reading, once the process knows the connection."""
         self._started = True
         self._schedule_delivery()
 
@@ -418,7 +416,7 @@
     # ------------------------------------------------------------ sending
 
     def _transmit(self) -> None:
-        """Hand to the machine what the window lets through."""
+        """Hands as much of the write buffer to the host as the window permits."""
         pipe = self._pipe
         room = WINDOW_BYTES - pipe.size_bytes - pipe.target._received_bytes
         if self._buffer and room > 0:
@@ -469,7 +467,7 @@
         network.scheduler.schedule_delivery(due, None, "piece", self.peer._receive_segments)
 
     def _sever(self) -> None:
-        """The network resets the connection, behind what is under way in this direction."""
+        """The network resets the connection, after the segments in flight in this direction."""
         pipe = self._pipe
         pipe.severed = self.peer._pipe.severed = True
         due = max(pipe.last_due_us, self.network.scheduler.now + 1)
@@ -480,7 +478,7 @@
     # ------------------------------------------------------------ receiving
 
     def _receive_segments(self) -> None:
-        """A piece reaches this side's machine, with all that is there at the same instant."""
+        """Takes all segments that have reached this host by now."""
         pipe = self.peer._pipe
         now = self.network.scheduler.now
         took = False
@@ -505,7 +503,7 @@
             self._schedule_delivery()
 
     def _send_reset(self) -> None:
-        """This side has closed with something unread, or is written to: the peer is told by a reset."""
+        """Resets the peer, because this end closed with unread input or gets data after its close."""
         wait = self.network.arrival_at(self.network.latency(self._rng, self.host, self.peer.host))
         wait = self._pipe.last_due_us = max(wait, self._pipe.last_due_us)
         self.network.scheduler.schedule_delivery(wait, None, "reset", self.peer.reset)
@@ -517,7 +515,7 @@
             )
 
     def _deliver(self) -> None:
-        """Hand over what is there, as one read of a socket does."""
+        """Delivers all received data to the process, as one read of a socket does."""
         if self.ended or not self._reading or self._closing or not self._started:
             return
         protocol = cast(asyncio.Protocol, self.protocol)
@@ -526,7 +524,7 @@
             self._received.clear()
             self._received_bytes = 0
             self.network.observer.bytes_received(self, data)
-            if self.peer._buffer:  # it may write on; this model does not delay what tells it so
+            if self.peer._buffer:  # window updates take no time in this model
                 self.network.scheduler.schedule_delivery(
                     self.network.scheduler.now, self.peer.loop, "window", self.peer._transmit
                 )
@@ -543,7 +541,7 @@
                 self.close()
 
     def has_unread_input(self) -> bool:
-        """What poll says of the socket: bytes or the end are there, or a reset."""
+        """What poll() reports for the socket: data, end of stream or a reset is there."""
         pieces = self.peer._pipe.segments
         there = bool(pieces) and pieces[0][0] <= self.network.scheduler.now and not self.blackholed
         return bool(self._received) or self._eof_received or there or self.ended
@@ -551,7 +549,7 @@
     # ------------------------------------------------------------ the end
 
     def _end(self, why: str, error: Exception | None) -> None:
-        """This side is over: the other learns by an end or a reset, the process by connection_lost."""
+        """Ends this side; the peer gets the end of stream or a reset, the process connection_lost."""
         if self.ended:
             return
         unread = self._received_bytes > 0
@@ -566,7 +564,7 @@
         self._notify_lost(error)
 
     def _notify_lost(self, error: Exception | None) -> None:
-        # The other side may stay half open for good, and must not keep this one's protocol alive.
+        # The peer may stay half-open forever and must not keep this protocol alive.
         protocol, self.protocol = self.protocol, None
         if self.loop.alive and protocol is not None:
             self.network.scheduler.schedule_soon(
@@ -582,13 +580,13 @@
         self.network.observer.connection_ended(self, why)
 
     def reset(self) -> None:
-        """The peer or the network resets the connection: what was not read is lost."""
+        """The peer or the network resets the connection; unread data is lost."""
         if self.ended or not self.network.reachable(self.host, self.peer.host):
             return
         self._end("reset", ConnectionResetError(104, "reset by peer"))
 
     def process_died(self) -> None:
-        """The machine closes what its process had open."""
+        """Closes the connection as the host does when its process dies."""
         if self.ended:
             return
         self.ended = True
@@ -598,7 +596,7 @@
             self._send_reset()
 
     def connection_forgotten(self) -> None:
-        """This machine came back without knowing of the connection: the peer hears so when it sends again."""
+        """Ends a connection that this returned host has forgotten; the peer is reset when it retransmits."""
         self._end("killed", ConnectionResetError(104, "forgotten"))
         wait = RETURN_RESET_US + int(self._rng.random() * 4 * RETURN_RESET_US)
         self.network.scheduler.schedule_delivery(
@@ -611,5 +609,5 @@
 
 
 def seconds(microseconds: int) -> float:
-    """Microseconds of virtual time in seconds."""
+    """Converts microseconds of virtual time to seconds."""
     return microseconds / US_PER_S
--- a/leadrudder/simulation/runner.py
+++ b/leadrudder/simulation/runner.py
@@ -1,4 +1,4 @@
-"""One play from its setup to its result, and many plays on all cores."""
+"""Runs one setup to its result, and many setups on all cores."""
 
 from __future__ import annotations
 
@@ -14,25 +14,27 @@
 from leadrudder.simulation.scheduler import US_PER_S
 from leadrudder.simulation.world import World
 
-STEPS_PER_SLICE = 5000  # steps between two looks at the clock and the tap of progress
+STEPS_PER_SLICE = 5000  # steps between two calls of progress
 
 
 @dataclass(frozen=True, slots=True)
 class RunSetup:
-    """All that a play hangs on. faults None: drawn from the seed, of these kinds (all where there are
-    none)."""
+    """The inputs that determine a run.
+
+    faults None: drawn from the seed, of these kinds (of all kinds if empty).
+    """
 
     seed: str
     steps: int
     nodes: int = 2
     kinds: tuple[str, ...] = ()
     faults: tuple[Fault, ...] | None = None
-    heavy: bool = False  # requests of so much work that a cold server bears few of them
+    heavy: bool = False  # heavy requests, of which a cold server bears few
 
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """What came of a play; equal setups give equal digests."""
+    """The outcome of a run; equal setups give equal digests."""
 
     setup: RunSetup
     steps: int
@@ -57,10 +59,10 @@
     progress: Progress | None = None,
     observe: Callable[[World], NetworkObserver] | None = None,
 ) -> RunResult:
-    """Play to the number of steps or the first violation, then until all is quiet.
+    """Runs until the number of steps or the first violation, then until the world has settled.
 
-    progress is called now and then with the steps played and the virtual seconds. tap: stands steps_before the
-    oracle and hands on to it.
+    progress is called every STEPS_PER_SLICE steps with the steps run and the virtual seconds. observe returns an
+    observer that stands before the oracle and passes events on to it.
     """
     started = time.perf_counter()
     world = World(
@@ -95,17 +97,17 @@
 
 
 def run_many(setups: Iterable[RunSetup], jobs: int) -> Iterator[RunResult]:
-    """Play on so many cores; results come in the order of the setups."""
+    """Runs setups on this many cores; results come in the order of the setups."""
     if jobs <= 1:
         yield from map(run_world, setups)
         return
-    # Fresh interpreters: what a fork inherits must not matter, and here it cannot.
+    # Spawned interpreters inherit no state that could change a run.
     with multiprocessing.get_context("spawn").Pool(jobs) as pool:
         yield from pool.imap(run_world, setups)
 
 
 def combined_digest(results: Iterable[RunResult]) -> str:
-    """One digest for many plays, in order."""
+    """One digest of many runs, in order."""
     total = hashlib.blake2b(digest_size=16)
     for result in results:
         total.update(result.digest.encode())
--- a/leadrudder/simulation/scheduler.py
+++ b/leadrudder/simulation/scheduler.py
@@ -1,8 +1,8 @@
-"""Virtual time: one heap of steps for all simulated processes, in an order that hangs on the seed alone.
+"""Virtual time: one heap of steps for all simulated processes, ordered by the seed alone.
 
-Time is a whole number of microseconds. Steps that are due at the same instant are explored in both orders: a
-timer and what comes from the network draw their places by seed. What a process asks to be called soon runs
-before anything that the network brings at that instant, as in uvloop, where timers may run before either.
+Time is a whole number of microseconds. Different orders of steps that are due at the same instant are explored:
+the order of timers and network deliveries is drawn from the seed. As in uvloop, callbacks of call_soon run before
+the deliveries of that instant, and timers may run before both.
 """
 
 from __future__ import annotations
@@ -15,19 +15,16 @@
 from typing import Any
 
 US_PER_S = 1_000_000
-# The places of steps that are due at the same instant; the lowest comes first.
-SOON_ORDER = -1.0  # callbacks that a process asked for: in the order in which it asked
-TIMER_ORDER_MIN, TIMER_ORDER_MAX = (
-    -2.0,
-    1.0,
-)  # a third of the timers come before those, the others among the network
+# The order of steps that are due at the same instant; the lowest runs first.
+SOON_ORDER = -1.0  # call_soon callbacks, among themselves first in, first out
+TIMER_ORDER_MIN, TIMER_ORDER_MAX = -2.0, 1.0  # a third of the timers run before call_soon callbacks
 DELIVERY_ORDER_MIN, DELIVERY_ORDER_MAX = 0.0, 1.0
 
 _STEP = struct.Struct("<QII")
 
 
 class Step:
-    """One thing to do at an instant. A process that is None stands for the world itself."""
+    """One action at an instant. process None: an action of the world itself."""
 
     __slots__ = ("args", "callback", "cancelled", "due", "label", "process")
 
@@ -48,7 +45,7 @@
 
 
 class Process:
-    """What shares a fate: it can be frozen or killed, and then none of its steps runs any more."""
+    """A simulated process; while it is frozen, and once it was killed, none of its steps runs."""
 
     def __init__(self, name: str, number: int) -> None:
         self.name = name
@@ -57,18 +54,18 @@
         self.frozen_until_us = 0
 
     def run_step(self, step: Step) -> None:
-        """Run one of its steps."""
+        """Runs one of its steps."""
         step.callback(*step.args)
 
 
 class Scheduler:
-    """Runs steps in order of time and keeps the digest of all that was run."""
+    """Runs steps in order of time and keeps a digest of them."""
 
     def __init__(self, seed: str) -> None:
         self.now = 0
         self.steps = 0
-        self.steps_at_this_instant = 0  # steps run at the present one
-        self.last_label = ""  # what the last step was
+        self.steps_at_this_instant = 0  # steps run since virtual time last advanced
+        self.last_label = ""  # label of the last step
         self._heap: list[tuple[int, float, int, Step]] = []
         self._sequence = 0
         self._order_rng = random.Random(f"{seed}/order")
@@ -77,20 +74,20 @@
         self._process_count = 0
 
     def allocate_process_number(self) -> int:
-        """Numbers are given in the order of creation, and so are the same at every play."""
+        """The next process number; numbers follow the order of creation and so are equal in every run."""
         self._process_count += 1
         return self._process_count
 
     def schedule_soon(
         self, process: Process, label: str, callback: Callable[..., object], *args: Any
     ) -> Step:
-        """After what that process asked for before, at this instant."""
+        """Schedules a step at this instant, after earlier ones of this kind."""
         return self._push(self.now, SOON_ORDER, process, label, callback, args)
 
     def schedule_timer(
         self, due: int, process: Process | None, label: str, callback: Callable[..., object], *args: Any
     ) -> Step:
-        """At an instant, at the earliest now; its order there is drawn."""
+        """Schedules a step at an instant, now at the earliest; its order there is drawn."""
         return self._push(
             due, self._order_rng.uniform(TIMER_ORDER_MIN, TIMER_ORDER_MAX), process, label, callback, args
         )
@@ -98,7 +95,7 @@
     def schedule_delivery(
         self, due: int, process: Process | None, label: str, callback: Callable[..., object], *args: Any
     ) -> Step:
-        """As a timer, but never before what a process asked for soon."""
+        """Schedules a step like a timer's, but never before call_soon callbacks of the same instant."""
         return self._push(
             due,
             self._order_rng.uniform(DELIVERY_ORDER_MIN, DELIVERY_ORDER_MAX),
@@ -123,13 +120,13 @@
         return step
 
     def next_due(self) -> int | None:
-        """When the next step is due; None when nothing is left."""
+        """When the next step is due; None if there is none."""
         while self._heap and self._heap[0][3].cancelled:
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else None
 
     def run_one(self) -> bool:
-        """Run the next step; False when there is none."""
+        """Runs the next step; False if there is none."""
         heap = self._heap
         while heap:
             due, order, _, step = heapq.heappop(heap)
@@ -140,7 +137,7 @@
                 if not process.alive:
                     continue
                 if process.frozen_until_us > due:
-                    # What was due while its core was away is all there when it is back, in the same order.
+                    # Steps that were due during the freeze run at its end, in the same order.
                     self._sequence += 1
                     heapq.heappush(heap, (process.frozen_until_us, order, self._sequence, step))
                     continue
@@ -149,7 +146,7 @@
             self.last_label = step.label
             self.steps += 1
             self._add_to_digest(step)
-            step.cancelled = True  # it cannot be called off any more
+            step.cancelled = True  # marks it as run for its handle
             if process is None:
                 step.callback(*step.args)
             else:
@@ -166,9 +163,9 @@
         self._digest.update(_STEP.pack(self.now, process.number if process is not None else 0, label))
 
     def mix_into_digest(self, data: bytes) -> None:
-        """Take what passed on the network into the digest."""
+        """Adds network data to the digest."""
         self._digest.update(data)
 
     def digest(self) -> str:
-        """Of all steps so far, 32 hexadecimal digits; equal for two plays only if they ran alike."""
+        """The digest of all steps so far, as 32 hexadecimal digits; equal only for identical runs."""
         return self._digest.copy().hexdigest()
--- a/leadrudder/simulation/shrink.py
+++ b/leadrudder/simulation/shrink.py
@@ -1,7 +1,7 @@
-"""Cuts a failing plan to the faults that matter: delta debugging over the list of faults.
+"""Reduces a failing fault plan to the faults that matter, by delta debugging.
 
 After A. Zeller and R. Hildebrandt, "Simplifying and Isolating Failure-Inducing Input", 2002 (ddmin). A plan
-fails if the same rule breaks again, at whatever step: without the other faults the play runs otherwise.
+fails if it breaks the same rule, at any step, because the run takes other steps once faults are removed.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 
 
 def ddmin(faults: Sequence[T], fails: Callable[[Sequence[T]], bool]) -> list[T]:
-    """A plan that fails, and no longer does when any one of its faults (or moves) is remaining out.
+    """Returns a failing part of `faults` (or other items) that no longer fails without any one of them.
 
-    faults must fail itself. Takes at most about n squared plays, mostly far fewer.
+    `faults` itself must fail. Takes at most about n squared runs, usually far fewer.
     """
     remaining = list(faults)
     granularity = 2
@@ -46,9 +46,9 @@
 def shrink_plan(
     setup: RunSetup, report: Callable[[str], None] = lambda _: None
 ) -> tuple[RunResult, RunResult] | None:
-    """The play of a setup and that of the least plan which breaks the same rule; None if it breaks none.
+    """Runs a setup and its smallest plan that breaks the same rule; None if the setup breaks no rule.
 
-    report is given a line for each try.
+    Returns both results. report gets one line per run.
     """
     whole = run_world(setup)
     if not whole.violations:
@@ -58,7 +58,7 @@
     before = [fault for fault in whole.plan if fault.at_ms <= end_ms]
 
     def rerun(faults: Sequence[Fault]) -> RunResult:
-        # What is cut away may make the rest later, and never needs more steps than the whole did.
+        # The full plan's steps are enough for any part of it, although the violation may come later.
         return run_world(replace(setup, faults=tuple(faults), steps=whole.steps))
 
     def fails(faults: Sequence[Fault]) -> bool:
--- a/leadrudder/simulation/site.py
+++ b/leadrudder/simulation/site.py
@@ -1,5 +1,4 @@
-"""The site that is rehearsed: classes, settings and figures, drawn from the seed within what sites really
-have."""
+"""The simulated site: request classes, settings and sizes, drawn from the seed within realistic ranges."""
 
 from __future__ import annotations
 
@@ -17,11 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Site:
-    """What one world is like. Times in milliseconds."""
+    """The parameters of one world."""
 
     tiers: int
-    nodes: int  # of the front
-    servers: tuple[int, ...]  # of each tier
+    nodes: int  # in the front tier
+    servers: tuple[int, ...]  # in each tier
     lists_pushed: bool
     may_duplicate: bool
     dedup_group: str
@@ -29,17 +28,17 @@
     max_attempts: int
     cold_start_ms: float
     conn_idle_ms: float
-    requests_per_s: float  # callers' requests a second
-    mean_work_ms: float  # mean, on one core of a usual machine
-    queue_limit: int  # calls that may wait at a server
-    load_reports: str = "off"  # of load, with answers: off, honest, or mixed with bad ones
+    requests_per_s: float  # of all callers
+    mean_work_ms: float  # on one core of a machine of the usual type
+    queue_limit: int  # calls that may wait in a server
+    load_reports: str = "off"  # sent with responses: off, honest, or mixed with bad ones
 
     @classmethod
     def draw(cls, seed: str, nodes: int, *, heavy: bool = False) -> Site:
-        """A site of this many nodes in the front tier; what is left open comes from the seed.
+        """Draws a site with this many nodes in the front tier.
 
-        heavy: near what a cold fleet bears, so that rule 4 is put to the test: one tier, much work a request,
-        a long cold time, most of the capacity asked for.
+        heavy: load near the limit of a cold fleet, to test rule 4: one tier, much work per request, a long cold
+        start, most of the capacity in use.
         """
         rng = random.Random(f"{seed}/site")
         tiers = rng.choices((1, 2, 3), (0.6, 0.3, 0.1))[0]
@@ -64,14 +63,14 @@
             requests_per_s=load * first * 1000.0 / work / tiers,
             mean_work_ms=work,
             queue_limit=rng.choice((4, 20, 60)),
-            # A source of its own: sites without reports stay what they were.
+            # A separate random source, so that load reports do not change the other draws.
             load_reports=random.Random(f"{seed}/reports").choices(
                 ("off", "honest", "mixed"), (0.5, 0.2, 0.3)
             )[0],
         )
 
     def profiles(self) -> list[dict[str, Any]]:
-        """The classes as the settings hold them."""
+        """The request classes in the form of the settings."""
         return [
             {"name": "haku", "effect": "safe", "aimMs": 1000.0, "deadlineMs": 3000.0, "worth": 1.0},
             {
@@ -87,7 +86,7 @@
         ]
 
     def settings(self, tier: int, ordinal: int) -> dict[str, Any]:
-        """A node's settings, nested as in its configuration."""
+        """A node's settings in the form of its configuration file."""
         load_info = {"columns": ["utilization", "outstanding"], "how": "inline"}
         return {
             "azs": list(ZONES),
@@ -125,7 +124,7 @@
         }
 
     def oracle_settings(self) -> OracleSettings:
-        """The same, as the oracle needs it."""
+        """The part of the settings that the oracle needs."""
         profiles = self.profiles()
         return OracleSettings(
             effects={p["name"]: p["effect"] for p in profiles},
--- a/leadrudder/simulation/standins/__init__.py
+++ b/leadrudder/simulation/standins/__init__.py
@@ -1,2 +1,1 @@
-"""Stand-ins for what surrounds a node: clients, servers and discovery, each a process of the simulated
-network."""
+"""Simulated clients, servers and discovery, each a process on the simulated network."""
--- a/leadrudder/simulation/trace.py
+++ b/leadrudder/simulation/trace.py
@@ -1,7 +1,7 @@
-"""Traces: what a play hung on, what happened, and how it ended, one JSON object a line.
+"""Traces of runs: the setup, the events and the result, one JSON object per line.
 
-The first line says what it is, the last how it ended; between them stand the plan's faults as they came, and
-what passed on the network. A trace is read again for its setup: replayed, it must end with the same digest.
+The first line holds the setup, the last one the result and the plan; between them are the injected faults and
+the network events. A trace can be replayed from its setup and must then end with the same digest.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 
 FORMAT = "leadrudder-trace"
 VERSION = 1
-MAX_TEXT_BYTES = 120  # bytes of a message's beginning that are kept
+MAX_TEXT_BYTES = 120  # prefix of the transferred data that is kept
 
 
 class TraceError(Exception):
-    """A file that is no trace of this version."""
+    """A file that is not a trace of this version."""
 
 
 class TraceWriter:
-    """Writes a trace as the play goes: its memory does not grow with the play."""
+    """Writes a trace during the run, so that memory use does not grow with its length."""
 
     def __init__(self, path: Path, setup: RunSetup) -> None:
         self._file: TextIO = path.open("w", encoding="utf-8")
@@ -47,11 +47,11 @@
         self._file.write(json.dumps(item, separators=(",", ":")) + "\n")
 
     def observe(self, world: World) -> NetworkObserver:
-        """Stands between the network and the oracle."""
+        """An observer that records network events and passes them on to the oracle."""
         return _TraceObserver(world, self._write_line)
 
     def finish(self, result: RunResult) -> None:
-        """The last line; the plan is told there too, also where it was drawn."""
+        """Writes the last line, with the plan as it was run, even if it was drawn from the seed."""
         self._write_line(
             {
                 "end": {
@@ -70,7 +70,7 @@
 
 
 class _TraceObserver:
-    """Writes down what passes, and hands it on."""
+    """Records network events and passes them on to the oracle."""
 
     def __init__(self, world: World, write_line: Any) -> None:
         self._world = world
@@ -127,9 +127,9 @@
 
 
 def read_trace(path: Path) -> tuple[RunSetup, str]:
-    """A trace's setup, with its plan as it was played, and the digest at its end.
+    """Reads a trace's setup, with the plan as it was run, and its final digest.
 
-    TraceError with one line that says what is wrong.
+    Raises TraceError with a one-line message.
     """
     try:
         lines = path.read_text(encoding="utf-8").splitlines()
--- a/leadrudder/simulation/world.py
+++ b/leadrudder/simulation/world.py
@@ -1,8 +1,8 @@
-"""One world: nodes, their surroundings, the fault plan and the oracle, all on one scheduler.
+"""One simulated world: nodes, callers, servers, discovery, fault plan and oracle on one scheduler.
 
-Everything is drawn from the seed; the same seed and plan give the same steps in every process, which the
-digest shows. A world is played to a number of steps, then left alone until it is quiet, and must be empty
-by then.
+Everything is drawn from the seed: the same seed and plan give the same steps in every process, as the digest
+shows. A world runs for a number of steps, then without load and faults until it settles, and must hold no
+request, connection or surplus timer by then.
 """
 
 from __future__ import annotations
@@ -33,26 +33,26 @@
 from leadrudder.simulation.standins.discovery import Registry, Row, StandInDiscovery
 from leadrudder.simulation.standins.server import KeyMemory, StandInServer
 
-# What a node makes for one request or connection: none is left when all is quiet.
+# Objects that a node creates per request or connection; none may be alive once the world has settled.
 PER_REQUEST_TYPES = frozenset(
     {Attempt, UpstreamCall, ClientConnection, UpstreamConnection, HttpExchange, PendingRequest, Request}
 )
-START_UNIX_TIME_S = 1_800_000_000.0  # Unix time at which a world begins
-FAULT_WINDOW_MS = 10_000  # of virtual time, for which faults are drawn at once
-FAULTS_PER_WINDOW = 14  # in an episode
-SETTLE_S = 30.0  # after the load, until all is at rest
-FINAL_REST_S = 10.0  # the last part of that, in which nothing is left to do
-LIST_DELAY_RANGE_MS = (50, 1500)  # until discovery tells of a change
+START_UNIX_TIME_S = 1_800_000_000.0  # wall clock at the start of a world
+FAULT_WINDOW_MS = 10_000  # virtual time for which faults are drawn at once
+FAULTS_PER_WINDOW = 14
+SETTLE_S = 30.0  # from the end of the load until the world must be at rest
+FINAL_REST_S = 10.0  # last part of SETTLE_S, in which nodes may hardly call discovery
+LIST_DELAY_RANGE_MS = (50, 1500)  # until discovery announces a change
 NODE_PORT, SERVER_PORT = 8000, 8000
-# At rest: a sweep of callers' and one of servers' connections, the watch's silence, the module's next timer
-# and one to come of a call for the list; the rest is a margin for what is on its way at that moment.
+# Timers of a node at rest: the sweeps of client and of server connections, the silence limit of the watch, the
+# policy's next timer and the next call to discovery; the rest is a margin for timers about to fire.
 MAX_TIMERS_AT_REST = 8
 MAX_DISCOVERY_CALLS_AT_REST = 2
-MAX_STEPS_AT_ONE_INSTANT = 5000  # steps: a flood that coincides brings some hundreds
+MAX_STEPS_AT_ONE_INSTANT = 5000  # a flood whose arrivals coincide causes some hundreds
 
 
 class NodePlatform:
-    """The seam's simulated side: the world's clock and the files of one machine."""
+    """The node's platform interface, simulated: the world's clock and the files of one machine."""
 
     def __init__(self, scheduler: Scheduler, files: dict[str, str]) -> None:
         self._scheduler = scheduler
@@ -78,7 +78,7 @@
 
 @dataclass(eq=False)
 class NodeHost:
-    """A machine that runs one node, again and again."""
+    """A machine with one node, whose process may be restarted."""
 
     name: str
     tier: int
@@ -91,11 +91,11 @@
 
     @property
     def address(self) -> Address:
-        return self.host, NODE_PORT if not self.tier else NODE_PORT + 1  # beside its server
+        return self.host, NODE_PORT if not self.tier else NODE_PORT + 1  # a sidecar shares the server's host
 
 
 class World:
-    """Everything of one play."""
+    """All state of one simulation run."""
 
     def __init__(
         self,
@@ -111,9 +111,9 @@
         self.site = Site.draw(seed, nodes, heavy=heavy)
         self.scheduler = Scheduler(seed)
         self.oracle = Oracle(self.scheduler, self.site.oracle_settings())
-        self.injected: list[Fault] = []  # those that were played so far
+        self.injected: list[Fault] = []  # scheduled so far
         self.network = Network(self.scheduler, seed, observe(self) if observe is not None else self.oracle)
-        self.processes: list[VirtualLoop] = []  # those that live, and some that died lately
+        self.processes: list[VirtualLoop] = []  # the live ones, and some that died recently
         self.front = FrontBalancer()
         self.rng = Random(f"{seed}/world")
         self.registries = [Registry() for _ in range(self.site.tiers)]
@@ -132,8 +132,8 @@
     # ------------------------------------------------------------ building
 
     def start_process(self, name: str, host: str) -> VirtualLoop:
-        """A new process on a machine."""
-        # Typeshed calls asyncio's base class abstract; what it does not have here raises, as there.
+        """Starts a process on a host."""
+        # Typeshed declares asyncio's base class abstract; methods that are missing here raise, as they do there.
         loop = VirtualLoop(  # type: ignore[abstract]
             name, host, self.scheduler, self.network, self._on_process_error
         )
@@ -178,8 +178,7 @@
     def make_row(
         self, tier: int, name: str, address: Address, started_us: int, lifecycle: str = "SERVING"
     ) -> Row:
-        """A server as discovery lists it; zone, kind and cell are those of its machine, whoever runs
-        there."""
+        """A server's row in discovery; zone, machine type and cell depend on its host alone."""
         number = int(address[0].rsplit(".", 1)[1])
         return {
             "instanceId": name,
@@ -193,7 +192,7 @@
         }
 
     def start_server(self, tier: int, row: Row, *, cold: bool) -> StandInServer:
-        """A server's process, and the node beside it where there is a tier behind."""
+        """Starts a server process, and its sidecar node where another tier follows."""
         host, port = row["hostPort"].rsplit(":", 1)
         name = row["instanceId"]
         loop = self.start_process(name, host)
@@ -227,10 +226,10 @@
         return server
 
     def _sidecar(self, tier: int, name: str, host: str) -> NodeHost:
-        """The node of a server's own: it stops and starts with its server."""
+        """The sidecar node of a server, which starts and stops with it."""
         found = next((n for n in self.nodes if n.name == f"n-{name}"), None)
         if found is None:
-            # A sidecar shares its server's machine: what befalls the one befalls the other.
+            # A sidecar shares its server's host, and so the host's faults.
             found = NodeHost(f"n-{name}", tier, sum(n.tier == tier for n in self.nodes), host)
             self.nodes.append(found)
         if found.loop is None:
@@ -240,7 +239,7 @@
     # ------------------------------------------------------------ nodes
 
     def start_node(self, host: NodeHost, known: dict[str, Any]) -> None:
-        """A node's process, as `run` starts it; with the list that it had when it ended."""
+        """Starts a node process as `leadrudder run` does, from the server list that it had persisted."""
         host.starts += 1
         loop = host.loop = self.start_process(f"{host.name}.{host.starts}", host.host)
         discovery = self.discoveries[host.tier].address
@@ -266,7 +265,7 @@
         task.add_done_callback(lambda done: self._on_node_ended(host, loop, done))
 
     def write_config(self, host: NodeHost, discovery: Address, seed: int, known: dict[str, Any]) -> None:
-        """The file that a node reads at its start, and again at SIGHUP."""
+        """Writes the file that a node reads at its start and at SIGHUP."""
         raw = {
             "name": host.name,
             "seed": f"{seed:016x}",
@@ -278,10 +277,10 @@
         host.files["config.json"] = json.dumps(raw)
 
     def _on_node_ended(self, host: NodeHost, loop: VirtualLoop, task: asyncio.Task[Any]) -> None:
-        """Its main coroutine has returned: the process is at its end, and must leave nothing behind."""
+        """Checks a process whose main coroutine has returned; it must leave nothing behind."""
         if task.cancelled() or (error := task.exception()) is None:
             unfinished = [t for t in loop.unfinished_tasks() if t is not task]
-            # Told lost by now or at this instant: what is still open after that was forgotten.
+            # connection_lost is called by now or at this instant; connections open after that have leaked.
             self.scheduler.schedule_timer(
                 self.scheduler.now + 1000, None, "exit", self._check_exit, host, loop, len(unfinished)
             )
@@ -302,7 +301,7 @@
         self.end_node(host)
 
     def end_node(self, host: NodeHost) -> None:
-        """The process is gone, by itself or by SIGKILL."""
+        """Removes the process, which has ended or is killed here as by SIGKILL."""
         loop = host.loop
         if loop is not None:
             self.oracle.node_ended(loop)
@@ -312,7 +311,7 @@
     # ------------------------------------------------------------ the fleet
 
     def publish(self, tier: int, rows: list[Row], delay_ms: int) -> None:
-        """Discovery learns of a change and tells it, later."""
+        """Has discovery apply a change and announce it after a delay."""
 
         def tell() -> None:
             self.registries[tier].apply_rows(rows)
@@ -327,7 +326,7 @@
         return low + int(fault.level * (high - low)) + self.injector.extra_list_delay_ms
 
     def stop_server(self, server: StandInServer) -> None:
-        """Its process ends, and the node beside it."""
+        """Ends a server's process and its sidecar."""
         if server in self.servers[server.tier]:
             self.servers[server.tier].remove(server)
         server.loop.kill()
@@ -336,10 +335,10 @@
             self.end_node(host)
             self.nodes.remove(host)
 
-    # ------------------------------------------------------------ playing
+    # ------------------------------------------------------------ running
 
     def run(self, steps: int) -> None:
-        """Run so many steps, faults included; ends early at a violation."""
+        """Runs this many steps, with faults; stops early at a violation."""
         end = self.scheduler.steps + steps
         scheduler, oracle = self.scheduler, self.oracle
         with _log_to_oracle(self):
@@ -363,7 +362,7 @@
             self.scheduler.schedule_timer(fault.at_ms * 1000, None, fault.kind, self.injector.inject, fault)
 
     def settle(self) -> None:
-        """End all faults, send no more, wait until all is quiet, and look whether the nodes are at rest."""
+        """Ends all faults and the load, waits until the world settles, and checks that the nodes are at rest."""
         if self.oracle.violations:
             return
         with _log_to_oracle(self):
@@ -380,7 +379,7 @@
                 self._check_memory()
 
     def _run_until(self, end_us: int) -> None:
-        """Run what is due by an instant, up to a violation."""
+        """Runs the steps due by an instant; stops early at a violation."""
         while not self.oracle.violations:
             due = self.scheduler.next_due()
             if due is None or due > end_us or not self.scheduler.run_one():
@@ -389,8 +388,7 @@
             self._check_spin()
 
     def _check_spin(self) -> None:
-        """A process that calls itself again and again at one instant burns its core, and stops the clock
-        here."""
+        """Reports a busy loop: steps that keep scheduling each other at one instant stop the virtual clock."""
         if self.scheduler.steps_at_this_instant > MAX_STEPS_AT_ONE_INSTANT:
             self.oracle.report(
                 "spin",
@@ -398,8 +396,7 @@
             )
 
     def _check_memory(self) -> None:
-        """What belongs to a request or a connection is not kept alive by anything: a table, a timer, a
-        closure."""
+        """Reports objects of finished requests and connections that a table, timer or closure keeps alive."""
         gc.collect()
         counts: dict[str, int] = {}
         for item in gc.get_objects():
@@ -410,7 +407,7 @@
             self.oracle.report("leak", f"{count} of {name} are still held at rest")
 
     def _check_rest(self, asked: dict[str, int]) -> None:
-        """Tables, connections, timers and tasks are back at their resting size."""
+        """Reports tables, connections, timers and tasks of nodes that are not back at their resting size."""
         for host in self.nodes:
             loop, node = host.loop, host.node
             if loop is None or node is None:
@@ -426,7 +423,7 @@
                 "bytes of bodies": node._listener._body_bytes,
                 "callers' connections": len(node._listener._connections),
                 "servers' connections": node._upstream.open_connection_count(),
-                "tasks": max(0, len(loop.unfinished_tasks()) - 1),  # its main one
+                "tasks": max(0, len(loop.unfinished_tasks()) - 1),  # without the main task
                 "timers": max(0, loop.live_timers - MAX_TIMERS_AT_REST),
             }
             again = self.oracle.discovery_call_counts()[loop.name] - asked.get(loop.name, 0)
@@ -439,7 +436,7 @@
                     self.oracle.report("leak", f"{loop.name} at rest: {what} {size}")
 
     def close(self) -> None:
-        """Leave nothing behind in this process."""
+        """Ends all simulated processes."""
         for host in self.nodes:
             self.end_node(host)
         for loop in self.processes:
@@ -451,7 +448,7 @@
 
 
 class _OracleLogHandler(logging.Handler):
-    """What a node logs as a fault is a finding: it went on all the same, and would tell nobody else."""
+    """Reports exceptions that a node logs and survives; they show up nowhere else."""
 
     def __init__(self, world: World) -> None:
         super().__init__(logging.ERROR)
@@ -467,7 +464,7 @@
 
 @contextmanager
 def _log_to_oracle(world: World) -> Iterator[None]:
-    """The nodes' log goes to the oracle while a world is played."""
+    """Sends the nodes' error log to the oracle while a world runs."""
     log = logging.getLogger("leadrudder")
     handler = _OracleLogHandler(world)
     previous = (log.level, log.propagate)
