--- a/leadrudder/simulation/network.py
+++ b/leadrudder/simulation/network.py
@@ -306,7 +306,9 @@
 
     def __init__(self, target: VirtualTransport) -> None:
         self.target = target
-        self.segments: deque[tuple[int, bytes | None]] = deque()  # due time and data; None is the end of stream
+        self.segments: deque[tuple[int, bytes | None]] = (
+            deque()
+        )  # due time and data; None is the end of stream
         self.last_due_us = 0
         self.size_bytes = 0
         self.severed = False  # later segments are dropped
--- a/leadrudder/simulation/standins/callers.py
+++ b/leadrudder/simulation/standins/callers.py
@@ -1,8 +1,7 @@
-"""The clients of the front: what they ask, how they retry, how they leave, and those that are no clients at
-all.
+"""The clients of the front tier: their requests, retries and departures, and connections with invalid input.
 
-They follow the protocol's terms: a new id for every try, two retries after a wait, unsafe operations tried
-again only after a refusal, keyed ones only while their key is surely remembered.
+Clients follow the protocol: a new request ID for every attempt, two retries after a pause, retries of unsafe
+operations only after a refusal, retries of keyed ones only while their key is certain to be remembered.
 """
 
 from __future__ import annotations
@@ -21,18 +20,18 @@
 from leadrudder.simulation.standins.client import ClientCall, NodeClient
 
 MAX_RETRIES = 2
-CLASS_SHARES = (0.1, 0.48, 0.42)  # of the classes
+CLASS_SHARES = (0.1, 0.48, 0.42)  # of the request classes
 SLOW_READ_S = 1.5
 LARGE_BODY_SHARE = 0.01
 LARGE_BODY_BYTES = 50_000
-READY_POLL_S = 0.1  # between two looks at a node that started
+READY_POLL_S = 0.1  # between two readiness checks of a started node
 
 
 @dataclass
 class CallerBehaviour:
-    """How callers behave now; parts are of what they do."""
+    """How callers currently behave; shares are of their operations."""
 
-    rate_factor: float = 1.0  # times the usual
+    rate_factor: float = 1.0  # on the usual arrival rate
     leave_share: float = 0.0
     malformed_share: float = 0.0
     same_id_share: float = 0.0
@@ -42,7 +41,7 @@
 
 @dataclass(slots=True, eq=False)
 class Operation:
-    """What a customer wants done, over all its tries."""
+    """One operation with all its attempts."""
 
     class_name: str
     path: str
@@ -53,8 +52,7 @@
 
 
 class FrontBalancer:
-    """The layer that deals out connections among the nodes: it takes a node in once /ready has answered
-    200."""
+    """The load balancer before the nodes; it uses a node once its /ready has answered 200."""
 
     def __init__(self) -> None:
         self.ready_nodes: dict[str, Address] = {}
@@ -64,7 +62,7 @@
 
 
 class Callers:
-    """All clients, as one process."""
+    """All clients, in one process."""
 
     def __init__(
         self, loop: VirtualLoop, oracle: Oracle, site: Site, front: FrontBalancer, seed: str
@@ -74,7 +72,7 @@
         self.site = site
         self.front = front
         self.behaviour = CallerBehaviour()
-        self.open_operations = 0  # operations that wait for an answer or a retry
+        self.open_operations = 0  # those that wait for a response or a retry
         self._rng = random.Random(f"{seed}/callers")
         self._clients: dict[Address, NodeClient] = {}
         self._number = 0
@@ -88,7 +86,7 @@
         self._schedule_arrival()
 
     def stop(self) -> None:
-        """No new operation; connections that are idle close."""
+        """Starts no more operations and closes idle connections."""
         self._arriving = False
         for client in self._clients.values():
             client.close()
@@ -145,7 +143,7 @@
         return encode_request("POST", operation.path, headers, b"x" * size), timeout
 
     def _with_same_id(self, data: bytes) -> bytes:
-        """Another request under the id of this one: a safe one, as it may come when the first is done."""
+        """A different request with the same ID; a safe one, since it may arrive after the first has ended."""
         identity = data.partition(b"X-Request-Id: ")[2].partition(b"\r\n")[0].decode()
         self._number += 1
         headers = {
@@ -156,7 +154,7 @@
         }
         return encode_request("GET", f"/api/haku-{self._number}", headers)
 
-    # ------------------------------------------------------------ tries
+    # ------------------------------------------------------------ attempts
 
     def _attempt(self, operation: Operation) -> None:
         if not self._arriving:
@@ -194,7 +192,7 @@
             self._finish()
 
     def _may_retry(self, operation: Operation) -> bool:
-        """Whether trying again after a failure is harmless: the key outlives the whole next try."""
+        """Whether a retry after a failure is harmless; a key must outlive the whole next attempt."""
         if operation.class_name == "haku":
             return True
         if operation.class_name == "varaus" or self.site.dedup_group != "all":
@@ -212,7 +210,7 @@
             self._finish()
             return
         if not operation.attempts and self.loop.scheduler.now - operation.started_us > 3 * US_PER_S:
-            self._finish()  # there has been no node for so long
+            self._finish()  # no node was ready for 3 s
             return
         self.loop.call_later(wait_s, self._attempt, operation)
 
@@ -220,22 +218,22 @@
         self.open_operations -= 1
 
     def await_ready(self, name: str, address: Address) -> None:
-        """Ask a node that has started whether it is ready, until it is or another starts in its place."""
+        """Polls a started node's /ready until it is ready, then adds it to the front."""
         client = NodeClient(self.loop, address)
 
-        def ask() -> ClientCall:
-            return client.send(encode_request("GET", "/ready", {}), 1.0, heard)
+        def check() -> ClientCall:
+            return client.send(encode_request("GET", "/ready", {}), 1.0, on_response)
 
-        def heard(message: WireMessage | None, _: str) -> None:
+        def on_response(message: WireMessage | None, _: str) -> None:
             if message is not None and message.status == 200:
                 client.close()
                 self.front.ready_nodes[name] = address
             elif self._arriving:
-                self.loop.call_later(READY_POLL_S, ask)
+                self.loop.call_later(READY_POLL_S, check)
 
-        ask()
+        check()
 
-    # ------------------------------------------------------------ others
+    # ------------------------------------------------------------ invalid and slow clients
 
     def _malformed_bytes(self) -> bytes:
         rng = self._rng
@@ -270,7 +268,7 @@
 
 
 class _RawConnection(asyncio.Protocol):
-    """A connection that writes what it was given, and leaves after a while."""
+    """A connection that writes the given bytes and is aborted after a while."""
 
     def __init__(self, loop: VirtualLoop, data: bytes, stay_s: float, slow: bool) -> None:
         self._loop = loop
--- a/leadrudder/simulation/standins/client.py
+++ b/leadrudder/simulation/standins/client.py
@@ -1,4 +1,4 @@
-"""A client's connections to one node: one request at a time on each, more when all are busy."""
+"""A pool of a client's connections to one node, each with one request at a time."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
         self.transport.write(call.data)
 
     def abort(self) -> None:
-        """The client goes away: nobody reads here any more."""
+        """Drops the call and aborts the connection."""
         self._call = None
         self.transport.abort()
 
@@ -79,7 +79,7 @@
             return
         crossed_close = exc is None and self._used and not self._parser.has_partial_message
         if crossed_close and not call.resent:
-            # The node closed between requests, and this one crossed_close that: it was not read.
+            # The node closed the idle connection while the request was in flight and did not read it.
             call.resent = True
             self._client.dispatch(call, fresh=True)
             return
@@ -98,14 +98,14 @@
     def send(
         self, data: bytes, timeout_s: float, on_done: Callable[[WireMessage | None, str], None]
     ) -> ClientCall:
-        """Send one request; it is given up after the time-out, by closing its connection."""
+        """Sends one request; abandons it after the timeout, by aborting its connection."""
         call = ClientCall(data, timeout_s, on_done)
         call.timer = self.loop.call_later(timeout_s, self.abandon, call, "timeout")
         self.dispatch(call)
         return call
 
     def abandon(self, call: ClientCall, reason: str) -> None:
-        """Close the call's connection; the request has no response."""
+        """Ends the call without a response and aborts its connection."""
         if call.ended:
             return
         connection = call.connection
@@ -144,7 +144,7 @@
             self._idle.remove(connection)
 
     def close(self) -> None:
-        """Keep nothing open that carries no request."""
+        """Closes idle connections, now and later."""
         self._closed = True
         for connection in self._idle:
             connection.transport.close()
--- a/leadrudder/simulation/standins/discovery.py
+++ b/leadrudder/simulation/standins/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in for discovery: versions, watches, and what goes wrong with them."""
+"""A simulated discovery service: versioned lists, watches, and their failures."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 from leadrudder.simulation.network import Address, VirtualTransport
 
 HEARTBEAT_S = 2.0
-MAX_KEPT_VERSIONS = 64  # versions whose changes are remembered
+MAX_KEPT_VERSIONS = 64  # past versions, for changes and old lists
 
 Row = dict[str, Any]
 
 
 @dataclass
 class Registry:
-    """What discovery knows of one tier, by version."""
+    """The servers of one tier and their changes by version."""
 
     rows: dict[str, Row] = field(default_factory=dict)
     version: int = 1
     changes: list[tuple[int, list[Row]]] = field(default_factory=list)
-    past: list[tuple[int, list[Row]]] = field(default_factory=list)  # whole lists
+    past: list[tuple[int, list[Row]]] = field(default_factory=list)  # full lists
 
     def apply_rows(self, rows: list[Row]) -> None:
-        """A new version: these rows are as given, DELETED ones gone."""
+        """Starts a new version with these rows added or replaced, or removed if DELETED."""
         self.past = [*self.past[-MAX_KEPT_VERSIONS:], (self.version, self.all_rows())]
         self.version += 1
         for row in rows:
@@ -42,12 +42,11 @@
         return list(self.rows.values())
 
     def full_list(self) -> dict[str, Any]:
-        """The whole list, in discovery's form."""
+        """The full list in the format of the discovery protocol."""
         return {"generation": self.version, "reset": True, "instances": self.all_rows()}
 
     def changes_since(self, version: int) -> dict[str, Any] | None:
-        """What changed after a version; the whole list where that is not known any more; None for no
-        change."""
+        """The changes after a version, or the full list if they are no longer kept; None if there are none."""
         if version == self.version:
             return None
         if version > self.version or not self.changes or version < self.changes[0][0] - 1:
@@ -57,7 +56,7 @@
 
 
 class _WatchConnection(asyncio.Protocol):
-    """One connection; a watch once it has asked for one."""
+    """One connection of a node; a watch once it has requested one."""
 
     def __init__(self, discovery: StandInDiscovery) -> None:
         self._discovery = discovery
@@ -93,7 +92,7 @@
         self._schedule_heartbeat()
 
     def send_line(self, line: bytes) -> None:
-        """One line of the watch."""
+        """Sends one line of the watch; an empty line is a heartbeat."""
         self.transport.write(encode_chunk(line + b"\n"))
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -103,7 +102,7 @@
 
 
 class StandInDiscovery:
-    """One process of discovery's; several may serve one registry."""
+    """One discovery process; several may serve the same registry."""
 
     def __init__(self, loop: VirtualLoop, address: Address, registry: Registry) -> None:
         self.loop = loop
@@ -113,12 +112,12 @@
         self._server = loop.network.listen(loop, lambda: _WatchConnection(self), address)
 
     def announce(self) -> None:
-        """Tell all watches of the last version."""
+        """Sends the changes of the latest version to all watches."""
         _, rows = self.registry.changes[-1]
         self._broadcast({"generation": self.registry.version, "reset": False, "instances": rows})
 
     def send_past_list(self, versions_back: int) -> None:
-        """A list of the past, whole, as a replica tells it that lags behind."""
+        """Sends an old full list, as a lagging replica does."""
         past = self.registry.past
         if past:
             version, rows = past[-1 - versions_back % len(past)]
@@ -137,7 +136,7 @@
             watch.send_line(data)
 
     def stop_serving(self) -> None:
-        """Reset what is open, refuse what comes."""
+        """Resets open watches and refuses new connections."""
         self._server.close()
         for watch in list(self.watches):
             watch.transport.abort()
--- a/leadrudder/simulation/standins/reports.py
+++ b/leadrudder/simulation/standins/reports.py
@@ -1,4 +1,4 @@
-"""What a stand-in server tells of its load with answers: honestly, late, falsely, or in no form at all."""
+"""The load reports that a simulated server sends with responses: honest, late, false or malformed."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 from leadrudder.simulation.scheduler import US_PER_S
 
-SAMPLE_PERIOD_US = US_PER_S  # between two looks at itself
+SAMPLE_PERIOD_US = US_PER_S  # between two samples of the server's load
 LATE_REPORT_US = 3 * US_PER_S
 MAX_RELATIVE_NOISE = 0.1
 
 
 class ReportingMode(Enum):
-    """How a server reports."""
+    """How a server reports its load."""
 
     NONE = "none"
     HONEST = "honest"
     LATE = "late"
-    IDLE = "idle"  # whatever it does, it claims to do nothing
-    FULL = "full"  # the reverse
+    IDLE = "idle"  # always claims to be idle
+    FULL = "full"  # always claims to be overloaded
     GARBAGE = "garbage"
 
 
@@ -38,18 +38,18 @@
 
 
 class LoadReporter:
-    """One server's reports; it looks at itself when it is asked and its last look is a period old."""
+    """The load reports of one server; samples its load when a report is due and the last sample is old."""
 
     def __init__(self, mode: ReportingMode, seed: str) -> None:
         self.mode = mode
         self._rng = random.Random(f"{seed}/reports")
-        self._samples: deque[tuple[int, float, int]] = deque()  # instant, utilisation and requests held
-        self._busy_us = 0  # since the last look
+        self._samples: deque[tuple[int, float, int]] = deque()  # time, utilization, requests in flight
+        self._busy_us = 0  # since the last sample
         self._sampled_us = 0
 
     @classmethod
     def draw(cls, site_reports: str, seed: str) -> LoadReporter:
-        """A server of a site that reports: off, honest, or a mixture in which many do it badly."""
+        """Draws a server's mode from the site's: off, honest, or a mixture with many bad modes."""
         rng = random.Random(f"{seed}/way")
         if site_reports == "off":
             return cls(ReportingMode.NONE, seed)
@@ -57,11 +57,11 @@
         return cls(mode, seed)
 
     def record_busy(self, span_us: int) -> None:
-        """Its core was busy for so long."""
+        """Adds busy time of the server's core."""
         self._busy_us += span_us
 
     def load_header(self, now_us: int, held: int) -> str:
-        """The header line of an answer that goes out now; empty where it tells nothing."""
+        """The header line of a response that is sent now; empty without a report."""
         if self.mode is ReportingMode.NONE:
             return ""
         if self.mode is ReportingMode.GARBAGE:
--- a/leadrudder/simulation/standins/server.py
+++ b/leadrudder/simulation/standins/server.py
@@ -1,7 +1,7 @@
-"""A stand-in server: a queue, cores, effects, and all the variants in which a real one answers badly.
+"""A simulated server: a queue, one core, effects, and the ways in which real servers respond badly.
 
-It begins a request when its last byte has come, drops repeats of keyed requests as its group does, and
-calls the tier behind it through a node of its own.
+It accepts a request once it is complete, deduplicates keyed requests with its group, and calls the next tier
+through its sidecar node.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 from leadrudder.simulation.standins.client import NodeClient
 from leadrudder.simulation.standins.reports import LoadReporter
 
-COLD_START_SHARE = 0.3  # of its capacity that a cold server has
+COLD_START_SHARE = 0.3  # of the full capacity, right after the start
 MAX_COLD_LOAD_MULTIPLE = 4.0
 COLD_LOAD_WINDOW_US = US_PER_S
-KEY_MEMORY_SLACK_US = US_PER_S  # a server's memory of keys is no shorter than it says
-LARGE_BODY_SHARE = 0.01  # part of the answers that fill several windows
+KEY_MEMORY_SLACK_US = US_PER_S  # servers remember keys longer than promised
+LARGE_BODY_SHARE = 0.01  # of the responses, with a large body
 LARGE_BODY_BYTES = 60_000
-ANNOUNCED_CLOSE_DELAY_S = 0.3  # between an answer that tells the close and the close
+ANNOUNCED_CLOSE_DELAY_S = 0.3  # from a response with Connection: close to the close
 NOT_RUN_HEADER = "X-Not-Run: 1\r\n"
 
 
 @dataclass
 class ServerFaults:
-    """What is wrong with a server now; parts are of its answers."""
+    """The current faults of a server; shares are of its responses."""
 
     slowdown: float = 1.0
     full: bool = False
@@ -49,7 +49,7 @@
 
 @dataclass
 class KeyMemory:
-    """Which operations of a keyed class have run, as one group of servers remembers them.
+    """The keyed operations that one deduplication group of servers has run.
 
     tier_wide: the same of all groups of a tier, which no server knows: what runs in two groups ran twice.
     """
@@ -59,7 +59,7 @@
     first_seen_us: dict[str, int] = field(default_factory=dict)
 
     def is_repeat(self, key: str, now_us: int) -> bool:
-        """Whether this is a repeat that is dropped; else it is remembered from now."""
+        """Whether the operation is a repeat to drop; otherwise remembers it from now on."""
         first = self.first_seen_us.get(key)
         if first is not None and now_us - first <= self.window_us + KEY_MEMORY_SLACK_US:
             return True
@@ -67,7 +67,7 @@
         return False
 
     def ran_elsewhere(self, key: str, now_us: int) -> bool:
-        """Whether another group has run it within the window; from now on, this one has."""
+        """Whether another group ran the operation within the window; records that this group has now."""
         first = self.tier_wide.get(key)
         self.tier_wide[key] = now_us
         return first is not None and now_us - first <= self.window_us
@@ -75,18 +75,18 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A request that was accepted."""
+    """An accepted request."""
 
     message: WireMessage
     connection: ServerConnection
     work_ms: float
     repeat: bool
-    deadline_us: int  # its caller waits no longer
-    inner_calls_left: int = 0  # calls to the tier behind
+    deadline_us: int  # when its caller stops waiting
+    inner_calls_left: int = 0  # calls to the next tier
 
 
 class ServerConnection(asyncio.Protocol):
-    """One connection of a node's."""
+    """One connection of a node to the server."""
 
     def __init__(self, server: StandInServer) -> None:
         self._server = server
@@ -100,7 +100,7 @@
         self.release()
 
     def release(self) -> None:
-        """An idle connection is closed after a while, at the latest as the settings say."""
+        """Marks the connection idle; it is closed after the idle timeout."""
         self._cancel_idle()
         self._idle_timer = self._server.loop.call_later(self._server.idle_s, self.transport.close)
 
@@ -120,7 +120,7 @@
 
 
 class StandInServer:
-    """One server's process."""
+    """One server process."""
 
     def __init__(
         self,
@@ -161,23 +161,23 @@
         self._rng = random.Random(f"{seed}/server/{name}/{started_us}")
         self._queue: deque[Job] = deque()
         self._running = 0
-        self._open_jobs = 0  # begun and not answered
-        self._recent_arrivals: deque[tuple[int, float]] = deque()  # arrivals and their work within the window
+        self._open_jobs = 0  # started and not answered
+        self._recent_arrivals: deque[tuple[int, float]] = deque()  # time and work, within the window
         self._recent_work_ms = 0.0
         self._overload_reported = False
         self._response_count = 0
         self._reporter = LoadReporter.draw(reports, f"{seed}/server/{name}/{started_us}")
         loop.network.listen(loop, lambda: ServerConnection(self), address)
 
-    # ------------------------------------------------------------ taking
+    # ------------------------------------------------------------ requests
 
     def receive_request(self, message: WireMessage, connection: ServerConnection) -> None:
-        """A whole request."""
+        """Accepts or refuses a complete request."""
         if message.target == "/health":
             connection.transport.write(encode_response(503 if self.faults.draining else 200))
             connection.release()
             return
-        # Heavy work is rare, and hangs on the operation: a repeat is as heavy as the first.
+        # Heavy work is rare; it depends on the operation, so that a repeat is as heavy as the first attempt.
         weight = random.Random(f"{message.target}/{self.tier}").expovariate(1.0)
         work = self._mean_work_ms * (0.2 + 0.8 * min(weight, 5.0))
         self._check_cold_load(work)
@@ -195,7 +195,7 @@
         self._start_jobs()
 
     def _check_cold_load(self, work_ms: float) -> None:
-        """Rule 4, where it is suffered: what all nodes together send a cold server."""
+        """Checks rule 4: the work that all nodes together send to a cold server."""
         now = self.loop.scheduler.now
         age = now - self.started_us
         if age >= self.cold_us:
@@ -214,7 +214,7 @@
                 f" within a second, and can do {capacity_ms:.0f}",
             )
 
-    # ------------------------------------------------------------ working
+    # ------------------------------------------------------------ work
 
     def _start_jobs(self) -> None:
         while self._queue and not self._running and not self.faults.hanging:
@@ -246,8 +246,7 @@
         )
 
     def _on_work_done(self, job: Job) -> None:
-        """Its own work is done: now the tier behind, if there is one. The core is free while that is waited
-        for."""
+        """Calls the next tier after the server's own work, if there is one; the core is free meanwhile."""
         self._running -= 1
         if self._inner is not None and not job.repeat:
             job.inner_calls_left = self._rng.choice((0, 1, 1, 2))
@@ -284,7 +283,7 @@
         else:
             self._answer(job, 500)
 
-    # ------------------------------------------------------------ answering
+    # ------------------------------------------------------------ responses
 
     def _answer(self, job: Job, status: int) -> None:
         self._open_jobs -= 1
@@ -294,7 +293,7 @@
         if rng.random() < faults.error_share:
             status = 500
         elif faults.unmarked_share and rng.random() < faults.unmarked_share:
-            status = 503  # of a gateway before it, say: it tells nothing of whether the request ran
+            status = 503  # as from a gateway in between: says nothing about whether the request ran
         announces_close = faults.announced_close_share > 0.0 and rng.random() < faults.announced_close_share
         self._response_count += 1
         body = f"{job.message.target} {self.name} {self._response_count} ".encode()
@@ -320,15 +319,15 @@
         else:
             job.connection.release()
 
-    # ------------------------------------------------------------ the end
+    # ------------------------------------------------------------ control
 
     def close_idle(self) -> None:
-        """Keep no idle connection to the tier behind any more."""
+        """Closes idle connections to the next tier."""
         if self._inner is not None:
             self._inner.close()
 
     def resume(self) -> None:
-        """What was hanging goes on."""
+        """Ends a hang and resumes work."""
         self.faults.hanging = False
         self._start_jobs()
 
@@ -337,7 +336,7 @@
 
 
 def _malform(data: bytes, rng: random.Random) -> bytes:
-    """An answer that is none."""
+    """Turns a response into an invalid one."""
     variants: tuple[Callable[[], bytes], ...] = (
         lambda: data[: int(rng.random() * len(data))],
         lambda: b"\x00\x01garbage" + data,
@@ -349,5 +348,5 @@
 
 
 def _class_of(message: WireMessage) -> str:
-    """Nodes need not pass the class on: the path tells it, as callers of this site write it."""
+    """The request class, taken from the path as the callers build it, since nodes need not forward it."""
     return message.target.rsplit("/", 1)[-1].split("-", 1)[0]
