--- a/tests/simulation/planted_faults.py
+++ b/tests/simulation/planted_faults.py
@@ -1,7 +1,7 @@
-"""Bugs that are put into the node's code by a test, for the simulation to find.
+"""Faults that tests plant in the node's code, for the simulation to find.
 
-Each is one that somebody could write: a check left out, a table not cleared, two events in an order that
-nobody thought of. The last two stood in the node until the simulation found them.
+Each is a plausible mistake: a missing check, a table that is not cleared, two events in an unexpected order.
+The last two were real faults of the node until the simulation found them.
 """
 
 from __future__ import annotations
@@ -39,17 +39,17 @@
 from leadrudder.policy.decide import Balancer
 from leadrudder.state.capacity import FleetCapacity
 
-Plant = Callable[[pytest.MonkeyPatch], None]
+Patch = Callable[[pytest.MonkeyPatch], None]
 
 
-def reset_taken_for_never_ran(patch: pytest.MonkeyPatch) -> None:
-    """An unsafe request goes out again after a reset."""
+def reset_counts_as_never_ran(patch: pytest.MonkeyPatch) -> None:
+    """An unsafe request is repeated after a reset."""
     harmless = NEVER_RAN | {Outcome.RESET}
     patch.setattr(Attempt, "may_have_run", lambda self: self.outcome is None or self.outcome not in harmless)
 
 
-def refusal_for_everything(patch: pytest.MonkeyPatch) -> None:
-    """What may have run is refused, and its caller tries again."""
+def everything_unserved_refused(patch: pytest.MonkeyPatch) -> None:
+    """A request that may have run is refused, so its caller retries it."""
     original = Balancer._end_unserved
 
     def finish(self: Balancer, request: Request) -> None:
@@ -60,13 +60,13 @@
     patch.setattr(Balancer, "_end_unserved", finish)
 
 
-def drains_overlooked(patch: pytest.MonkeyPatch) -> None:
+def draining_counts_as_ready(patch: pytest.MonkeyPatch) -> None:
     """A draining server counts as ready."""
     patch.setitem(lists._READINESS_BY_LIFECYCLE, "DRAINING", Readiness.READY)
 
 
-def group_forgotten(patch: pytest.MonkeyPatch) -> None:
-    """A keyed request is repeated at any server, whatever group drops its repeats."""
+def dedup_group_ignored(patch: pytest.MonkeyPatch) -> None:
+    """A keyed request is repeated at any server, also outside its deduplication group."""
     original = attempts.permitted
 
     def permitted(request: Request, entry: ServerEntry, settings: Settings, now: float) -> bool:
@@ -78,8 +78,8 @@
         patch.setattr(module, "permitted", permitted)
 
 
-def reply_lost_at_the_deadline(patch: pytest.MonkeyPatch) -> None:
-    """An answer that comes at the instant of its time-out goes to nobody, and no guard is left."""
+def response_lost_at_the_deadline(patch: pytest.MonkeyPatch) -> None:
+    """A response at the instant of its timeout is dropped, and the overdue check is disabled."""
     original = servers.UpstreamCall.end
 
     def end(self: servers.UpstreamCall, outcome: Outcome, answer: HttpMessage | None = None) -> None:
@@ -93,20 +93,20 @@
     patch.setattr(Node, "_on_overdue", lambda self, request: None)
 
 
-def surplus_taken_for_an_answer(patch: pytest.MonkeyPatch) -> None:
-    """A connection that brought more than its answer goes on, and the surplus answers a request."""
+def surplus_taken_for_a_response(patch: pytest.MonkeyPatch) -> None:
+    """A connection with surplus input stays in use, and the surplus is taken for a response."""
     patch.setattr(HttpParser, "stop", lambda self: None)
 
 
 def reused_after_surplus(patch: pytest.MonkeyPatch) -> None:
-    """A connection that brought more than its answer in one piece is kept, and the surplus thrown away."""
+    """A connection with surplus input in the same read stays in use, and the surplus is dropped."""
     patch.setattr(
         HttpParser, "has_surplus", property(lambda self: False, lambda self, value: None), raising=False
     )
 
 
-def told_close_overlooked(patch: pytest.MonkeyPatch) -> None:
-    """A connection is kept though its server told that it closes it."""
+def announced_close_ignored(patch: pytest.MonkeyPatch) -> None:
+    """A connection stays in use although its server announced the close."""
     original = servers.UpstreamConnection._finish
 
     def finish(self: servers.UpstreamConnection, answer: HttpMessage) -> None:
@@ -115,8 +115,8 @@
     patch.setattr(servers.UpstreamConnection, "_finish", finish)
 
 
-def every_503_never_ran(patch: pytest.MonkeyPatch) -> None:
-    """A 503 counts as "never ran", whether it is marked so or not."""
+def every_503_counts_as_never_ran(patch: pytest.MonkeyPatch) -> None:
+    """Every 503 counts as "never ran", also without the marking header."""
     original = servers._outcome
 
     def outcome(message: HttpMessage) -> Outcome:
@@ -125,8 +125,8 @@
     patch.setattr(servers, "_outcome", outcome)
 
 
-def same_id_taken(patch: pytest.MonkeyPatch) -> None:
-    """Two open requests of one id are both taken."""
+def duplicate_id_accepted(patch: pytest.MonkeyPatch) -> None:
+    """Two open requests with the same ID are both accepted."""
     original = Node.submit
 
     def submit(self: Node, ask: ClientRequest, exchange: Exchange) -> None:
@@ -137,9 +137,8 @@
     patch.setattr(Node, "submit", submit)
 
 
-def late_answer_kept(patch: pytest.MonkeyPatch) -> None:
-    """The connection of a call that was given up is used again, and what comes late answers another
-    request."""
+def connection_reused_after_cancel(patch: pytest.MonkeyPatch) -> None:
+    """The connection of a cancelled call is reused, and its late response answers another request."""
 
     def cancel(self: servers.UpstreamCall, outcome: Outcome) -> None:
         connection = self.connection
@@ -151,8 +150,8 @@
     patch.setattr(servers.UpstreamCall, "cancel", cancel)
 
 
-def ids_held_for_good(patch: pytest.MonkeyPatch) -> None:
-    """The table of ids in use is never cleared."""
+def ids_never_released(patch: pytest.MonkeyPatch) -> None:
+    """The table of IDs in use is never cleared."""
 
     def release_id(self: Node, name: bytes) -> None:
         self._id_uses[name] -= 1
@@ -160,8 +159,8 @@
     patch.setattr(Node, "_release_id", release_id)
 
 
-def exchanges_remembered(patch: pytest.MonkeyPatch) -> None:
-    """Something outside of all tables keeps what belonged to requests."""
+def exchanges_leaked(patch: pytest.MonkeyPatch) -> None:
+    """A reference outside all tables keeps objects of finished requests alive."""
     original = HttpExchange.send
 
     def answer(self: HttpExchange, status: int, body: bytes = b"", extra: bytes = b"") -> None:
@@ -171,7 +170,7 @@
     patch.setattr(HttpExchange, "send", answer)
 
 
-def answered_twice(patch: pytest.MonkeyPatch) -> None:
+def refusal_written_twice(patch: pytest.MonkeyPatch) -> None:
     """A refusal is written twice."""
     original = HttpExchange.send
 
@@ -186,13 +185,13 @@
     patch.setattr(HttpExchange, "send", answer)
 
 
-def ends_at_once(patch: pytest.MonkeyPatch) -> None:
-    """SIGTERM ends the node with requests open."""
+def stopped_without_draining(patch: pytest.MonkeyPatch) -> None:
+    """SIGTERM ends the node while requests are open."""
     patch.setattr(Node, "terminate", Node.stop)
 
 
-def deaf_after_a_failed_list(patch: pytest.MonkeyPatch) -> None:
-    """The module is not told that the watch has failed, and asks no more."""
+def watch_failure_not_reported(patch: pytest.MonkeyPatch) -> None:
+    """The policy is not told that the watch has failed, and does not poll."""
     original = Balancer._on_server_list
 
     def on_list(self: Balancer, event: Any) -> None:
@@ -202,8 +201,8 @@
     patch.setattr(Balancer, "_on_server_list", on_list)
 
 
-def connects_left_behind(patch: pytest.MonkeyPatch) -> None:
-    """The end of a node leaves connections that are coming up to themselves."""
+def pending_connects_left_open(patch: pytest.MonkeyPatch) -> None:
+    """A stopping node does not close pending connections."""
 
     def close(self: servers.HttpUpstream) -> None:
         self._sweep_timer.cancel()
@@ -213,8 +212,8 @@
     patch.setattr(servers.HttpUpstream, "close", close)
 
 
-def fault_swallowed(patch: pytest.MonkeyPatch) -> None:
-    """An exception in one of the callers' paths, which the node logs and survives."""
+def exception_swallowed(patch: pytest.MonkeyPatch) -> None:
+    """An exception on certain request paths, which the node logs and survives."""
     original = HttpListener._to_client_request
 
     def to_client_request(self: HttpListener, message: HttpMessage, path: bytes) -> Any:
@@ -225,31 +224,31 @@
     patch.setattr(HttpListener, "_to_client_request", to_client_request)
 
 
-def cold_as_warm(patch: pytest.MonkeyPatch) -> None:
-    """A cold server gets whatever comes, and all of it."""
+def cold_limits_disabled(patch: pytest.MonkeyPatch) -> None:
+    """No limit protects a cold server."""
     patch.setattr(FleetCapacity, "cold_budget_allows", lambda *_: True)
     patch.setattr(placement, "SHARE_SLACK_CALLS", 1e9)
     patch.setattr(placement, "MAX_WAITING_CALLS", 1e9)
     patch.setattr(Admission, "has_room", lambda *_: True)
 
 
-def cold_given_anything(patch: pytest.MonkeyPatch) -> None:
-    """A cold server gets its share of calls like any other."""
+def cold_budget_disabled(patch: pytest.MonkeyPatch) -> None:
+    """A cold server gets as many calls as a warm one."""
     patch.setattr(FleetCapacity, "cold_budget_allows", lambda *_: True)
 
 
-def answers_beyond_their_time(patch: pytest.MonkeyPatch) -> None:
-    """Requests are held 400 ms beyond their budget: their answers come when the caller has given up."""
+def requests_held_beyond_their_budget(patch: pytest.MonkeyPatch) -> None:
+    """Requests are held 400 ms beyond their budget, so responses come after the caller has left."""
     patch.setattr(node, "RESPONSE_RESERVE_MS", -400.0)
 
 
-def terms_without_end(patch: pytest.MonkeyPatch) -> None:
-    """What is taken after SIGTERM has all of its caller's time, however little is left to the node."""
+def drain_limit_too_long(patch: pytest.MonkeyPatch) -> None:
+    """After SIGTERM requests keep their callers' full budget, however little time the node has left."""
     patch.setattr(node, "DRAIN_LIMIT_S", 60.0)
 
 
-def timers_at_once(patch: pytest.MonkeyPatch) -> None:
-    """As it was: a timer less than half a millisecond away fires at once, and is asked for again."""
+def short_timers_fire_at_once(patch: pytest.MonkeyPatch) -> None:
+    """Former fault: a timer due in less than half a millisecond fires at once and is set again."""
 
     def on_set_timer(self: Node, action: SetTimer) -> None:
         delay = max(0.0, action.at_ms - self._clock.now()) / 1000.0
@@ -258,8 +257,8 @@
     patch.setattr(Node, "_on_set_timer", on_set_timer)
 
 
-def silent_watch_asked_anew(patch: pytest.MonkeyPatch) -> None:
-    """As it was: a watch without news counts as a call without a reply, and is replaced every second."""
+def idle_watch_replaced(patch: pytest.MonkeyPatch) -> None:
+    """Former fault: an idle watch counts as an unanswered call and is replaced every second."""
     original = discovery.DiscoveryClient._on_line
 
     def on_line(self: discovery.DiscoveryClient, watch: discovery._Watch, text: bytes) -> None:
@@ -269,8 +268,8 @@
     patch.setattr(discovery.DiscoveryClient, "_on_line", on_line)
 
 
-def reports_read_unguarded(patch: pytest.MonkeyPatch) -> None:
-    """A load report is taken for what it should be."""
+def load_reports_unvalidated(patch: pytest.MonkeyPatch) -> None:
+    """Load reports are not validated."""
 
     def parse_json(self: LoadReportParser, value: bytes) -> tuple[float, ...]:
         told = json.loads(value)
@@ -280,48 +279,53 @@
 
 
 @dataclass(frozen=True)
-class Planted:
-    """A plant, the rules that it may break first, within how many seeds it must be found, and among which
-    faults.
+class PlantedFault:
+    """A planted fault, the rules that it may break first, and how many seeds must suffice to find it.
 
-    Without kinds all are drawn; a rare meeting of two faults takes more seeds then, and few of only those
-    two.
+    Without kinds, all kinds of faults are drawn; a rare combination of two kinds then takes many seeds, but few
+    with only those two.
     """
 
-    plant: Plant
+    apply: Patch
     rules: frozenset[str]
-    within: int
+    max_seeds: int
     kinds: tuple[str, ...] = ()
     heavy: bool = False
 
 
-def _planted(plant: Plant, within: int, rules: str, kinds: str = "", *, heavy: bool = False) -> Planted:
-    return Planted(plant, frozenset(rules.split()), within, tuple(kinds.split()), heavy)
-
-
-PLANTS = [
-    _planted(reset_taken_for_never_ran, 2, "unsafe-repeated refused-may-have-run effect-twice"),
-    _planted(refusal_for_everything, 2, "refused-may-have-run"),
-    _planted(drains_overlooked, 4, "drain"),
-    _planted(group_forgotten, 4, "keyed-elsewhere effect-twice"),
-    _planted(reply_lost_at_the_deadline, 4, "lost leak not-in-time", "hang slow coincide"),
-    _planted(surplus_taken_for_an_answer, 4, "untrue", "surplus"),
-    _planted(reused_after_surplus, 4, "reused untrue", "surplus"),
-    _planted(told_close_overlooked, 2, "reused", "close-told"),
-    _planted(every_503_never_ran, 2, "unsafe-repeated refused-may-have-run effect-twice", "unmarked"),
-    _planted(same_id_taken, 2, "unsafe-repeated sent-for-nothing copy-forbidden effect-twice", "same-id"),
-    _planted(late_answer_kept, 2, "untrue copy-forbidden", "hang slow"),
-    _planted(ids_held_for_good, 2, "leak"),
-    _planted(exchanges_remembered, 2, "leak"),
-    _planted(answered_twice, 4, "answer-unasked untrue"),
-    _planted(ends_at_once, 4, "lost"),
-    _planted(deaf_after_a_failed_list, 4, "list-not-asked"),
-    _planted(connects_left_behind, 12, "leak", "node-restart half-open silent"),
-    _planted(fault_swallowed, 2, "exception"),
-    _planted(cold_as_warm, 3, "cold-pushed", "silent drain"),
-    _planted(cold_given_anything, 6, "cold-pushed", "release", heavy=True),
-    _planted(answers_beyond_their_time, 4, "not-in-time lost", "hang slow-all"),
-    _planted(reports_read_unguarded, 4, "exception lost"),
-    _planted(timers_at_once, 2, "spin"),
-    _planted(silent_watch_asked_anew, 4, "restless leak"),
+def _planted_fault(
+    apply: Patch, max_seeds: int, rules: str, kinds: str = "", *, heavy: bool = False
+) -> PlantedFault:
+    return PlantedFault(apply, frozenset(rules.split()), max_seeds, tuple(kinds.split()), heavy)
+
+
+PLANTED_FAULTS = [
+    _planted_fault(reset_counts_as_never_ran, 2, "unsafe-repeated refused-may-have-run effect-twice"),
+    _planted_fault(everything_unserved_refused, 2, "refused-may-have-run"),
+    _planted_fault(draining_counts_as_ready, 4, "drain"),
+    _planted_fault(dedup_group_ignored, 4, "keyed-elsewhere effect-twice"),
+    _planted_fault(response_lost_at_the_deadline, 4, "lost leak not-in-time", "hang slow coincide"),
+    _planted_fault(surplus_taken_for_a_response, 4, "untrue", "surplus"),
+    _planted_fault(reused_after_surplus, 4, "reused untrue", "surplus"),
+    _planted_fault(announced_close_ignored, 2, "reused", "close-told"),
+    _planted_fault(
+        every_503_counts_as_never_ran, 2, "unsafe-repeated refused-may-have-run effect-twice", "unmarked"
+    ),
+    _planted_fault(
+        duplicate_id_accepted, 2, "unsafe-repeated sent-for-nothing copy-forbidden effect-twice", "same-id"
+    ),
+    _planted_fault(connection_reused_after_cancel, 2, "untrue copy-forbidden", "hang slow"),
+    _planted_fault(ids_never_released, 2, "leak"),
+    _planted_fault(exchanges_leaked, 2, "leak"),
+    _planted_fault(refusal_written_twice, 4, "answer-unasked untrue"),
+    _planted_fault(stopped_without_draining, 4, "lost"),
+    _planted_fault(watch_failure_not_reported, 4, "list-not-asked"),
+    _planted_fault(pending_connects_left_open, 12, "leak", "node-restart half-open silent"),
+    _planted_fault(exception_swallowed, 2, "exception"),
+    _planted_fault(cold_limits_disabled, 3, "cold-pushed", "silent drain"),
+    _planted_fault(cold_budget_disabled, 6, "cold-pushed", "release", heavy=True),
+    _planted_fault(requests_held_beyond_their_budget, 4, "not-in-time lost", "hang slow-all"),
+    _planted_fault(load_reports_unvalidated, 4, "exception lost"),
+    _planted_fault(short_timers_fire_at_once, 2, "spin"),
+    _planted_fault(idle_watch_replaced, 4, "restless leak"),
 ]
--- a/tests/simulation/test_command.py
+++ b/tests/simulation/test_command.py
@@ -1,4 +1,4 @@
-"""leadrudder simulate, as an operator uses it."""
+"""The command `leadrudder simulate`."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from leadrudder.cli import main
 from leadrudder.simulation import runner
-from tests.simulation.planted_faults import reset_taken_for_never_ran
+from tests.simulation.planted_faults import reset_counts_as_never_ran
 
 LAST = re.compile(r"seed=(\S+) steps=(\d+) digest=([0-9a-f]{32}) violations=(\d+) steps_per_s=\d+")
 
@@ -24,7 +24,7 @@
     return found.groups()
 
 
-def test_the_same_seed_gives_the_same_digest_whatever_the_hash_seed() -> None:
+def test_the_digest_does_not_depend_on_the_hash_seed() -> None:
     digests = set()
     for hash_seed in ("0", "4711"):
         done = subprocess.run(
@@ -39,7 +39,7 @@
     assert len({found[2] for found in digests}) == 1
 
 
-def test_a_trace_is_replayed_to_the_same_digest(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_replayed_trace_gives_the_same_digest(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     trace = tmp_path / "trace"
     assert main(["simulate", "--seed", "x", "--steps", "3000", "--trace", str(trace)]) == 0
     first = _last(capsys.readouterr().out)
@@ -51,7 +51,7 @@
     assert sum("fault" in line for line in lines) >= 1
 
 
-def test_a_trace_of_another_program_is_told(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_replaying_another_programs_trace_fails(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     trace = tmp_path / "trace"
     assert main(["simulate", "--seed", "x", "--steps", "1000", "--trace", str(trace)]) == 0
     lines = trace.read_text().splitlines()
@@ -63,10 +63,10 @@
     assert "the program is another" in capsys.readouterr().err
 
 
-def test_a_violation_is_exit_code_1_and_says_how_to_replay(
+def test_a_violation_exits_with_1_and_prints_how_to_replay(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str], tmp_path: Path
 ) -> None:
-    reset_taken_for_never_ran(monkeypatch)
+    reset_counts_as_never_ran(monkeypatch)
     assert main(["simulate", "--seed", "5", "--steps", "8000"]) == 1
     out = capsys.readouterr().out
     assert "violation: unsafe-repeated at " in out
@@ -80,7 +80,7 @@
     assert _last(capsys.readouterr().out)[2] == _last(out)[2]
 
 
-def test_many_seeds_are_played_in_order_and_summed_up(
+def test_many_seeds_run_in_order_and_are_summed_up(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     lines = []
@@ -93,7 +93,7 @@
     assert runner.combined_digest(results) != runner.combined_digest([])
 
 
-def test_the_kinds_of_faults_are_told(capsys: pytest.CaptureFixture[str]) -> None:
+def test_fault_kinds_are_listed(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["simulate", "--list-faults"]) == 0
     assert "half-open" in capsys.readouterr().out
 
@@ -117,7 +117,7 @@
         (["--what"], "No such option"),
     ],
 )
-def test_bad_input_is_one_plain_line_and_exit_code_2(
+def test_invalid_arguments_print_one_line_and_exit_with_2(
     arguments: list[str], text: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert main(["simulate", *arguments]) == 2
@@ -142,7 +142,7 @@
         ("not json\n{}", "not a trace"),
     ],
 )
-def test_a_bad_trace_is_one_plain_line(
+def test_an_invalid_trace_prints_one_line(
     content: str, text: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     trace = tmp_path / "trace"
--- a/tests/simulation/test_faults.py
+++ b/tests/simulation/test_faults.py
@@ -1,4 +1,4 @@
-"""The fault plan as data."""
+"""Fault plans: drawing, validation and JSON."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from leadrudder.simulation.injector import Injector
 
 
-def test_a_plan_hangs_on_its_seed_alone_and_lies_within_its_span() -> None:
+def test_a_plan_depends_only_on_its_seed_and_lies_within_its_span() -> None:
     plan = draw_faults("a", 10_000, 5_000, 200)
     assert plan == draw_faults("a", 10_000, 5_000, 200) != draw_faults("b", 10_000, 5_000, 200)
     assert all(10_000 <= fault.at_ms < 15_000 for fault in plan)
@@ -26,20 +26,23 @@
         assert kind.min_span_ms <= fault.span_ms <= kind.max_span_ms and 0.0 <= fault.level <= 1.0
 
 
-def test_every_kind_is_drawn_sooner_or_later_and_can_be_injected() -> None:
-    usual = {kind for kind, what in FAULT_KINDS.items() if what.weight}
-    assert {fault.kind for fault in draw_faults("a", 0, 10_000, 3000)} == usual
-    asked = set(FAULT_KINDS) - usual
-    assert asked and {fault.kind for fault in draw_faults("a", 0, 1000, 50, tuple(asked))} == asked
+def test_every_kind_is_drawn_and_can_be_injected() -> None:
+    drawn_by_default = {kind for kind, fault_kind in FAULT_KINDS.items() if fault_kind.weight}
+    assert {fault.kind for fault in draw_faults("a", 0, 10_000, 3000)} == drawn_by_default
+    on_request_only = set(FAULT_KINDS) - drawn_by_default
+    assert (
+        on_request_only
+        and {fault.kind for fault in draw_faults("a", 0, 1000, 50, tuple(on_request_only))} == on_request_only
+    )
     for kind in FAULT_KINDS:
         assert callable(getattr(Injector, "_" + kind.replace("-", "_")))
 
 
-def test_only_the_kinds_that_are_asked_for_are_drawn() -> None:
+def test_only_requested_kinds_are_drawn() -> None:
     assert {fault.kind for fault in draw_faults("a", 0, 1000, 50, ("hang", "drain"))} == {"hang", "drain"}
 
 
-def test_a_plan_survives_being_written_and_read() -> None:
+def test_a_plan_round_trips_through_json() -> None:
     plan = draw_faults("a", 0, 1000, 20)
     assert faults_from_json(faults_to_json(plan)) == plan
 
@@ -54,12 +57,12 @@
         ([7], "not a fault"),
     ],
 )
-def test_what_is_no_plan_is_told(raw: object, text: str) -> None:
+def test_an_invalid_plan_is_rejected(raw: object, text: str) -> None:
     with pytest.raises(PlanError, match=text):
         faults_from_json(raw)
 
 
-def test_an_unknown_kind_is_told_with_those_that_are_known() -> None:
+def test_an_unknown_kind_is_rejected_with_a_list_of_known_ones() -> None:
     with pytest.raises(PlanError, match="unknown fault 'earthquake'; known are tail"):
         validate_kinds(["hang", "earthquake"])
     assert Fault("hang", 1, 2, 3, 0.5).kind == "hang"
--- a/tests/simulation/test_herd.py
+++ b/tests/simulation/test_herd.py
@@ -1,4 +1,4 @@
-"""Forty nodes at once: what each does alone, summed over all of them second by second, stays bounded."""
+"""Forty nodes fail over at once: their discovery calls, probes and connections per second stay bounded."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     *(Fault("node-killed", 3000, i, 500, 0.3) for i in range(28)),
     Fault("silent", 3200, 0, 3000, 0.5),
 ]
-LIST_CALLS = 2 * NODES  # in any second: a node must ask every two seconds at the latest
-PROBES = NODES
+MAX_LIST_CALLS_PER_S = 2 * NODES  # each node must call discovery at least every two seconds
+MAX_PROBES_PER_S = NODES
 
 
-def _busiest(seed: str) -> tuple[World, dict[str, int]]:
+def _peaks_per_second(seed: str) -> tuple[World, dict[str, int]]:
     world = World(seed, nodes=NODES, faults=HERD)
     try:
         world.run(STEPS)
@@ -39,21 +39,21 @@
 
 
 @pytest.mark.parametrize("seed", ["1", "2", "3"])
-def test_a_herd_of_nodes_asks_probes_and_connects_within_bounds(seed: str) -> None:
-    """Seen at seed 1: 160 list calls a second, each node four times, as long as its local agent was down."""
-    world, most = _busiest(seed)
-    assert most["list calls"] <= LIST_CALLS, most
-    assert 0 < most["probes"] <= PROBES, most
+def test_discovery_calls_probes_and_connections_are_bounded(seed: str) -> None:
+    """Seed 1 once showed 160 list calls per second, four per node, while their local agents were down."""
+    world, most = _peaks_per_second(seed)
+    assert most["list calls"] <= MAX_LIST_CALLS_PER_S, most
+    assert 0 < most["probes"] <= MAX_PROBES_PER_S, most
     # No more new connections than one for each call that is asked for, and two a node.
     assert most["connections"] <= 1.1 * world.site.requests_per_s + 2 * NODES, most
 
 
-def test_pauses_that_do_not_grow_break_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_constant_retry_pauses_exceed_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Backoff, "next_pause", lambda self: 0.5 * self._first_bound)
-    assert _busiest("1")[1]["list calls"] > LIST_CALLS
+    assert _peaks_per_second("1")[1]["list calls"] > MAX_LIST_CALLS_PER_S
 
 
-def test_first_pauses_are_spread_from_nothing_and_later_ones_grow_to_their_bound() -> None:
+def test_first_pauses_start_at_zero_and_later_ones_grow_to_the_bound() -> None:
     nodes = [Backoff(random.Random(seed), 1.0, 8.0) for seed in range(NODES)]
     first = sorted(node.next_pause() for node in nodes)
     assert first[4] < 0.25 and first[-5] > 0.75 and first[-1] <= 1.0
@@ -65,8 +65,8 @@
     assert nodes[0].next_pause() <= 1.0
 
 
-def test_nodes_that_are_told_to_move_do_not_ask_in_the_same_instant(monkeypatch: pytest.MonkeyPatch) -> None:
-    """All get SIGHUP at once, and discovery answers one call after another."""
+def test_reloaded_nodes_spread_their_discovery_calls(monkeypatch: pytest.MonkeyPatch) -> None:
+    """All nodes get SIGHUP at once, while discovery serves one call at a time."""
     asked: list[int] = []
     connection_requested = Oracle.connection_requested
 
--- a/tests/simulation/test_loop.py
+++ b/tests/simulation/test_loop.py
@@ -1,4 +1,4 @@
-"""Virtual time and the event loop on it."""
+"""The scheduler and the event loop on virtual time."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from leadrudder.simulation.scheduler import Scheduler
 
 
-def _world(seed: str = "1") -> tuple[Scheduler, VirtualLoop, list[str]]:
+def _make_loop(seed: str = "1") -> tuple[Scheduler, VirtualLoop, list[str]]:
     scheduler = Scheduler(seed)
-    faults: list[str] = []
+    errors: list[str] = []
     network = Network(scheduler, seed, NullObserver())
     loop = VirtualLoop(  # type: ignore[abstract]
-        "p", "10.0.0.1", scheduler, network, lambda _, text: faults.append(text)
+        "p", "10.0.0.1", scheduler, network, lambda _, text: errors.append(text)
     )
-    return scheduler, loop, faults
+    return scheduler, loop, errors
 
 
 def _run(scheduler: Scheduler) -> None:
@@ -28,7 +28,7 @@
 
 
 def test_timers_fire_in_order_and_time_jumps_to_them() -> None:
-    scheduler, loop, _ = _world()
+    scheduler, loop, _ = _make_loop()
     seen: list[tuple[str, float]] = []
     for name, delay in (("late", 3600.0), ("soon", 0.25), ("now", 0.0)):
         loop.call_later(delay, lambda name=name: seen.append((name, loop.time())))
@@ -38,7 +38,7 @@
 
 
 def test_time_and_timers_count_whole_milliseconds_as_uvloops_do() -> None:
-    scheduler, loop, _ = _world()
+    scheduler, loop, _ = _make_loop()
     seen: list[float] = []
     scheduler.schedule_timer(
         1700, None, "x", lambda: loop.call_later(0.0016, lambda: seen.append(scheduler.now))
@@ -48,7 +48,7 @@
 
 
 def test_a_cancelled_timer_does_not_fire_and_is_counted_once() -> None:
-    scheduler, loop, _ = _world()
+    scheduler, loop, _ = _make_loop()
     seen: list[int] = []
     handle = loop.call_later(1.0, seen.append, 1)
     handle.cancel()
@@ -57,9 +57,9 @@
     assert not seen and loop.live_timers == 0 and handle.cancelled()
 
 
-def test_callbacks_soon_keep_their_order_and_come_before_the_network() -> None:
+def test_call_soon_callbacks_keep_their_order_and_precede_deliveries() -> None:
     for seed in range(20):
-        scheduler, loop, _ = _world(str(seed))
+        scheduler, loop, _ = _make_loop(str(seed))
         seen: list[int] = []
         scheduler.schedule_delivery(0, loop, "n", seen.append, 3)
         loop.call_soon(seen.append, 1)
@@ -68,10 +68,10 @@
         assert seen == [1, 2, 3]
 
 
-def test_a_timer_and_a_reply_at_one_instant_are_met_in_both_orders() -> None:
+def test_a_timer_and_a_delivery_at_one_instant_run_in_both_orders() -> None:
     orders = set()
     for seed in range(30):
-        scheduler, loop, _ = _world(str(seed))
+        scheduler, loop, _ = _make_loop(str(seed))
         seen: list[str] = []
         loop.call_later(0.005, seen.append, "timer")
         scheduler.schedule_delivery(5000, loop, "reply", seen.append, "reply")
@@ -80,8 +80,8 @@
     assert orders == {("timer", "reply"), ("reply", "timer")}
 
 
-def test_a_frozen_process_finds_all_that_was_due_when_it_is_back() -> None:
-    scheduler, loop, _ = _world()
+def test_a_frozen_process_runs_its_due_steps_when_it_thaws() -> None:
+    scheduler, loop, _ = _make_loop()
     seen: list[tuple[int, int]] = []
     for number, due in enumerate((1000, 2000, 9000)):
         scheduler.schedule_timer(due, loop, "x", lambda number=number: seen.append((number, scheduler.now)))
@@ -90,8 +90,8 @@
     assert sorted(seen) == [(0, 5000), (1, 5000), (2, 9000)]
 
 
-def test_tasks_time_outs_and_events_run_on_it() -> None:
-    scheduler, loop, faults = _world()
+def test_tasks_timeouts_and_events_work() -> None:
+    scheduler, loop, errors = _make_loop()
     seen: list[Any] = []
 
     async def main() -> None:
@@ -107,22 +107,22 @@
 
     loop.spawn(main())
     _run(scheduler)
-    assert seen == [3.0] and not faults and not loop.unfinished_tasks()
+    assert seen == [3.0] and not errors and not loop.unfinished_tasks()
 
 
-def test_an_exception_that_the_loop_would_swallow_is_told() -> None:
-    scheduler, loop, faults = _world()
+def test_an_exception_in_a_callback_is_reported() -> None:
+    scheduler, loop, errors = _make_loop()
 
     def fail() -> None:
         raise KeyError("x")
 
     loop.call_soon(fail)
     _run(scheduler)
-    assert len(faults) == 1 and "KeyError" in faults[0]
+    assert len(errors) == 1 and "KeyError" in errors[0]
 
 
-def test_a_killed_process_runs_nothing_any_more() -> None:
-    scheduler, loop, faults = _world()
+def test_a_killed_process_runs_no_more_callbacks() -> None:
+    scheduler, loop, errors = _make_loop()
     seen: list[int] = []
     loop.call_later(1.0, seen.append, 1)
 
@@ -133,11 +133,11 @@
     loop.spawn(main())
     scheduler.schedule_timer(500_000, None, "kill", loop.kill)
     _run(scheduler)
-    assert not seen and not faults and loop.is_closed()
+    assert not seen and not errors and loop.is_closed()
 
 
 def test_a_signal_runs_its_handler_and_without_one_kills() -> None:
-    scheduler, loop, _ = _world()
+    scheduler, loop, _ = _make_loop()
     seen: list[int] = []
     loop.add_signal_handler(15, seen.append, 15)
     loop.deliver_signal(15)
@@ -148,16 +148,16 @@
     assert not loop.alive
 
 
-def test_what_is_not_there_raises() -> None:
-    _, loop, _ = _world()
+def test_unsupported_methods_raise() -> None:
+    _, loop, _ = _make_loop()
     with pytest.raises(NotImplementedError):
         loop.run_forever()
 
 
-def test_the_digest_hangs_on_the_steps() -> None:
+def test_the_digest_depends_on_the_steps() -> None:
     digests = set()
     for delays in ((0.1, 0.2), (0.1, 0.2), (0.1, 0.3)):
-        scheduler, loop, _ = _world()
+        scheduler, loop, _ = _make_loop()
         for delay in delays:
             loop.call_later(delay, int)
         _run(scheduler)
--- a/tests/simulation/test_regressions.py
+++ b/tests/simulation/test_regressions.py
@@ -1,6 +1,6 @@
-"""Seeds on which the simulation found faults of the node, as it and the model were then.
+"""Seeds on which the simulation once found faults of the node.
 
-The faults themselves are kept as plants (planted_faults.py) and in the module's own tests.
+The faults themselves are kept in planted_faults.py and in the tests of the modules concerned.
 """
 
 from __future__ import annotations
@@ -10,8 +10,7 @@
 from leadrudder.simulation.runner import RunSetup, run_world
 
 FOUND = [
-    # Calls the module again and again at one instant: a timer less than half a millisecond away fired at
-    # once.
+    # Busy loop at one instant: a timer due in less than half a millisecond fired at once and was set again.
     RunSetup("1", 8_000),
     # 38 live timers in a sidecar at rest: each that was overtaken armed another one, for good.
     RunSetup("58", 20_000),
@@ -22,7 +21,7 @@
 
 
 @pytest.mark.parametrize("setup", FOUND, ids=lambda setup: setup.seed)
-def test_what_was_found_stays_mended(setup: RunSetup) -> None:
+def test_former_failures_stay_fixed(setup: RunSetup) -> None:
     result = run_world(setup)
     assert not result.violations, result.violations
     assert result.steps >= setup.steps
--- a/tests/simulation/test_shrink.py
+++ b/tests/simulation/test_shrink.py
@@ -1,4 +1,4 @@
-"""Delta debugging of plans, alone and on a planted bug."""
+"""Delta debugging of fault plans, on its own and on a planted fault."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from leadrudder.simulation.faults import Fault, draw_faults
 from leadrudder.simulation.runner import RunSetup
 from leadrudder.simulation.shrink import ddmin, shrink_plan
-from tests.simulation.planted_faults import fault_swallowed, reset_taken_for_never_ran
+from tests.simulation.planted_faults import exception_swallowed, reset_counts_as_never_ran
 
 
 @pytest.mark.parametrize("needed", [(), (0,), (39,), (3, 17), (0, 20, 39), (5, 6, 7, 8)])
-def test_ddmin_keeps_just_what_is_needed(needed: tuple[int, ...]) -> None:
+def test_ddmin_keeps_only_what_is_needed(needed: tuple[int, ...]) -> None:
     plan = draw_faults("a", 0, 10_000, 40)
     wanted = [plan[i] for i in needed]
     tries = 0
@@ -28,8 +28,8 @@
     assert tries < 300
 
 
-def test_a_failing_play_is_cut_down_to_the_faults_that_matter(monkeypatch: pytest.MonkeyPatch) -> None:
-    reset_taken_for_never_ran(monkeypatch)
+def test_a_failing_run_is_reduced_to_the_faults_that_matter(monkeypatch: pytest.MonkeyPatch) -> None:
+    reset_counts_as_never_ran(monkeypatch)
     lines: list[str] = []
     found = shrink_plan(RunSetup("5", 8000), lines.append)
     assert found is not None and lines
@@ -39,11 +39,11 @@
     assert {fault.kind for fault in least.plan} <= {fault.kind for fault in whole.plan}
 
 
-def test_a_bug_that_needs_no_fault_is_cut_down_to_none(monkeypatch: pytest.MonkeyPatch) -> None:
-    fault_swallowed(monkeypatch)
+def test_a_failure_without_faults_is_reduced_to_an_empty_plan(monkeypatch: pytest.MonkeyPatch) -> None:
+    exception_swallowed(monkeypatch)
     found = shrink_plan(RunSetup("1", 5000))
     assert found is not None and found[1].plan == ()
 
 
-def test_a_play_that_breaks_nothing_is_told() -> None:
+def test_a_run_without_violations_is_not_shrunk() -> None:
     assert shrink_plan(RunSetup("1", 500)) is None
