--- a/leadrudder/simulation/command.py
+++ b/leadrudder/simulation/command.py
@@ -78,7 +78,7 @@
         for name, kind in FAULT_KINDS.items():
             print(f"{name:14} {kind.description}")
         return 0
-    if sum(x is not None for x in (seed, seeds, shrinking, replay)) != 1:
+    if sum(option is not None for option in (seed, seeds, shrinking, replay)) != 1:
         raise click.UsageError("one of --seed, --seeds, --shrink and --replay is wanted")
     if trace is not None and seeds is not None:
         raise click.UsageError("--trace is for one play, not for --seeds")
@@ -168,15 +168,15 @@
 
 
 def _shrink(setup: RunSetup, trace: Path | None) -> int:
-    found = shrink_plan(setup, lambda line: print(line, file=sys.stderr))
-    if found is None:
+    results = shrink_plan(setup, lambda line: print(line, file=sys.stderr))
+    if results is None:
         raise click.ClickException(f"seed {setup.seed} breaks no rule within {setup.steps} steps")
-    whole, least = found
-    for fault in least.plan:
+    full, smallest = results
+    for fault in smallest.plan:
         figures = f"target {fault.target}, {fault.span_ms} ms, level {fault.level}"
         print(f"matters: {fault.kind} at {fault.at_ms} ms, {figures}")
-    print(f"cut down from {len(whole.plan)} to {len(least.plan)} faults")
+    print(f"cut down from {len(full.plan)} to {len(smallest.plan)} faults")
     if trace is not None:
-        least = _run_traced(least.setup, trace)
+        smallest = _run_traced(smallest.setup, trace)
         print(f"replay: leadrudder simulate --replay {trace}")
-    return _print_result(least)
+    return _print_result(smallest)
--- a/leadrudder/simulation/network.py
+++ b/leadrudder/simulation/network.py
@@ -48,7 +48,7 @@
     def bytes_received(self, target: VirtualTransport, data: bytes) -> None:
         """These bytes were delivered to the reading process."""
 
-    def connection_ended(self, transport: VirtualTransport, why: str) -> None:
+    def connection_ended(self, transport: VirtualTransport, reason: str) -> None:
         """This end is over: 'closed' by its process, 'reset' by the peer or the network, or 'killed'."""
 
 
@@ -63,7 +63,7 @@
 
     def bytes_received(self, target: VirtualTransport, data: bytes) -> None: ...
 
-    def connection_ended(self, transport: VirtualTransport, why: str) -> None: ...
+    def connection_ended(self, transport: VirtualTransport, reason: str) -> None: ...
 
 
 @dataclass(slots=True)
@@ -149,13 +149,13 @@
         finally:
             self._pending_connections.pop(pending, None)
         protocol = factory()
-        here = pending.sides[0]
-        if here.ended:
+        client_side = pending.sides[0]
+        if client_side.ended:
             raise ConnectionResetError(104, "reset while it came up")
-        here.protocol = protocol
-        protocol.connection_made(here)
-        here.start()
-        return here, protocol
+        client_side.protocol = protocol
+        protocol.connection_made(client_side)
+        client_side.start()
+        return client_side, protocol
 
     def latency(self, rng: random.Random, one: str, other: str) -> int:
         """The latency of one segment between two hosts, in microseconds."""
@@ -165,10 +165,10 @@
             wait += conditions.tail_latency_us * rng.random() ** 2
         return int(wait) + conditions.extra_latency_us.get(one, 0) + conditions.extra_latency_us.get(other, 0)
 
-    def arrival_at(self, wait: int) -> int:
+    def arrival_at(self, latency_us: int) -> int:
         """The arrival time after this latency, rounded up to the arrival grain."""
         grain_us = self.conditions.arrival_grain_us
-        return -(-(self.scheduler.now + wait) // grain_us) * grain_us
+        return -(-(self.scheduler.now + latency_us) // grain_us) * grain_us
 
     def reachable(self, one: str, other: str) -> bool:
         """Whether segments pass between two hosts."""
@@ -223,20 +223,20 @@
             network.scheduler.schedule_delivery(wait, self.loop, "refused", self._refused)
             return
         source = (self.loop.host, network._next_port(self.loop.host))
-        here = VirtualTransport(network, self.loop, source, (host, port), self._rng)
-        there = VirtualTransport(network, server.loop, (host, port), source, self._rng)
-        here.attach_peer(there)
-        self.sides, self._accepted = (here, there), True
-        network.observer.connection_accepted(here)
+        client_side = VirtualTransport(network, self.loop, source, (host, port), self._rng)
+        server_side = VirtualTransport(network, server.loop, (host, port), source, self._rng)
+        client_side.attach_peer(server_side)
+        self.sides, self._accepted = (client_side, server_side), True
+        network.observer.connection_accepted(client_side)
         network.scheduler.schedule_delivery(
-            network.scheduler.now, server.loop, "accept", server.accept, there
+            network.scheduler.now, server.loop, "accept", server.accept, server_side
         )
         network.scheduler.schedule_delivery(wait, self.loop, "connected", self._connected)
 
     def _connected(self) -> None:
-        here = self.sides[0]
+        client_side = self.sides[0]
         if not self._network.reachable(self.loop.host, self._address[0]):
-            here.blackholed = True
+            client_side.blackholed = True
             return
         if not self.established.done():
             self.established.set_result(None)
@@ -483,10 +483,10 @@
         """Takes all segments that have reached this host by now."""
         pipe = self.peer._pipe
         now = self.network.scheduler.now
-        took = False
+        received_any = False
         while pipe.segments and pipe.segments[0][0] <= now:
             _, data = pipe.segments.popleft()
-            took = True
+            received_any = True
             if data is not None:
                 pipe.size_bytes -= len(data)
             if not self.network.reachable(self.host, self.peer.host):
@@ -501,7 +501,7 @@
             else:
                 self._received.append(data)
                 self._received_bytes += len(data)
-        if took and not self.ended:
+        if received_any and not self.ended:
             self._schedule_delivery()
 
     def _send_reset(self) -> None:
@@ -544,20 +544,20 @@
 
     def has_unread_input(self) -> bool:
         """What poll() reports for the socket: data, end of stream or a reset is there."""
-        pieces = self.peer._pipe.segments
-        there = bool(pieces) and pieces[0][0] <= self.network.scheduler.now and not self.blackholed
-        return bool(self._received) or self._eof_received or there or self.ended
+        segments = self.peer._pipe.segments
+        arrived = bool(segments) and segments[0][0] <= self.network.scheduler.now and not self.blackholed
+        return bool(self._received) or self._eof_received or arrived or self.ended
 
     # ------------------------------------------------------------ the end
 
-    def _end(self, why: str, error: Exception | None) -> None:
+    def _end(self, reason: str, error: Exception | None) -> None:
         """Ends this side; the peer gets the end of stream or a reset, the process connection_lost."""
         if self.ended:
             return
         unread = self._received_bytes > 0
         self.ended = True
-        self._deregister(why)
-        if why == "closed":
+        self._deregister(reason)
+        if reason == "closed":
             if unread:
                 self._send_reset()
             elif not self._eof_sent:
@@ -573,13 +573,13 @@
                 self.loop, "connection_lost", protocol.connection_lost, error
             )
 
-    def _deregister(self, why: str) -> None:
+    def _deregister(self, reason: str) -> None:
         self._received.clear()
         self._received_bytes = 0
         self._buffer.clear()
         self.network.open_transports.pop(self, None)
         self.loop.transports.pop(self, None)
-        self.network.observer.connection_ended(self, why)
+        self.network.observer.connection_ended(self, reason)
 
     def reset(self) -> None:
         """The peer or the network resets the connection; unread data is lost."""
--- a/leadrudder/simulation/oracle.py
+++ b/leadrudder/simulation/oracle.py
@@ -489,10 +489,10 @@
         request = node.open_requests.get(request_id)
         if request is None:
             late = node.answered_requests.get(request_id)
-            what = "after its answer" if late is not None else "that no caller sent"
+            detail = "after its answer" if late is not None else "that no caller sent"
             self.report(
                 "sent-for-nothing",
-                f"{node.loop.name} sent {request_id} {what} to {_target(attempt)}",
+                f"{node.loop.name} sent {request_id} {detail} to {_target(attempt)}",
             )
         else:
             if request.attempts:
@@ -555,7 +555,7 @@
             side.unusable_reason = "after more than an answer"
 
     def _listed_server(self, node: NodeRecord, address: Address) -> ListedServer | None:
-        """What the node was told of an address: of a server that may be sent to, if there is one."""
+        """The latest state that the node was told for an address, preferring a ready server."""
         rows = node.by_address.get(address, {}).values()
         return max(rows, key=lambda row: (row.ready, row.since_us)) if rows else None
 
@@ -567,9 +567,9 @@
                 "sent-unlisted", f"{side.node.loop.name} sent to {side.address}, which no list has named"
             )
         elif not listed.ready and now - listed.since_us > self._settings.drain_grace_us + TOLERANCE_US:
-            late = (now - listed.since_us) // 1000
+            late_ms = (now - listed.since_us) // 1000
             self.report(
-                "drain", f"{side.node.loop.name} sent to {side.address} {late} ms after it was told off"
+                "drain", f"{side.node.loop.name} sent to {side.address} {late_ms} ms after it was told off"
             )
 
     # ------------------------------------------------------------ lists
--- a/leadrudder/simulation/shrink.py
+++ b/leadrudder/simulation/shrink.py
@@ -27,12 +27,12 @@
         size = -(-len(remaining) // granularity)
         chunks = [remaining[i : i + size] for i in range(0, len(remaining), size)]
         for i, chunk in enumerate(chunks):
-            rest = [fault for j, other in enumerate(chunks) if j != i for fault in other]
+            complement = [fault for j, other in enumerate(chunks) if j != i for fault in other]
             if granularity > 2 and fails(chunk):
                 remaining, granularity = chunk, 2
                 break
-            if fails(rest):
-                remaining, granularity = rest, max(granularity - 1, 2)
+            if fails(complement):
+                remaining, granularity = complement, max(granularity - 1, 2)
                 break
         else:
             if granularity >= len(remaining):
@@ -50,22 +50,24 @@
 
     Returns both results. report gets one line per run.
     """
-    whole = run_world(setup)
-    if not whole.violations:
+    full = run_world(setup)
+    if not full.violations:
         return None
-    rule = whole.violations[0].rule
-    end_ms = whole.violations[0].at_us // 1000
-    before = [fault for fault in whole.plan if fault.at_ms <= end_ms]
+    rule = full.violations[0].rule
+    end_ms = full.violations[0].at_us // 1000
+    until_violation = [fault for fault in full.plan if fault.at_ms <= end_ms]
 
     def rerun(faults: Sequence[Fault]) -> RunResult:
         # The full plan's steps are enough for any part of it, although the violation may come later.
-        return run_world(replace(setup, faults=tuple(faults), steps=whole.steps))
+        return run_world(replace(setup, faults=tuple(faults), steps=full.steps))
 
     def fails(faults: Sequence[Fault]) -> bool:
         violations = rerun(faults).violations
         same = bool(violations) and violations[0].rule == rule
-        report(f"{len(faults)} of {len(before)} faults: {violations[0].rule if violations else 'clean'}")
+        report(
+            f"{len(faults)} of {len(until_violation)} faults: {violations[0].rule if violations else 'clean'}"
+        )
         return same
 
-    kept = before if fails(before) else list(whole.plan)
-    return whole, rerun(ddmin(kept, fails))
+    kept = until_violation if fails(until_violation) else list(full.plan)
+    return full, rerun(ddmin(kept, fails))
--- a/leadrudder/simulation/standins/callers.py
+++ b/leadrudder/simulation/standins/callers.py
@@ -75,7 +75,7 @@
         self.open_operations = 0  # those that wait for a response or a retry
         self._rng = random.Random(f"{seed}/callers")
         self._clients: dict[Address, NodeClient] = {}
-        self._number = 0
+        self._operation_count = 0
         self._arriving = False
         self._deadlines = {p["name"]: p["deadlineMs"] / 1000.0 for p in site.profiles()}
 
@@ -115,11 +115,15 @@
 
     def _operation(self) -> Operation:
         rng = self._rng
-        self._number += 1
-        name = rng.choices(REQUEST_CLASSES, CLASS_SHARES)[0]
+        self._operation_count += 1
+        class_name = rng.choices(REQUEST_CLASSES, CLASS_SHARES)[0]
         tenant = rng.choices([t[0] for t in TENANTS], [t[1] for t in TENANTS])[0]
         return Operation(
-            name, f"/api/{name}-{self._number}", f"k{self._number}", tenant, self.loop.scheduler.now
+            class_name,
+            f"/api/{class_name}-{self._operation_count}",
+            f"k{self._operation_count}",
+            tenant,
+            self.loop.scheduler.now,
         )
 
     def _request(self, operation: Operation) -> tuple[bytes, float]:
@@ -144,15 +148,15 @@
 
     def _with_same_id(self, data: bytes) -> bytes:
         """A different request with the same ID; a safe one, since it may arrive after the first has ended."""
-        identity = data.partition(b"X-Request-Id: ")[2].partition(b"\r\n")[0].decode()
-        self._number += 1
+        request_id = data.partition(b"X-Request-Id: ")[2].partition(b"\r\n")[0].decode()
+        self._operation_count += 1
         headers = {
-            "X-Request-Id": identity,
+            "X-Request-Id": request_id,
             "X-Class": "haku",
             "X-Tenant": TENANTS[0][0],
             "X-Deadline": "2.000",
         }
-        return encode_request("GET", f"/api/haku-{self._number}", headers)
+        return encode_request("GET", f"/api/haku-{self._operation_count}", headers)
 
     # ------------------------------------------------------------ attempts
 
@@ -160,33 +164,35 @@
         if not self._arriving:
             self._finish()
             return
-        found = self.front.choose(self._rng)
-        if found is None:
+        chosen = self.front.choose(self._rng)
+        if chosen is None:
             self._retry_later(operation, 0.2)
             return
         operation.attempts += 1
         data, timeout = self._request(operation)
-        client = self._clients.get(found[1])
+        client = self._clients.get(chosen[1])
         if client is None:
-            client = self._clients[found[1]] = NodeClient(self.loop, found[1])
-        call = client.send(data, timeout, lambda message, why: self._on_response(operation, message, why))
+            client = self._clients[chosen[1]] = NodeClient(self.loop, chosen[1])
+        call = client.send(
+            data, timeout, lambda message, reason: self._on_response(operation, message, reason)
+        )
         if self.behaviour.same_id_share and self._rng.random() < self.behaviour.same_id_share:
-            self.loop.spawn(self._open_raw(found[1], self._with_same_id(data), False))
+            self.loop.spawn(self._open_raw(chosen[1], self._with_same_id(data), False))
         if self._rng.random() < self.behaviour.leave_share:
             self.loop.call_later(self._rng.random() * 0.3, client.abandon, call, "left")
 
-    def _on_response(self, operation: Operation, message: WireMessage | None, why: str) -> None:
-        what = str(message.status) if message is not None else why
-        self.oracle.count(f"client_{what}")
+    def _on_response(self, operation: Operation, message: WireMessage | None, reason: str) -> None:
+        outcome = str(message.status) if message is not None else reason
+        self.oracle.count(f"client_{outcome}")
         if message is not None and message.status == 200:
             self.oracle.count("served")
             self._finish()
-        elif why == "left":
+        elif reason == "left":
             self._finish()
         elif message is not None and message.status in (429, 503):
             wait = float(message.headers.get("retry-after", "0.05"))
             self._retry_later(operation, wait * self._rng.uniform(1.0, 1.5) + 0.01)
-        elif why == "refused" or self._may_retry(operation):
+        elif reason == "refused" or self._may_retry(operation):
             self._retry_later(operation, self._rng.uniform(0.1, 0.4))
         else:
             self._finish()
@@ -252,15 +258,15 @@
         )
 
     def _send_raw(self, data: bytes, *, slow: bool = False) -> None:
-        found = self.front.choose(self._rng)
-        if found is not None:
-            self.loop.spawn(self._open_raw(found[1], data, slow))
+        chosen = self.front.choose(self._rng)
+        if chosen is not None:
+            self.loop.spawn(self._open_raw(chosen[1], data, slow))
 
     async def _open_raw(self, address: Address, data: bytes, slow: bool) -> None:
-        stay = self._rng.uniform(0.05, 4.0)
+        stay_s = self._rng.uniform(0.05, 4.0)
         try:
             _, protocol = await self.loop.create_connection(
-                lambda: _RawConnection(self.loop, data, stay, slow), *address
+                lambda: _RawConnection(self.loop, data, stay_s, slow), *address
             )
         except OSError:
             return
--- a/leadrudder/simulation/standins/server.py
+++ b/leadrudder/simulation/standins/server.py
@@ -51,7 +51,8 @@
 class KeyMemory:
     """The keyed operations that one deduplication group of servers has run.
 
-    tier_wide: the same of all groups of a tier, which no server knows: what runs in two groups ran twice.
+    tier_wide: the same over all groups of the tier, unknown to the servers; an operation that runs in two groups
+    has run twice.
     """
 
     window_us: int
--- a/leadrudder/simulation/trace.py
+++ b/leadrudder/simulation/trace.py
@@ -78,7 +78,7 @@
         self._write_line = write_line
         self._faults_written = 0
 
-    def _write_event(self, what: str, **more: Any) -> None:
+    def _write_event(self, event: str, **more: Any) -> None:
         scheduler = self._world.scheduler
         planned = self._world.injected
         while (
@@ -87,7 +87,7 @@
         ):
             self._write_line({"fault": faults_to_json([planned[self._faults_written]])[0]})
             self._faults_written += 1
-        self._write_line({"us": scheduler.now, "step": scheduler.steps, "what": what, **more})
+        self._write_line({"us": scheduler.now, "step": scheduler.steps, "what": event, **more})
 
     def connection_requested(self, loop: VirtualLoop, address: Address) -> None:
         self._write_event("connect", by=loop.name, to=_format_address(address))
@@ -105,9 +105,9 @@
         self._write_event("read", **_addresses(target), bytes=len(data), text=_prefix(data))
         self._oracle.bytes_received(target, data)
 
-    def connection_ended(self, transport: VirtualTransport, why: str) -> None:
-        self._write_event("end", **_addresses(transport), why=why)
-        self._oracle.connection_ended(transport, why)
+    def connection_ended(self, transport: VirtualTransport, reason: str) -> None:
+        self._write_event("end", **_addresses(transport), why=reason)
+        self._oracle.connection_ended(transport, reason)
 
 
 def _addresses(transport: VirtualTransport) -> dict[str, Any]:
--- a/leadrudder/simulation/world.py
+++ b/leadrudder/simulation/world.py
@@ -227,14 +227,14 @@
 
     def _sidecar(self, tier: int, name: str, host: str) -> NodeHost:
         """The sidecar node of a server, which starts and stops with it."""
-        found = next((n for n in self.nodes if n.name == f"n-{name}"), None)
-        if found is None:
+        sidecar = next((n for n in self.nodes if n.name == f"n-{name}"), None)
+        if sidecar is None:
             # A sidecar shares its server's host, and so the host's faults.
-            found = NodeHost(f"n-{name}", tier, sum(n.tier == tier for n in self.nodes), host)
-            self.nodes.append(found)
-        if found.loop is None:
-            self.start_node(found, self.registries[tier].full_list())
-        return found
+            sidecar = NodeHost(f"n-{name}", tier, sum(n.tier == tier for n in self.nodes), host)
+            self.nodes.append(sidecar)
+        if sidecar.loop is None:
+            self.start_node(sidecar, self.registries[tier].full_list())
+        return sidecar
 
     # ------------------------------------------------------------ nodes
 
@@ -431,9 +431,9 @@
                 self.oracle.report(
                     "restless", f"{loop.name} asked for its list {again} times while all was quiet"
                 )
-            for what, size in sizes.items():
+            for label, size in sizes.items():
                 if size:
-                    self.oracle.report("leak", f"{loop.name} at rest: {what} {size}")
+                    self.oracle.report("leak", f"{loop.name} at rest: {label} {size}")
 
     def close(self) -> None:
         """Ends all simulated processes."""
