--- a/bench/change_cost.py
+++ b/bench/change_cost.py
@@ -19,7 +19,7 @@
 from statistics import median
 from typing import Any
 
-from leadrudder.bootstrap.settings import read
+from leadrudder.bootstrap.settings import parse_settings
 from leadrudder.data_plane.admission_control import AdmissionController
 from leadrudder.data_plane.mesh_state import MeshState
 from leadrudder.observability.invariants import Invariants
@@ -53,7 +53,7 @@
 
 def state(routes: int, stations: int) -> MeshState:
     """What a process knows of so many, with some balancers in use."""
-    settings = read(SETTINGS).unwrap()
+    settings = parse_settings(SETTINGS).unwrap()
     made = MeshState(
         settings,
         AdmissionController(settings.bounds),
@@ -72,7 +72,7 @@
     made.apply_news(wire.StateUpdate(items=[route(i, 1) for i in range(routes)], nodes=nodes, served=nodes))
     made.changes.flush()
     for known in list(made.routing.routes.values())[::BALANCERS_PART]:
-        made.upstreams.load_balancer_for(known, known.split[0][0])
+        made.upstreams.load_balancer_for(known, known.service_shares[0][0])
     return made
 
 
--- a/bench/control.py
+++ b/bench/control.py
@@ -17,18 +17,24 @@
 from dataclasses import replace
 from random import Random
 
-from leadrudder.configuration.items import CORE
+from leadrudder.configuration.items import VOTER_COUNT_KEY
 from leadrudder.consensus import anti_entropy
 from leadrudder.consensus.outputs import SECTIONS, Answer, Output, ResultCode, Send, Write, section_of
 from leadrudder.consensus.state_machine import ControlStateMachine
 from leadrudder.control_simulation.scenario import FAULTS, RESIZING, Course
 from leadrudder.control_simulation.world import Broken, Machine, World
-from leadrudder.model_checker.scenarios import SCENES, WALKED
-from leadrudder.model_checker.search import Found, Search
-from leadrudder.model_checker.state import ALL
-from leadrudder.model_checker.state import Broken as SmallBroken
+from leadrudder.model_checker.scenarios import RANDOM_WALK_SCENARIOS, SCENARIOS
+from leadrudder.model_checker.search import Search, SearchResult
+from leadrudder.model_checker.state import UNBOUNDED_DELAYS
+from leadrudder.model_checker.state import InvariantViolation as ModelViolation
 from leadrudder.protocol.mesh_pb2 import Item
-from tests.mesh.planted_faults import COURSES, PLANTS, SHOWN_BY, SHOWN_IN, UNSHOWN
+from tests.mesh.planted_faults import (
+    FOUND_BY_SCENARIO,
+    FOUND_BY_SIMULATION,
+    NOT_FOUND,
+    PLANTED_FAULTS,
+    VIOLATING_TRACES,
+)
 
 WALKS, PLANT_WALKS = 12, 2
 LARGE = ((3, 200, 0), (5, 80, 0), (9, 12, 300))  # machines, seeds, stations
@@ -39,13 +45,13 @@
 # ---------------------------------------------------------------- searches
 
 
-def small(name: str, seconds: float) -> list[Found]:
+def small(name: str, seconds: float) -> list[SearchResult]:
     """One scene in breadth, or the walks of one."""
-    search = Search(SCENES[name], states=10**9, seconds=seconds)
-    if name in WALKED:
-        walks: list[Found] = []
+    search = Search(SCENARIOS[name], max_states=10**9, max_seconds=seconds)
+    if name in RANDOM_WALK_SCENARIOS:
+        walks: list[SearchResult] = []
         while len(walks) < WALKS and sum(walk.seconds for walk in walks) < seconds:
-            walks.append(search.walk(len(walks)))
+            walks.append(search.random_walk(len(walks)))
         return walks
     return [search.run()]
 
@@ -64,7 +70,7 @@
 
 def planted(name: str, seconds: float) -> tuple[str, str, str]:
     """A planted fault's name, and where small and large worlds find it; empty: they do not."""
-    with PLANTS[name]():
+    with PLANTED_FAULTS[name]():
         by_small = _planted_small(name, seconds)
         # What breaks a play before its first trouble has frames go round for minutes in a large one.
         return name, by_small, "" if "at once" in by_small else _planted_large(name)
@@ -72,41 +78,41 @@
 
 def _planted_small(name: str, seconds: float) -> str:
     """Where it is known to be found first; else every scene for so many seconds, and some walks."""
-    if name in COURSES:
-        known, course = COURSES[name]
-        free = replace(SCENES[known], left=SCENES[known].left._replace(delays=ALL))
-        if Search(free).breaks(course):
+    if name in VIOLATING_TRACES:
+        known, course = VIOLATING_TRACES[name]
+        free = replace(SCENARIOS[known], budget=SCENARIOS[known].budget._replace(delays=UNBOUNDED_DELAYS))
+        if Search(free).find_violation(course):
             return f"a course of {known}, {len(course)} moves"
-    if name in SHOWN_IN:
-        known, states = SHOWN_IN[name]
-        found = Search(SCENES[known], states=states).run()
-        if found.rule:
-            return f"{known}, {found.states} states, {len(found.course)} moves"
-    for scene in SCENES:
-        if scene not in WALKED:
+    if name in FOUND_BY_SCENARIO:
+        known, states = FOUND_BY_SCENARIO[name]
+        found = Search(SCENARIOS[known], max_states=states).run()
+        if found.violation:
+            return f"{known}, {found.states} states, {len(found.trace)} moves"
+    for scene in SCENARIOS:
+        if scene not in RANDOM_WALK_SCENARIOS:
             try:
-                found = Search(SCENES[scene], states=10**9, seconds=seconds).run()
-            except SmallBroken as error:  # in the calm before the first trouble
+                found = Search(SCENARIOS[scene], max_states=10**9, max_seconds=seconds).run()
+            except ModelViolation as error:  # in the calm before the first trouble
                 return f"{scene}, at once: {error}"
-            if found.rule:
-                return f"{scene}, {found.states} states, {len(found.course)} moves"
-    for scene in WALKED:
-        search = Search(SCENES[scene])
+            if found.violation:
+                return f"{scene}, {found.states} states, {len(found.trace)} moves"
+    for scene in RANDOM_WALK_SCENARIOS:
+        search = Search(SCENARIOS[scene])
         for seed in range(PLANT_WALKS):
             try:
-                if search.walk(seed, calm_each=2, shrink=False).rule:
+                if search.random_walk(seed, recovery_check_every=2, shrink=False).violation:
                     return f"walk {seed} of {scene}"
-            except SmallBroken as error:  # in the calm before the first trouble
+            except ModelViolation as error:  # in the calm before the first trouble
                 return f"{scene}, at once: {error}"
     return ""
 
 
 def _planted_large(name: str) -> str:
-    if name in SHOWN_BY:
+    if name in FOUND_BY_SIMULATION:
         try:
-            SHOWN_BY[name].play()
+            FOUND_BY_SIMULATION[name].play()
         except Broken:
-            course = SHOWN_BY[name]
+            course = FOUND_BY_SIMULATION[name]
             return f"{course.machines} machines, seed {course.seed}, {course.faults} faults"
     for machines, seeds in PLANT_SEEDS:
         for seed in range(seeds):
@@ -185,7 +191,7 @@
     for i in range(2):
         world.join(f"10.{50 + i}.0.1:1")
     began = world.now
-    _call(world, [Item(key=CORE, version=1, value=b"5")])
+    _call(world, [Item(key=VOTER_COUNT_KEY, version=1, value=b"5")])
     while world.now < began + 60.0 and not _even(world, 5):
         world.play(world.now + 0.05)
     changed = {s for s, a in owners.items() if not _owns(world.machines[a], s)}
@@ -209,7 +215,13 @@
     kept = {f"item/{item.key}": item.SerializeToString() for item in book}
     a, b = (
         ControlStateMachine(
-            names[i], "z", first_run=False, seeds=names, losses=1, rng=Random(i), kept={**has, "seats": seats}
+            names[i],
+            "z",
+            first_run=False,
+            seeds=names,
+            losses=1,
+            rng=Random(i),
+            records={**has, "seats": seats},
         )
         for i, has in enumerate((kept, {}))
     )
@@ -245,18 +257,18 @@
     parser.add_argument("--jobs", type=int, default=8)
     told = parser.parse_args(arguments)
     with ProcessPoolExecutor(told.jobs) as pool:
-        searches = {name: pool.submit(small, name, told.seconds) for name in SCENES}
+        searches = {name: pool.submit(small, name, told.seconds) for name in SCENARIOS}
         courses = [pool.submit(large, m, range(seeds), stations) for m, seeds, stations in LARGE]
-        plants = [pool.submit(planted, name, told.plant_seconds) for name in PLANTS]
+        plants = [pool.submit(planted, name, told.plant_seconds) for name in PLANTED_FAULTS]
         states, spent, breaks = 0, 0.0, 0
         for name, search in searches.items():
             for found in search.result():
                 states, spent = states + found.states, spent + found.seconds
-                breaks += bool(found.rule)
-                if found.rule:
-                    print(f"{name}: {found.rule}", *found.story, sep="\n")
+                breaks += bool(found.violation)
+                if found.violation:
+                    print(f"{name}: {found.violation}", *found.trace_lines, sep="\n")
             all_of_it = search.result()
-            whole = "whole" if all_of_it[0].whole else "bounded"
+            whole = "whole" if all_of_it[0].complete else "bounded"
             print(
                 f"{name}: {sum(f.states for f in all_of_it)} states, "
                 f"{max(f.depth for f in all_of_it)} moves deep, {whole}"
@@ -267,7 +279,7 @@
         hit = 0
         for plant in plants:
             name, by_small, by_large = plant.result()
-            hit += bool(by_small or by_large) and name not in UNSHOWN
+            hit += bool(by_small or by_large) and name not in NOT_FOUND
             print(f"{name} | {by_small or '-'} | {by_large or '-'}")
     acks = {(m, n): acknowledgements(m, n) for m in (3, 5, 9) for n in (100, 10_000)}
     for (machines, items), times in acks.items():
@@ -281,7 +293,8 @@
     seeds = sum(number for _, number, _ in LARGE)
     print(
         f"small_states={states} small_s={spent:.0f} large_seeds={seeds} breaks={breaks} "
-        f"planted_found={hit}/{len(PLANTS) - len(UNSHOWN)} ack_p50_ms={statistics.median(every):.0f} "
+        f"planted_found={hit}/{len(PLANTED_FAULTS) - len(NOT_FOUND)} "
+        f"ack_p50_ms={statistics.median(every):.0f} "
         f"ack_p99_ms={_at(every, 0.99):.0f} "
         f"failover_p99_ms={1000 * _at([s for spans in overs.values() for s in spans], 0.99):.0f} "
         f"repair_mb_s={repaired():.1f} moved_keys_3_to_5={part:.2f}"
--- a/leadrudder/bootstrap/settings.py
+++ b/leadrudder/bootstrap/settings.py
@@ -1,6 +1,7 @@
-"""The settings file of a station or a signalbox (TOML), checked by marshmallow.
+"""The settings file (TOML) of a proxy or a control-plane node, validated by marshmallow.
 
-Fields that are not known are skipped, as later ones may be added; a wrong one ends the program with one line.
+Unknown fields are ignored, since later releases may add some. An invalid field ends the program with one
+line.
 """
 
 from __future__ import annotations
@@ -16,29 +17,29 @@
 from returns.result import Failure, Result, Success
 
 FILE_VARIABLE = "LEADRUDDER_NODE_FILE"
-_TIME = re.compile(r"([0-9]+(?:\.[0-9]+)?)(ms|s)")
+_DURATION = re.compile(r"([0-9]+(?:\.[0-9]+)?)(ms|s)")
 
 
-def milliseconds(text: object) -> float | None:
-    """A time as the pages write it, `1500ms` or `2.5s`, in milliseconds; None for anything else."""
-    found = _TIME.fullmatch(text) if isinstance(text, str) else None
-    if found is None:
+def parse_duration_ms(text: object) -> float | None:
+    """The milliseconds of a duration such as `1500ms` or `2.5s`; None for any other text."""
+    match = _DURATION.fullmatch(text) if isinstance(text, str) else None
+    if match is None:
         return None
-    return float(found[1]) * (1000.0 if found[2] == "s" else 1.0)
+    return float(match[1]) * (1000.0 if match[2] == "s" else 1.0)
 
 
-class Duration(fields.Field[float]):
-    """A time in text, in milliseconds after reading."""
+class DurationField(fields.Field[float]):
+    """A duration in text form, loaded as milliseconds."""
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **kwargs: Any) -> float:
-        read = milliseconds(value)
-        if read is None:
+        duration_ms = parse_duration_ms(value)
+        if duration_ms is None:
             raise ValidationError("not a time such as 1500ms or 2.5s")
-        return read
+        return duration_ms
 
 
-class Address(fields.Field[tuple[str, int]]):
-    """IP:PORT."""
+class AddressField(fields.Field[tuple[str, int]]):
+    """An address of the form IP:PORT."""
 
     def _deserialize(self, value: Any, attr: str | None, data: Any, **kwargs: Any) -> tuple[str, int]:
         host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
@@ -47,17 +48,17 @@
         return host, int(port)
 
 
-class _Addresses(Schema):
+class _AddressesSchema(Schema):
     class Meta:
         unknown = EXCLUDE
 
-    inbound = Address(data_key="inboundPort", load_default=None)
-    outbound = Address(data_key="outboundPort", load_default=None)
-    readiness = Address(load_default=None)
-    control = Address(data_key="controlPort", load_default=None)
+    inbound = AddressField(data_key="inboundPort", load_default=None)
+    outbound = AddressField(data_key="outboundPort", load_default=None)
+    readiness = AddressField(load_default=None)
+    control = AddressField(data_key="controlPort", load_default=None)
 
 
-class _Limits(Schema):
+class _LimitsSchema(Schema):
     class Meta:
         unknown = EXCLUDE
 
@@ -65,14 +66,14 @@
     open_files = fields.Integer(data_key="openFiles", load_default=1024)
 
 
-class _Withstand(Schema):
+class _WithstandSchema(Schema):
     class Meta:
         unknown = EXCLUDE
 
     machines = fields.Integer(data_key="machineLosses", load_default=0)
 
 
-class _File(Schema):
+class _SettingsSchema(Schema):
     class Meta:
         unknown = EXCLUDE
 
@@ -80,22 +81,22 @@
     zone = fields.String(required=True)
     ip = fields.String(required=True)
     ports = fields.List(fields.Integer(), data_key="sparePorts", required=True)
-    seeds = fields.List(Address(), data_key="seedNodes", required=True)
+    seeds = fields.List(AddressField(), data_key="seedNodes", required=True)
     first_run = fields.Boolean(data_key="firstRun", load_default=False)
     data_folder = fields.String(data_key="dataFolder", load_default="")
-    beat_ms = Duration(data_key="beatEvery", load_default=1500.0)
+    beat_ms = DurationField(data_key="beatEvery", load_default=1500.0)
     bounds = fields.List(fields.String(), data_key="ruleBounds", load_default=list)
-    app = Address(data_key="appAddress", load_default=None)
+    app = AddressField(data_key="appAddress", load_default=None)
     service = fields.String(load_default="")
     zones = fields.Dict(keys=fields.String(), values=fields.String(), load_default=dict)
-    addresses = fields.Nested(_Addresses, load_default=dict)
-    limits = fields.Nested(_Limits, load_default=dict)
-    withstand = fields.Nested(_Withstand, load_default=dict)
+    addresses = fields.Nested(_AddressesSchema, load_default=dict)
+    limits = fields.Nested(_LimitsSchema, load_default=dict)
+    withstand = fields.Nested(_WithstandSchema, load_default=dict)
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
-    """The rules' figures in force: milliseconds, and plain numbers as they stand."""
+class RuleBounds:
+    """The bounds in effect: durations in milliseconds, other values as plain numbers."""
 
     drain: float = 2500.0
     grace: float = 6000.0
@@ -110,7 +111,7 @@
     cold_extra: float = 5.0
 
 
-_BOUNDS = {
+_BOUND_FIELDS = {
     "drain": "drain",
     "grace": "grace",
     "apply": "apply",
@@ -127,56 +128,56 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """A process's settings, read and checked."""
+    """The validated settings of a process."""
 
     name: str
     zone: str
     ip: str
-    ports: tuple[int, int]  # the first and the last that are free for talk between our processes
+    ports: tuple[int, int]  # first and last port for links between the mesh processes
     seeds: tuple[tuple[str, int], ...]
     first_run: bool
-    data_folder: str
-    beat_ms: float
-    bounds: Bounds
-    app: tuple[str, int] | None
+    data_directory: str
+    heartbeat_interval_ms: float
+    bounds: RuleBounds
+    application_address: tuple[str, int] | None
     service: str
     inbound: tuple[str, int] | None
     outbound: tuple[str, int] | None
     readiness: tuple[str, int] | None
     control: tuple[str, int] | None
-    ram_mb: float
+    memory_limit_mb: float
     open_files: int
-    losses: int  # machines with a disk that may go at once
+    tolerated_machine_losses: int  # machines with a disk that may be lost at the same time
 
     @property
-    def signal_port(self) -> int:
-        """Where signalboxes listen for links: the same on all machines."""
+    def control_link_port(self) -> int:
+        """The port on which control-plane nodes accept links, the same on all machines."""
         return self.ports[0]
 
     @property
-    def station_port(self) -> int:
-        """Where stations listen for links."""
+    def proxy_link_port(self) -> int:
+        """The port on which proxies accept links."""
         return min(self.ports[0] + 1, self.ports[1])
 
     @property
-    def seed_links(self) -> tuple[str, ...]:
-        """The link addresses of the seeds."""
-        return tuple(f"{host}:{self.signal_port}" for host, _ in self.seeds)
+    def seed_link_addresses(self) -> tuple[str, ...]:
+        """The link addresses of the seed nodes."""
+        return tuple(f"{host}:{self.control_link_port}" for host, _ in self.seeds)
 
 
-def _bounds(texts: list[str]) -> Result[Bounds, str]:
+def _parse_bounds(texts: list[str]) -> Result[RuleBounds, str]:
     values: dict[str, float] = {}
     for text in texts:
         name, _, raw = text.partition("=")
-        field = _BOUNDS.get(name.strip())
+        field = _BOUND_FIELDS.get(name.strip())
         if field is None:
             continue
-        value = milliseconds(raw.strip())
+        value = parse_duration_ms(raw.strip())
         try:
             values[field] = float(raw) if value is None else value
         except ValueError:
             return Failure(f"ruleBounds: {name} is neither a time nor a number: {raw!r}")
-    return Success(Bounds(**values))
+    return Success(RuleBounds(**values))
 
 
 def _first_error(messages: Any, path: str = "") -> str:
@@ -186,10 +187,10 @@
     return f"{path}: {messages[0] if isinstance(messages, list) and messages else messages}"
 
 
-def read(raw: Mapping[str, Any]) -> Result[Settings, str]:
-    """Settings from a parsed file; the error is one line that names the field."""
+def parse_settings(raw: Mapping[str, Any]) -> Result[Settings, str]:
+    """The settings of a parsed file; the error is one line that names the field."""
     try:
-        file = cast(dict[str, Any], _File().load(raw))
+        file = cast(dict[str, Any], _SettingsSchema().load(raw))
     except ValidationError as error:
         return Failure(_first_error(error.messages))
     if len(file["ports"]) != 2 or not 0 < file["ports"][0] <= file["ports"][1] < 65536:
@@ -197,7 +198,7 @@
     empty_addresses = {"inbound": None, "outbound": None, "readiness": None, "control": None}
     addresses = {**empty_addresses, **file["addresses"]}
     limits = {"ram_mb": 256.0, "open_files": 1024, **file["limits"]}
-    return _bounds(file["bounds"]).map(
+    return _parse_bounds(file["bounds"]).map(
         lambda bounds: Settings(
             name=file["name"],
             zone=file["zone"],
@@ -205,21 +206,21 @@
             ports=(file["ports"][0], file["ports"][1]),
             seeds=tuple(file["seeds"]),
             first_run=file["first_run"],
-            data_folder=file["data_folder"],
-            beat_ms=file["beat_ms"],
+            data_directory=file["data_folder"],
+            heartbeat_interval_ms=file["beat_ms"],
             bounds=bounds,
-            app=file["app"],
+            application_address=file["app"],
             service=file["service"],
-            ram_mb=limits["ram_mb"],
+            memory_limit_mb=limits["ram_mb"],
             open_files=limits["open_files"],
-            losses=file["withstand"].get("machines", 0),
+            tolerated_machine_losses=file["withstand"].get("machines", 0),
             **addresses,
         )
     )
 
 
-def load(environment: Mapping[str, str] = os.environ) -> Result[Settings, str]:
-    """The settings from the file that the environment names."""
+def load_settings(environment: Mapping[str, str] = os.environ) -> Result[Settings, str]:
+    """The settings of the file that the environment variable names."""
     path = environment.get(FILE_VARIABLE)
     if not path:
         return Failure(f"{FILE_VARIABLE} is not set: it must hold the path of the settings file")
@@ -228,4 +229,4 @@
             raw = tomllib.load(file)
     except (OSError, ValueError) as error:
         return Failure(f"{path}: {error}")
-    return read(raw).alt(lambda text: f"{path}: {text}")
+    return parse_settings(raw).alt(lambda text: f"{path}: {text}")
--- a/leadrudder/consensus/anti_entropy.py
+++ b/leadrudder/consensus/anti_entropy.py
@@ -69,16 +69,16 @@
             self._in_sync_at[peer] = machine.step.now
             return
         ranges = wire.RangeDigests(
-            held=machine.accepted.ranges if differing_accepted else (), full=machine.voter_table.full
+            held=machine.accepted.range_digests if differing_accepted else (), full=machine.voter_table.full
         )
         if differing_committed:
-            ranges.standing.extend(machine.committed.ranges)
+            ranges.standing.extend(machine.committed.range_digests)
         machine.send(peer, Frame(ranges=ranges))
 
     def on_ranges(self, peer: str, ranges: wire.RangeDigests) -> None:
         """Send a peer the items of the ranges whose digests differ."""
         machine = self.machine
-        differing_committed = machine.committed.differing(ranges.standing)
+        differing_committed = machine.committed.items_in_differing_ranges(ranges.standing)
         if differing_committed:
             machine.send(peer, Frame(standing=wire.CommittedItems(items=differing_committed)))
         if not machine.voter_table.full:
@@ -87,7 +87,7 @@
         self._credit = min(MAX_BYTES_PER_S, self._credit + MAX_BYTES_PER_S * (now - self._credited_at))
         self._credited_at = now
         items: list[Item] = []
-        missing = machine.accepted.differing(ranges.held)
+        missing = machine.accepted.items_in_differing_ranges(ranges.held)
         # Continue after the last key sent, so that a range larger than the bound is sent completely, too.
         resume_after = self._resume_after.get(peer, "")
         for item in sorted(missing, key=lambda item: (item.key <= resume_after, item.key)):
--- a/leadrudder/control_simulation/nodes.py
+++ b/leadrudder/control_simulation/nodes.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from leadrudder.configuration.item_store import Book
+from leadrudder.configuration.item_store import ItemStore
 from leadrudder.consensus.quorum_check import FRESH_AGE_S
 from leadrudder.control_simulation.world import DELAY_S, Machine, World
 from leadrudder.protocol.mesh_pb2 import Item
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Station:
-    book: Book = field(default_factory=Book)
+    book: ItemStore = field(default_factory=ItemStore)
     home: str = ""
     life: int = 0  # of the home's process
     had: dict[str, list[tuple[int, float]]] = field(
@@ -54,7 +54,7 @@
         home = self._world.machines.get(station.home)
         if home is None or home.process is None or home.frozen or home.life != station.life:
             return False
-        return not home.process.quorum_check.lost(self._world.now)
+        return not home.process.quorum_check.is_lost(self._world.now)
 
     def _hello(self, station: Station, home: Machine) -> None:
         """One that stands still takes it at its thaw, before it sees that its own links are dead."""
@@ -69,7 +69,7 @@
                 or not process.ownership.knows_all_sections()
             ):
                 return
-            if not process.quorum_check.fresh(self._world.now):
+            if not process.quorum_check.is_fresh(self._world.now):
                 return
             self._judge(home, process.committed)
             station.home, station.life = home.address, life
@@ -80,7 +80,7 @@
         else:
             take()
 
-    def _judge(self, home: Machine, told: Book) -> None:
+    def _judge(self, home: Machine, told: ItemStore) -> None:
         """What a station begins with is no older than what was acknowledged a moment before."""
         for acknowledged in self._world.acknowledgements:
             if acknowledged.at > self._world.now - FRESH_AGE_S:
@@ -102,7 +102,7 @@
 
     def _take(self, station: Station, items: Iterable[Item]) -> None:
         before = {item.key: station.book.items.get(item.key) for item in items}
-        for item in station.book.take(items):
+        for item in station.book.merge(items):
             station.had.setdefault(item.key, []).append((item.version, self._world.now))
         for key, old in before.items():
             new = station.book.items[key]
--- a/leadrudder/data_plane/admission_control.py
+++ b/leadrudder/data_plane/admission_control.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from leadrudder.bootstrap.settings import Bounds
+from leadrudder.bootstrap.settings import RuleBounds
 from leadrudder.data_plane.admission_queue import AdmissionQueue, QueuedCall, Rank
 from leadrudder.data_plane.service_times import ArrivalRate, ServiceTimes
 from leadrudder.protocol.mesh_pb2 import ForwardRequest
@@ -51,7 +51,7 @@
 class AdmissionController:
     """Decides whether a call is started, queued or refused."""
 
-    def __init__(self, bounds: Bounds) -> None:
+    def __init__(self, bounds: RuleBounds) -> None:
         self._bounds = bounds
         self.instance: ServerInstance | None = None
         self._ended_instances: OrderedDict[str, None] = OrderedDict()  # ids
--- a/leadrudder/data_plane/load_balancer.py
+++ b/leadrudder/data_plane/load_balancer.py
@@ -95,8 +95,8 @@
         request_class = api.RequestClass(
             name=route.name,
             aim_ms=max(1.0, route.target_ms),
-            deadline_ms=max(1.0, route.give_up_ms),
-            effect=Effect.UNSAFE if route.once else Effect.SAFE,
+            deadline_ms=max(1.0, route.timeout_ms),
+            effect=Effect.UNSAFE if route.at_most_once else Effect.SAFE,
         )
         settings = api.Settings(
             classes=(request_class,),
@@ -234,7 +234,7 @@
         if client_request.done or (
             is_repeat
             and not (
-                client_request.arrivals + len(client_request.in_flight) < self.route.tries
+                client_request.arrivals + len(client_request.in_flight) < self.route.max_attempts
                 and self._retry_budget.try_spend()
             )
         ):
--- a/leadrudder/data_plane/outbound.py
+++ b/leadrudder/data_plane/outbound.py
@@ -53,8 +53,8 @@
         self._reader = HttpReader(
             self._on_request,
             requests=True,
-            max_head_bytes=limits.head_most,
-            max_body_bytes=limits.body_most,
+            max_head_bytes=limits.max_header_bytes,
+            max_body_bytes=limits.max_body_bytes,
         )
         self._transport: asyncio.Transport | None = None
         self._slots: deque[AnswerSlot] = deque()
@@ -178,9 +178,11 @@
             if elapsed_ms > 1000.0 * UNREAD_ANSWER_TIMEOUT_S:
                 self.force_close()
         elif self._reader.partial:
-            if elapsed_ms > max(limits.head_wait_ms, limits.idle_ms if self._reader.in_message else 0.0):
+            if elapsed_ms > max(
+                limits.header_timeout_ms, limits.idle_timeout_ms if self._reader.in_message else 0.0
+            ):
                 self._reject(408, "request was not received completely in time")
-        elif elapsed_ms > limits.idle_ms or self._outbound.closing:
+        elif elapsed_ms > limits.idle_timeout_ms or self._outbound.closing:
             self._transport.close()
 
     def force_close(self) -> None:
@@ -288,7 +290,7 @@
         ):
             return self._answer_status(write, 400)
         lag_s = self._lag_s()
-        left_ms = min(route.give_up_ms, float(time_left) if time_left is not None else route.give_up_ms)
+        left_ms = min(route.timeout_ms, float(time_left) if time_left is not None else route.timeout_ms)
         waited_ms = self._patience.estimate_waited_ms(route.name, left_ms, self.now())
         left_ms -= 1000.0 * lag_s
         if lag_s > OVERLOAD_LAG_S or (lag_s > 0.0 and left_ms <= 0.0):
--- a/leadrudder/emulation/fleet.py
+++ b/leadrudder/emulation/fleet.py
@@ -13,8 +13,8 @@
 from random import Random
 from typing import Any
 
-from leadrudder.bootstrap.settings import Settings, read
-from leadrudder.control_plane.program import Signalbox
+from leadrudder.bootstrap.settings import Settings, parse_settings
+from leadrudder.control_plane.program import ControlPlaneNode
 from leadrudder.data_plane.program import DataPlaneNode
 from leadrudder.emulation.standins import Asked, Clients, Server, Wish, Work, call, request
 from leadrudder.simulation.loop import VirtualLoop
@@ -80,7 +80,7 @@
     disk: MemoryStore = field(default_factory=MemoryStore)  # what was synced stays when a process dies
     loops: dict[str, VirtualLoop] = field(default_factory=dict)
     station: DataPlaneNode | None = None
-    signalbox: Signalbox | None = None
+    signalbox: ControlPlaneNode | None = None
     server: Server | None = None
     lives: list[Server] = field(default_factory=list)  # of the server, that are over
     clients: Clients | None = None
@@ -185,7 +185,7 @@
         }
         if machine.service:
             raw["addresses"] |= {"outboundPort": f"{host}:{OUT}", "readiness": f"{host}:{READY}"}
-        return read(raw).unwrap()
+        return parse_settings(raw).unwrap()
 
     def start_signalbox(self, machine: Machine, *, first: bool = False) -> None:
         loop = self._process(machine, "signalbox")
@@ -193,9 +193,9 @@
         settings = self._settings(machine, first=first)
 
         async def main() -> None:
-            machine.signalbox = Signalbox(
+            machine.signalbox = ControlPlaneNode(
                 settings,
-                possession=self._possession,
+                maintenance_windows=self._possession,
                 rng=rng,
                 wall=lambda: self.wall,
                 writer=lambda store, told: Syncing(store, rng),
--- a/tests/mesh/test_admission_control.py
+++ b/tests/mesh/test_admission_control.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from leadrudder.bootstrap.settings import Bounds
+from leadrudder.bootstrap.settings import RuleBounds
 from leadrudder.data_plane.admission_control import AdmissionController, ServerInstance
 from leadrudder.data_plane.retry_budget import RetryBudget
 from leadrudder.data_plane.service_times import MAX_KINDS, ServiceTimes
@@ -14,7 +14,7 @@
 
 class AdmissionControl(unittest.TestCase):
     def setUp(self) -> None:
-        self.admission = AdmissionController(Bounds())
+        self.admission = AdmissionController(RuleBounds())
         self.admission.on_heartbeat(ServerInstance("i-1", "s", "z", 2), False, 1, 0.0, 0.0)
         self.started: list[int] = []
         self.refused: list[RequestFailure] = []
@@ -125,7 +125,7 @@
     LOOKUP, INTERNAL = 300.0, 80.0  # target times of two kinds of calls, in milliseconds
 
     def setUp(self) -> None:
-        self.admission = AdmissionController(Bounds())
+        self.admission = AdmissionController(RuleBounds())
         self.admission.on_heartbeat(ServerInstance("i-1", "s", "z", 5), False, 1, 0.0, 0.0)
         for _ in range(60):
             for target_ms, took_ms in ((self.LOOKUP, 100.0), (self.INTERNAL, 20.0)):
--- a/tests/mesh/test_concurrent_operators.py
+++ b/tests/mesh/test_concurrent_operators.py
@@ -12,7 +12,7 @@
 from leadrudder.control_simulation.scenario import FAULTS, STANDSTILL, Course
 from leadrudder.control_simulation.world import Broken, Machine, World
 from leadrudder.protocol.mesh_pb2 import Item
-from tests.mesh.planted_faults import PLANTS
+from tests.mesh.planted_faults import PLANTED_FAULTS
 
 # Two calls shared several versions, and each reserved one that the other waited for: a deadlock.
 DEADLOCK_SEEDS = (7, 20, 183)
@@ -185,7 +185,7 @@
         )
 
     def test_reservations_without_an_order_deadlock(self) -> None:
-        with PLANTS["reserved_in_no_order"]():
+        with PLANTED_FAULTS["reserved_in_no_order"]():
             self.assertEqual(self._two_calls_that_share_both_versions(), [])
 
     def test_seeds_that_once_deadlocked(self) -> None:
@@ -226,7 +226,7 @@
         self._outdated_state_after_the_thaw()
 
     def test_without_quorum_checks_outdated_state_is_served(self) -> None:
-        with PLANTS["links_believed"](), self.assertRaisesRegex(Broken, "hands out .* older"):
+        with PLANTED_FAULTS["links_believed"](), self.assertRaisesRegex(Broken, "hands out .* older"):
             self._outdated_state_after_the_thaw()
 
 
--- a/tests/mesh/test_emulation.py
+++ b/tests/mesh/test_emulation.py
@@ -10,7 +10,7 @@
 from leadrudder.consensus.lease import MAINTENANCE
 from leadrudder.emulation.fleet import COLD_PER_S, Bookings, Fleet, Machine, Plan
 from leadrudder.emulation.standins import Wish
-from leadrudder.maintenance.ledger import EPOCH_S, LAG, Ledger, Totals, report
+from leadrudder.maintenance.ledger import CLOSE_AFTER_EPOCHS, EPOCH_S, FleetTotals, Ledger, report
 from leadrudder.mesh import windows
 from leadrudder.protocol.outcome import ServerResponse
 from leadrudder.simulation import world
@@ -167,31 +167,31 @@
         self.assertEqual(bookings["asked"], bookings["landed"])
         self.assertEqual([bookings[k] for k in ("lost", "twice", "in_doubt")], [0, 0, 0])
         self.assertGreater(told["report"]["kal"]["lookups"], 100)
-        shown = windows.rendered(told)
+        shown = windows.render_report(told)
         self.assertIn("<svg", shown)
         self.assertIn(f"<td>{bookings['landed']}", shown)
 
     def test_a_booking_that_ran_twice_or_never_is_told(self) -> None:
         here, there = Ledger(), Ledger()
         for number in range(3):
-            here.answered("var", 100, True, f"x{number}", ServerResponse(200, b"", b""), 50.0)
+            here.record_answer("var", 100, True, f"x{number}", ServerResponse(200, b"", b""), 50.0)
         for _ in range(2):
-            there.ran("var", 100)
-        epochs = 100 * EPOCH_S + LAG * EPOCH_S
-        totals = Totals()
+            there.record_execution("var", 100)
+        epochs = 100 * EPOCH_S + CLOSE_AFTER_EPOCHS * EPOCH_S
+        totals = FleetTotals()
         for name, each in (("a", here), ("b", there)):
-            each.close(epochs)
-            totals.take(name, each.through, each.closed.values())
-        through, counted = totals.latest()
+            each.close_epochs(epochs)
+            totals.add_report(name, each.through, each.closed.values())
+        through, counted = totals.latest_counts()
         self.assertEqual(through, 100)
         self.assertEqual(report({}, counted, {})["var"]["lost"], 1)
         for _ in range(3):
-            there.ran("var", 100)  # late: counted all the same
-        there.close(epochs + EPOCH_S)
-        here.close(epochs + EPOCH_S)
+            there.record_execution("var", 100)  # late: counted all the same
+        there.close_epochs(epochs + EPOCH_S)
+        here.close_epochs(epochs + EPOCH_S)
         for name, each in (("a", here), ("b", there)):
-            totals.take(name, each.through, each.closed.values())
-        self.assertEqual(report({}, totals.latest()[1], {})["var"]["twice"], 2)
+            totals.add_report(name, each.through, each.closed.values())
+        self.assertEqual(report({}, totals.latest_counts()[1], {})["var"]["twice"], 2)
 
     def test_one_tenant_leaves_a_machine_and_the_other_stays(self) -> None:
         terms = contracts(approved=True)["addOrReplace"]["contracts"]
@@ -265,13 +265,13 @@
 
     def holds(self, machine: Machine, fleet: Fleet) -> bool:
         box = machine.signalbox
-        return box is not None and box.interlocking.leases.holds(MAINTENANCE, fleet.now)
+        return box is not None and box.state_machine.leases.holds(MAINTENANCE, fleet.now)
 
     def state(self, fleet: Fleet) -> str:
         """The window's, as a signalbox that is left has it."""
         left = next(m.signalbox for m in fleet.core if m.signalbox is not None)
-        assert left._possessions is not None
-        return left._possessions.situation().windows["huolto"].state()
+        assert left._maintenance is not None
+        return left._maintenance.situation().windows["huolto"].state()
 
     def test_what_a_contract_wants_is_given_back_when_a_zone_is_lost(self) -> None:
         fleet = self.fleet(23, **order("side-0", works="15s"))
@@ -319,7 +319,7 @@
         fleet.play(14.0)
         self.assertEqual(len(self.lent(fleet)), 5)
         holders = [
-            m for m in fleet.core if m.signalbox and m.signalbox.interlocking.leases.holds(MAINTENANCE, 14.0)
+            m for m in fleet.core if m.signalbox and m.signalbox.state_machine.leases.holds(MAINTENANCE, 14.0)
         ]
         self.assertEqual(len(holders), 1)
         fleet.kill(holders[0], "signalbox")
--- a/tests/mesh/test_graceful_shutdown.py
+++ b/tests/mesh/test_graceful_shutdown.py
@@ -51,9 +51,9 @@
         while fleet.now < started + GRACE_S:
             fleet.play(fleet.now + 0.05)
             assert wiped.signalbox is not None and leaving.signalbox is not None
-            if not recovered_at and wiped.signalbox.interlocking.voter_table.full:
+            if not recovered_at and wiped.signalbox.state_machine.voter_table.full:
                 recovered_at = fleet.now
-            if not resigned_at and leaving.signalbox.interlocking.resigned:
+            if not resigned_at and leaving.signalbox.state_machine.resigned:
                 resigned_at = fleet.now
         self.assertGreater(recovered_at, 0.0)
         self.assertGreaterEqual(resigned_at, recovered_at)
@@ -83,7 +83,7 @@
         assert leaving.signalbox is not None
         leaving.signalbox.terminate()
         fleet.play(fleet.now + GRACE_S - 1.0)
-        self.assertTrue(leaving.signalbox._done.is_set())
+        self.assertTrue(leaving.signalbox._stopped.is_set())
 
 
 class Clock(Loop):
