--- a/leadrudder/simulation/faults.py
+++ b/leadrudder/simulation/faults.py
@@ -1,8 +1,8 @@
 """Fault plans: the faults of a run and their times, drawn from one seed and kept as data.
 
-A plan is a list of faults; each has a kind, a time, and parameters whose meaning depends on the kind. It can be
-written, read and reduced: the world does not share the plan's random source, so removing a fault does not change
-any other draw.
+A plan is a list of faults; each has a kind, a time, and parameters whose meaning depends on the kind. It can
+be written, read and reduced: the world does not share the plan's random source, so removing a fault does not
+change any other draw.
 """
 
 from __future__ import annotations
@@ -101,7 +101,7 @@
     """Draws faults within a span of time, of these kinds or of all. PlanError for an unknown kind."""
     allowed = validate_kinds(kinds) or list(FAULT_KINDS)
     rng = random.Random(f"{seed}/faults/{start_ms}")
-    # A kind with weight 0 is drawn only when requested by name, so that it does not change other seeds' draws.
+    # A kind of weight 0 is drawn only when requested by name, so that it does not change other draws.
     weights = [FAULT_KINDS[kind].weight or float(bool(kinds)) for kind in allowed]
     faults = []
     for kind in rng.choices(allowed, weights, k=count):
--- a/leadrudder/simulation/injector.py
+++ b/leadrudder/simulation/injector.py
@@ -1,7 +1,7 @@
 """Injects the faults of a plan and ends them after their span.
 
-A fault picks its target by a number modulo the candidates that exist at its time, so that a plan still runs when
-other faults are removed from it.
+A fault picks its target by a number modulo the candidates that exist at its time, so that a plan still runs
+when other faults are removed from it.
 """
 
 from __future__ import annotations
@@ -236,7 +236,7 @@
         self._end_after(fault.span_ms, partial(self._replace_server, server, fault, name))
 
     def _drain(self, fault: Fault) -> None:
-        """Discovery announces that a server drains, then it leaves; some refuse calls before the announcement."""
+        """Discovery announces that a server drains; then it leaves. Some refuse calls before that."""
         world = self._world
         server = self._server(fault)
         if server is None:
--- a/leadrudder/simulation/loop.py
+++ b/leadrudder/simulation/loop.py
@@ -34,7 +34,7 @@
         loop: VirtualLoop,
         context: contextvars.Context | None,
     ) -> None:
-        # Skips the base class's constructor: its debug flags and traceback are costly over a million callbacks.
+        # Skips the base class's constructor, whose debug flags and traceback cost time over a million calls.
         self._callback = callback
         self._args = args
         self._cancelled = False
--- a/leadrudder/simulation/network.py
+++ b/leadrudder/simulation/network.py
@@ -70,7 +70,7 @@
 class ConnectionCut:
     """Resets the next connection from one host to another on which data is written.
 
-    delivered_share: the share of that data that still arrives, from 0.0 to 1.0. remaining: connections to cut.
+    delivered_share: the share of that data that still arrives, in [0, 1]. remaining: connections to cut.
     """
 
     source: str
--- a/leadrudder/simulation/runner.py
+++ b/leadrudder/simulation/runner.py
@@ -61,8 +61,8 @@
 ) -> RunResult:
     """Runs until the number of steps or the first violation, then until the world has settled.
 
-    progress is called every STEPS_PER_SLICE steps with the steps run and the virtual seconds. observe returns an
-    observer that stands before the oracle and passes events on to it.
+    progress is called every STEPS_PER_SLICE steps with the steps run and the virtual seconds. observe returns
+    an observer that stands before the oracle and passes events on to it.
     """
     started = time.perf_counter()
     world = World(
--- a/leadrudder/simulation/scheduler.py
+++ b/leadrudder/simulation/scheduler.py
@@ -1,8 +1,8 @@
 """Virtual time: one heap of steps for all simulated processes, ordered by the seed alone.
 
-Time is a whole number of microseconds. Different orders of steps that are due at the same instant are explored:
-the order of timers and network deliveries is drawn from the seed. As in uvloop, callbacks of call_soon run before
-the deliveries of that instant, and timers may run before both.
+Time is a whole number of microseconds. Different orders of steps that are due at the same instant are
+explored: the order of timers and network deliveries is drawn from the seed. As in uvloop, callbacks of
+call_soon run before the deliveries of that instant, and timers may run before both.
 """
 
 from __future__ import annotations
--- a/leadrudder/simulation/site.py
+++ b/leadrudder/simulation/site.py
@@ -37,8 +37,8 @@
     def draw(cls, seed: str, nodes: int, *, heavy: bool = False) -> Site:
         """Draws a site with this many nodes in the front tier.
 
-        heavy: load near the limit of a cold fleet, to test rule 4: one tier, much work per request, a long cold
-        start, most of the capacity in use.
+        heavy: load near the limit of a cold fleet, to test rule 4: one tier, much work per request, a long
+        cold start, most of the capacity in use.
         """
         rng = random.Random(f"{seed}/site")
         tiers = rng.choices((1, 2, 3), (0.6, 0.3, 0.1))[0]
--- a/leadrudder/simulation/standins/discovery.py
+++ b/leadrudder/simulation/standins/discovery.py
@@ -46,7 +46,7 @@
         return {"generation": self.version, "reset": True, "instances": self.all_rows()}
 
     def changes_since(self, version: int) -> dict[str, Any] | None:
-        """The changes after a version, or the full list if they are no longer kept; None if there are none."""
+        """The changes after a version, or the full list if they are not kept; None if there are none."""
         if version == self.version:
             return None
         if version > self.version or not self.changes or version < self.changes[0][0] - 1:
--- a/leadrudder/simulation/standins/server.py
+++ b/leadrudder/simulation/standins/server.py
@@ -51,8 +51,8 @@
 class KeyMemory:
     """The keyed operations that one deduplication group of servers has run.
 
-    tier_wide: the same over all groups of the tier, unknown to the servers; an operation that runs in two groups
-    has run twice.
+    tier_wide: the same over all groups of the tier, unknown to the servers; an operation that runs in two
+    groups has run twice.
     """
 
     window_us: int
@@ -211,8 +211,8 @@
             self._overload_reported = True
             self.oracle.report(
                 "cold-pushed",
-                f"{self.name}, {age // 1000} ms after its start, was sent {self._recent_work_ms:.0f} ms of work"
-                f" within a second, and can do {capacity_ms:.0f}",
+                f"{self.name}, {age // 1000} ms after its start, was sent {self._recent_work_ms:.0f} ms"
+                f" of work within a second, and can do {capacity_ms:.0f}",
             )
 
     # ------------------------------------------------------------ work
--- a/leadrudder/simulation/world.py
+++ b/leadrudder/simulation/world.py
@@ -44,8 +44,8 @@
 FINAL_REST_S = 10.0  # last part of SETTLE_S, in which nodes may hardly call discovery
 LIST_DELAY_RANGE_MS = (50, 1500)  # until discovery announces a change
 NODE_PORT, SERVER_PORT = 8000, 8000
-# Timers of a node at rest: the sweeps of client and of server connections, the silence limit of the watch, the
-# policy's next timer and the next call to discovery; the rest is a margin for timers about to fire.
+# Timers of a node at rest: the sweeps of client and of server connections, the silence limit of the watch,
+# the policy's next timer and the next call to discovery; the rest is a margin for timers about to fire.
 MAX_TIMERS_AT_REST = 8
 MAX_DISCOVERY_CALLS_AT_REST = 2
 MAX_STEPS_AT_ONE_INSTANT = 5000  # a flood whose arrivals coincide causes some hundreds
@@ -133,7 +133,7 @@
 
     def start_process(self, name: str, host: str) -> VirtualLoop:
         """Starts a process on a host."""
-        # Typeshed declares asyncio's base class abstract; methods that are missing here raise, as they do there.
+        # Typeshed declares asyncio's base class abstract; methods missing here raise, as they do there.
         loop = VirtualLoop(  # type: ignore[abstract]
             name, host, self.scheduler, self.network, self._on_process_error
         )
@@ -362,7 +362,7 @@
             self.scheduler.schedule_timer(fault.at_ms * 1000, None, fault.kind, self.injector.inject, fault)
 
     def settle(self) -> None:
-        """Ends all faults and the load, waits until the world settles, and checks that the nodes are at rest."""
+        """Ends faults and load, waits until the world settles, and checks that the nodes are at rest."""
         if self.oracle.violations:
             return
         with _log_to_oracle(self):
@@ -388,7 +388,7 @@
             self._check_spin()
 
     def _check_spin(self) -> None:
-        """Reports a busy loop: steps that keep scheduling each other at one instant stop the virtual clock."""
+        """Reports a busy loop: steps that schedule each other at one instant stop the virtual clock."""
         if self.scheduler.steps_at_this_instant > MAX_STEPS_AT_ONE_INSTANT:
             self.oracle.report(
                 "spin",
--- a/tests/simulation/planted_faults.py
+++ b/tests/simulation/planted_faults.py
@@ -282,8 +282,8 @@
 class PlantedFault:
     """A planted fault, the rules that it may break first, and how many seeds must suffice to find it.
 
-    Without kinds, all kinds of faults are drawn; a rare combination of two kinds then takes many seeds, but few
-    with only those two.
+    Without kinds, all kinds of faults are drawn; a rare combination of two kinds then takes many seeds, but
+    few with only those two.
     """
 
     apply: Patch
