--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -27,7 +27,7 @@
 from leadrudder.emulation.fleet import Fleet, FleetPlan
 from leadrudder.protocol.mesh_pb2 import Item
 from leadrudder.simulation.loop import VirtualLoop
-from leadrudder.simulation.network import Untapped, VirtualTransport
+from leadrudder.simulation.network import NullObserver, VirtualTransport
 from leadrudder.simulation.scheduler import Step
 
 PAGE = Path(__file__).resolve().parent.parent / "docs/CAPACITY.md"
@@ -39,13 +39,13 @@
 MAX_RELATIVE_DEVIATION = 0.2  # relative deviation of any size for a fit to count as linear
 
 
-class ByteCounter(Untapped):
+class ByteCounter(NullObserver):
     """Counts the bytes that each process writes to its connections."""
 
     def __init__(self) -> None:
         self.by_process: Counter[str] = Counter()
 
-    def sent(self, source: VirtualTransport, data: bytes) -> None:
+    def bytes_sent(self, source: VirtualTransport, data: bytes) -> None:
         self.by_process[source.loop.name] += len(data)
 
 
@@ -75,7 +75,7 @@
 def measure(nodes: int) -> NodeFigures:
     """A mesh of so many nodes without traffic, then one change."""
     cpu_s_by_process: Counter[str] = Counter()
-    run_step = VirtualLoop.enter
+    run_step = VirtualLoop.run_step
 
     def timed(loop: VirtualLoop, step: Step) -> None:
         started_at = time.process_time()
@@ -83,9 +83,9 @@
         cpu_s_by_process[loop.name] += time.process_time() - started_at  # type: ignore[assignment]
 
     byte_counter = ByteCounter()
-    with mock.patch.object(VirtualLoop, "enter", timed):
+    with mock.patch.object(VirtualLoop, "run_step", timed):
         fleet = Fleet(1, fleet_plan(nodes))
-        fleet.network.tap = byte_counter
+        fleet.network.observer = byte_counter
         informed_s = _run_until(fleet, lambda: all(m.node and m.node.ready() for m in fleet.node_machines))
         fleet.run_until(max(SETTLE_S, fleet.now))
         cpu_s_by_process.clear()
--- a/bench/simulation.py
+++ b/bench/simulation.py
@@ -18,7 +18,7 @@
 import sys
 import time
 
-from leadrudder.simulation.play import Result, Setup, digest_of, play, play_many
+from leadrudder.simulation.runner import RunResult, RunSetup, combined_digest, run_many, run_world
 
 PROGRESS_INTERVAL_S = 5.0
 
@@ -27,7 +27,7 @@
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0
 
 
-def _run_long(steps: int) -> tuple[Result, float]:
+def _run_long(steps: int) -> tuple[RunResult, float]:
     last_print_at = time.monotonic()
     peak_mb_at_tenth = 0.0
 
@@ -39,19 +39,19 @@
             last_print_at = time.monotonic()
             print(f"one core: {done_steps} of {steps} steps, {virtual_s:.0f} virtual s", file=sys.stderr)
 
-    return play(Setup("bench", steps), progress=progress), peak_mb_at_tenth
+    return run_world(RunSetup("bench", steps), progress=progress), peak_mb_at_tenth
 
 
 def _run_short(seeds: int, steps: int, jobs: int) -> tuple[str, float, int]:
     started_at = time.monotonic()
     results = []
-    for result in play_many([Setup(str(seed), steps) for seed in range(seeds)], jobs):
+    for result in run_many([RunSetup(str(seed), steps) for seed in range(seeds)], jobs):
         results.append(result)
         if len(results) % 25 == 0:
             print(f"{jobs} cores: {len(results)} of {seeds} seeds", file=sys.stderr)
     violating_runs = sum(bool(result.violations) for result in results)
     step_count = sum(result.steps for result in results)
-    return digest_of(results), step_count / (time.monotonic() - started_at), violating_runs
+    return combined_digest(results), step_count / (time.monotonic() - started_at), violating_runs
 
 
 def main() -> int:
--- a/bench/window.py
+++ b/bench/window.py
@@ -20,7 +20,7 @@
 from leadrudder.consensus.lease import MAINTENANCE
 from leadrudder.emulation.fleet import BookingOutcomes, Fleet, FleetPlan, Machine
 from leadrudder.emulation.standins import RequestKind
-from leadrudder.simulation.world import EPOCH_S
+from leadrudder.simulation.world import START_UNIX_TIME_S
 
 SLOTS, WORK_S, LOAD = 6, 0.1, 0.7
 SERVICES = {"kal": 8, "var": 4}
@@ -76,7 +76,7 @@
 
 def contracts(*, approved: bool) -> dict[str, Any]:
     """One contract for each tenant; not approved: the approved hours are twelve hours away."""
-    hour = int(EPOCH_S // 3600) % 24
+    hour = int(START_UNIX_TIME_S // 3600) % 24
     other_hours = f"{(hour + 12) % 24:02d}:00", f"{(hour + 13) % 24:02d}:00"
     begin, end = ("00:00", "24:00") if approved else other_hours
     days = ["mon", "tue", "wed", "thu", "fri", "sat", "sun"]
@@ -145,8 +145,13 @@
     fleet = Fleet(seed, plan(), maintenance=True)
     machine = fleet.node_machines[seed % SERVICES["kal"]]
     window_request = {
-        "from": EPOCH_S + WINDOW_START_S - 3.0,
-        "to": EPOCH_S + WINDOW_START_S + ROUTE_TIMEOUT_S + WORKS_DURATION_S + RETURN_DURATION_S + 8.0,
+        "from": START_UNIX_TIME_S + WINDOW_START_S - 3.0,
+        "to": START_UNIX_TIME_S
+        + WINDOW_START_S
+        + ROUTE_TIMEOUT_S
+        + WORKS_DURATION_S
+        + RETURN_DURATION_S
+        + 8.0,
         "machines": [machine.name],
         "works": f"{WORKS_DURATION_S}s",
         "return": f"{RETURN_DURATION_S}s",
--- a/leadrudder/emulation/fleet.py
+++ b/leadrudder/emulation/fleet.py
@@ -27,9 +27,9 @@
     http_call,
 )
 from leadrudder.simulation.loop import VirtualLoop
-from leadrudder.simulation.network import Network, Untapped
-from leadrudder.simulation.scheduler import MICROSECONDS, Scheduler
-from leadrudder.simulation.world import EPOCH_S, NodePlatform
+from leadrudder.simulation.network import Network, NullObserver
+from leadrudder.simulation.scheduler import US_PER_S, Scheduler
+from leadrudder.simulation.world import START_UNIX_TIME_S, NodePlatform
 from leadrudder.storage.store import MemoryStore, Store
 
 CONTROL_PORT, OUTBOUND_PORT, READINESS_PORT, FIRST_LINK_PORT, APPLICATION_PORT = 7000, 7001, 7002, 7100, 8000
@@ -119,7 +119,7 @@
     def __init__(self, seed: int, plan: FleetPlan, *, maintenance: bool = False) -> None:
         self.plan, self.seed, self._maintenance = plan, seed, maintenance
         self.scheduler = Scheduler(f"fleet/{seed}")
-        self.network = Network(self.scheduler, f"fleet/{seed}", Untapped())
+        self.network = Network(self.scheduler, f"fleet/{seed}", NullObserver())
         self.errors: list[str] = []
         self.control_machines = [
             Machine(f"core-{i}", f"z{i % plan.zones}", f"10.{i % plan.zones}.0.{1 + i}")
@@ -143,19 +143,19 @@
 
     @property
     def now(self) -> float:
-        return self.scheduler.now / MICROSECONDS
+        return self.scheduler.now / US_PER_S
 
     @property
     def unix_time(self) -> float:
         """Unix time on every machine."""
-        return EPOCH_S + self.now
+        return START_UNIX_TIME_S + self.now
 
     def call_at(self, when: float, callback: Callable[[], object]) -> None:
-        self.scheduler.timer(int(when * MICROSECONDS), None, "plan", callback)
+        self.scheduler.schedule_timer(int(when * US_PER_S), None, "plan", callback)
 
     def run_until(self, until: float) -> None:
         """Run all events that are due by then."""
-        end = int(until * MICROSECONDS)
+        end = int(until * US_PER_S)
         while (due := self.scheduler.next_due()) is not None and due <= end:
             self.scheduler.run_one()
         self.scheduler.now = max(self.scheduler.now, end)
@@ -266,7 +266,7 @@
 
     def freeze(self, machine: Machine, kind: str, span_s: float) -> None:
         """Pause a process; events that come due meanwhile are handled when it resumes."""
-        machine.loops[kind].frozen_until = int((self.now + span_s) * MICROSECONDS)
+        machine.loops[kind].frozen_until_us = int((self.now + span_s) * US_PER_S)
 
     # ------------------------------------------------------------ operators and clients
 
@@ -312,7 +312,7 @@
                 self.plan.traffic_period_s[1],
                 self._rng(machine.name, "clients"),
             )
-            with loop.running():
+            with loop.as_running_loop():
                 machine.clients.start()
 
     # ------------------------------------------------------------ results
--- a/leadrudder/experiment/whole.py
+++ b/leadrudder/experiment/whole.py
@@ -40,15 +40,14 @@
 from leadrudder.node.config import load_config
 from leadrudder.node.node import Node as RealNode
 from leadrudder.policy.decide import Balancer
-from leadrudder.simulation.framing import Frame, Framing, answer, request
+from leadrudder.simulation.framing import WireMessage, WireParser, encode_request, encode_response
 from leadrudder.simulation.loop import VirtualLoop
-from leadrudder.simulation.network import Network, Untapped, VirtualTransport
+from leadrudder.simulation.network import Network, NullObserver, VirtualTransport
 from leadrudder.simulation.scheduler import Scheduler
-from leadrudder.simulation.standins.client import Call as ClientCall
-from leadrudder.simulation.standins.client import NodeClient
+from leadrudder.simulation.standins.client import ClientCall, NodeClient
 from leadrudder.simulation.standins.discovery import Registry as Rows
 from leadrudder.simulation.standins.discovery import Row, StandInDiscovery
-from leadrudder.simulation.world import EPOCH_S, NodePlatform
+from leadrudder.simulation.world import START_UNIX_TIME_S, NodePlatform
 
 PORT = 8000
 CONNECTION_IDLE_MS = 30_000.0
@@ -69,7 +68,7 @@
         entry = ScheduledCall(None, call, args)
         # Rounds up to a microsecond: rounded down, a nearly finished job would be rescheduled for ever.
         due = self.scheduler.now + max(0, math.ceil(1000.0 * delay_ms))
-        self.scheduler.timer(due, None, "model", self._run_entry, entry)
+        self.scheduler.schedule_timer(due, None, "model", self._run_entry, entry)
         return entry
 
     def begin(self) -> None:
@@ -97,7 +96,7 @@
                 raise StepLimitError(
                     f"more than {self._max_steps} steps by {self.now / 1000.0:.1f} s of virtual time"
                 )
-        scheduler.timer(end, None, "until", _nothing)
+        scheduler.schedule_timer(end, None, "until", _nothing)
         while (due := scheduler.next_due()) is not None and due <= end:
             scheduler.run_one()
         self.now = until_ms
@@ -112,8 +111,8 @@
     """The simulation's network, with the latencies of this fleet."""
 
     def __init__(self, scheduler: Scheduler, seed: str, way: Callable[[int, int], float]) -> None:
-        super().__init__(scheduler, seed, Untapped())
-        self.weather.split = 0.0
+        super().__init__(scheduler, seed, NullObserver())
+        self.conditions.split_share = 0.0
         self.zones: dict[str, int] = {}
         self._one_way_ms = way
 
@@ -172,7 +171,7 @@
 
     def __init__(self, fleet: WholeFleet, server: Server) -> None:
         self._fleet, self._server = fleet, server
-        self._framing = Framing(answers=False)
+        self._framing = WireParser(responses=False)
         self._call: WireCall | None = None
         self.transport: VirtualTransport
 
@@ -182,7 +181,7 @@
     def data_received(self, data: bytes) -> None:
         for frame in self._framing.feed(data):
             if frame.target == "/health":
-                self.transport.write(answer(503 if self._server.draining else 200))
+                self.transport.write(encode_response(503 if self._server.draining else 200))
                 continue
             open_request = self._fleet.open_requests[frame.headers["x-request-id"]]
             open_request.spec.operation.attempts += 1
@@ -199,11 +198,11 @@
         self._call = None
         load_header = f'X-Load: {{"util":{load[0]:.4f},"inflight":{load[1]:.2f}}}\r\n' if load else ""
         if outcome is Outcome.OK:
-            self.transport.write(answer(200, b"{}", load_header))
+            self.transport.write(encode_response(200, b"{}", load_header))
         elif outcome is Outcome.FULL:
-            self.transport.write(answer(503, headers=f"X-Not-Run: 1\r\n{load_header}"))
+            self.transport.write(encode_response(503, headers=f"X-Not-Run: 1\r\n{load_header}"))
         else:
-            self.transport.write(answer(500, headers=load_header))
+            self.transport.write(encode_response(500, headers=load_header))
 
     def connection_lost(self, exc: Exception | None) -> None:
         call, self._call = self._call, None
@@ -276,12 +275,12 @@
         if kind.effect == "keyed":
             headers["Idempotency-Key"] = f"{ask.key:x}-{ask.inner_call:x}-{self.tier}"
         fleet.open_requests[name] = open_request
-        data = request("GET" if kind.effect == "safe" else "POST", f"/api/{name}", headers)
+        data = encode_request("GET" if kind.effect == "safe" else "POST", f"/api/{name}", headers)
         # The caller's model gives up earlier; this time-out only bounds what a lost call holds.
-        call = self._client.ask(
+        call = self._client.send(
             data, ask.budget_ms / 1000.0 + 1.0, functools.partial(self._answered, open_request)
         )
-        if not call.over:
+        if not call.ended:
             self._calls[open_request] = call
         return open_request
 
@@ -295,9 +294,9 @@
         if self.alive and self.fleet.clock.now >= open_request.deadline - 0.5:
             self._counts.count_violation("lost")
         if call is not None:
-            self._client.give_up(call, "gone")
+            self._client.abandon(call, "gone")
 
-    def _answered(self, open_request: OpenRequest, frame: Frame | None, why: str) -> None:
+    def _answered(self, open_request: OpenRequest, frame: WireMessage | None, why: str) -> None:
         self._calls.pop(open_request, None)
         if open_request.closed:
             return
@@ -344,14 +343,14 @@
         if self._pending.get(entry.server) != change:
             return
         del self._pending[entry.server]
-        self.rows.change([self._row(entry)])
+        self.rows.apply_rows([self._row(entry)])
         self._discovery.announce()
 
     def _row(self, entry: api.ServerEntry) -> Row:
         fleet = self._fleet
         lifecycle = {Readiness.READY: "SERVING", Readiness.DRAINING: "DRAINING", Readiness.GONE: "DELETED"}
         name = entry.server.decode()
-        started = EPOCH_S * 1000.0 + fleet.clock.scheduler_ms(entry.started_ms)
+        started = START_UNIX_TIME_S * 1000.0 + fleet.clock.scheduler_ms(entry.started_ms)
         return {
             "instanceId": name,
             "hostPort": f"{fleet.hosts[entry.server]}:{PORT}",
@@ -417,9 +416,9 @@
         old = self._loops.get(server.name)
         if old is not None:
             old.kill()
-        if host in self.network.weather.silent:
-            self.network.weather.silent.discard(host)
-            self.network.back(host)
+        if host in self.network.conditions.silent_hosts:
+            self.network.conditions.silent_hosts.discard(host)
+            self.network.host_returned(host)
         loop = self.process(server.name.decode(), host, server.plan.zone)
         self._loops[server.name] = loop
         self.network.listen(loop, lambda: ServerConnection(self, server), (host, PORT))
@@ -438,7 +437,7 @@
             "seed": f"{seed:016x}",
             "discovery": f"{registry.address[0]}:{registry.address[1]}",
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 1024},
-            "known": registry.rows.listing(),
+            "known": registry.rows.full_list(),
             "settings": nested_settings(settings, self.file),
         }
         if tier:
@@ -452,7 +451,7 @@
 
     def stop(self, server: Server, *, silent: bool = False) -> None:
         if silent:
-            self.network.weather.silent.add(self.hosts[server.name])
+            self.network.conditions.silent_hosts.add(self.hosts[server.name])
         super().stop(server, silent=silent)
         if not silent:
             self._loops[server.name].kill()
--- a/leadrudder/simulation/injector.py
+++ b/leadrudder/simulation/injector.py
@@ -1,7 +1,7 @@
-"""Carries out the fault plan: each kind of fault on what is there at its instant, and its end.
+"""Injects the faults of a plan and ends them after their span.
 
-A fault picks its target by a number modulo what is there, so that a plan stays playable when other faults are
-left out of it.
+A fault picks its target by a number modulo the candidates that exist at its time, so that a plan still runs
+when other faults are removed from it.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, TypeVar
 
 from leadrudder.simulation.faults import Fault
-from leadrudder.simulation.network import Strike
+from leadrudder.simulation.network import ConnectionCut
 from leadrudder.simulation.standins.server import StandInServer
 
 if TYPE_CHECKING:
@@ -20,55 +20,55 @@
 
 T = TypeVar("T")
 
-SILENT_PART = 0.12  # of a tier's servers may fall silent at once
-DRAIN_S = 1.0  # that a draining server finishes what it has before it goes
+SILENT_SHARE = 0.12  # of a tier's servers that vanish at once
+DRAIN_TIME_S = 1.0  # in which a draining server finishes its open calls
 DISCOVERY_PORT = 8500
-TERM_ANNOUNCED_US = (200_000, 400_000)  # the front sends to a node for so long after its SIGTERM
-KILLED_MS = 3_700  # SIGKILL after SIGTERM at the earliest, as the platform's page has it
-DEAD_NOTICED_US = (920_000, 2_000_000)  # and to a dead one for so long
+TERM_NOTICE_RANGE_US = (200_000, 400_000)  # from a node's SIGTERM until the front stops sending to it
+SIGKILL_DELAY_MS = 3_700  # the shortest time from SIGTERM to SIGKILL that the platform documents
+DEATH_NOTICE_RANGE_US = (920_000, 2_000_000)  # from a node's death until the front stops sending to it
 
 
 class Injector:
     """Begins and ends faults."""
 
     def __init__(self, world: World) -> None:
-        self.list_late_ms = 0
+        self.extra_list_delay_ms = 0
         self._world = world
-        self._ends: dict[int, Callable[[], None]] = {}
-        self._number = 0
-        self._over = False
+        self._pending_ends: dict[int, Callable[[], None]] = {}
+        self._sequence = 0
+        self._stopped = False
 
-    def begin(self, fault: Fault) -> None:
-        """The fault's instant has come."""
-        if self._over:
+    def inject(self, fault: Fault) -> None:
+        """Starts a fault; its method is named after its kind."""
+        if self._stopped:
             return
         self._world.oracle.count("faults")
         getattr(self, "_" + fault.kind.replace("-", "_"))(fault)
 
-    def calm(self) -> None:
-        """End everything that lasts; nothing begins any more."""
-        self._over = True
-        for end in list(self._ends.values()):
+    def end_all(self) -> None:
+        """Ends all faults that last, and starts no more."""
+        self._stopped = True
+        for end in list(self._pending_ends.values()):
             end()
-        self._ends.clear()
+        self._pending_ends.clear()
 
     # ------------------------------------------------------------ helpers
 
-    def _for(self, span_ms: int, end: Callable[[], None]) -> None:
-        """Call the end after a span, or when all is to be calm, once."""
-        self._number += 1
-        number = self._number
+    def _end_after(self, span_ms: int, end: Callable[[], None]) -> None:
+        """Calls `end` once, after the span or in end_all."""
+        self._sequence += 1
+        number = self._sequence
 
         def once() -> None:
-            if self._ends.pop(number, None) is not None:
+            if self._pending_ends.pop(number, None) is not None:
                 end()
 
-        self._ends[number] = end
-        self._later(span_ms * 1000, once)
+        self._pending_ends[number] = end
+        self._schedule(span_ms * 1000, once)
 
-    def _later(self, wait_us: int, call: Callable[[], None]) -> None:
+    def _schedule(self, wait_us: int, call: Callable[[], None]) -> None:
         scheduler = self._world.scheduler
-        scheduler.timer(scheduler.now + wait_us, None, "injector", call)
+        scheduler.schedule_timer(scheduler.now + wait_us, None, "injector", call)
 
     @staticmethod
     def _pick(items: list[T], fault: Fault) -> T | None:
@@ -78,275 +78,279 @@
         return fault.target // 7 % self._world.site.tiers
 
     def _server(self, fault: Fault) -> StandInServer | None:
-        """A server that runs and is not draining; never the last of its tier."""
-        servers = [s for s in self._world.servers[self._tier(fault)] if not s.trouble.draining]
+        """A running server that is not draining; None rather than the last one of its tier."""
+        servers = [s for s in self._world.servers[self._tier(fault)] if not s.faults.draining]
         return self._pick(servers, fault) if len(servers) > 1 else None
 
     def _front_node(self, fault: Fault) -> NodeHost | None:
         return self._pick([n for n in self._world.nodes if not n.tier and n.loop is not None], fault)
 
-    def _with_trouble(self, fault: Fault, name: str, value: object) -> None:
+    def _change_server_faults(self, fault: Fault, name: str, value: object) -> None:
         server = self._server(fault)
         if server is None:
             return
-        trouble = server.trouble
-        usual = getattr(type(trouble)(), name)
-        setattr(trouble, name, value)
-        self._for(fault.span_ms, lambda: setattr(trouble, name, usual))
-
-    def _with_weather(self, fault: Fault, name: str, value: object) -> None:
-        weather = self._world.network.weather
-        usual = getattr(type(weather)(), name)
-        setattr(weather, name, value)
-        self._for(fault.span_ms, lambda: setattr(weather, name, usual))
-
-    def _with_manners(self, fault: Fault, name: str, value: float) -> None:
-        manners = self._world.callers.manners
-        usual = getattr(type(manners)(), name)
-        setattr(manners, name, value)
-        self._for(fault.span_ms, lambda: setattr(manners, name, usual))
+        faults = server.faults
+        default = getattr(type(faults)(), name)
+        setattr(faults, name, value)
+        self._end_after(fault.span_ms, lambda: setattr(faults, name, default))
+
+    def _change_conditions(self, fault: Fault, name: str, value: object) -> None:
+        conditions = self._world.network.conditions
+        default = getattr(type(conditions)(), name)
+        setattr(conditions, name, value)
+        self._end_after(fault.span_ms, lambda: setattr(conditions, name, default))
+
+    def _change_behaviour(self, fault: Fault, name: str, value: float) -> None:
+        behaviour = self._world.callers.behaviour
+        default = getattr(type(behaviour)(), name)
+        setattr(behaviour, name, value)
+        self._end_after(fault.span_ms, lambda: setattr(behaviour, name, default))
 
     # ------------------------------------------------------------ the network
 
     def _tail(self, fault: Fault) -> None:
-        self._with_weather(fault, "tail", 0.05 + 0.3 * fault.level)
+        self._change_conditions(fault, "tail_share", 0.05 + 0.3 * fault.level)
 
     def _shatter(self, fault: Fault) -> None:
-        self._with_weather(fault, "split", 0.5 + 0.5 * fault.level)
+        self._change_conditions(fault, "split_share", 0.5 + 0.5 * fault.level)
 
     def _coincide(self, fault: Fault) -> None:
-        self._with_weather(fault, "grain_us", 1000 if fault.level < 0.7 else 5000)
+        self._change_conditions(fault, "arrival_grain_us", 1000 if fault.level < 0.7 else 5000)
 
     def _slow_link(self, fault: Fault) -> None:
         server = self._server(fault)
         if server is not None:
-            extra = self._world.network.weather.extra_us
+            extra = self._world.network.conditions.extra_latency_us
             extra[server.loop.host] = int(2_000 + 40_000 * fault.level**2)
-            self._for(fault.span_ms, partial(_discard, extra, server.loop.host))
+            self._end_after(fault.span_ms, partial(_remove_key, extra, server.loop.host))
 
-    def _strike(self, fault: Fault, part: float, *, answers: bool = False) -> None:
-        """The next messages between a server and each of its callers' machines are cut."""
+    def _cut_connections(self, fault: Fault, delivered_share: float, *, answers: bool = False) -> None:
+        """Cuts the next messages between a server and each host that calls it."""
         world = self._world
         server = self._server(fault)
         if server is None:
             return
-        here = [n.host for n in world.nodes if n.tier == server.tier]
+        callers = [n.host for n in world.nodes if n.tier == server.tier]
         times = 1 + int(fault.level * 3)
-        for host in here:
+        for host in callers:
             source, target = (server.loop.host, host) if answers else (host, server.loop.host)
-            world.network.weather.strikes.append(Strike(source, target, part, times))
-        strikes = world.network.weather.strikes
-        mine = strikes[-len(here) :] if here else []
-        self._for(3000, lambda: _remove(strikes, mine))
+            world.network.conditions.cuts.append(ConnectionCut(source, target, delivered_share, times))
+        cuts = world.network.conditions.cuts
+        added = cuts[-len(callers) :] if callers else []
+        self._end_after(3000, lambda: _remove_cuts(cuts, added))
 
     def _reset_before(self, fault: Fault) -> None:
-        self._strike(fault, 0.0)
+        self._cut_connections(fault, 0.0)
 
     def _reset_within(self, fault: Fault) -> None:
-        self._strike(fault, 0.1 + 0.8 * fault.level)
+        self._cut_connections(fault, 0.1 + 0.8 * fault.level)
 
     def _reset_after(self, fault: Fault) -> None:
-        self._strike(fault, 1.0)
+        self._cut_connections(fault, 1.0)
 
     def _reset_answer(self, fault: Fault) -> None:
-        self._strike(fault, (0.0, 0.5, 1.0)[fault.target % 3], answers=True)
+        self._cut_connections(fault, (0.0, 0.5, 1.0)[fault.target % 3], answers=True)
 
     def _half_open(self, fault: Fault) -> None:
         server = self._server(fault)
         if server is not None:
-            self._cut_off(server.loop.host, fault.span_ms)
+            self._isolate_host(server.loop.host, fault.span_ms)
 
-    def _cut_off(self, host: str, span_ms: int) -> None:
+    def _isolate_host(self, host: str, span_ms: int) -> None:
         world = self._world
-        world.network.weather.silent.add(host)
+        world.network.conditions.silent_hosts.add(host)
 
-        def back() -> None:
-            world.network.weather.silent.discard(host)
-            world.network.back(host)
+        def restore() -> None:
+            world.network.conditions.silent_hosts.discard(host)
+            world.network.host_returned(host)
 
-        self._for(span_ms, back)
+        self._end_after(span_ms, restore)
 
     # ------------------------------------------------------------ servers
 
     def _silent(self, fault: Fault) -> None:
-        """Machines vanish at once; they come back with new processes that know nothing."""
+        """Several hosts vanish at once and return with new, cold processes."""
         world = self._world
         servers = world.servers[self._tier(fault)]
-        count = max(1, int(SILENT_PART * len(servers)))
+        count = max(1, int(SILENT_SHARE * len(servers)))
         first = fault.target % len(servers) if servers else 0
         chosen = [servers[(first + i) % len(servers)] for i in range(count)] if len(servers) > 1 else []
         for server in chosen:
             host = server.loop.host
-            world.network.weather.silent.add(host)
-            self._for(fault.span_ms, partial(self._back_cold, server, fault))
+            world.network.conditions.silent_hosts.add(host)
+            self._end_after(fault.span_ms, partial(self._return_cold, server, fault))
 
-    def _back_cold(self, server: StandInServer, fault: Fault) -> None:
+    def _return_cold(self, server: StandInServer, fault: Fault) -> None:
         world = self._world
         host = server.loop.host
-        for transport in [t for t in world.network.open if t.host == host]:
-            transport.deaf = True
-            transport.peer.deaf = True
-        world.network.weather.silent.discard(host)
-        world.network.back(host)
+        for transport in [t for t in world.network.open_transports if t.host == host]:
+            transport.blackholed = True
+            transport.peer.blackholed = True
+        world.network.conditions.silent_hosts.discard(host)
+        world.network.host_returned(host)
         if server in world.servers[server.tier]:
-            self._replace(server, fault, server.name)
+            self._replace_server(server, fault, server.name)
 
-    def _replace(self, server: StandInServer, fault: Fault, name: str) -> None:
-        """A cold process takes the place of a server, at its address; discovery tells later."""
+    def _replace_server(self, server: StandInServer, fault: Fault, name: str) -> None:
+        """Starts a cold process at a server's address in its place; discovery announces it later."""
         world = self._world
         tier, address = server.tier, server.address
         if server not in world.servers[tier]:
-            return  # another fault has replaced it meanwhile
+            return  # replaced by another fault in the meantime
         world.stop_server(server)
-        row = world.row(tier, name, address, world.scheduler.now)
+        row = world.make_row(tier, name, address, world.scheduler.now)
         world.start_server(tier, row, cold=True)
         rows = [row]
         if name != server.name:
-            rows.insert(0, {**world.row(tier, server.name, address, 0), "lifecycle": "DELETED"})
-        world.publish(tier, rows, world.list_delay(fault))
+            rows.insert(0, {**world.make_row(tier, server.name, address, 0), "lifecycle": "DELETED"})
+        world.publish(tier, rows, world.list_delay_ms(fault))
 
     def _crash(self, fault: Fault) -> None:
         server = self._server(fault)
         if server is None:
             return
-        server.trouble.draining = True  # not to be picked again
+        server.faults.draining = True  # excludes it from further faults
         server.loop.kill()
-        self._for(fault.span_ms, partial(self._replace, server, fault, server.name))
+        self._end_after(fault.span_ms, partial(self._replace_server, server, fault, server.name))
 
     def _release(self, fault: Fault) -> None:
-        """Half of a tier at once: what is left is warm, what comes is cold, and the load is what it was.
+        """Replaces half of a tier's servers by cold ones at once, under unchanged load.
 
-        As releases do, it waits for what the last one has started.
+        Does nothing while a server is still cold, since a release waits until the previous one is complete.
         """
         world, servers = self._world, self._world.servers[self._tier(fault)]
         if any(world.scheduler.now - server.started_us < server.cold_us for server in servers):
             return
         for server in servers[::2]:
-            name, _ = world.new_server_name(server.tier)
-            server.trouble.draining = True
-            self._replace(server, fault, name)
+            name, _ = world.allocate_server(server.tier)
+            server.faults.draining = True
+            self._replace_server(server, fault, name)
 
     def _reuse(self, fault: Fault) -> None:
         server = self._server(fault)
         if server is None:
             return
-        server.trouble.draining = True
+        server.faults.draining = True
         server.loop.kill()
-        name, _ = self._world.new_server_name(server.tier)
-        self._for(fault.span_ms, partial(self._replace, server, fault, name))
+        name, _ = self._world.allocate_server(server.tier)
+        self._end_after(fault.span_ms, partial(self._replace_server, server, fault, name))
 
     def _drain(self, fault: Fault) -> None:
-        """Discovery tells that a server drains; some turn calls away before that is told. Then it goes."""
+        """Discovery announces that a server drains; then it leaves. Some refuse calls before that."""
         world = self._world
         server = self._server(fault)
         if server is None:
             return
         tier = server.tier
-        draining = world.row(tier, server.name, server.address, server.started_us, "DRAINING")
+        draining = world.make_row(tier, server.name, server.address, server.started_us, "DRAINING")
         if server.started_us < 0:
             draining["startedAtMs"] = 0
-        delay = world.list_delay(fault)
+        delay = world.list_delay_ms(fault)
         world.publish(tier, [draining], delay)
         if fault.target % 2:
-            server.trouble.draining = True
-        self._later(delay * 1000, lambda: setattr(server.trouble, "draining", True))
+            server.faults.draining = True
+        self._schedule(delay * 1000, lambda: setattr(server.faults, "draining", True))
 
         leaving = server
 
-        def go() -> None:
+        def leave() -> None:
             if leaving not in world.servers[tier]:
                 return
             world.stop_server(leaving)
-            name, address = world.new_server_name(tier)
-            row = world.row(tier, name, address, world.scheduler.now)
+            name, address = world.allocate_server(tier)
+            row = world.make_row(tier, name, address, world.scheduler.now)
             world.start_server(tier, row, cold=True)
             world.publish(tier, [{**draining, "lifecycle": "DELETED"}], 10)
-            world.publish(tier, [row], world.list_delay(fault))
+            world.publish(tier, [row], world.list_delay_ms(fault))
 
-        self._for(delay + int(1000 * DRAIN_S) + fault.span_ms, go)
+        self._end_after(delay + int(1000 * DRAIN_TIME_S) + fault.span_ms, leave)
 
     def _slow(self, fault: Fault) -> None:
-        self._with_trouble(fault, "slow", 2.0 + 10.0 * fault.level)
+        self._change_server_faults(fault, "slowdown", 2.0 + 10.0 * fault.level)
 
     def _slow_all(self, fault: Fault) -> None:
         for server in self._world.servers[self._tier(fault)]:
-            trouble = server.trouble
-            trouble.slow = 1.3 + 1.7 * fault.level
-            self._for(fault.span_ms, partial(setattr, trouble, "slow", 1.0))
+            faults = server.faults
+            faults.slowdown = 1.3 + 1.7 * fault.level
+            self._end_after(fault.span_ms, partial(setattr, faults, "slowdown", 1.0))
 
     def _full(self, fault: Fault) -> None:
-        self._with_trouble(fault, "full", True)
+        self._change_server_faults(fault, "full", True)
 
     def _errors(self, fault: Fault) -> None:
-        self._with_trouble(fault, "errors", 0.1 + 0.9 * fault.level)
+        self._change_server_faults(fault, "error_share", 0.1 + 0.9 * fault.level)
 
     def _spoilt(self, fault: Fault) -> None:
-        self._with_trouble(fault, "spoilt", 0.1 + 0.9 * fault.level)
+        self._change_server_faults(fault, "malformed_share", 0.1 + 0.9 * fault.level)
 
     def _unmarked(self, fault: Fault) -> None:
-        self._with_trouble(fault, "unmarked", 0.1 + 0.9 * fault.level)
+        self._change_server_faults(fault, "unmarked_share", 0.1 + 0.9 * fault.level)
 
     def _close_told(self, fault: Fault) -> None:
-        self._with_trouble(fault, "close_told", 0.1 + 0.9 * fault.level)
+        self._change_server_faults(fault, "announced_close_share", 0.1 + 0.9 * fault.level)
 
     def _surplus(self, fault: Fault) -> None:
-        self._with_trouble(fault, "surplus", 0.2 + 0.8 * fault.level)
+        self._change_server_faults(fault, "surplus_share", 0.2 + 0.8 * fault.level)
 
     def _hang(self, fault: Fault) -> None:
         server = self._server(fault)
         if server is not None:
-            server.trouble.hang = True
+            server.faults.hanging = True
 
-            def wake() -> None:
+            def resume() -> None:
                 if server.loop.alive:
-                    with server.loop.running():
-                        server.wake()
+                    with server.loop.as_running_loop():
+                        server.resume()
 
-            self._for(fault.span_ms, wake)
+            self._end_after(fault.span_ms, resume)
 
     def _close_idle(self, fault: Fault) -> None:
-        self._with_trouble(fault, "close_idle", True)
+        self._change_server_faults(fault, "close_after_answer", True)
 
     # ------------------------------------------------------------ discovery
 
     def _list_down(self, fault: Fault) -> None:
         for discovery in self._world.discoveries:
             if discovery.loop.alive:
-                discovery.go_down()
-                self._for(fault.span_ms, discovery.come_up)
+                discovery.stop_serving()
+                self._end_after(fault.span_ms, discovery.resume_serving)
 
     def _list_silent(self, fault: Fault) -> None:
         discovery = self._world.discoveries[self._tier(fault)]
-        self._cut_off(discovery.loop.host, fault.span_ms)
+        self._isolate_host(discovery.loop.host, fault.span_ms)
 
     def _list_late(self, fault: Fault) -> None:
-        late = int(500 + 4000 * fault.level)
-        self.list_late_ms += late
-        self._for(fault.span_ms, lambda: setattr(self, "list_late_ms", self.list_late_ms - late))
+        extra_ms = int(500 + 4000 * fault.level)
+        self.extra_list_delay_ms += extra_ms
+        self._end_after(
+            fault.span_ms, lambda: setattr(self, "extra_list_delay_ms", self.extra_list_delay_ms - extra_ms)
+        )
 
     def _list_back(self, fault: Fault) -> None:
         discovery = self._world.discoveries[self._tier(fault)]
-        discovery.tell_past(fault.target)
-        self._for(fault.span_ms, lambda: discovery.tell_present() if discovery.loop.alive else None)
+        discovery.send_past_list(fault.target)
+        self._end_after(
+            fault.span_ms, lambda: discovery.send_current_list() if discovery.loop.alive else None
+        )
 
     def _list_garbage(self, fault: Fault) -> None:
-        self._world.discoveries[self._tier(fault)].tell_garbage()
+        self._world.discoveries[self._tier(fault)].send_garbage()
 
     def _list_moved(self, fault: Fault) -> None:
         world = self._world
         tier = self._tier(fault)
         old = world.discoveries[tier]
-        if not old.loop.alive or old.loop.host in world.network.weather.silent:
+        if not old.loop.alive or old.loop.host in world.network.conditions.silent_hosts:
             return
         host = f"10.9.{tier}.{2 + fault.target % 200}"
-        if world.network.listener((host, DISCOVERY_PORT)) is not None:
+        if world.network.listener_at((host, DISCOVERY_PORT)) is not None:
             return
         new = world.discoveries[tier] = world.start_discovery(tier, host)
         for node in world.nodes:
             if node.tier == tier and node.loop is not None:
-                world.write_config(node, new.address, 1, old.registry.listing())
-                node.loop.signal(signal.SIGHUP)
-        self._later(int(500_000 + 2_000_000 * fault.level), old.loop.kill)
+                world.write_config(node, new.address, 1, old.registry.full_list())
+                node.loop.deliver_signal(signal.SIGHUP)
+        self._schedule(int(500_000 + 2_000_000 * fault.level), old.loop.kill)
 
     # ------------------------------------------------------------ nodes
 
@@ -354,58 +358,58 @@
         node = self._front_node(fault)
         if node is None:
             return
-        known = self._list_of(node, fault)
+        known = self._start_list(node, fault)
         self._world.end_node(node)
-        self._notice(node, DEAD_NOTICED_US, fault)
-        self._for(fault.span_ms, partial(self._start_again, node, known))
+        self._leave_front(node, DEATH_NOTICE_RANGE_US, fault)
+        self._end_after(fault.span_ms, partial(self._restart_node, node, known))
 
     def _node_restart(self, fault: Fault) -> None:
-        """SIGTERM; the front hears soon, the process ends by itself or is killed, and starts again."""
+        """SIGTERM: the front stops sending, the process must end before SIGKILL, and starts again."""
         node = self._front_node(fault)
-        if node is None or node.loop is None or node.name not in self._world.front.nodes:
+        if node is None or node.loop is None or node.name not in self._world.front.ready_nodes:
             return
         world, loop = self._world, node.loop
-        known = self._list_of(node, fault)
-        loop.signal(signal.SIGTERM)
-        self._notice(node, TERM_ANNOUNCED_US, fault)
+        known = self._start_list(node, fault)
+        loop.deliver_signal(signal.SIGTERM)
+        self._leave_front(node, TERM_NOTICE_RANGE_US, fault)
 
         restarting = node
 
-        def killed() -> None:
+        def check_killed() -> None:
             if restarting.loop is loop:
-                # What SIGKILL finds unanswered was taken and lost.
+                # SIGKILL would lose the requests that the node has accepted and not answered.
                 world.oracle.report(
-                    "crash", f"{restarting.name} had not ended {KILLED_MS / 1000} s after SIGTERM"
+                    "crash", f"{restarting.name} had not ended {SIGKILL_DELAY_MS / 1000} s after SIGTERM"
                 )
 
-        self._later(KILLED_MS * 1000, killed)
-        self._later((KILLED_MS + fault.span_ms) * 1000, partial(self._start_again, node, known))
+        self._schedule(SIGKILL_DELAY_MS * 1000, check_killed)
+        self._schedule((SIGKILL_DELAY_MS + fault.span_ms) * 1000, partial(self._restart_node, node, known))
 
-    def _notice(self, node: NodeHost, span_us: tuple[int, int], fault: Fault) -> None:
-        """The front stops sending there, after a while."""
+    def _leave_front(self, node: NodeHost, span_us: tuple[int, int], fault: Fault) -> None:
+        """The front stops sending to a node after a delay."""
         low, high = span_us
         front, starts = self._world.front, node.starts
-        self._later(
+        self._schedule(
             int(low + (high - low) * fault.level),
-            lambda: _discard(front.nodes, node.name) if node.starts == starts else None,
+            lambda: _remove_key(front.ready_nodes, node.name) if node.starts == starts else None,
         )
 
-    def _list_of(self, node: NodeHost, fault: Fault) -> dict[str, object]:
-        """The list that a node will start from: as it is, or a past one."""
+    def _start_list(self, node: NodeHost, fault: Fault) -> dict[str, object]:
+        """The server list that a restarted node begins with: the current one or an old one."""
         registry = self._world.registries[node.tier]
         if fault.target % 2 or not registry.past:
-            return registry.listing()
+            return registry.full_list()
         version, rows = registry.past[fault.target % len(registry.past)]
         return {"generation": version, "reset": True, "instances": rows}
 
-    def _start_again(self, node: NodeHost, known: dict[str, object]) -> None:
+    def _restart_node(self, node: NodeHost, known: dict[str, object]) -> None:
         world = self._world
         if node.loop is not None:
             return
-        world.front.nodes.pop(node.name, None)
+        world.front.ready_nodes.pop(node.name, None)
         world.start_node(node, known)
-        with world.callers.loop.running():
-            world.callers.look_for(node.name, node.address)
+        with world.callers.loop.as_running_loop():
+            world.callers.await_ready(node.name, node.address)
 
     def _node_reload(self, fault: Fault) -> None:
         node = self._front_node(fault)
@@ -413,40 +417,40 @@
             good = node.files["config.json"]
             if fault.target % 2:
                 node.files["config.json"] = good[: int(fault.level * len(good))]
-                self._for(50, lambda: node.files.update({"config.json": good}))
-            node.loop.signal(signal.SIGHUP)
+                self._end_after(50, lambda: node.files.update({"config.json": good}))
+            node.loop.deliver_signal(signal.SIGHUP)
 
     def _node_frozen(self, fault: Fault) -> None:
         node = self._pick([n for n in self._world.nodes if n.loop is not None], fault)
         if node is not None and node.loop is not None:
-            node.loop.frozen_until = self._world.scheduler.now + fault.span_ms * 1000
+            node.loop.frozen_until_us = self._world.scheduler.now + fault.span_ms * 1000
 
     # ------------------------------------------------------------ callers
 
     def _leave(self, fault: Fault) -> None:
-        self._with_manners(fault, "leave", 0.1 + 0.5 * fault.level)
+        self._change_behaviour(fault, "leave_share", 0.1 + 0.5 * fault.level)
 
     def _flood(self, fault: Fault) -> None:
-        self._with_manners(fault, "rate", 2.0 + 4.0 * fault.level)
+        self._change_behaviour(fault, "rate_factor", 2.0 + 4.0 * fault.level)
 
     def _same_id(self, fault: Fault) -> None:
-        self._with_manners(fault, "same_id", 0.05 + 0.4 * fault.level)
+        self._change_behaviour(fault, "same_id_share", 0.05 + 0.4 * fault.level)
 
     def _rude(self, fault: Fault) -> None:
-        self._with_manners(fault, "rude", 0.05 + 0.4 * fault.level)
+        self._change_behaviour(fault, "malformed_share", 0.05 + 0.4 * fault.level)
 
     def _pipeline(self, fault: Fault) -> None:
-        self._with_manners(fault, "pipeline", 0.05 + 0.2 * fault.level)
+        self._change_behaviour(fault, "pipeline_share", 0.05 + 0.2 * fault.level)
 
     def _slow_reader(self, fault: Fault) -> None:
-        self._with_manners(fault, "slow_reader", 0.05 + 0.2 * fault.level)
+        self._change_behaviour(fault, "slow_reader_share", 0.05 + 0.2 * fault.level)
 
 
-def _discard(items: dict[str, T], name: str) -> None:
+def _remove_key(items: dict[str, T], name: str) -> None:
     items.pop(name, None)
 
 
-def _remove(strikes: list[Strike], mine: list[Strike]) -> None:
-    for strike in mine:
-        if strike in strikes:
-            strikes.remove(strike)
+def _remove_cuts(cuts: list[ConnectionCut], added: list[ConnectionCut]) -> None:
+    for cut in added:
+        if cut in cuts:
+            cuts.remove(cut)
--- a/leadrudder/simulation/play.py
+++ b/leadrudder/simulation/runner.py
@@ -1,4 +1,4 @@
-"""One play from its setup to its result, and many plays on all cores."""
+"""Runs one setup to its result, and many setups on all cores."""
 
 from __future__ import annotations
 
@@ -9,32 +9,34 @@
 from dataclasses import dataclass, field
 
 from leadrudder.simulation.faults import Fault
-from leadrudder.simulation.network import Tap
+from leadrudder.simulation.network import NetworkObserver
 from leadrudder.simulation.oracle import Violation
-from leadrudder.simulation.scheduler import MICROSECONDS
+from leadrudder.simulation.scheduler import US_PER_S
 from leadrudder.simulation.world import World
 
-STRETCH = 5000  # steps between two looks at the clock and the tap of progress
+STEPS_PER_SLICE = 5000  # steps between two calls of progress
 
 
 @dataclass(frozen=True, slots=True)
-class Setup:
-    """All that a play hangs on. faults None: drawn from the seed, of these kinds (all where there are
-    none)."""
+class RunSetup:
+    """The inputs that determine a run.
+
+    faults None: drawn from the seed, of these kinds (of all kinds if empty).
+    """
 
     seed: str
     steps: int
     nodes: int = 2
     kinds: tuple[str, ...] = ()
     faults: tuple[Fault, ...] | None = None
-    heavy: bool = False  # requests of so much work that a cold server bears few of them
+    heavy: bool = False  # heavy requests, of which a cold server bears few
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
-    """What came of a play; equal setups give equal digests."""
+class RunResult:
+    """The outcome of a run; equal setups give equal digests."""
 
-    setup: Setup
+    setup: RunSetup
     steps: int
     digest: str
     violations: tuple[Violation, ...]
@@ -51,61 +53,61 @@
 Progress = Callable[[int, float], None]
 
 
-def play(
-    setup: Setup,
+def run_world(
+    setup: RunSetup,
     *,
     progress: Progress | None = None,
-    tap: Callable[[World], Tap] | None = None,
-) -> Result:
-    """Play to the number of steps or the first violation, then until all is quiet.
+    observe: Callable[[World], NetworkObserver] | None = None,
+) -> RunResult:
+    """Runs until the number of steps or the first violation, then until the world has settled.
 
-    progress is called now and then with the steps played and the virtual seconds. tap: stands before the
-    oracle and hands on to it.
+    progress is called every STEPS_PER_SLICE steps with the steps run and the virtual seconds. observe returns
+    an observer that stands before the oracle and passes events on to it.
     """
-    began = time.perf_counter()
+    started = time.perf_counter()
     world = World(
         setup.seed,
         nodes=setup.nodes,
         kinds=setup.kinds,
         faults=None if setup.faults is None else list(setup.faults),
-        tap=tap,
+        observe=observe,
         heavy=setup.heavy,
     )
     try:
         while world.scheduler.steps < setup.steps and not world.violations:
-            before = world.scheduler.steps
-            world.play(min(STRETCH, setup.steps - before))
+            steps_before = world.scheduler.steps
+            world.run(min(STEPS_PER_SLICE, setup.steps - steps_before))
             if progress is not None:
-                progress(world.scheduler.steps, world.scheduler.now / MICROSECONDS)
-            if world.scheduler.steps == before:
+                progress(world.scheduler.steps, world.scheduler.now / US_PER_S)
+            if world.scheduler.steps == steps_before:
                 break
         world.settle()
-        return Result(
+        return RunResult(
             setup,
             world.scheduler.steps,
             world.scheduler.digest(),
             tuple(world.violations),
-            tuple(world.planned),
-            world.scheduler.now / MICROSECONDS,
-            time.perf_counter() - began,
+            tuple(world.injected),
+            world.scheduler.now / US_PER_S,
+            time.perf_counter() - started,
             dict(world.oracle.counts),
         )
     finally:
         world.close()
 
 
-def play_many(setups: Iterable[Setup], jobs: int) -> Iterator[Result]:
-    """Play on so many cores; results come in the order of the setups."""
+def run_many(setups: Iterable[RunSetup], jobs: int) -> Iterator[RunResult]:
+    """Runs setups on this many cores; results come in the order of the setups."""
     if jobs <= 1:
-        yield from map(play, setups)
+        yield from map(run_world, setups)
         return
-    # Fresh interpreters: what a fork inherits must not matter, and here it cannot.
+    # Spawned interpreters inherit no state that could change a run.
     with multiprocessing.get_context("spawn").Pool(jobs) as pool:
-        yield from pool.imap(play, setups)
+        yield from pool.imap(run_world, setups)
 
 
-def digest_of(results: Iterable[Result]) -> str:
-    """One digest for many plays, in order."""
+def combined_digest(results: Iterable[RunResult]) -> str:
+    """One digest of many runs, in order."""
     total = hashlib.blake2b(digest_size=16)
     for result in results:
         total.update(result.digest.encode())
--- a/tests/mesh/test_emulation.py
+++ b/tests/mesh/test_emulation.py
@@ -32,7 +32,12 @@
 
 
 def order(*machines: str, **changes: Any) -> dict[str, Any]:
-    given = {"from": world.EPOCH_S + 8.0, "to": world.EPOCH_S + 36.0, "works": "5s", "return": "3s"}
+    given = {
+        "from": world.START_UNIX_TIME_S + 8.0,
+        "to": world.START_UNIX_TIME_S + 36.0,
+        "works": "5s",
+        "return": "3s",
+    }
     return {**given, "machines": list(machines), **changes}
 
 
@@ -224,7 +229,7 @@
         machine = fleet.node_machines[0]
         assert machine.server is not None and machine.node is not None
         machine.server.draining = True
-        with machine.loops["station"].running():
+        with machine.loops["station"].as_running_loop():
             machine.node.terminate()
         machine.loops["clients"].kill()  # they stop with the machine
         asked = len(fleet.sent_requests())
@@ -249,7 +254,7 @@
         fleet.run_until(14.0)
         holder = next(m for m in fleet.control_machines if m.control_node and self.holds(m, fleet))
         assert holder.control_node is not None
-        with holder.loops["signalbox"].running():
+        with holder.loops["signalbox"].as_running_loop():
             holder.control_node.terminate()
         fleet.run_until(15.0)
         fleet.kill(holder, "signalbox")
