--- a/bench/change_cost.py
+++ b/bench/change_cost.py
@@ -69,7 +69,7 @@
         machine_drains_enabled=False,
     )
     nodes = [station(i, 1) for i in range(stations)]
-    made.apply_news(wire.StateUpdate(items=[route(i, 1) for i in range(routes)], nodes=nodes, served=nodes))
+    made.apply_update(wire.StateUpdate(items=[route(i, 1) for i in range(routes)], nodes=nodes, served=nodes))
     made.changes.flush()
     for known in list(made.routing.routes.values())[::BALANCERS_PART]:
         made.upstreams.load_balancer_for(known, known.service_shares[0][0])
@@ -82,7 +82,7 @@
     for i in range(rounds):
         told = news(2 + i)
         began = time.thread_time()
-        made.apply_news(told)
+        made.apply_update(told)
         made.changes.flush()
         costs.append(1e6 * (time.thread_time() - began))
     return median(costs)
--- a/leadrudder/data_plane/mesh_state.py
+++ b/leadrudder/data_plane/mesh_state.py
@@ -1,6 +1,6 @@
 """A data-plane node's view of the mesh: configuration, members and endpoints, and how changes are applied.
 
-The work for a change is proportional to the change: each item is parsed once, news of one node updates only
+The work for a change is proportional to the change: each item is parsed once, one node's update affects only
 the endpoints of that node, and new candidate lists go only to the load balancers affected. Invariants count
 violations.
 """
@@ -89,28 +89,28 @@
         metrics.add("change_pass_seconds_total", lambda: self.changes.pass_seconds)
         metrics.add("server_lists_offered_total", lambda: self.upstreams.lists_offered)
 
-    # ------------------------------------------------------------ news
+    # ------------------------------------------------------------ updates
 
-    def apply_news(self, news: wire.StateUpdate) -> None:
-        """Apply news from the control plane: changed items and members, or all of them."""
-        self._apply_items(news.items)
+    def apply_update(self, update: wire.StateUpdate) -> None:
+        """Apply an update from the control plane: changed items and members, or all of them."""
+        self._apply_items(update.items)
         pending = self.changes.pending
-        members = {node.name for node in self.members.merge(news.nodes)}
-        if news.whole:
-            members |= self._remove_members({node.name for node in news.nodes})
+        members = {node.name for node in self.members.merge(update.nodes)}
+        if update.whole:
+            members |= self._remove_members({node.name for node in update.nodes})
         if members:
             pending.nodes |= members
             pending.members = True
-        if news.signalboxes:
+        if update.signalboxes:
             self.discovery.on_session_started()
             pending.sources = True
-        self.discovery.merge(list(news.served))
+        self.discovery.merge(list(update.served))
         if pending.evacuations:
             self.changes.flush()
         else:
             self.changes.schedule()
 
-    def apply_own(self, member: Node, entry: Node) -> None:
+    def apply_own_entry(self, member: Node, entry: Node) -> None:
         """Apply this node's own membership, and its entry with its server; effective with the next pass."""
         if self.members.merge([member]):
             self.changes.pending.members = True
--- a/leadrudder/data_plane/program.py
+++ b/leadrudder/data_plane/program.py
@@ -138,7 +138,7 @@
         self._session = Session(
             settings.seed_link_addresses,
             self._next_report,
-            self._on_news,
+            self._on_state_update,
             self.state.discovery.on_session_ended,
             self._rng,
             self.log_buffer.record,
@@ -284,11 +284,11 @@
             withdraw = withdrawals.pop(frame.withdrawal.number, no_withdrawal)
             withdraw(frame.withdrawal.client_left)
 
-    # ------------------------------------------------------------ news from the control plane
+    # ------------------------------------------------------------ updates from the control plane
 
-    def _on_news(self, news: wire.StateUpdate) -> None:
-        """Apply news from the control-plane node of the session."""
-        self.state.apply_news(news)
+    def _on_state_update(self, update: wire.StateUpdate) -> None:
+        """Apply an update from the control-plane node of the session."""
+        self.state.apply_update(update)
         self._outbound.has_configuration = self._session.synced and bool(self.state.routing.routes)
 
     def _is_drained_here(self, forward_request: ForwardRequest) -> bool:
@@ -349,7 +349,7 @@
     def _next_report(self) -> wire.Node:
         self._report_number += 1
         node = self._node_entry()
-        self.state.apply_own(zone_relays.without_servers(node), node)
+        self.state.apply_own_entry(zone_relays.without_servers(node), node)
         return node
 
     def _publish_change(self) -> None:
--- a/leadrudder/data_plane/server_connections.py
+++ b/leadrudder/data_plane/server_connections.py
@@ -43,10 +43,10 @@
 class LocalServerConnection(UpstreamConnection):
     """One connection to the local server."""
 
-    def __init__(self, peer: Endpoint, servers: HttpUpstream) -> None:
+    def __init__(self, endpoint: Endpoint, upstream: HttpUpstream) -> None:
         self._had_foreign_answer = False
         self._expected_id = b""
-        super().__init__(peer, servers)
+        super().__init__(endpoint, upstream)
 
     def create_parser(self) -> HttpParser:
         return HttpReader(self._on_response, requests=False, max_body_bytes=MAX_ANSWER_BYTES)
--- a/leadrudder/data_plane/session.py
+++ b/leadrudder/data_plane/session.py
@@ -15,13 +15,13 @@
 
 
 class Session:
-    """hello: returns the next report of this node; on_news: applies news from the control plane."""
+    """hello: returns the next report of this node; on_state_update: applies an update of the state."""
 
     def __init__(
         self,
         seeds: tuple[str, ...],
         hello: Callable[[], wire.Node],
-        on_news: Callable[[wire.StateUpdate], None],
+        on_state_update: Callable[[wire.StateUpdate], None],
         on_ended: Callable[[], None],
         rng: Random,
         note: Callable[[str], None],
@@ -29,7 +29,7 @@
         self.seeds = seeds
         self.synced = False  # a complete state has been received in some session
         self.sync_count = 0  # sessions that have received it
-        self._hello, self._on_news, self._rng, self._note = hello, on_news, rng, note
+        self._hello, self._on_state_update, self._rng, self._note = hello, on_state_update, rng, note
         self._on_ended = on_ended
         self._received_news = False
         self._zone_control_nodes: list[str] = []  # of this zone, as named by a node of another zone
@@ -79,7 +79,7 @@
             self._received_news = self.synced = True
             if frame.news.signalboxes:
                 self._control_nodes = list(frame.news.signalboxes)[:16]
-            self._on_news(frame.news)
+            self._on_state_update(frame.news)
 
     def established(self) -> bool:
         """Whether a control-plane node has accepted this session."""
--- a/tests/mesh/test_control_simulation.py
+++ b/tests/mesh/test_control_simulation.py
@@ -45,12 +45,12 @@
                 sizes |= {len(process.voter_table.open_slots()) for process in running}
         self.assertTrue({3, 5, 7, 9} <= sizes, f"sizes at the end: {sizes}")
 
-    def test_a_seat_granted_to_two_by_halves_is_claimed_anew(self) -> None:
+    def test_a_slot_granted_to_two_by_halves_is_claimed_anew(self) -> None:
         # Two newcomers had two grants of four each, and those who gave them had forgotten when: for good.
         Course(258, faults=8, kinds=RESIZING_KINDS).play()
 
-    def _one_seat_with_two_holders(self, seed: int) -> bool:
-        """Two newcomers ask for a seat more at once; the three that grant hear them in any order."""
+    def _one_slot_with_two_holders(self, seed: int) -> bool:
+        """Two newcomers ask for another slot at once; the three that grant hear them in any order."""
         world = World(seed)
         world.play(4.0)
         newcomers = [world.join(f"10.5{i}.0.1:1") for i in range(2)]
@@ -60,27 +60,27 @@
         held: list[set[int]] = [set(), set()]
         while world.now < 8.0:
             world.play(world.now + 0.005)
-            for seats, newcomer in zip(held, newcomers, strict=True):
+            for slots, newcomer in zip(held, newcomers, strict=True):
                 process = newcomer.process
                 mine = (
                     process.voter_table.own_slot()
                     if process is not None and process.voter_table.full
                     else None
                 )
-                seats |= {mine} if mine is not None else set()
+                slots |= {mine} if mine is not None else set()
         return bool(held[0] & held[1])
 
-    def test_a_seat_more_is_granted_by_a_majority(self) -> None:
+    def test_another_slot_is_granted_by_a_majority(self) -> None:
         shown = (90, 110, 113, 315)  # of 0 to 399: both must hold it before either hears of the other
-        self.assertFalse(any(map(self._one_seat_with_two_holders, (*range(16), *shown))))
+        self.assertFalse(any(map(self._one_slot_with_two_holders, (*range(16), *shown))))
         with PLANTED_FAULTS["new_slot_by_one"]():
-            self.assertTrue(any(map(self._one_seat_with_two_holders, shown)))
+            self.assertTrue(any(map(self._one_slot_with_two_holders, shown)))
 
     def test_two_closings_that_began_at_once_are_both_settled(self) -> None:
         Course(384, faults=8, kinds=RESIZING_KINDS).play()
 
-    def test_a_closing_that_began_is_ended_though_more_seats_are_wanted_again(self) -> None:
-        # Some held the seat for half closed, one for taken over: neither could be had, for good.
+    def test_a_closing_that_began_is_ended_though_more_slots_are_wanted_again(self) -> None:
+        # Some nodes saw the slot as half closed, one as taken over: neither could ever be completed.
         Course(75, faults=10, kinds=FAULTS + 2 * RESIZING, calls=24).play()
 
     def test_what_breaks_is_cut_to_the_least_faults(self) -> None:
