--- a/bench/change_cost.py
+++ b/bench/change_cost.py
@@ -69,7 +69,7 @@
         machine_drains_enabled=False,
     )
     nodes = [node_record(i, 1) for i in range(node_count)]
-    mesh_state.apply_news(
+    mesh_state.apply_update(
         wire.StateUpdate(items=[route_item(i, 1) for i in range(route_count)], nodes=nodes, served=nodes)
     )
     mesh_state.changes.flush()
@@ -86,7 +86,7 @@
     for i in range(rounds):
         update = make_update(2 + i)
         started_at = time.thread_time()
-        mesh_state.apply_news(update)
+        mesh_state.apply_update(update)
         mesh_state.changes.flush()
         costs.append(1e6 * (time.thread_time() - started_at))
     return median(costs)
--- a/tests/mesh/test_control_simulation.py
+++ b/tests/mesh/test_control_simulation.py
@@ -67,14 +67,14 @@
         held: list[set[int]] = [set(), set()]
         while world.now < 8.0:
             world.run_until(world.now + 0.005)
-            for seats, machine in zip(held, new_machines, strict=True):
+            for slots, machine in zip(held, new_machines, strict=True):
                 process = machine.process
                 own_seat = (
                     process.voter_table.own_slot()
                     if process is not None and process.voter_table.full
                     else None
                 )
-                seats |= {own_seat} if own_seat is not None else set()
+                slots |= {own_seat} if own_seat is not None else set()
         return bool(held[0] & held[1])
 
     def test_a_new_seat_is_granted_by_a_majority(self) -> None:
@@ -88,7 +88,7 @@
         Scenario(384, fault_count=8, fault_kinds=RESIZING_KINDS).run()
 
     def test_a_seat_removal_completes_although_more_seats_are_ordered_again(self) -> None:
-        # Some machines saw the seat as half closed, one as taken over; neither state could be completed.
+        # Some machines saw the slot as half closed, one as taken over; neither state could be completed.
         Scenario(75, fault_count=10, fault_kinds=FAULT_KINDS + 2 * RESIZE_KINDS, change_count=24).run()
 
     def test_a_failing_scenario_is_shrunk_to_a_minimal_set_of_faults(self) -> None:
