--- a/bench/control.py
+++ b/bench/control.py
@@ -57,7 +57,7 @@
     return [search.run()]
 
 
-def simulate(machines: int, seeds: range, stations: int) -> list[str]:
+def simulate(machines: int, seeds: range, node_count: int) -> list[str]:
     """The invariants that the runs violate."""
     violations = []
     for seed in seeds:
@@ -66,7 +66,11 @@
                 ALL_FAULTS if seed % 2 else FAULT_KINDS
             )  # every second one with a changing number of voters
             Scenario(
-                seed, machines, fault_count=10 if machines > 3 else 6, fault_kinds=kinds, node_count=stations
+                seed,
+                machines,
+                fault_count=10 if machines > 3 else 6,
+                fault_kinds=kinds,
+                node_count=node_count,
             ).run()
         except InvariantViolation as error:
             violations.append(f"{machines} machines, seed {seed}: {error}")
@@ -117,8 +121,8 @@
         try:
             FOUND_BY_SIMULATION[name].run()
         except InvariantViolation:
-            course = FOUND_BY_SIMULATION[name]
-            return f"{course.machine_count} machines, seed {course.seed}, {course.fault_count} faults"
+            scenario = FOUND_BY_SIMULATION[name]
+            return f"{scenario.machine_count} machines, seed {scenario.seed}, {scenario.fault_count} faults"
     for machines, seeds in PLANTED_FAULT_SEEDS:
         for seed in range(seeds):
             try:
@@ -279,7 +283,7 @@
     with ProcessPoolExecutor(options.jobs) as pool:
         searches = {name: pool.submit(check_scenario, name, options.seconds) for name in SCENARIOS}
         simulations = [
-            pool.submit(simulate, m, range(seeds), stations) for m, seeds, stations in SIMULATED_SIZES
+            pool.submit(simulate, m, range(seeds), node_count) for m, seeds, node_count in SIMULATED_SIZES
         ]
         planted_searches = [
             pool.submit(find_planted_fault, name, options.plant_seconds) for name in PLANTED_FAULTS
--- a/bench/incidents.py
+++ b/bench/incidents.py
@@ -105,10 +105,10 @@
             f"two losses in a row: {len(losses)} of {len(steps)}, {sum(losses)} with both disks", flush=True
         )
         seeds = range(arguments.course_seeds)
-        courses, bad_courses = collect_results(
+        scenario_results, bad_scenarios = collect_results(
             "course", pool.map(run_checked, [run_scenario] * len(seeds), seeds)
         )
-        print(f"courses: {len(courses)} of {len(seeds)}", flush=True)
+        print(f"courses: {len(scenario_results)} of {len(seeds)}", flush=True)
         seeds = range(arguments.call_seeds)
         plans = [PLAN] * len(seeds)
         called, bad_calls = collect_results(
@@ -123,12 +123,12 @@
         )
         catch_up_results, bad_catch = collect_results("many changes", [catch_up.result()])
     caught_up: CatchUpResult | None = catch_up_results[0] if catch_up_results else None
-    broken += bad_losses + bad_courses + bad_calls + bad_catch
+    broken += bad_losses + bad_scenarios + bad_calls + bad_catch
     guarded_faults = len(PLANTED_FAULTS) - len(NOT_FOUND)
     line = (
         f"cut20_ack_ms={1000 * max((c.ack_max_s for c in cuts), default=0.0):.0f} "
         f"cut20_apply_ms={1000 * max((c.apply_max_s for c in cuts), default=0.0):.0f} "
-        f"losses_in_row={len(losses)}/{len(steps)} courses={len(courses)}/{arguments.course_seeds} "
+        f"losses_in_row={len(losses)}/{len(steps)} courses={len(scenario_results)}/{arguments.course_seeds} "
         f"call_seeds={len(called)}/{arguments.call_seeds} "
         f"guards_shown={guarded_faults}/{len(PLANTED_FAULTS)} broken={broken}"
     )
--- a/leadrudder/control_simulation/incidents.py
+++ b/leadrudder/control_simulation/incidents.py
@@ -24,7 +24,7 @@
 FIRST_CHANGE_S = 5.0  # by then every section has an owner
 ANSWER_TIMEOUT_S = 1.0  # before an operator tries another machine
 RETRY_DELAY_S = 0.1  # before an operator sends a change again
-CALM_DURATION_S = 10.0  # after the last fault, in which the system must recover
+RECOVERY_DURATION_S = 10.0  # after the last fault, in which the system must recover
 
 
 class Fault(StrEnum):
@@ -33,7 +33,7 @@
     CUT = "cut from the other control machines"
     NOTHING_OUT = "nothing that it sends to them arrives"
     NOTHING_IN = "nothing that they send arrives"
-    STANDSTILL = "its process stands still"
+    STANDSTILL = "its process is paused"
     SLOW_DISK = "its disk takes thirty times as long"
 
 
@@ -130,7 +130,7 @@
         world.call_at(6.0, lambda: world.partition(senders, receivers, one_way=fault is not Fault.CUT))
         world.call_at(6.0 + duration_s, world.heal)
     operator.change_periodically(0.4, 6.0 + duration_s)
-    world.run_until(6.0 + duration_s + CALM_DURATION_S)
+    world.run_until(6.0 + duration_s + RECOVERY_DURATION_S)
     if operator.open_changes or operator.refused:
         world.fail(
             f"{operator.open_changes} changes unanswered after recovery, {operator.refused} were refused"
@@ -146,7 +146,7 @@
     """The first of two consecutive losses."""
 
     WIPED = "its disk is lost, and it is back at once"
-    REPLACED = "gone for good, an empty one comes"
+    REPLACED = "lost permanently, and replaced by an empty one"
     RESTARTED = "killed, and back at once"
 
 
@@ -179,7 +179,7 @@
 
     world.call_at(6.0, lose_first)
     world.call_at(6.0 + after_s, lose_second)
-    world.run_until(14.0 + CALM_DURATION_S)
+    world.run_until(14.0 + RECOVERY_DURATION_S)
     if operator.open_changes or operator.refused:
         world.fail(
             f"{operator.open_changes} changes unanswered after recovery, {operator.refused} were refused"
@@ -232,7 +232,7 @@
                 world.run_until(world.now + 0.02)
 
     def caught_up_s(machine: CoreMachine) -> float:
-        """Seconds until the machine has a full seat and all items of the others."""
+        """Seconds until the machine has a full voter slot and all items of the others."""
         start_s = world.now
         others = [m.process for m in world.machines.values() if m is not machine and m.process is not None]
         while world.now < start_s + 60.0:
@@ -286,7 +286,7 @@
 
 
 def _fault_callback(fleet: Fleet, machine: Machine, rng: Random) -> Callable[[], None]:
-    fault = rng.choice(("node stands still", "server stands still", "node killed", "control stands still"))
+    fault = rng.choice(("node paused", "server paused", "node killed", "control paused"))
     duration_s = rng.uniform(0.2, 4.0)
 
     def inject() -> None:
@@ -294,7 +294,7 @@
             fleet.kill(machine, "station")
             fleet.call_at(fleet.now + 0.3, lambda: fleet.start_node(machine))
             return
-        target = rng.choice(fleet.control_machines) if fault == "control stands still" else machine
+        target = rng.choice(fleet.control_machines) if fault == "control paused" else machine
         process_kind = (
             "signalbox" if target is not machine else "server" if fault.startswith("server") else "station"
         )
--- a/leadrudder/control_simulation/nodes.py
+++ b/leadrudder/control_simulation/nodes.py
@@ -114,10 +114,10 @@
         for key, old in before.items():
             new = node.store.items[key]
             if old is not None and new.version < old.version:
-                self._world.fail(f"a station goes back: {key} from version {old.version} to {new.version}")
+                self._world.fail(f"a node goes back: {key} from version {old.version} to {new.version}")
             value = b"" if new.dropped else b"=" + new.value
             if self._world.committed_values.get((key, new.version)) != value:
-                self._world.fail(f"a station has {key} version {new.version}, which never stood")
+                self._world.fail(f"a node has {key} version {new.version}, which was never committed")
 
     def max_propagation_s(self) -> float:
         """The longest time from the acknowledgement of a version until a node had it or a later one."""
@@ -148,4 +148,4 @@
             for key, item in world.latest_acknowledged.items():
                 known = node.store.items.get(key)
                 if known is None or known.version < item.version:
-                    world.fail(f"station {number} lacks {key} version {item.version} in calm")
+                    world.fail(f"node {number} lacks {key} version {item.version} without faults")
--- a/leadrudder/control_simulation/scenario.py
+++ b/leadrudder/control_simulation/scenario.py
@@ -16,7 +16,7 @@
 KEYS = [f"routes/r{i}" for i in range(6)] + ["services/s", "limits"]
 RECOVERY_ALLOWANCE_S = 4.0  # a restarted machine counts as lost for this long
 RETRY_INTERVAL_S = 0.4  # before an operator sends a change again, to any machine
-CALM_DURATION_S = 12.0  # without faults, before the final state is checked
+RECOVERY_DURATION_S = 12.0  # without faults, before the final state is checked
 
 FAULT_KINDS = (
     "kill",
@@ -34,8 +34,8 @@
     "after_ack_wipe",
 )
 FREEZE_KINDS = ("freeze",)  # a process is paused and resumes with its former state
-RESIZE_KINDS = ("grow", "shrink")  # two voter seats more, with new machines for them; two fewer
-MAX_SEATS = 9
+RESIZE_KINDS = ("grow", "shrink")  # two voter slots more, with new machines for them; two fewer
+MAX_VOTER_SLOTS = 9
 MAX_DELAY_AFTER_ACK_S = 0.004  # from an acknowledgement to the loss of the machine that sent it
 
 
@@ -72,7 +72,7 @@
     _open_changes: list[list[Item]] = field(default_factory=list)  # without a definite answer
     _added_machines: int = 0
     _fault_after_ack: Fault | None = None  # strikes at the next acknowledgement
-    _ordered_seats: int = 0  # by the operator's latest resize; 0: no resize yet
+    _ordered_slots: int = 0  # by the operator's latest resize; 0: no resize yet
     _resize_count: int = 0
 
     def run(self) -> World:
@@ -96,7 +96,7 @@
             machine.stalled_until, machine.sync_slowdown = 0.0, 1.0
             world.thaw(machine)
             world.start(machine)
-        world.run_until(20.0 + CALM_DURATION_S)
+        world.run_until(20.0 + RECOVERY_DURATION_S)
         self._check_end_state()
         nodes.check_all_delivered()
         return world
@@ -254,24 +254,24 @@
             world.call_later(duration_s + 0.6, lambda: world.start(machine))
 
     def _resize(self, grow: bool) -> None:
-        """Change the number of voter seats; growing adds machines, shrinking removes none."""
+        """Change the number of voter slots; growing adds machines, shrinking removes none."""
         world = self.world
-        current = self._ordered_seats or self.machine_count
-        seats = current + 2 if grow else current - 2
-        if not max(3, 2 * world.tolerated_losses + 1) <= seats <= MAX_SEATS:
+        current = self._ordered_slots or self.machine_count
+        slot_count = current + 2 if grow else current - 2
+        if not max(3, 2 * world.tolerated_losses + 1) <= slot_count <= MAX_VOTER_SLOTS:
             return
-        self._ordered_seats, self._resize_count = seats, self._resize_count + 1
-        world.record(f"{seats} seats are wanted")
+        self._ordered_slots, self._resize_count = slot_count, self._resize_count + 1
+        world.record(f"{slot_count} voter slots are ordered")
         for _ in range(2 * grow):
             self._added_machines += 1
             world.add_machine(f"10.{50 + self._added_machines}.0.1:1")
-        self._send([Item(key=VOTER_COUNT_KEY, version=self._resize_count, value=b"%d" % seats)])
+        self._send([Item(key=VOTER_COUNT_KEY, version=self._resize_count, value=b"%d" % slot_count)])
 
     def _remove(self, machine: Machine) -> None:
         """SIGTERM; the machine does not come back."""
         if machine.process is None:
             return
-        self.world.record(f"{machine.address} resigns for good")
+        self.world.record(f"{machine.address} resigns permanently")
         self.world.apply_outputs(machine, machine.process.resign(self.world.now))
 
         def remove() -> None:
@@ -297,16 +297,16 @@
         world.run_until(world.now + 2.0)
         running = [m.address for m in self._running_machines()]
         if sorted(answered) != sorted(running):
-            world.fail(f"only {answered} of {running} answer in calm")
+            world.fail(f"only {answered} of {running} answer without faults")
         world.check_linearizable()
         self._check_sizes(running)
         unanswered = [items for items in self._open_changes if not world.is_partly_committed(items)]
         if unanswered:
-            world.fail(f"{len(unanswered)} changes have no answer in calm")
+            world.fail(f"{len(unanswered)} changes have no answer without faults")
 
     def _check_sizes(self, running: list[str]) -> None:
-        """Without faults there are as many full seats as ordered, and sections are spread evenly."""
-        if not self._ordered_seats or len(running) < self._ordered_seats:
+        """Without faults there are as many full voter slots as ordered, and sections are spread evenly."""
+        if not self._ordered_slots or len(running) < self._ordered_slots:
             return
         world = self.world
         sections_owned: dict[str, int] = {}
@@ -314,10 +314,10 @@
             process = machine.process
             assert process is not None
             holders = process.voter_table.holders()
-            full_seats = [holder for holder in holders if process.is_voter(holder)]
-            if len(full_seats) != self._ordered_seats:
+            full_slots = [holder for holder in holders if process.is_voter(holder)]
+            if len(full_slots) != self._ordered_slots:
                 world.fail(
-                    f"{machine.address} sees {full_seats} of {holders}, {self._ordered_seats} are wanted"
+                    f"{machine.address} sees {full_slots} of {holders}, {self._ordered_slots} are wanted"
                 )
             if machine.address in holders:
                 sections_owned[machine.address] = len(process.ownership.owned_sections())
--- a/leadrudder/control_simulation/world.py
+++ b/leadrudder/control_simulation/world.py
@@ -127,7 +127,7 @@
         while self._events and self._events[0][0] <= until:
             self.now, _, callback = heapq.heappop(self._events)
             if self._event_count > self.max_events:
-                self.fail("frames go round and round")
+                self.fail("frames are exchanged without end")
             callback()
         self.now = until
 
@@ -184,7 +184,7 @@
         if machine.process is None or machine.frozen:
             return
         machine.frozen = True
-        self.record(f"{machine.address} stands still")
+        self.record(f"{machine.address} is paused")
         for connection in list(self._connections.values()):
             if machine.address in connection.addresses:
                 self.call_later(LINK_TIMEOUT_S, lambda c=connection: self._close(c))  # type: ignore[misc]
@@ -194,7 +194,7 @@
         if not machine.frozen:
             return
         machine.frozen = False
-        self.record(f"{machine.address} runs again")
+        self.record(f"{machine.address} resumes")
         deferred, machine.deferred_inputs = machine.deferred_inputs, []
         for handle in deferred:
             handle()
@@ -209,7 +209,7 @@
         """Remove a machine permanently and add an empty one at another address."""
         self.kill(machine, power=True)
         machine.removed = True
-        self.record(f"{machine.address} is gone for good")
+        self.record(f"{machine.address} is removed permanently")
         return self.add_machine(address)
 
     def add_machine(self, address: str) -> Machine:
@@ -279,7 +279,7 @@
 
     def heal(self) -> None:
         self.blocked_directions.clear()
-        self.record("cuts end")
+        self.record("all directions are open again")
 
     def _send(self, machine: Machine, send: Send) -> None:
         if send.to == machine.address:
@@ -350,7 +350,7 @@
             if m.process is not None and not m.frozen and m.process.leases.holds(MEMBER_EXPIRY, self.now)
         ]
         if len(holders) > 1:
-            self.fail(f"one duty has two holders: {holders}")
+            self.fail(f"one lease has two holders: {holders}")
         self.steps_with_lease_holder += bool(holders)
         if machine.process is not None:
             for section, state in machine.process.ownership.sections.items():
@@ -404,9 +404,9 @@
         value = b"" if item.dropped else b"=" + item.value
         committed = self.committed_values.setdefault((item.key, item.version), value)
         if committed != value:
-            self.fail(f"{item.key} version {item.version} stands with two values, at {machine.address}")
+            self.fail(f"{item.key} version {item.version} is committed with two values, at {machine.address}")
         if (item.key, item.version, item.value) in self.refused_values:
-            self.fail(f"{item.key} version {item.version} stands though it was refused")
+            self.fail(f"{item.key} version {item.version} is committed though it was refused")
 
     # ------------------------------------------------------------ requests of operators
 
@@ -488,7 +488,7 @@
                 continue
             self.refused_values.add((item.key, item.version, item.value))
             if self.committed_values.get((item.key, item.version)) == b"=" + item.value:
-                self.fail(f"{item.key} version {item.version} was refused and stands")
+                self.fail(f"{item.key} version {item.version} was refused and is committed")
 
     def read(self, machine: Machine, on_answer: Callable[[Answer], None]) -> None:
         """Read at one machine; a result older than what was acknowledged at the start is a violation."""
--- a/leadrudder/mesh/__main__.py
+++ b/leadrudder/mesh/__main__.py
@@ -89,19 +89,19 @@
     return []
 
 
-def _run_courses(courses: Sequence[Scenario], shrink: bool) -> int:
+def _run_scenarios(scenarios: Sequence[Scenario], shrink: bool) -> int:
     failures = 0
-    for course in courses:
+    for scenario in scenarios:
         try:
-            course.run()
+            scenario.run()
         except InvariantViolation as error:
             failures += 1
-            print(f"seed {course.seed}: {error}")
-            smallest = shrink_scenario(course, print) if shrink else None
+            print(f"seed {scenario.seed}: {error}")
+            smallest = shrink_scenario(scenario, print) if shrink else None
             if smallest is not None:
-                print(f"seed {course.seed}, cut down: {smallest[1]}")
+                print(f"seed {scenario.seed}, cut down: {smallest[1]}")
                 print("faults:", *(f"  {fault}" for fault in smallest[0].planned_faults()), sep="\n")
-    print(f"seeds={len(courses)} broken={failures}")
+    print(f"seeds={len(scenarios)} broken={failures}")
     return 1 if failures else 0
 
 
@@ -285,11 +285,11 @@
         if unknown:
             print(f"leadrudder: --kinds: no such fault: {', '.join(sorted(unknown))}", file=sys.stderr)
             return 2
-        courses = [
+        scenarios = [
             Scenario(seed, options.machines, options.faults, kinds, node_count=options.stations)
             for seed in options.seeds
         ]
-        return _run_courses(courses, options.shrink)
+        return _run_scenarios(scenarios, options.shrink)
     if options.command == "prove":
         return _run_searches(
             options.scene or [*SCENARIOS, WINDOWS_SCENE], options.states, options.seconds, options.walks
--- a/tests/mesh/test_control_simulation.py
+++ b/tests/mesh/test_control_simulation.py
@@ -42,7 +42,7 @@
             with self.subTest(seed=seed):
                 Scenario(seed, machine_count=9, fault_count=10, node_count=60).run()
 
-    def test_changing_the_number_of_seats_keeps_every_invariant(self) -> None:
+    def test_changing_the_number_of_voter_slots_keeps_every_invariant(self) -> None:
         sizes = set()
         for seed in range(20):
             with self.subTest(seed=seed):
@@ -51,13 +51,13 @@
                 sizes |= {len(process.voter_table.open_slots()) for process in running}
         self.assertTrue({3, 5, 7, 9} <= sizes, f"sizes at the end: {sizes}")
 
-    def test_a_seat_granted_partly_to_two_machines_is_claimed_again(self) -> None:
+    def test_a_voter_slot_granted_partly_to_two_machines_is_claimed_again(self) -> None:
         # Two new machines had two of four grants each, and the granters had lost the time of their grants, so
-        # neither ever got the seat.
+        # neither ever got the slot.
         Scenario(258, fault_count=8, fault_kinds=RESIZING_KINDS).run()
 
-    def _has_seat_with_two_holders(self, seed: int) -> bool:
-        """Two new machines claim the same new seat; the three granters get the claims in any order."""
+    def _has_slot_with_two_holders(self, seed: int) -> bool:
+        """Two new machines claim the same new voter slot; the three granters get the claims in any order."""
         world = World(seed)
         world.run_until(4.0)
         new_machines = [world.add_machine(f"10.5{i}.0.1:1") for i in range(2)]
@@ -67,28 +67,28 @@
         held: list[set[int]] = [set(), set()]
         while world.now < 8.0:
             world.run_until(world.now + 0.005)
-            for seats, machine in zip(held, new_machines, strict=True):
+            for slots, machine in zip(held, new_machines, strict=True):
                 process = machine.process
-                own_seat = (
+                own_slot = (
                     process.voter_table.own_slot()
                     if process is not None and process.voter_table.full
                     else None
                 )
-                seats |= {own_seat} if own_seat is not None else set()
+                slots |= {own_slot} if own_slot is not None else set()
         return bool(held[0] & held[1])
 
-    def test_a_new_seat_is_granted_by_a_majority(self) -> None:
-        # Of seeds 0 to 399, those with which both hold the seat before either learns of the other.
+    def test_a_new_voter_slot_is_granted_by_a_majority(self) -> None:
+        # Of seeds 0 to 399, those with which both hold the slot before either learns of the other.
         detecting_seeds = (90, 110, 113, 315)
-        self.assertFalse(any(map(self._has_seat_with_two_holders, (*range(16), *detecting_seeds))))
+        self.assertFalse(any(map(self._has_slot_with_two_holders, (*range(16), *detecting_seeds))))
         with PLANTED_FAULTS["new_slot_by_one"]():
-            self.assertTrue(any(map(self._has_seat_with_two_holders, detecting_seeds)))
+            self.assertTrue(any(map(self._has_slot_with_two_holders, detecting_seeds)))
 
-    def test_two_concurrent_seat_removals_both_complete(self) -> None:
+    def test_two_concurrent_slot_removals_both_complete(self) -> None:
         Scenario(384, fault_count=8, fault_kinds=RESIZING_KINDS).run()
 
-    def test_a_seat_removal_completes_although_more_seats_are_ordered_again(self) -> None:
-        # Some machines saw the seat as half closed, one as taken over; neither state could be completed.
+    def test_a_slot_removal_completes_although_more_slots_are_ordered_again(self) -> None:
+        # Some machines saw the slot as half closed, one as taken over; neither state could be completed.
         Scenario(75, fault_count=10, fault_kinds=FAULT_KINDS + 2 * RESIZE_KINDS, change_count=24).run()
 
     def test_a_failing_scenario_is_shrunk_to_a_minimal_set_of_faults(self) -> None:
