--- a/leadrudder/emulation/fleet.py
+++ b/leadrudder/emulation/fleet.py
@@ -106,7 +106,7 @@
     request_kinds: tuple[RequestKind, ...]
     routes: Mapping[str, Any]
     zones: int = 3
-    cores: int = 3
+    control_machine_count: int = 3
     slots: int = 9
     work_s: float = 0.06
     work_by_host: Mapping[str, Work] = field(default_factory=dict)  # by host, in place of work_s
@@ -123,7 +123,7 @@
         self.errors: list[str] = []
         self.control_machines = [
             Machine(f"core-{i}", f"z{i % plan.zones}", f"10.{i % plan.zones}.0.{1 + i}")
-            for i in range(plan.cores)
+            for i in range(plan.control_machine_count)
         ]
         self.node_machines: list[Machine] = []
         for service, count in plan.services.items():
@@ -185,12 +185,12 @@
             "zone": machine.zone,
             "ip": host,
             "sparePorts": [FIRST_LINK_PORT, FIRST_LINK_PORT + 9],
-            "seedNodes": [f"{core.host}:{CONTROL_PORT}" for core in self.control_machines[:3]],
+            "seedNodes": [f"{seed.host}:{CONTROL_PORT}" for seed in self.control_machines[:3]],
             "firstRun": first,
             "service": machine.service,
             "appAddress": f"{host}:{APPLICATION_PORT}",
             "addresses": {"controlPort": f"{host}:{CONTROL_PORT}"},
-            "withstand": {"machineLosses": (self.plan.cores - 1) // 2},
+            "withstand": {"machineLosses": (self.plan.control_machine_count - 1) // 2},
             "limits": {"ramMb": 300},
         }
         if machine.service:
@@ -264,9 +264,9 @@
         elif kind == "station":
             machine.node = None
 
-    def freeze(self, machine: Machine, kind: str, span_s: float) -> None:
+    def freeze(self, machine: Machine, kind: str, duration_s: float) -> None:
         """Pause a process; events that come due meanwhile are handled when it resumes."""
-        machine.loops[kind].frozen_until = int((self.now + span_s) * MICROSECONDS)
+        machine.loops[kind].frozen_until = int((self.now + duration_s) * MICROSECONDS)
 
     # ------------------------------------------------------------ operators and clients
 
--- a/leadrudder/emulation/standins.py
+++ b/leadrudder/emulation/standins.py
@@ -75,7 +75,7 @@
 
     def __init__(self, server: Server) -> None:
         self._server = server
-        self._reader = HttpReader(self._ask, requests=True)
+        self._reader = HttpReader(self._handle_request, requests=True)
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -87,7 +87,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
 
-    def _ask(self, message: object) -> None:
+    def _handle_request(self, message: object) -> None:
         self._server.handle(cast(BufferedHttpMessage, message), self._answer)
 
     def _answer(self, data: bytes) -> None:
--- a/tests/mesh/test_emulation.py
+++ b/tests/mesh/test_emulation.py
@@ -59,17 +59,19 @@
 
     def nodes_that_drain(self, fleet: Fleet) -> list[str]:
         """Names of the nodes that treat the first machine as drained for maintenance."""
-        holds = [m for m in fleet.node_machines if m.node is not None]
+        running = [m for m in fleet.node_machines if m.node is not None]
         return [
-            m.name for m in holds if m.node and m.node.state.machine_drains.is_drained("side-0", LOOKUP_ROUTE)
+            m.name
+            for m in running
+            if m.node and m.node.state.machine_drains.is_drained("side-0", LOOKUP_ROUTE)
         ]
 
     def check_bookings(self, fleet: Fleet, doubt: int = 0) -> None:
         """Every booking ran once, apart from at most `doubt` whose clients got no answer of success."""
-        told = BookingOutcomes.of(fleet)
-        self.assertGreater(told.asked, 300)
-        self.assertEqual((told.lost, told.twice), (0, 0))
-        self.assertLessEqual(told.asked - told.landed_once, doubt)
+        outcomes = BookingOutcomes.of(fleet)
+        self.assertGreater(outcomes.asked, 300)
+        self.assertEqual((outcomes.lost, outcomes.twice), (0, 0))
+        self.assertLessEqual(outcomes.asked - outcomes.landed_once, doubt)
         self.assertEqual(fleet.errors, [])
 
     def requests_run(self, fleet: Fleet, until: float) -> dict[str, int]:
@@ -155,14 +157,14 @@
 
         fleet.call_at(64.0, lambda: fleet.run_operator(look))
         fleet.run_until(66.0)
-        (told,) = reports
-        self.assertEqual(told["state"], "done")
-        bookings = told["report"]["var"]
+        (window_report,) = reports
+        self.assertEqual(window_report["state"], "done")
+        bookings = window_report["report"]["var"]
         self.assertGreater(bookings["asked"], 100)
         self.assertEqual(bookings["asked"], bookings["landed"])
         self.assertEqual([bookings[k] for k in ("lost", "twice", "in_doubt")], [0, 0, 0])
-        self.assertGreater(told["report"]["kal"]["lookups"], 100)
-        shown = windows.render_report(told)
+        self.assertGreater(window_report["report"]["kal"]["lookups"], 100)
+        shown = windows.render_report(window_report)
         self.assertIn("<svg", shown)
         self.assertIn(f"<td>{bookings['landed']}", shown)
 
@@ -259,14 +261,14 @@
         self.check_bookings(fleet)
 
     def holds(self, machine: Machine, fleet: Fleet) -> bool:
-        box = machine.control_node
-        return box is not None and box.state_machine.leases.holds(MAINTENANCE, fleet.now)
+        control_node = machine.control_node
+        return control_node is not None and control_node.state_machine.leases.holds(MAINTENANCE, fleet.now)
 
     def state(self, fleet: Fleet) -> str:
         """The state of the window, as a remaining control process sees it."""
-        left = next(m.control_node for m in fleet.control_machines if m.control_node is not None)
-        assert left._maintenance is not None
-        return left._maintenance.situation().windows["huolto"].state()
+        control_node = next(m.control_node for m in fleet.control_machines if m.control_node is not None)
+        assert control_node._maintenance is not None
+        return control_node._maintenance.situation().windows["huolto"].state()
 
     def test_a_machine_is_returned_early_when_a_zone_is_lost(self) -> None:
         fleet = self.fleet(23, **order("side-0", works="15s"))
@@ -287,15 +289,15 @@
         assert server is not None
         fleet.kill(fleet.node_machines[0], "server")
         fleet.start_server(fleet.node_machines[0], cold_s=4.0)
-        again = fleet.node_machines[0].server
-        assert again is not None
+        restarted = fleet.node_machines[0].server
+        assert restarted is not None
         back = 17.5
         fleet.run_until(back)
-        again.runs_by_host.clear()
+        restarted.runs_by_host.clear()
         step_s, ran = 0.1, [0]
-        while again.cold_left(fleet.now) > step_s:
+        while restarted.cold_left(fleet.now) > step_s:
             fleet.run_until(fleet.now + step_s)
-            ran.append(sum(again.runs_by_host.values()))
+            ran.append(sum(restarted.runs_by_host.values()))
         cold = max(after - before for before, after in zip(ran, ran[10:], strict=False))  # in any second
         self.assertGreater(cold, 2)
         self.assertLessEqual(cold, 1.5 * COLD_REQUESTS_PER_S + 5)
