--- a/tests/mesh/planted_faults.py
+++ b/tests/mesh/planted_faults.py
@@ -51,43 +51,47 @@
 def one_version_two_values() -> Any:
     """The owner does not check whether a version already has a value."""
 
-    def weigh(self: SectionOwnership, ask: wire.ChangeRequest) -> tuple[ResultCode, list[Item], list[Item]]:
-        return ResultCode.DONE, [Item.FromString(item.SerializeToString()) for item in ask.items], []
+    def evaluate(
+        self: SectionOwnership, request: wire.ChangeRequest
+    ) -> tuple[ResultCode, list[Item], list[Item]]:
+        return ResultCode.DONE, [Item.FromString(item.SerializeToString()) for item in request.items], []
 
-    return patch_attribute(SectionOwnership, "_evaluate", weigh)
+    return patch_attribute(SectionOwnership, "_evaluate", evaluate)
 
 
 def lower_is_done_at_once() -> Any:
     """A change superseded by a higher version is acknowledged before that version is committed."""
 
-    def weigh(self: SectionOwnership, ask: wire.ChangeRequest) -> tuple[ResultCode, list[Item], list[Item]]:
-        code, new, _ = original(self, ask)
+    def evaluate(
+        self: SectionOwnership, request: wire.ChangeRequest
+    ) -> tuple[ResultCode, list[Item], list[Item]]:
+        code, new, _ = original(self, request)
         return code, new, []
 
     original = SectionOwnership._evaluate
-    return patch_attribute(SectionOwnership, "_evaluate", weigh)
+    return patch_attribute(SectionOwnership, "_evaluate", evaluate)
 
 
 def read_by_one() -> Any:
     """A read returns the first reply, without a majority."""
 
-    def on_reading(self: OperatorRequests, peer: str, told: wire.ReadResponse) -> None:
-        reading = self._rounds.get(told.number)
-        if reading is not None and told.ok:
-            self._finish_read(reading, ResultCode.DONE, told.items)
+    def on_read_response(self: OperatorRequests, peer: str, response: wire.ReadResponse) -> None:
+        pending_read = self._rounds.get(response.number)
+        if pending_read is not None and response.ok:
+            self._finish_read(pending_read, ResultCode.DONE, response.items)
 
-    return patch_attribute(OperatorRequests, "on_read_response", on_reading)
+    return patch_attribute(OperatorRequests, "on_read_response", on_read_response)
 
 
 def grants_to_all() -> Any:
     """A voter grants a lease without checking whether another process holds it."""
 
-    def on_lease(self: Leases, peer: str, lease: wire.LeaseRequest, started: float) -> None:
+    def on_lease_request(self: Leases, peer: str, request: wire.LeaseRequest, voting_since: float) -> None:
         self._granted.clear()
-        original(self, peer, lease, started)
+        original(self, peer, request, voting_since)
 
     original = Leases.on_lease_request
-    return patch_attribute(Leases, "on_lease_request", on_lease)
+    return patch_attribute(Leases, "on_lease_request", on_lease_request)
 
 
 # ---------------------------------------------------------------- replication, disks
@@ -113,11 +117,11 @@
 def drop_forgotten() -> Any:
     """A replica does not store deletions."""
 
-    def keep(self: ControlStateMachine, items: Iterable[Item]) -> dict[str, bytes]:
+    def accept(self: ControlStateMachine, items: Iterable[Item]) -> dict[str, bytes]:
         return original(self, [item for item in items if not item.dropped])
 
     original = ControlStateMachine.accept
-    return patch_attribute(ControlStateMachine, "accept", keep)
+    return patch_attribute(ControlStateMachine, "accept", accept)
 
 
 def older_overwrites_newer() -> Any:
@@ -165,13 +169,13 @@
 def old_epoch_taken() -> Any:
     """A replica accepts an item under an epoch below the one it promised."""
 
-    def on_copy(self: ControlStateMachine, peer: str, copy: wire.Replicate) -> None:
-        promised = self.promised.pop(copy.section, 0)
-        original(self, peer, copy)
-        self.promised[copy.section] = max(promised, self.promised.get(copy.section, 0))
+    def on_replicate(self: ControlStateMachine, peer: str, replicate: wire.Replicate) -> None:
+        promised = self.promised.pop(replicate.section, 0)
+        original(self, peer, replicate)
+        self.promised[replicate.section] = max(promised, self.promised.get(replicate.section, 0))
 
     original = ControlStateMachine._on_replicate
-    return patch_attribute(ControlStateMachine, "_on_replicate", on_copy)
+    return patch_attribute(ControlStateMachine, "_on_replicate", on_replicate)
 
 
 def promised_to_all() -> Any:
@@ -188,42 +192,44 @@
 def found_is_not_copied() -> Any:
     """A new owner treats recovered items as committed without replicating them under its own epoch."""
 
-    def copy(self: SectionOwnership, section: int, items: list[Item], **given: Any) -> None:
-        if given.get("claim"):
+    def replicate(self: SectionOwnership, section: int, items: list[Item], **options: Any) -> None:
+        if options.get("claim"):
             self._machine.mark_committed(items)
             self._become_owner(section)
         else:
-            original(self, section, items, **given)
+            original(self, section, items, **options)
 
     original = SectionOwnership._replicate
-    return patch_attribute(SectionOwnership, "_replicate", copy)
+    return patch_attribute(SectionOwnership, "_replicate", replicate)
 
 
 def old_epoch_kept() -> Any:
     """An item accepted from an earlier owner is replicated under that owner's epoch."""
 
-    def send_copies(
-        self: SectionOwnership, number: int, copying: ownership.Replication, to: Iterable[str]
+    def send_replication(
+        self: SectionOwnership, number: int, replication: ownership.Replication, to: Iterable[str]
     ) -> None:
-        for item in copying.items:
-            held = self._machine.accepted.items.get(item.key)
-            if held is not None and held.version == item.version and held.value == item.value:
-                item.epoch = held.epoch
-        original(self, number, copying, to)
+        for item in replication.items:
+            accepted = self._machine.accepted.items.get(item.key)
+            if accepted is not None and accepted.version == item.version and accepted.value == item.value:
+                item.epoch = accepted.epoch
+        original(self, number, replication, to)
 
     original = SectionOwnership._send_replication
-    return patch_attribute(SectionOwnership, "_send_replication", send_copies)
+    return patch_attribute(SectionOwnership, "_send_replication", send_replication)
 
 
 def refused_before_it_stands() -> Any:
     """A conflict is reported for a value that is not committed yet and may never be."""
 
-    def weigh(self: SectionOwnership, ask: wire.ChangeRequest) -> tuple[ResultCode, list[Item], list[Item]]:
-        code, new, waits = original(self, ask)
-        return (ResultCode.CONFLICT if code is ResultCode.BUSY else code), new, waits
+    def evaluate(
+        self: SectionOwnership, request: wire.ChangeRequest
+    ) -> tuple[ResultCode, list[Item], list[Item]]:
+        code, new, pending = original(self, request)
+        return (ResultCode.CONFLICT if code is ResultCode.BUSY else code), new, pending
 
     original = SectionOwnership._evaluate
-    return patch_attribute(SectionOwnership, "_evaluate", weigh)
+    return patch_attribute(SectionOwnership, "_evaluate", evaluate)
 
 
 def stale_owner_believed() -> Any:
@@ -242,13 +248,13 @@
 def wiped_counts_at_once() -> Any:
     """A voter with an empty disk votes as soon as it learns of its slot."""
 
-    def learn(self: VoterTable, slots: Iterable[VoterSlot], teller: str = "") -> bool:
-        new = original(self, slots, teller)
+    def merge(self: VoterTable, slots: Iterable[VoterSlot], sender: str = "") -> bool:
+        new = original(self, slots, sender)
         self.full = self.full or self.own_slot() is not None
         return new
 
     original = VoterTable.merge
-    return patch_attribute(VoterTable, "merge", learn)
+    return patch_attribute(VoterTable, "merge", merge)
 
 
 def newcomer_asks_one() -> Any:
@@ -259,14 +265,14 @@
 def full_before_the_sync() -> Any:
     """A joining process counts as a voter before the transferred items are on its disk."""
 
-    def on_grant(self: Reconfiguration, peer: str, grant: wire.SlotGrant) -> None:
+    def on_slot_grant(self: Reconfiguration, peer: str, grant: wire.SlotGrant) -> None:
         claim = self._claim
         original(self, peer, grant)
         if claim is not None and self._claim is None:
             self.on_slot_written()
 
     original = Reconfiguration.on_slot_grant
-    return patch_attribute(Reconfiguration, "on_slot_grant", on_grant)
+    return patch_attribute(Reconfiguration, "on_slot_grant", on_slot_grant)
 
 
 def lost_votes_count() -> Any:
@@ -277,14 +283,14 @@
 def granted_without_items() -> Any:
     """A joining process gets the voter slot without the items that belong to it."""
 
-    def on_grant(self: Reconfiguration, peer: str, grant: wire.SlotGrant) -> None:
+    def on_slot_grant(self: Reconfiguration, peer: str, grant: wire.SlotGrant) -> None:
         bare = wire.SlotGrant()
         bare.CopyFrom(grant)
         del bare.items[:]
         original(self, peer, bare)
 
     original = Reconfiguration.on_slot_grant
-    return patch_attribute(Reconfiguration, "on_slot_grant", on_grant)
+    return patch_attribute(Reconfiguration, "on_slot_grant", on_slot_grant)
 
 
 class _AlwaysEnough(set[str]):
@@ -300,12 +306,12 @@
 def ousted_by_one_view() -> Any:
     """A voter slot is claimed without asking the others whether they also see its holder as lost."""
 
-    def ask_for_one(self: Reconfiguration) -> None:
+    def request_slot(self: Reconfiguration) -> None:
         self._consenting = _AlwaysEnough()
         original(self)
 
     original = Reconfiguration._request_slot
-    return patch_attribute(Reconfiguration, "_request_slot", ask_for_one)
+    return patch_attribute(Reconfiguration, "_request_slot", request_slot)
 
 
 def size_not_told() -> Any:
@@ -326,8 +332,8 @@
     original = Quorum.reached
 
     def reached(self: Quorum, table: Mapping[int, VoterSlot]) -> bool:
-        half = any(slot.closed and not slot.settled for slot in table.values())
-        return (half and len(self) > 0) or original(self, table)
+        is_half_closed = any(slot.closed and not slot.settled for slot in table.values())
+        return (is_half_closed and len(self) > 0) or original(self, table)
 
     return reached
 
@@ -340,12 +346,12 @@
 def new_slot_by_one() -> Any:
     """An additional voter slot is granted by a single voter."""
 
-    def grants_needed(self: VoterTable, index: int) -> int:
+    def required_grants(self: VoterTable, index: int) -> int:
         known = self.slots.get(index)
         return original(self, index) if known is not None and not known.closed else 1
 
     original = VoterTable.required_grants
-    return patch_attribute(VoterTable, "required_grants", grants_needed)
+    return patch_attribute(VoterTable, "required_grants", required_grants)
 
 
 # ---------------------------------------------------------------- links, leases
@@ -369,10 +375,10 @@
 
     def up(self: ControlStateMachine, peer: str, now: float) -> list[Output]:
         known = self.peers.get(peer)
-        told = known is not None and known.informed
+        was_informed = known is not None and known.informed
         outputs = original(self, peer, now)
         if known is not None:
-            known.informed = told
+            known.informed = was_informed
         return outputs
 
     original = ControlStateMachine.up
@@ -382,13 +388,13 @@
 def lease_kept_too_long() -> Any:
     """A holder counts its lease from the grant instead of the request, without a margin for clock drift."""
 
-    def on_leased(self: Leases, peer: str, leased: wire.LeaseResponse) -> None:
-        original(self, peer, leased)
-        if leased.duty in self._until:
-            self._until[leased.duty] += 1.0
+    def on_lease_response(self: Leases, peer: str, response: wire.LeaseResponse) -> None:
+        original(self, peer, response)
+        if response.duty in self._until:
+            self._until[response.duty] += 1.0
 
     original = Leases.on_lease_response
-    return patch_attribute(Leases, "on_lease_response", on_leased)
+    return patch_attribute(Leases, "on_lease_response", on_lease_response)
 
 
 def no_room_for_clocks() -> Any:
@@ -399,11 +405,11 @@
 def granted_anew_after_a_restart() -> Any:
     """A restarted process grants leases at once, although it may have granted them before the restart."""
 
-    def on_lease(self: Leases, peer: str, asked: wire.LeaseRequest, started: float) -> None:
-        original(self, peer, asked, -1e9)
+    def on_lease_request(self: Leases, peer: str, request: wire.LeaseRequest, voting_since: float) -> None:
+        original(self, peer, request, -1e9)
 
     original = Leases.on_lease_request
-    return patch_attribute(Leases, "on_lease_request", on_lease)
+    return patch_attribute(Leases, "on_lease_request", on_lease_request)
 
 
 def nothing_repaired() -> Any:
@@ -438,10 +444,10 @@
 def links_believed() -> Any:
     """Contact with a majority is derived from the link states instead of recent answers."""
 
-    def fresh(self: QuorumCheck, now: float) -> bool:
+    def is_fresh(self: QuorumCheck, now: float) -> bool:
         return self._machine.has_majority()
 
-    return patch_attribute(QuorumCheck, "is_fresh", fresh)
+    return patch_attribute(QuorumCheck, "is_fresh", is_fresh)
 
 
 PLANTED_FAULTS: dict[str, Callable[[], Any]] = {
