--- a/tests/random_events.py
+++ b/tests/random_events.py
@@ -65,8 +65,8 @@
 
 
 @dataclass
-class Course:
-    """One module under what a seed brings."""
+class EventSequence:
+    """A balancer that receives events drawn from a seed."""
 
     seed: int
     node: Balancer = field(init=False)
@@ -76,7 +76,7 @@
     tries: dict[int, int] = field(default_factory=dict)
     out: list[Out] = field(default_factory=list)
     timers: list[tuple[float, int]] = field(default_factory=list)
-    told: list[str] = field(default_factory=list)
+    actions: list[str] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.node = Balancer(settings(self.seed), self.seed)
@@ -102,7 +102,7 @@
 
     def handle(self, event: Event) -> None:
         for action in self.node.handle(event, self.now):
-            self.told.append(repr(action))
+            self.actions.append(repr(action))
             if isinstance(action, Send):
                 attempt = self.tries.get(action.request, 0)
                 self.tries[action.request] = attempt + 1
@@ -140,11 +140,11 @@
 def digest() -> str:
     found = hashlib.sha256()
     for seed in range(SEEDS):
-        course = Course(seed)
+        sequence = EventSequence(seed)
         for _ in range(STEPS):
-            course.step()
-        course.told.append(repr((course.node.automaton.p, course.node.automaton.mean())))
-        found.update("\n".join(course.told).encode())
+            sequence.step()
+        sequence.actions.append(repr((sequence.node.automaton.p, sequence.node.automaton.mean())))
+        found.update("\n".join(sequence.actions).encode())
     return found.hexdigest()
 
 
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -16,8 +16,8 @@
 ROOT = Path(__file__).parent.parent
 
 
-def run_course(**environment: str) -> tuple[bool, str]:
-    """Runs tests.course; returns whether the sources were interpreted, and the digest of the run."""
+def run_random_events(**environment: str) -> tuple[bool, str]:
+    """Run tests.random_events; return whether the sources were interpreted, and the digest of the run."""
     environment_without = {
         name: value for name, value in os.environ.items() if name != compiled.PURE_PYTHON_VARIABLE
     }
@@ -37,9 +37,9 @@
     if shutil.which("cc") is None and shutil.which("gcc") is None:
         pytest.skip("no C compiler: the sources are interpreted")
     assert "compiled" in compile.build().split(":")[0]
-    interpreted, of_compiled = run_course()
+    interpreted, of_compiled = run_random_events()
     assert not interpreted, "the compiled modules are not used"
-    pure, of_sources = run_course(**{compiled.PURE_PYTHON_VARIABLE: "1"})
+    pure, of_sources = run_random_events(**{compiled.PURE_PYTHON_VARIABLE: "1"})
     assert pure
     assert of_compiled == of_sources
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -567,7 +567,7 @@
     harness = make(SAFE, UNSAFE, servers=4, stages=2)
     one = bytes([0])
 
-    def book(outcome: Outcome, at: bytes = b"") -> bytes:
+    def serve_with_outcome(outcome: Outcome, at: bytes = b"") -> bytes:
         """Serves a request with this outcome, or OK if it was sent to another server than the given one."""
         request = harness.arrive(1)
         harness.step(20)
@@ -577,12 +577,12 @@
 
     for number in range(240):
         end_all(harness, [harness.arrive(0)])
-        book(Outcome.OK if number % 12 else Outcome.ERROR)
+        serve_with_outcome(Outcome.OK if number % 12 else Outcome.ERROR)
     good = 0
     while good < 6:
-        good += book(Outcome.OK) == one
+        good += serve_with_outcome(Outcome.OK) == one
     for _ in range(2):
-        while book(Outcome.ERROR, one) != one:
+        while serve_with_outcome(Outcome.ERROR, one) != one:
             pass
     assert harness.balancer._fleet.servers[one].class_health[1].accepts_calls(harness.now)
     assert texts(harness) == []
@@ -595,7 +595,7 @@
     serve(harness, 60)
     health = harness.balancer._fleet.servers[bad].class_health[1]
 
-    def book(outcome: Outcome) -> None:
+    def serve_with_outcome(outcome: Outcome) -> None:
         """Serves requests until one at the bad server ended with this outcome."""
         met = False
         while not met:
@@ -605,10 +605,10 @@
             harness.end(request, 0, outcome if met else Outcome.OK)
 
     while not health.on_probation:
-        book(Outcome.ERROR)
+        serve_with_outcome(Outcome.ERROR)
     harness.step(6000)
-    book(Outcome.OK)
-    book(Outcome.ERROR)
+    serve_with_outcome(Outcome.OK)
+    serve_with_outcome(Outcome.ERROR)
     assert health.accepts_calls(harness.now)
 
 
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -116,53 +116,53 @@
 # ---------------------------------------------------------------- pieces
 
 
-def handed(book: DeliveredState, told: EndpointUpdate) -> list[EndpointUpdate]:
-    return [piece for piece in book.chunks(told) if piece is not None]
+def handed(delivered: DeliveredState, update: EndpointUpdate) -> list[EndpointUpdate]:
+    return [piece for piece in delivered.chunks(update) if piece is not None]
 
 
 def test_a_short_list_is_passed_on_unchanged() -> None:
-    book, told = DeliveredState(), read(1, *rows(range(5)))
-    assert handed(book, told) == [told]
+    delivered, update = DeliveredState(), read(1, *rows(range(5)))
+    assert handed(delivered, update) == [update]
     drained = read(2, *rows(range(1), lifecycle="DRAINING"), whole=False)
-    assert handed(book, drained) == [drained]
+    assert handed(delivered, drained) == [drained]
 
 
 def test_a_long_list_comes_in_pieces_with_removed_servers_first() -> None:
-    book = DeliveredState()
-    first = handed(book, read(1, *rows(range(1000))))
+    delivered = DeliveredState()
+    first = handed(delivered, read(1, *rows(range(1000))))
     assert [len(piece.entries) for piece in first] == [CHUNK_ENTRIES] * 5
     assert [piece.has_more for piece in first] == [True] * 4 + [False]
-    second = handed(book, read(2, *rows(range(500, 990)), *rows(range(990, 1100), port=2)))
-    told = [(entry.server, entry.readiness) for piece in second for entry in piece.entries]
-    gone = [server for server, readiness in told if readiness is Readiness.GONE]
+    second = handed(delivered, read(2, *rows(range(500, 990)), *rows(range(990, 1100), port=2)))
+    entries = [(entry.server, entry.readiness) for piece in second for entry in piece.entries]
+    gone = [server for server, readiness in entries if readiness is Readiness.GONE]
     assert gone == [b"s%d" % n for n in range(500)]
-    assert [server for server, _ in told[500:]] == [b"s%d" % n for n in range(990, 1100)]
+    assert [server for server, _ in entries[500:]] == [b"s%d" % n for n in range(990, 1100)]
     assert second[-1].addresses[b"s1099"][1] == 2
 
 
 def test_a_long_list_without_changes_is_passed_on_as_an_empty_one() -> None:
-    book = DeliveredState()
-    handed(book, read(1, *rows(range(1000))))
-    (piece,) = handed(book, read(2, *rows(range(1000))))
+    delivered = DeliveredState()
+    handed(delivered, read(1, *rows(range(1000))))
+    (piece,) = handed(delivered, read(2, *rows(range(1000))))
     assert (piece.entries, piece.has_more, piece.version) == ((), False, 2)
 
 
 def test_a_forgotten_server_is_sent_again() -> None:
     """Of two servers at one address the older one is dropped, though it may be the live one."""
-    book = DeliveredState()
-    handed(book, read(1, *rows(range(1000))))
-    book.forget(b"s7")
-    (piece,) = handed(book, read(2, *rows(range(1000))))
+    delivered = DeliveredState()
+    handed(delivered, read(1, *rows(range(1000))))
+    delivered.forget(b"s7")
+    (piece,) = handed(delivered, read(2, *rows(range(1000))))
     assert [entry.server for entry in piece.entries] == [b"s7"]
 
 
-def follow(known: dict[bytes, tuple[object, object]], told: EndpointUpdate) -> None:
+def follow(known: dict[bytes, tuple[object, object]], update: EndpointUpdate) -> None:
     """Reference implementation: apply a listing to the known servers."""
-    if told.is_snapshot:
+    if update.is_snapshot:
         known.clear()
-    for entry in told.entries:
+    for entry in update.entries:
         if entry.readiness is Readiness.READY:
-            known[entry.server] = entry, told.addresses[entry.server]
+            known[entry.server] = entry, update.addresses[entry.server]
         else:
             known.pop(entry.server, None)
 
@@ -209,11 +209,11 @@
     """Guards against shares relative to all servers so far: the first of ten thousand newcomers would get
     fourteen times the share of the last."""
     settings = Settings(classes=(RequestClass("r", 1000, 3000),))
-    book, balancer = DeliveredState(), Balancer(settings, seed=1)
-    send_pieces(balancer, book.chunks(read(1, *rows(range(1000)))))
+    delivered, balancer = DeliveredState(), Balancer(settings, seed=1)
+    send_pieces(balancer, delivered.chunks(read(1, *rows(range(1000)))))
     p = balancer.automaton.p
     assert len(p) == 1000 and max(p) - min(p) < 1e-12 and sum(p) == pytest.approx(1.0)
-    send_pieces(balancer, book.chunks(read(2, *rows(range(3000)))))
+    send_pieces(balancer, delivered.chunks(read(2, *rows(range(3000)))))
     shares = dict(zip(balancer.automaton.servers, balancer.automaton.p, strict=True))
     old = [shares[b"s%d" % n] for n in range(1000)]
     new = [shares[b"s%d" % n] for n in range(1000, 3000)]
@@ -226,10 +226,10 @@
 def test_the_cost_of_a_list_in_pieces_follows_the_pieces() -> None:
     """Counts visited tree nodes: no piece leads to a sum over the whole fleet."""
     settings = Settings(classes=(RequestClass("r", 1000, 3000),))
-    book, balancer = DeliveredState(), Balancer(settings, seed=1)
-    send_pieces(balancer, book.chunks(read(1, *rows(range(4000)))))
+    delivered, balancer = DeliveredState(), Balancer(settings, seed=1)
+    send_pieces(balancer, delivered.chunks(read(1, *rows(range(4000)))))
     steps = [sum(weights.touched_nodes for weights in balancer.automaton.shares.groups)]
-    for piece in book.chunks(read(2, *rows(range(2000, 6000)))):
+    for piece in delivered.chunks(read(2, *rows(range(2000, 6000)))):
         if piece is not None:
             balancer.handle(piece.to_event(), 2.0)
             steps.append(sum(weights.touched_nodes for weights in balancer.automaton.shares.groups))
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -39,40 +39,40 @@
 def reports() -> tuple[LoadReports, EventContext, list[Server]]:
     context = EventContext(random.Random(1))
     servers = [Server(ServerEntry(bytes([i])), [ClassHealth()], position=i) for i in range(4)]
-    told = LoadReports(SETTINGS, context)
-    told.listed_servers = len(servers)
-    return told, context, servers
+    load_reports = LoadReports(SETTINGS, context)
+    load_reports.listed_servers = len(servers)
+    return load_reports, context, servers
 
 
 def test_a_server_with_full_cores_and_more_requests_than_its_share_is_crowded() -> None:
-    told, _, servers = reports()
+    load_reports, _, servers = reports()
     for server, load in zip(servers, [(1.0, 30.0), (1.0, 6.0), (0.4, 30.0), (1.0, 30.0)], strict=True):
-        told.record(server, load)
+        load_reports.record(server, load)
     # The mean is 24: the second is below it, the third has free cores; a larger share allows more requests.
-    assert [told.crowded(s, 1.0) for s in servers] == [True, False, False, True]
-    assert not told.crowded(servers[3], 1.2)
+    assert [load_reports.crowded(s, 1.0) for s in servers] == [True, False, False, True]
+    assert not load_reports.crowded(servers[3], 1.2)
 
 
 def test_a_report_expires_and_its_repetition_does_not_refresh_it() -> None:
-    told, context, servers = reports()
+    load_reports, context, servers = reports()
     for server in servers:
-        told.record(server, (1.0, 40.0 if server is servers[0] else 1.0))
+        load_reports.record(server, (1.0, 40.0 if server is servers[0] else 1.0))
     context.now = REPORT_LIFETIME_MS - 1.0
-    told.record(servers[0], (1.0, 40.0))
-    assert told.crowded(servers[0], 1.0) and told.mean_utilization() == 1.0
+    load_reports.record(servers[0], (1.0, 40.0))
+    assert load_reports.crowded(servers[0], 1.0) and load_reports.mean_utilization() == 1.0
     context.now = REPORT_LIFETIME_MS
-    assert not told.crowded(servers[0], 1.0) and told.mean_utilization() is None
-    told.record(servers[0], (1.0, 40.0))
+    assert not load_reports.crowded(servers[0], 1.0) and load_reports.mean_utilization() is None
+    load_reports.record(servers[0], (1.0, 40.0))
     assert servers[0].load_report == (1.0, 40.0), "a report that has expired counts when it is repeated"
 
 
 def test_a_server_that_reports_no_requests_counts_with_the_calls_of_this_node() -> None:
-    told, _, servers = reports()
+    load_reports, _, servers = reports()
     for server in servers:
-        told.record(server, (1.0, 0.0 if server is servers[0] else 4.0))
-    assert not told.crowded(servers[0], 1.0)
+        load_reports.record(server, (1.0, 0.0 if server is servers[0] else 4.0))
+    assert not load_reports.crowded(servers[0], 1.0)
     servers[0].outstanding = {(i, 0): 0.0 for i in range(9)}
-    assert told.crowded(servers[0], 1.0)
+    assert load_reports.crowded(servers[0], 1.0)
 
 
 @pytest.mark.parametrize(
@@ -88,13 +88,13 @@
 def test_saturation_is_corrected_by_cpu_utilization(
     utilization: float, latency_ratio: float, saturation: float, adjusted: float
 ) -> None:
-    told, _, servers = reports()
+    load_reports, _, servers = reports()
     for server in servers[:3]:
-        told.record(server, (utilization, 5.0))
-    assert told.adjust_saturation(saturation, latency_ratio) == pytest.approx(adjusted)
-    told.listed_servers = 6
+        load_reports.record(server, (utilization, 5.0))
+    assert load_reports.adjust_saturation(saturation, latency_ratio) == pytest.approx(adjusted)
+    load_reports.listed_servers = 6
     assert (
-        told.adjust_saturation(saturation, latency_ratio) == saturation
+        load_reports.adjust_saturation(saturation, latency_ratio) == saturation
     ), "reports of half a fleet have no effect"
 
 
@@ -178,20 +178,22 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "read"),
+    ("header", "parsed"),
     [
         (b'{"utilization":0.61,"outstanding":7}', (0.61, 7.0)),
         (b'{"inflight":7,"queue":2,"util":0.61}', (0.61, 7.0)),  # the names used over sockets
         (None, ()),
     ],
 )
-def test_a_report_is_read_in_the_order_of_the_settings(told: bytes | None, read: tuple[float, ...]) -> None:
-    assert LoadReportParser(COLUMNS).parse(told) == read
-    assert LoadReportParser(()).parse(told) == ()
+def test_a_report_is_read_in_the_order_of_the_settings(
+    header: bytes | None, parsed: tuple[float, ...]
+) -> None:
+    assert LoadReportParser(COLUMNS).parse(header) == parsed
+    assert LoadReportParser(()).parse(header) == ()
 
 
 @pytest.mark.parametrize(
-    "told",
+    "header",
     [
         b"",
         b"[0.6,7]",
@@ -205,9 +207,9 @@
         b'{"util":0.6,"inflight":7,"x":"' + b"y" * 600 + b'"}',
     ],
 )
-def test_an_unreadable_report_is_passed_on_as_nan(told: bytes) -> None:
-    read = LoadReportParser(COLUMNS).parse(told)
-    assert len(read) == 2 and all(math.isnan(figure) for figure in read)
+def test_an_unreadable_report_is_passed_on_as_nan(header: bytes) -> None:
+    parsed = LoadReportParser(COLUMNS).parse(header)
+    assert len(parsed) == 2 and all(math.isnan(figure) for figure in parsed)
 
 
 def test_the_cache_of_parsed_reports_is_bounded() -> None:
--- a/tests/test_request_value.py
+++ b/tests/test_request_value.py
@@ -139,7 +139,7 @@
         budget = settings.classes[kind].deadline_ms
         events.append((at, seq, Arrival(seq, kind, budget, cost_hint_ms=cost)))
     free = {bytes([i]): [0.0, 0.0] for i in range(2)}  # when each slot is free again
-    told = {kind: [0, 0] for kind in kinds}
+    results = {kind: [0, 0] for kind in kinds}
     heapq.heapify(events)  # instant and number differ: events themselves are never compared
     answered: set[int] = set()
     while events:
@@ -159,7 +159,7 @@
                 late.append(
                     (at, seq, AttemptEnded(action.request, 0, action.server, outcome, at - now, in_time))
                 )
-                told[kind][0] += done - began <= settings.classes[kind].aim_ms
+                results[kind][0] += done - began <= settings.classes[kind].aim_ms
             elif isinstance(action, SetTimer):
                 late.append((action.at_ms, seq, TimerFired(action.token)))
             elif isinstance(action, Refuse | Fail):
@@ -167,27 +167,27 @@
         for each in late:
             heapq.heappush(events, each)
         if isinstance(event, Arrival):
-            told[arrived[event.request][1]][1] += 1
+            results[arrived[event.request][1]][1] += 1
         if isinstance(event, AttemptEnded) and event.finished:
             answered.add(event.request)
     assert answered == set(arrived), "each request ends once"
-    return told
+    return results
 
 
 def test_overload_serves_requests_of_more_worth_without_starving_the_rest() -> None:
     settings = Settings((LIGHT, HEAVY), worth_by_work=True, max_attempts=1)
-    told = overload(settings, {0: 60.0, 1: 60.0})
-    light, heavy = (served / asked for served, asked in (told[0], told[1]))
+    results = overload(settings, {0: 60.0, 1: 60.0})
+    light, heavy = (served / asked for served, asked in (results[0], results[1]))
     assert heavy > 0.6 and 0.05 < light < heavy - 0.2
 
 
 def test_hopeless_requests_yield_to_those_that_can_be_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
     hopeless = RequestClass("close", 600.0, 4000.0, worth=2.0)
     settings = Settings((LIGHT, hopeless), worth_by_work=True, max_attempts=1)
-    told = overload(settings, {0: 60.0, 1: 900.0})
+    results = overload(settings, {0: 60.0, 1: 900.0})
     monkeypatch.setattr(CostLatencyFit, "completion_probability", lambda *_: 1.0)
     without_prediction = overload(settings, {0: 60.0, 1: 900.0})
-    assert told[0][0] > 2.0 * without_prediction[0][0]
+    assert results[0][0] > 2.0 * without_prediction[0][0]
 
 
 def test_hopeless_requests_alone_are_still_sent_and_learned_from() -> None:
