--- a/leadrudder/experiment/command.py
+++ b/leadrudder/experiment/command.py
@@ -23,7 +23,7 @@
 from leadrudder.experiment.paired import Verdict
 from leadrudder.experiment.plan import Case, FieldError, apply_changes
 from leadrudder.experiment.pool import Job, Pool
-from leadrudder.experiment.revisions import RevisionError, fetch_revision, model_digest, working_tree_policy
+from leadrudder.experiment.revisions import RevisionError, fetch_revision, tool_for, working_tree_policy
 from leadrudder.experiment.runner import Experiment, Progress, run_missing
 from leadrudder.experiment.spec import File, Side
 from leadrudder.experiment.store import Row, Store, StoreError
@@ -415,13 +415,14 @@
         row = store.find(key)
     try:
         revision = fetch_revision(row.ref, _revision_cache()) if row.ref else working_tree_policy()
+        tool = tool_for(revision, row.model, lambda ref: fetch_revision(ref, _revision_cache()))
     except RevisionError as error:
         raise click.ClickException(str(error)) from None
     side = Side.model_validate({"name": row.side, "policy": row.policy, "model": row.model, "ref": row.ref})
     case = Case(File.model_validate(row.file), side, row.seed, row.variant)
     pool = Pool(1)
     with _stop_on_sigterm(pool):
-        job = Job(row.key, case, revision, model_digest(), Path())
+        job = Job(row.key, case, revision, tool, Path())
         outcome = next((item for item in pool.run_jobs([job]) if item is not None), None)
     if outcome is None or outcome.result is None:
         failed = "it was stopped" if outcome is None else outcome.error
--- a/leadrudder/experiment/pool.py
+++ b/leadrudder/experiment/pool.py
@@ -15,9 +15,8 @@
 from typing import Any
 
 from leadrudder.experiment.plan import Case
-from leadrudder.experiment.revisions import PolicyRevision
+from leadrudder.experiment.revisions import PolicyRevision, Tool
 
-WORKER_SCRIPT = Path(__file__).parent / "worker.py"
 INTERPRETER_ADDRESS_SPACE_MB = 512  # address space of an idle worker, allowed on top of runs.most_mb
 RESULT_POLL_S = 0.2
 
@@ -29,7 +28,7 @@
     key: str
     case: Case
     revision: PolicyRevision
-    model_digest: str
+    tool: Tool
     folder: Path
 
 
@@ -47,6 +46,7 @@
 class _Worker:
     process: subprocess.Popen[str]
     revision: PolicyRevision
+    tool: Tool
     most_mb: int
     progress: float = 0.0
 
@@ -152,15 +152,16 @@
         """Return the slot's worker if it suits the job, else a new one; None once the pool is stopped."""
         most_mb = job.case.file.runs.most_mb + INTERPRETER_ADDRESS_SPACE_MB
         worker = self._workers.get(slot)
-        if worker is not None and worker.revision == job.revision and worker.most_mb == most_mb:
+        wanted = (job.revision, job.tool, most_mb)
+        if worker is not None and (worker.revision, worker.tool, worker.most_mb) == wanted:
             return worker
         self._end_worker(slot)
         tree, prefix = job.revision.tree, job.revision.compiled
-        expected = f"{job.revision.digest if tree is None else ''}/{job.model_digest}"
+        expected = f"{job.revision.digest if tree is None else ''}/{job.tool.model_digest}"
         command = [
             sys.executable,
             "-P",
-            str(WORKER_SCRIPT),
+            str(job.tool.worker_script),
             str(tree or "-"),
             str(prefix or "-"),
             str(most_mb),
@@ -170,7 +171,7 @@
             if self._stopped.is_set():
                 return None
             process = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
-            worker = self._workers[slot] = _Worker(process, job.revision, most_mb)
+            worker = self._workers[slot] = _Worker(process, *wanted)
         return worker
 
     def _end_worker(self, slot: int) -> None:
--- a/leadrudder/experiment/revisions.py
+++ b/leadrudder/experiment/revisions.py
@@ -1,6 +1,7 @@
 """Provides the policy of another git revision, unpacked and compiled, to compare it with this one.
 
-Only the policy comes from that revision; model, file format and figures are always the tool's own.
+Only the policy comes from that revision; model, file format and figures are the tool's own. The exception is
+the whole model, which plays the revision's node too: a revision with the former names needs the former tool.
 """
 
 from __future__ import annotations
@@ -10,6 +11,7 @@
 import os
 import subprocess
 import sys
+from collections.abc import Callable
 from dataclasses import dataclass
 from pathlib import Path
 
@@ -25,6 +27,16 @@
     )
 )  # fmt: skip
 REQUIRED_MODULE = "leadrudder/policy/decide.py"
+LAST_REVISION_WITH_FORMER_NAMES = "316c7cc"
+FIRST_MODULE_WITH_PRESENT_NAMES = "selection_context.py"
+# Stays as it is in that revision, whose worker compares the digest of these sources.
+FORMER_MODEL_SOURCES = tuple(
+    f"experiment/{name}.py"
+    for name in (
+        "baselines", "callers", "clock", "draw", "figures", "fleet", "limits", "lists", "node", "play",
+        "server", "spec", "troubles", "whole",
+    )
+)  # fmt: skip
 
 _COMPILE_SCRIPT = """
 import sys
@@ -51,6 +63,18 @@
     compiled: Path | None = None
 
 
+@dataclass(frozen=True)
+class Tool:
+    """The package whose worker executes a run, and the digest of the model in it."""
+
+    package: Path
+    model_digest: str
+
+    @property
+    def worker_script(self) -> Path:
+        return self.package / "experiment" / "worker.py"
+
+
 def digest_sources(package: Path, names: tuple[str, ...]) -> str:
     """Return a digest of the Python sources at or below these names."""
     total = hashlib.blake2b(digest_size=16)
@@ -73,6 +97,28 @@
     return digest_sources(PACKAGE, MODEL_SOURCES)
 
 
+def tool_for(revision: PolicyRevision, model: str, fetch: Callable[[str], PolicyRevision]) -> Tool:
+    """Return the tool that can play this revision: the former one for the whole model with former names."""
+    if model != "whole" or not _has_former_names(revision):
+        return Tool(PACKAGE, model_digest())
+    try:
+        former = fetch(LAST_REVISION_WITH_FORMER_NAMES)
+    except RevisionError as error:
+        raise RevisionError(
+            "the whole model of a revision with the former names needs the tool of"
+            f" {LAST_REVISION_WITH_FORMER_NAMES}: {error}"
+        ) from None
+    assert former.tree is not None
+    package = former.tree / "leadrudder"
+    return Tool(package, digest_sources(package, FORMER_MODEL_SOURCES))
+
+
+def _has_former_names(revision: PolicyRevision) -> bool:
+    if revision.tree is None:
+        return False
+    return not (revision.tree / "leadrudder" / FIRST_MODULE_WITH_PRESENT_NAMES).is_file()
+
+
 def fetch_revision(ref: str, cache: Path) -> PolicyRevision:
     """Unpack the policy of a git revision into the cache; raises RevisionError if that is not possible."""
     if ref.startswith("-"):
--- a/leadrudder/experiment/runner.py
+++ b/leadrudder/experiment/runner.py
@@ -12,7 +12,13 @@
 from leadrudder.experiment import plan
 from leadrudder.experiment.plan import Case
 from leadrudder.experiment.pool import Job, JobOutcome, Pool
-from leadrudder.experiment.revisions import PolicyRevision, fetch_revision, model_digest, working_tree_policy
+from leadrudder.experiment.revisions import (
+    PolicyRevision,
+    Tool,
+    fetch_revision,
+    tool_for,
+    working_tree_policy,
+)
 from leadrudder.experiment.spec import File
 from leadrudder.experiment.store import Row, Store
 
@@ -48,6 +54,7 @@
     folder: Path
     cache: Path
     _policy_revisions: dict[str, PolicyRevision] = field(default_factory=dict)
+    _tools: dict[tuple[str, str], Tool] = field(default_factory=dict)
 
     def policy_revision(self, ref: str) -> PolicyRevision:
         """Return the policy of a git revision, or of the working tree; may raise RevisionError."""
@@ -55,15 +62,21 @@
             self._policy_revisions[ref] = fetch_revision(ref, self.cache) if ref else working_tree_policy()
         return self._policy_revisions[ref]
 
+    def tool(self, ref: str, model: str) -> Tool:
+        """Return the tool that plays a git revision with this model; may raise RevisionError."""
+        if (ref, model) not in self._tools:
+            self._tools[ref, model] = tool_for(self.policy_revision(ref), model, self.policy_revision)
+        return self._tools[ref, model]
+
     def jobs(self, seeds: range | None = None) -> list[Job]:
         """Return a job, with its key, for each run."""
-        model = model_digest()
         jobs = []
         for case in plan.expand_cases(self.values, self.file, seeds):
             revision = self.policy_revision(case.side.ref)
+            tool = self.tool(case.side.ref, case.side.model)
             digest = revision.digest if case.side.policy == "leadrudder" else ""
-            key = plan.run_key(case, digest, model, self._trace_digest(case))
-            jobs.append(Job(key, case, revision, model, self.folder))
+            key = plan.run_key(case, digest, tool.model_digest, self._trace_digest(case))
+            jobs.append(Job(key, case, revision, tool, self.folder))
         return jobs
 
     def _trace_digest(self, case: Case) -> str:
